--- a/crates/adapter/src/line.rs
+++ b/crates/adapter/src/line.rs
@@ -1,11 +1,12 @@
 //! Single lines of the wire: their fields, the events they carry, and how actions are printed.
 
 use jaspershunt::{Action, CallerId, Event, Gauges, Outcome, Request, RequestId};
-use jaspershunt_settings::{Names, gauge_mut};
+use jaspershunt_settings::{Names, gauge_by_name_mut};
 use std::fmt::Write;
 
 /// The events that the module has a use for; others are skipped.
-pub const KNOWN: [&str; 7] = ["JOB_IN", "ENDED", "CAME_BACK", "BELL", "WITHDRAWN", "NEEDS", "TERMINATE_SOON"];
+pub const EVENT_NAMES: [&str; 7] =
+    ["JOB_IN", "ENDED", "CAME_BACK", "BELL", "WITHDRAWN", "NEEDS", "TERMINATE_SOON"];
 
 /// Fields whose value goes on to the end of the line.
 const TEXT_FIELDS: [&str; 2] = ["facts", "words"];
@@ -19,17 +20,17 @@
 
 impl<'a> Fields<'a> {
     /// Takes a line apart.
-    pub fn of(text: &'a str) -> Result<Self, String> {
+    pub fn parse(text: &'a str) -> Result<Self, String> {
         let (name, mut rest) = text.split_once(' ').unwrap_or((text, ""));
         if name.is_empty() || name.contains('=') {
-            return Err(format!("no message name in {:?}", clip(text)));
+            return Err(format!("no message name in {:?}", truncate(text)));
         }
         let mut pairs = Vec::with_capacity(14);
         while !rest.is_empty() {
             let (key, after) =
-                rest.split_once('=').ok_or_else(|| format!("expected name=value at {:?}", clip(rest)))?;
+                rest.split_once('=').ok_or_else(|| format!("expected name=value at {:?}", truncate(rest)))?;
             if key.is_empty() || key.contains(' ') {
-                return Err(format!("expected name=value at {:?}", clip(rest)));
+                return Err(format!("expected name=value at {:?}", truncate(rest)));
             }
             let (value, after) = match TEXT_FIELDS.contains(&key) {
                 true => (after, ""),
@@ -75,25 +76,26 @@
         match self.get(key) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(format!("{key} must be 0 or 1, got {:?}", clip(other))),
+            Some(other) => Err(format!("{key} must be 0 or 1, got {:?}", truncate(other))),
         }
     }
 }
 
-fn clip(text: &str) -> &str {
+fn truncate(text: &str) -> &str {
     let end = text.char_indices().nth(60).map_or(text.len(), |(i, _)| i);
     &text[..end]
 }
 
 fn parse_whole(key: &str, value: &str) -> Result<u64, String> {
-    value.parse().map_err(|_| format!("{key} must be a whole number, got {:?}", clip(value)))
+    value.parse().map_err(|_| format!("{key} must be a whole number, got {:?}", truncate(value)))
 }
 
 fn parse_number(key: &str, value: &str) -> Result<f64, String> {
-    let number: f64 = value.parse().map_err(|_| format!("{key} must be a number, got {:?}", clip(value)))?;
+    let number: f64 =
+        value.parse().map_err(|_| format!("{key} must be a number, got {:?}", truncate(value)))?;
     match number.is_finite() && number >= 0.0 {
         true => Ok(number),
-        false => Err(format!("{key} must be finite and not negative, got {:?}", clip(value))),
+        false => Err(format!("{key} must be finite and not negative, got {:?}", truncate(value))),
     }
 }
 
@@ -107,7 +109,7 @@
         "RST" => Outcome::Broken,
         "CXL" => Outcome::Stopped,
         "NOP" => Outcome::NotStarted,
-        other => return Err(format!("unknown disposition {:?}", clip(other))),
+        other => return Err(format!("unknown disposition {:?}", truncate(other))),
     })
 }
 
@@ -115,16 +117,16 @@
     let mut gauges = Gauges::default();
     for pair in text.split(',').filter(|pair| !pair.is_empty()) {
         let (name, value) =
-            pair.split_once(':').ok_or_else(|| format!("expected name:value at {:?}", clip(pair)))?;
-        let Some(place) = gauge_mut(&mut gauges, name) else { continue };
+            pair.split_once(':').ok_or_else(|| format!("expected name:value at {:?}", truncate(pair)))?;
+        let Some(place) = gauge_by_name_mut(&mut gauges, name) else { continue };
         // A reading may be a rounding below 0.
         let reading: Option<f64> = value.parse().ok().filter(|v: &f64| v.is_finite());
-        *place = Some(reading.ok_or_else(|| format!("{name} must be a number, got {:?}", clip(value)))?);
+        *place = Some(reading.ok_or_else(|| format!("{name} must be a number, got {:?}", truncate(value)))?);
     }
     Ok(gauges)
 }
 
-/// The event that a line carries; its name is one of [`KNOWN`].
+/// The event that a line carries; its name is one of [`EVENT_NAMES`].
 pub fn read_event(fields: &Fields, names: &Names) -> Result<Event, String> {
     let id = || fields.whole("req").map(RequestId);
     Ok(match fields.name {
--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -193,7 +193,7 @@
         let (arrived, before) = (known.arrived, known.ran);
         let late = self.left_at.is_some_and(|left| arrived > left + settings.drain_grace);
         // A paused run that is taken up again is no second run.
-        let again = before && settings.halt != jaspershunt::Halt::Pause;
+        let again = before && settings.halt != jaspershunt::StopMode::Pause;
         let twice = match settings.classes[class].repeat {
             Repeat::Safe => false,
             Repeat::Unsafe => again,
--- a/crates/capture/src/story.rs
+++ b/crates/capture/src/story.rs
@@ -2,7 +2,9 @@
 
 use crate::reader::Part;
 use crate::record::{Record, Round, Sides};
-use jaspershunt::{Action, Controller, Event, Figures, Outcome, Repeat, Request, RequestId, Settings};
+use jaspershunt::{
+    Action, Controller, DecisionMetrics, Event, Outcome, Repeat, Request, RequestId, Settings,
+};
 use jaspershunt_dependencies::Action as BelowAction;
 use std::fmt::Write;
 
@@ -83,7 +85,7 @@
 
 impl Teller {
     fn round(&mut self, round: &Round, wanted: &str, number: Option<RequestId>) {
-        let before = self.module.as_ref().map(|module| module.figures());
+        let before = self.module.as_ref().map(|module| module.decision_metrics());
         for event in &round.events {
             self.event(round, event, wanted, number, before);
         }
@@ -119,7 +121,7 @@
         event: &Event,
         wanted: &str,
         number: Option<RequestId>,
-        before: Option<Figures>,
+        before: Option<DecisionMetrics>,
     ) {
         if let Event::Settings(settings) = event {
             self.settings = Some((**settings).clone());
@@ -161,7 +163,7 @@
         }
     }
 
-    fn arrival(&self, request: &Request, figures: Option<Figures>) -> String {
+    fn arrival(&self, request: &Request, figures: Option<DecisionMetrics>) -> String {
         let class = self.settings.as_ref().and_then(|set| set.classes.get(request.class));
         let class = class.map_or("?", |class| class.name.as_str());
         let mut what = format!("read: {class} of caller {}", request.caller.0);
@@ -178,7 +180,7 @@
         what
     }
 
-    fn action(&mut self, round: &Round, action: &Action, before: Option<Figures>) {
+    fn action(&mut self, round: &Round, action: &Action, before: Option<DecisionMetrics>) {
         let Some(story) = &self.story else { return };
         let id = story.request.id;
         let begun = story.moments.iter().any(|moment| moment.what.starts_with("run:"));
@@ -207,7 +209,7 @@
     }
 
     /// What the refusal rested on. The module tells no reason; its figures, and what came in the same round, do.
-    fn why_refused(&self, round: &Round, begun: bool, before: &Figures) -> String {
+    fn why_refused(&self, round: &Round, begun: bool, before: &DecisionMetrics) -> String {
         let (Some(story), Some(settings), Some(module)) = (&self.story, &self.settings, &self.module) else {
             return String::new();
         };
@@ -215,14 +217,14 @@
         let Some(class) = settings.classes.get(request.class) else { return String::new() };
         let read_at = story.moments.first().map_or(round.now, |first| first.at);
         let arrived = read_at - request.waited;
-        let needs = module.expected_time(request.class, request.cost_hint);
+        let needs = module.expected_run_time(request.class, request.cost_hint);
         let (aim, left) = (arrived + class.aim - round.now, arrived + class.deadline - round.now);
         let newer = round.events.iter().any(|event| {
             matches!(event, Event::Arrived(other) if other.repeats == Some(request.id) && other.id != request.id)
         });
-        let after = module.figures();
+        let after = module.decision_metrics();
         // Its own place is free again by now, so that it is counted in.
-        let here = module.requests_of(request.caller) + 1.0;
+        let here = module.in_flight_requests_of(request.caller) + 1.0;
         let keyed = matches!(class.repeat, Repeat::Keyed(_));
         let reason = if newer && keyed {
             "a newer try of the same request takes its place".to_string()
@@ -230,20 +232,20 @@
             "the nodo leaves, and it came after the grace".to_string()
         } else if begun || left <= 0.05 {
             format!("its time is up: {:.0} ms are left of its deadline", left.max(0.0) * 1000.0)
-        } else if round.now <= read_at && before.memory_left_kb < request.held_kb * settings.run_factor {
-            format!("there is no memory for it: {:.0} kB are left", before.memory_left_kb)
+        } else if round.now <= read_at && before.free_memory_kb < request.held_kb * settings.run_factor {
+            format!("there is no memory for it: {:.0} kB are left", before.free_memory_kb)
         } else if aim < needs {
             format!(
                 "it can no longer end in time: {:.0} ms are left of its aim, and it needs about {:.0} ms",
                 aim.max(0.0) * 1000.0,
                 needs * 1000.0
             )
-        } else if before.held + 1.0 > before.ceiling && here > before.credit {
+        } else if before.queued_requests + 1.0 > before.queue_limit && here > before.caller_credit {
             format!(
                 "too much waits, and its caller has {here:.0} requests here where {:.1} are its credit",
-                before.credit
+                before.caller_credit
             )
-        } else if before.held + 1.0 > before.ceiling {
+        } else if before.queued_requests + 1.0 > before.queue_limit {
             "too much waits, and what is ahead of it would keep it from its aim".to_string()
         } else {
             "another request of more worth takes its place".to_string()
@@ -253,19 +255,19 @@
 }
 
 /// The figures in words.
-fn state(figures: &Figures) -> String {
+fn state(figures: &DecisionMetrics) -> String {
     let mut text = format!(
         "{:.0} held (N_sess) of {:.1} (N_max), {:.0} on the cores of {:.1}, {:.0} at calls, μ {:.1}/s, credit {:.1} for {:.0} callers",
-        figures.held,
-        figures.ceiling,
+        figures.queued_requests,
+        figures.queue_limit,
         figures.running,
-        figures.limit,
+        figures.run_limit,
         figures.parked,
-        figures.rate,
-        figures.credit,
-        figures.callers
+        figures.service_rate,
+        figures.caller_credit,
+        figures.active_callers
     );
-    if figures.storm {
+    if figures.retry_storm {
         text.push_str(", tries storm");
     }
     text
--- a/crates/capture/src/what_if.rs
+++ b/crates/capture/src/what_if.rs
@@ -3,7 +3,7 @@
 
 use crate::reader::Part;
 use crate::record::{Record, Round};
-use jaspershunt::{Action, Below, Controller, Event, Settings};
+use jaspershunt::{Action, Controller, DependencyModel, Event, Settings};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -27,8 +27,8 @@
         other.cores = self.cores.unwrap_or(other.cores);
         other.memory_kb = self.memory_kb.unwrap_or(other.memory_kb);
         other.crowd_multiple = self.crowd_multiple.unwrap_or(other.crowd_multiple);
-        if let (Below::Shared { over, .. }, Some(fair_calls)) = (other.below, self.fair_calls) {
-            other.below = Below::Shared { fair_calls, over };
+        if let (DependencyModel::Shared { over, .. }, Some(fair_calls)) = (other.below, self.fair_calls) {
+            other.below = DependencyModel::Shared { fair_calls, over };
         }
         other
     }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -14,7 +14,7 @@
 use crate::keys::tape::Taped as Keys;
 use crate::log;
 use crate::request::{Answer, Key, Label, Reply, ReplyTo};
-use jaspershunt::{Action, Controller, Event, Gauges, RequestId, Say, Settings};
+use jaspershunt::{Action, CallerFeedback, Controller, Event, Gauges, RequestId, Settings};
 use jaspershunt_capture::tap::Reason;
 use jaspershunt_dependencies::By;
 use jaspershunt_routes::Snapshot;
@@ -403,7 +403,7 @@
 
     /// The free number for an answer. Settings that were read anew may have callers told nothing; the module then says no other.
     fn says(&self) -> Option<f64> {
-        self.say.filter(|_| self.settings.say != Say::Nothing)
+        self.say.filter(|_| self.settings.say != CallerFeedback::Nothing)
     }
 
     fn carry_out(&mut self, action: Action) {
--- a/crates/node/src/engine/below.rs
+++ b/crates/node/src/engine/below.rs
@@ -7,7 +7,7 @@
 use crate::engine::input::{CallEnd, Input};
 use crate::interpreter::Command;
 use crate::log;
-use jaspershunt::{Below, Event, Outcome, RequestId, Settings};
+use jaspershunt::{DependencyModel, Event, Outcome, RequestId, Settings};
 use jaspershunt_dependencies::tape::Taped;
 use jaspershunt_dependencies::{Action, AttemptId, By, CallId, End, Room, Wanted};
 use jaspershunt_operator::File;
@@ -51,7 +51,7 @@
         let file = config.operator.as_ref().filter(|file| !file.dependency.is_empty())?;
         let crowd = f64::from(settings.cores) * settings.crowd_multiple * PARKED_PART;
         let room = Room { places: crowd.max(1.0) as usize, memory_kb: settings.memory_kb * PARKED_PART };
-        settings.below = Below::Several { parked: room.places as f64 };
+        settings.below = DependencyModel::Several { parked: room.places as f64 };
         let classes: Vec<String> = settings.classes.iter().map(|class| class.name.clone()).collect();
         let without = without(file, &classes);
         for (class, allowed) in settings.classes.iter_mut().zip(&without) {
--- a/crates/node/src/engine/handover/runs.rs
+++ b/crates/node/src/engine/handover/runs.rs
@@ -6,7 +6,7 @@
 use crate::keys::print;
 use crate::log;
 use crate::request::{Answer, Key, ReplyTo, Work};
-use jaspershunt::{CallerId, Halt, RequestId};
+use jaspershunt::{CallerId, RequestId, StopMode};
 use jaspershunt_work::bounds::MAX_RESULT;
 use jaspershunt_work::{End, Offer, Ran};
 use std::rc::Rc;
@@ -110,7 +110,7 @@
             return;
         }
         let uid = entry.uid.clone();
-        if self.settings.halt != Halt::Drop || !self.command(Command::Break { uid }) {
+        if self.settings.halt != StopMode::Drop || !self.command(Command::Break { uid }) {
             // It cannot be told: what it has done is asked for all the same.
             self.run_ended(id, RunEnd::Failed);
         }
--- a/crates/node/src/engine/runs.rs
+++ b/crates/node/src/engine/runs.rs
@@ -5,9 +5,9 @@
 use crate::interpreter::Command;
 use crate::log;
 use crate::request::{Answer, Label};
-use jaspershunt::{Controller, Event, Gauges, Halt, Outcome, Repeat, RequestId};
+use jaspershunt::{Controller, Event, Gauges, Outcome, Repeat, RequestId, StopMode};
 use jaspershunt_capture::tap::Reason;
-use jaspershunt_settings::gauge_mut;
+use jaspershunt_settings::gauge_by_name_mut;
 use jaspershunt_work::End;
 use std::rc::Rc;
 
@@ -33,7 +33,7 @@
                 if tag != 0 && tag == self.tag {
                     let mut gauges = Gauges::default();
                     for (name, reading) in self.names.gauges.iter().zip(readings) {
-                        if let Some(place) = gauge_mut(&mut gauges, name) {
+                        if let Some(place) = gauge_by_name_mut(&mut gauges, name) {
                             *place = reading;
                         }
                     }
@@ -92,7 +92,7 @@
     /// rule once more, with the nodo's own record of what ran: such a try gets what that run made.
     pub(super) fn start_run(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get(&id) else { return };
-        let resumes = entry.started && self.settings.halt == Halt::Pause;
+        let resumes = entry.started && self.settings.halt == StopMode::Pause;
         if let Some(key) = entry.key.clone()
             && !resumes
         {
@@ -133,7 +133,7 @@
         entry.place = Place::Held;
         let key = entry.key.clone();
         let over = entry.reply.is_none();
-        let paused = matches!(end, RunEnd::Stopped) && self.settings.halt == Halt::Pause && !over;
+        let paused = matches!(end, RunEnd::Stopped) && self.settings.halt == StopMode::Pause && !over;
         let of_fleet = match &end {
             RunEnd::Done(result) => Some((End::Done(result.clone()), Outcome::Done)),
             // What it called before it failed is not known here.
--- a/crates/node/src/engine/settings.rs
+++ b/crates/node/src/engine/settings.rs
@@ -18,7 +18,7 @@
             );
         }
         // One that was named until now may be that of a request which was read and is not here yet.
-        let free = |place| !self.names.uses(place) && !self.is_open(place);
+        let free = |place| !self.names.has_class_at(place) && !self.is_open(place);
         let (mut settings, names) = merge(&self.settings, facts.settings.clone(), facts.names.clone(), free)
             .map_err(|problem| format!("settings.{problem}"))?;
         // Guards against a notice to leave that waits behind much else: the grace is the one in force when it came.
@@ -50,8 +50,8 @@
     /// another class. What was read before this change is ahead of what the engine now sends itself.
     fn retire_places(&mut self, names: &Names) {
         self.changes += 1;
-        for place in (0..self.settings.classes.len()).filter(|place| self.names.uses(*place)) {
-            if !names.uses(place) {
+        for place in (0..self.settings.classes.len()).filter(|place| self.names.has_class_at(*place)) {
+            if !names.has_class_at(place) {
                 self.retired.retain(|(_, retired)| *retired != place);
                 self.retired.push((self.changes, place));
             }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,12 +2,14 @@
 //!
 //! Keys that are not known are skipped; what is wrong is named with the way to it.
 
-use jaspershunt::{Below, Class, Gauges, Halt, Repeat, Say, Settings, Tenant, WorthBy};
+use jaspershunt::{
+    CallerFeedback, Class, DependencyModel, Gauges, Repeat, Settings, StopMode, Tenant, WorthBy,
+};
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
 mod merge;
-pub use merge::{MAX_PLACES, merge};
+pub use merge::{MAX_SLOTS, merge};
 
 /// The names that later messages use.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,7 +33,7 @@
     }
 
     /// Whether a class may be named that has this place.
-    pub fn uses(&self, class: usize) -> bool {
+    pub fn has_class_at(&self, class: usize) -> bool {
         self.classes.iter().any(|(_, place)| *place == class)
     }
 
@@ -56,7 +58,7 @@
 }
 
 /// Where the reading of a gauge belongs; `None` for gauges that the module has no use for.
-pub fn gauge_mut<'a>(gauges: &'a mut Gauges, name: &str) -> Option<&'a mut Option<f64>> {
+pub fn gauge_by_name_mut<'a>(gauges: &'a mut Gauges, name: &str) -> Option<&'a mut Option<f64>> {
     Some(match name {
         "core_use" => &mut gauges.core_use,
         "on_cores" => &mut gauges.on_cores,
@@ -113,46 +115,46 @@
 }
 
 /// A part of the settings, with the way to it for messages.
-struct Part<'a> {
+struct Section<'a> {
     value: &'a JsonValue,
     path: String,
 }
 
-impl<'a> Part<'a> {
-    fn at(&self, key: &str) -> Option<Part<'a>> {
+impl<'a> Section<'a> {
+    fn get(&self, key: &str) -> Option<Section<'a>> {
         let object: &HashMap<String, JsonValue> = self.value.get()?;
         let value = object.get(key).filter(|v| !v.is_null())?;
-        Some(Part { value, path: format!("{}.{key}", self.path) })
+        Some(Section { value, path: format!("{}.{key}", self.path) })
     }
 
-    fn need(&self, key: &str) -> Result<Part<'a>, String> {
-        self.at(key).ok_or_else(|| format!("{}.{key} is missing", self.path))
+    fn required(&self, key: &str) -> Result<Section<'a>, String> {
+        self.get(key).ok_or_else(|| format!("{}.{key} is missing", self.path))
     }
 
-    fn wrong<T>(&self, wanted: &str) -> Result<T, String> {
+    fn type_error<T>(&self, wanted: &str) -> Result<T, String> {
         Err(format!("{} must be {wanted}", self.path))
     }
 
     fn as_number(&self) -> Result<f64, String> {
-        self.value.get::<f64>().copied().map_or_else(|| self.wrong("a number"), Ok)
+        self.value.get::<f64>().copied().map_or_else(|| self.type_error("a number"), Ok)
     }
 
     fn number(&self, key: &str) -> Result<f64, String> {
-        self.need(key)?.as_number()
+        self.required(key)?.as_number()
     }
 
     fn number_or(&self, key: &str, missing: f64) -> Result<f64, String> {
-        self.at(key).map_or(Ok(missing), |part| part.as_number())
+        self.get(key).map_or(Ok(missing), |part| part.as_number())
     }
 
     fn count_or(&self, key: &str, missing: u32) -> Result<u32, String> {
-        let Some(part) = self.at(key) else {
+        let Some(part) = self.get(key) else {
             return Ok(missing);
         };
         let number = part.as_number()?;
         // The cast is exact for what is whole and in range.
         let whole = number.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&number);
-        if whole { Ok(number as u32) } else { part.wrong("a whole number") }
+        if whole { Ok(number as u32) } else { part.type_error("a whole number") }
     }
 
     fn as_flag(&self) -> Result<bool, String> {
@@ -160,36 +162,36 @@
             JsonValue::Boolean(flag) => Ok(*flag),
             JsonValue::Number(0.0) => Ok(false),
             JsonValue::Number(1.0) => Ok(true),
-            _ => self.wrong("true or false"),
+            _ => self.type_error("true or false"),
         }
     }
 
     fn flag(&self, key: &str) -> Result<bool, String> {
-        self.at(key).map_or(Ok(false), |part| part.as_flag())
+        self.get(key).map_or(Ok(false), |part| part.as_flag())
     }
 
     fn as_text(&self) -> Result<&'a str, String> {
-        self.value.get::<String>().map_or_else(|| self.wrong("a text"), |text| Ok(text.as_str()))
+        self.value.get::<String>().map_or_else(|| self.type_error("a text"), |text| Ok(text.as_str()))
     }
 
     fn text(&self, key: &str) -> Result<&'a str, String> {
-        self.need(key)?.as_text()
+        self.required(key)?.as_text()
     }
 
     fn text_or(&self, key: &str, missing: &'a str) -> Result<&'a str, String> {
-        self.at(key).map_or(Ok(missing), |part| part.as_text())
+        self.get(key).map_or(Ok(missing), |part| part.as_text())
     }
 
     /// The parts of a list; one that is missing is empty.
-    fn list(&self, key: &str) -> Result<Vec<Part<'a>>, String> {
-        let Some(part) = self.at(key) else {
+    fn list(&self, key: &str) -> Result<Vec<Section<'a>>, String> {
+        let Some(part) = self.get(key) else {
             return Ok(Vec::new());
         };
         let Some(values) = part.value.get::<Vec<JsonValue>>() else {
-            return part.wrong("a list");
+            return part.type_error("a list");
         };
         let numbered = values.iter().enumerate();
-        Ok(numbered.map(|(i, value)| Part { value, path: format!("{}[{i}]", part.path) }).collect())
+        Ok(numbered.map(|(i, value)| Section { value, path: format!("{}[{i}]", part.path) }).collect())
     }
 }
 
@@ -210,13 +212,13 @@
     if !value.is_object() {
         return Err(format!("{name} must be an object"));
     }
-    let facts = Part { value, path: name.to_string() };
-    let domain = facts.need("domain")?;
-    let rules = facts.need("obligations")?;
+    let facts = Section { value, path: name.to_string() };
+    let domain = facts.required("domain")?;
+    let rules = facts.required("obligations")?;
     let empty = JsonValue::Null;
-    let none = |path: &str| Part { value: &empty, path: path.to_string() };
-    let allowed = facts.at("allowed").unwrap_or_else(|| none(&format!("{name}.allowed")));
-    let habits = facts.at("clientHabits").unwrap_or_else(|| none(&format!("{name}.clientHabits")));
+    let none = |path: &str| Section { value: &empty, path: path.to_string() };
+    let allowed = facts.get("allowed").unwrap_or_else(|| none(&format!("{name}.allowed")));
+    let habits = facts.get("clientHabits").unwrap_or_else(|| none(&format!("{name}.clientHabits")));
     let classes = read_classes(&facts, &domain)?;
     let tenants = read_tenants(&facts)?;
     let names = Names {
@@ -238,7 +240,7 @@
             _ => WorthBy::Request,
         },
         servers: facts.count_or("servers", 1)?,
-        cores: domain.need("nCores").and_then(|_| domain.count_or("nCores", 0))?,
+        cores: domain.required("nCores").and_then(|_| domain.count_or("nCores", 0))?,
         cold: domain.flag("justStarted")?,
         cold_from: rules.number("coldFrom")?,
         cold_for: rules.number("coldS")?,
@@ -249,17 +251,17 @@
         key_kb: domain.number_or("keyKb", 0.0)?,
         fresh_for: domain.number_or("freshS", 0.0)?,
         halt: match domain.text_or("halt", "silent")? {
-            "pause" => Halt::Pause,
-            "drop" => Halt::Drop,
-            _ => Halt::Never,
+            "pause" => StopMode::Pause,
+            "drop" => StopMode::Drop,
+            _ => StopMode::Never,
         },
         below: read_below(&domain)?,
         linger: domain.number_or("lingerS", 0.0)?,
         say: match domain.text_or("say", "silent")? {
-            "tokens" => Say::Credit,
-            "min_rank" => Say::Level,
-            "bias" => Say::Weight,
-            _ => Say::Nothing,
+            "tokens" => CallerFeedback::Credit,
+            "min_rank" => CallerFeedback::Level,
+            "bias" => CallerFeedback::Weight,
+            _ => CallerFeedback::Nothing,
         },
         readiness: domain.flag("readiness")?,
         max_stay_away: match allowed.flag("retryAfter")? {
@@ -274,10 +276,10 @@
     Ok((settings, names))
 }
 
-fn read_classes(facts: &Part, domain: &Part) -> Result<Vec<Class>, String> {
+fn read_classes(facts: &Section, domain: &Section) -> Result<Vec<Class>, String> {
     let calls = domain.list("classCalls")?;
     let skips = domain.list("classSkipWorth")?;
-    let read = |(i, part): (usize, &Part)| {
+    let read = |(i, part): (usize, &Section)| {
         Ok(Class {
             name: part.text("name")?.to_string(),
             worth: part.number("worth")?,
@@ -289,17 +291,17 @@
                 "free" => Repeat::Safe,
                 "guarded" => Repeat::Keyed(part.number("windowS")?),
                 "single_shot" => Repeat::Unsafe,
-                _ => return part.need("semantics")?.wrong("free, guarded or single_shot"),
+                _ => return part.required("semantics")?.type_error("free, guarded or single_shot"),
             },
-            calls: calls.get(i).map_or(Ok(true), Part::as_flag)?,
-            skip_worth: skips.get(i).map_or(Ok(0.0), Part::as_number)?,
+            calls: calls.get(i).map_or(Ok(true), Section::as_flag)?,
+            skip_worth: skips.get(i).map_or(Ok(0.0), Section::as_number)?,
         })
     };
     facts.list("classes")?.iter().enumerate().map(read).collect()
 }
 
-fn read_tenants(facts: &Part) -> Result<Vec<Tenant>, String> {
-    let read = |part: &Part| {
+fn read_tenants(facts: &Section) -> Result<Vec<Tenant>, String> {
+    let read = |part: &Section| {
         Ok(Tenant {
             name: part.text("name")?.to_string(),
             share: part.number_or("share", 0.0)?,
@@ -309,12 +311,13 @@
     facts.list("orgs")?.iter().map(read).collect()
 }
 
-fn read_below(domain: &Part) -> Result<Below, String> {
+fn read_below(domain: &Section) -> Result<DependencyModel, String> {
     Ok(match domain.text_or("dependsOn", "silent")? {
-        "common" => {
-            Below::Shared { fair_calls: domain.number("fairCalls")?, over: domain.number("callsOverS")? }
-        }
-        "next_hop" => Below::NextTier,
-        _ => Below::Nothing,
+        "common" => DependencyModel::Shared {
+            fair_calls: domain.number("fairCalls")?,
+            over: domain.number("callsOverS")?,
+        },
+        "next_hop" => DependencyModel::NextTier,
+        _ => DependencyModel::Nothing,
     })
 }
--- a/crates/settings/src/merge.rs
+++ b/crates/settings/src/merge.rs
@@ -5,7 +5,7 @@
 
 /// Classes, and tenants, that may have places at once, those included that settings no longer name and of which requests
 /// are still open.
-pub const MAX_PLACES: usize = 64;
+pub const MAX_SLOTS: usize = 64;
 
 /// Lays new settings over those in force, so that what is open keeps the place, and with it the deadlines and repeat rules,
 /// that it came with. A class that is the same keeps its place. One that is new, or has changed, gets the place of one that
@@ -17,55 +17,55 @@
     old: &Settings,
     new: Settings,
     names: Names,
-    free: impl Fn(usize) -> bool,
+    is_free: impl Fn(usize) -> bool,
 ) -> Result<(Settings, Names), String> {
     let mut merged = Settings { classes: old.classes.clone(), tenants: old.tenants.clone(), ..new };
     // How warm the server is, is known of its interpreter and not of a file.
     merged.cold = old.cold;
-    let mut places: Vec<Option<usize>> =
+    let mut slots: Vec<Option<usize>> =
         new.classes.iter().map(|class| old.classes.iter().position(|before| before == class)).collect();
     for (n, class) in new.classes.into_iter().enumerate() {
         if names.classes[..n].iter().any(|(name, _)| *name == class.name) {
             return Err(format!("classes[{n}].name is that of another class"));
         }
-        if places[n].is_none() {
-            places[n] = Some(put(&mut merged.classes, class, &places, &free));
+        if slots[n].is_none() {
+            slots[n] = Some(assign_slot(&mut merged.classes, class, &slots, &is_free));
         }
     }
-    let mut tenant_places = Vec::new();
+    let mut tenant_slots = Vec::new();
     for tenant in new.tenants {
-        let place = merged.tenants.iter().position(|before| before.name == tenant.name);
-        match place {
-            Some(place) => merged.tenants[place] = tenant,
+        let slot = merged.tenants.iter().position(|before| before.name == tenant.name);
+        match slot {
+            Some(slot) => merged.tenants[slot] = tenant,
             None => merged.tenants.push(tenant),
         }
-        tenant_places.push(place.unwrap_or(merged.tenants.len() - 1));
+        tenant_slots.push(slot.unwrap_or(merged.tenants.len() - 1));
     }
     for (what, count) in [("classes", merged.classes.len()), ("orgs", merged.tenants.len())] {
-        if count > MAX_PLACES {
+        if count > MAX_SLOTS {
             return Err(format!(
-                "{what} add up to {count} with those still open, and there are {MAX_PLACES} places"
+                "{what} add up to {count} with those still open, and there are {MAX_SLOTS} places"
             ));
         }
     }
     let mut names = names;
-    names.classes.iter_mut().zip(places.into_iter().flatten()).for_each(|(name, place)| name.1 = place);
-    names.tenants.iter_mut().zip(tenant_places).for_each(|(name, place)| name.1 = place);
+    names.classes.iter_mut().zip(slots.into_iter().flatten()).for_each(|(name, slot)| name.1 = slot);
+    names.tenants.iter_mut().zip(tenant_slots).for_each(|(name, slot)| name.1 = slot);
     Ok((merged, names))
 }
 
 /// Gives a class a place.
-fn put(
+fn assign_slot(
     classes: &mut Vec<Class>,
     class: Class,
     taken: &[Option<usize>],
-    free: impl Fn(usize) -> bool,
+    is_free: impl Fn(usize) -> bool,
 ) -> usize {
-    let unused = |place: &usize| !taken.contains(&Some(*place)) && free(*place);
+    let unused = |slot: &usize| !taken.contains(&Some(*slot)) && is_free(*slot);
     match (0..classes.len()).find(unused) {
-        Some(place) => {
-            classes[place] = class;
-            place
+        Some(slot) => {
+            classes[slot] = class;
+            slot
         }
         None => {
             classes.push(class);
--- a/crates/settings/src/merge/tests.rs
+++ b/crates/settings/src/merge/tests.rs
@@ -25,7 +25,7 @@
         merged.classes.iter().map(|class| (class.name.as_str(), class.deadline)).collect();
     assert_eq!(deadlines, [("a", 4.0), ("b", 5.0), ("c", 6.0), ("a", 9.0)]);
     assert_eq!(["a", "b", "c"].map(|name| names.class(name).unwrap()), [3, 1, 2]);
-    assert!(!names.uses(0) && names.uses(3));
+    assert!(!names.has_class_at(0) && names.has_class_at(3));
     let shares: Vec<_> = merged.tenants.iter().map(|tenant| (tenant.name.as_str(), tenant.share)).collect();
     assert_eq!(shares, [("x", 0.5), ("y", 0.7), ("z", 0.3)]);
     assert_eq!(["x", "y", "z"].map(|name| names.tenant(name)), [None, Some(1), Some(2)]);
@@ -37,12 +37,12 @@
     for round in 0..1000 {
         let (new, next) = facts(&[("a", 2.0 + f64::from(round))], &[]);
         let used = names.clone();
-        (settings, names) = merge(&settings, new, next, |place| !used.uses(place)).unwrap();
+        (settings, names) = merge(&settings, new, next, |place| !used.has_class_at(place)).unwrap();
         assert!(settings.classes.len() <= 2, "one in force and one before");
         assert_eq!(settings.classes[names.class("a").unwrap()].deadline, 2.0 + f64::from(round));
     }
     let mut refused = None;
-    for round in 0..MAX_PLACES {
+    for round in 0..MAX_SLOTS {
         let (new, next) = facts(&[("a", 2000.0 + round as f64)], &[]);
         match merge(&settings, new, next, |_| false) {
             Ok((next, _)) => settings = next,
@@ -50,7 +50,7 @@
         }
     }
     assert!(refused.unwrap().contains("64 places"));
-    assert_eq!(settings.classes.len(), MAX_PLACES);
+    assert_eq!(settings.classes.len(), MAX_SLOTS);
     let (new, next) = facts(&[("a", 1.0), ("a", 2.0)], &[]);
     assert!(merge(&settings, new, next, |_| true).is_err_and(|problem| problem.contains("classes[1].name")));
 }
--- a/crates/settings/tests/values.rs
+++ b/crates/settings/tests/values.rs
@@ -1,6 +1,6 @@
 //! Values of settings that the program does not know count as the careful one; where there is none, the key is named.
 
-use jaspershunt::{Below, Halt, Say, WorthBy};
+use jaspershunt::{CallerFeedback, DependencyModel, StopMode, WorthBy};
 use jaspershunt_settings::read;
 
 fn text(semantics: &str, value: &str) -> String {
@@ -16,7 +16,7 @@
     let (settings, names) = read(&text("free", "tomorrow"), "settings").unwrap();
     assert_eq!(
         (settings.halt, settings.say, settings.below, settings.worth_by),
-        (Halt::Never, Say::Nothing, Below::Nothing, WorthBy::Request)
+        (StopMode::Never, CallerFeedback::Nothing, DependencyModel::Nothing, WorthBy::Request)
     );
     // Where nothing is promised nothing is passed on.
     assert!(!names.passes_deadline);
--- a/src/api.rs
+++ b/src/api.rs
@@ -72,7 +72,7 @@
 
 /// What callers can be told with every answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Say {
+pub enum CallerFeedback {
     /// Nothing.
     Nothing,
     /// How many requests each of them may have here.
@@ -85,7 +85,7 @@
 
 /// What becomes of running work that is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Halt {
+pub enum StopMode {
     /// It cannot be stopped.
     Never,
     /// What it did is lost.
@@ -96,7 +96,7 @@
 
 /// What lies below this server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Below {
+pub enum DependencyModel {
     /// Nothing.
     Nothing,
     /// One dependency that all servers share.
@@ -149,13 +149,13 @@
     /// How long an answer to a read can serve others; 0 means never.
     pub fresh_for: Seconds,
     /// What becomes of work that is stopped.
-    pub halt: Halt,
+    pub halt: StopMode,
     /// What lies below.
-    pub below: Below,
+    pub below: DependencyModel,
     /// The longest that an abandoned call goes on below.
     pub linger: Seconds,
     /// What callers can be told.
-    pub say: Say,
+    pub say: CallerFeedback,
     /// Whether the list of servers follows the health answer.
     pub readiness: bool,
     /// The longest advice to stay away that is honoured; 0 where none is passed on.
@@ -218,11 +218,11 @@
         ]
         .map(|(name, value)| (name.to_string(), value))
         .to_vec();
-        if let Below::Shared { fair_calls, over } = self.below {
+        if let DependencyModel::Shared { fair_calls, over } = self.below {
             numbers.push(("below.fair_calls".to_string(), fair_calls));
             numbers.push(("below.over".to_string(), over));
         }
-        if let Below::Several { parked } = self.below {
+        if let DependencyModel::Several { parked } = self.below {
             numbers.push(("below.parked".to_string(), parked));
         }
         for (i, c) in self.classes.iter().enumerate() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,8 +18,9 @@
 //! let settings = Settings {
 //!     classes: vec![page], tenants: vec![], over_share_worth: 1.0, worth_by: WorthBy::Request,
 //!     servers: 3, cores: 4, cold: false, cold_from: 0.3, cold_for: 10.0, crowd_multiple: 5.0, crowd_over: 2.0,
-//!     memory_kb: 50_000.0, run_factor: 8.0, key_kb: 50.0, fresh_for: 0.0, halt: Halt::Pause,
-//!     below: Below::Shared { fair_calls: 6.0, over: 5.0 }, linger: 0.2, say: Say::Credit, readiness: true,
+//!     memory_kb: 50_000.0, run_factor: 8.0, key_kb: 50.0, fresh_for: 0.0, halt: StopMode::Pause,
+//!     below: DependencyModel::Shared { fair_calls: 6.0, over: 5.0 }, linger: 0.2,
+//!     say: CallerFeedback::Credit, readiness: true,
 //!     max_stay_away: 1.0, drain_grace: 2.0, tick: 0.005, marks_retry: true, idle: 30.0,
 //! };
 //! let mut server = Controller::new(settings)?;
@@ -56,5 +57,5 @@
 mod state;
 
 pub use api::*;
-pub use logic::{Controller, Figures};
+pub use logic::{Controller, DecisionMetrics};
 pub use snapshot::SnapshotError;
--- a/src/state.rs
+++ b/src/state.rs
@@ -11,61 +11,61 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub(crate) enum Stage {
     /// Read and not started.
-    Held,
+    Queued,
     /// Running.
-    OnCore,
+    Running,
     /// Started, and off the cores until it is taken up again.
     Paused,
     /// Started, and waits for the call it needs to be made.
-    WantsCall,
+    AwaitsCall,
     /// Started, and its call is under way.
-    AtCall,
+    InCall,
     /// Gets its answer from another request.
-    Follows,
+    SharesAnswer,
 }
 
 /// A request that was read and whose end is not yet known.
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Live {
+pub(crate) struct InFlightRequest {
     pub request: Request,
     pub arrived: f64,
     /// When an answer stops earning its full worth.
-    pub aim: f64,
+    pub target_at: f64,
     /// When an answer stops earning anything; it is owed by then.
-    pub last_use: f64,
+    pub due_at: f64,
     pub stage: Stage,
-    pub since: f64,
+    pub stage_since: f64,
     /// A final answer was given or none is owed; only its work is left.
     pub answered: bool,
     /// It was started at least once.
-    pub ran: bool,
+    pub has_run: bool,
     /// It was told to stop, and has not yet.
     pub stopping: bool,
-    /// Its place in [`Ledger::lanes`].
+    /// Its place in [`ServerState::lanes`].
     pub lane: usize,
     pub core_time: f64,
     pub parked_time: f64,
     /// Calls whose replies never came.
-    pub calls_lost: u32,
+    pub lost_calls: u32,
 }
 
-impl Live {
+impl InFlightRequest {
     /// A request that was just read.
-    pub fn new(request: Request, now: f64, aim: f64, last_use: f64, lane: usize) -> Live {
-        Live {
+    pub fn new(request: Request, now: f64, target_at: f64, due_at: f64, lane: usize) -> InFlightRequest {
+        InFlightRequest {
             arrived: now - request.waited,
             request,
-            aim,
-            last_use,
-            stage: Stage::Held,
-            since: now,
+            target_at,
+            due_at,
+            stage: Stage::Queued,
+            stage_since: now,
             answered: false,
-            ran: false,
+            has_run: false,
             stopping: false,
             lane,
             core_time: 0.0,
             parked_time: 0.0,
-            calls_lost: 0,
+            lost_calls: 0,
         }
     }
 }
@@ -74,26 +74,26 @@
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Callers {
     by_id: BTreeMap<CallerId, (u64, u32)>,
-    seen: BTreeSet<(u64, CallerId)>,
+    last_seen: BTreeSet<(u64, CallerId)>,
     /// How many callers have so many requests here.
-    by_here: BTreeMap<u32, u32>,
+    callers_by_in_flight: BTreeMap<u32, u32>,
 }
 
 impl Callers {
     /// Notes a request of a caller; whether the caller was active.
-    pub fn see(&mut self, id: CallerId, now: f64) -> bool {
-        let at = micros(now).max(1);
+    pub fn record_request(&mut self, id: CallerId, now: f64) -> bool {
+        let at = to_micros(now).max(1);
         let caller = self.by_id.entry(id).or_default();
-        let active = self.seen.remove(&(caller.0, id));
+        let active = self.last_seen.remove(&(caller.0, id));
         caller.0 = at;
-        self.seen.insert((at, id));
+        self.last_seen.insert((at, id));
         active
     }
 
     /// Those last seen before this time are no longer active.
     pub fn expire(&mut self, before: f64) {
-        while let Some((at, id)) = self.seen.first().copied().filter(|(at, _)| *at < micros(before)) {
-            self.seen.remove(&(at, id));
+        while let Some((at, id)) = self.last_seen.first().copied().filter(|(at, _)| *at < to_micros(before)) {
+            self.last_seen.remove(&(at, id));
             match self.by_id.get_mut(&id) {
                 Some(caller) if caller.1 > 0 => caller.0 = 0,
                 _ => drop(self.by_id.remove(&id)),
@@ -101,17 +101,17 @@
         }
     }
 
-    fn change(&mut self, id: CallerId, by: i32) {
+    fn change_in_flight(&mut self, id: CallerId, by: i32) {
         let caller = self.by_id.entry(id).or_default();
-        if let Some(n) = self.by_here.get_mut(&caller.1) {
+        if let Some(n) = self.callers_by_in_flight.get_mut(&caller.1) {
             *n -= 1;
         }
-        if self.by_here.get(&caller.1) == Some(&0) {
-            self.by_here.remove(&caller.1);
+        if self.callers_by_in_flight.get(&caller.1) == Some(&0) {
+            self.callers_by_in_flight.remove(&caller.1);
         }
         caller.1 = caller.1.saturating_add_signed(by);
         if caller.1 > 0 {
-            *self.by_here.entry(caller.1).or_insert(0) += 1;
+            *self.callers_by_in_flight.entry(caller.1).or_insert(0) += 1;
         } else if caller.0 == 0 {
             self.by_id.remove(&id);
         }
@@ -119,17 +119,17 @@
 
     /// Callers that are active.
     pub fn active(&self) -> f64 {
-        self.seen.len() as f64
+        self.last_seen.len() as f64
     }
 
     /// The requests that a caller has here.
-    pub fn here(&self, id: CallerId) -> f64 {
+    pub fn in_flight(&self, id: CallerId) -> f64 {
         self.by_id.get(&id).map_or(0.0, |caller| f64::from(caller.1))
     }
 
     /// The most requests that any caller has here.
-    pub fn most(&self) -> f64 {
-        self.by_here.last_key_value().map_or(0.0, |(here, _)| f64::from(*here))
+    pub fn max_in_flight(&self) -> f64 {
+        self.callers_by_in_flight.last_key_value().map_or(0.0, |(here, _)| f64::from(*here))
     }
 }
 
@@ -137,7 +137,7 @@
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Keys {
     entries: BTreeMap<RequestId, (u64, bool)>,
-    ends: Queue,
+    expiries: Queue,
 }
 
 impl Keys {
@@ -147,8 +147,8 @@
 
     pub fn insert(&mut self, id: RequestId, until: f64) {
         self.forget(id);
-        self.entries.insert(id, (micros(until), false));
-        self.ends.insert((micros(until), id));
+        self.entries.insert(id, (to_micros(until), false));
+        self.expiries.insert((to_micros(until), id));
     }
 
     pub fn mark_ran(&mut self, id: RequestId) {
@@ -158,7 +158,7 @@
     }
 
     /// Whether the request is remembered and no try of it ran.
-    pub fn unused(&self, id: RequestId) -> bool {
+    pub fn is_unused(&self, id: RequestId) -> bool {
         self.entries.get(&id).is_some_and(|(_, ran)| !ran)
     }
 
@@ -166,13 +166,14 @@
     pub fn forget(&mut self, id: RequestId) -> bool {
         let entry = self.entries.remove(&id);
         if let Some((until, _)) = entry {
-            self.ends.remove(&(until, id));
+            self.expiries.remove(&(until, id));
         }
         entry.is_some()
     }
 
     pub fn expire(&mut self, now: f64) {
-        while let Some((_, id)) = self.ends.first().copied().filter(|(until, _)| *until < micros(now)) {
+        while let Some((_, id)) = self.expiries.first().copied().filter(|(until, _)| *until < to_micros(now))
+        {
             self.forget(id);
         }
     }
@@ -180,157 +181,157 @@
 
 /// Requests, and all that is counted over them.
 #[derive(Default, Serialize, Deserialize)]
-pub(crate) struct Ledger {
-    pub live: BTreeMap<RequestId, Live>,
+pub(crate) struct ServerState {
+    pub requests: BTreeMap<RequestId, InFlightRequest>,
     /// The hold, in lanes; by the time at which each request stops earning.
     pub lanes: Vec<Queue>,
     pub paused: Queue,
     /// Those on the cores.
     pub running: Queue,
     /// Those that wait for their call to be made, in lanes.
-    pub wanted: Vec<Queue>,
+    pub awaiting_call: Vec<Queue>,
     /// All that is still owed an answer, by the time at which it must be given.
     pub due: Queue,
     pub callers: Callers,
     pub keys: Keys,
     counts: [usize; 6],
     /// Memory of requests that were not started, and of those that were, at their size while held.
-    pub held_kb: f64,
+    pub queued_kb: f64,
     pub started_kb: f64,
 }
 
-impl Ledger {
+impl ServerState {
     pub fn count(&self, stage: Stage) -> f64 {
         self.counts[stage as usize] as f64
     }
 
     /// Requests that were started and are not over.
     pub fn started(&self) -> f64 {
-        [Stage::OnCore, Stage::Paused, Stage::WantsCall, Stage::AtCall].map(|s| self.count(s)).iter().sum()
+        [Stage::Running, Stage::Paused, Stage::AwaitsCall, Stage::InCall].map(|s| self.count(s)).iter().sum()
     }
 
-    pub fn insert(&mut self, live: Live) {
+    pub fn insert(&mut self, live: InFlightRequest) {
         let id = live.request.id;
-        self.due.insert((micros(live.last_use), id));
-        self.callers.change(live.request.caller, 1);
-        self.live.insert(id, live);
-        self.enter(id);
+        self.due.insert((to_micros(live.due_at), id));
+        self.callers.change_in_flight(live.request.caller, 1);
+        self.requests.insert(id, live);
+        self.add_to_stage(id);
     }
 
     /// Moves a request to another stage, with all that is counted by stage.
-    pub fn put(&mut self, id: RequestId, stage: Stage, now: f64) {
-        self.lift(id);
-        let Some(l) = self.live.get_mut(&id) else { return };
+    pub fn set_stage(&mut self, id: RequestId, stage: Stage, now: f64) {
+        self.remove_from_stage(id);
+        let Some(l) = self.requests.get_mut(&id) else { return };
         match l.stage {
-            Stage::OnCore => l.core_time += now - l.since,
-            Stage::WantsCall | Stage::AtCall => l.parked_time += now - l.since,
+            Stage::Running => l.core_time += now - l.stage_since,
+            Stage::AwaitsCall | Stage::InCall => l.parked_time += now - l.stage_since,
             _ => {}
         }
-        (l.since, l.stage, l.stopping) = (now, stage, false);
-        self.enter(id);
+        (l.stage_since, l.stage, l.stopping) = (now, stage, false);
+        self.add_to_stage(id);
     }
 
     /// Moves a held request to another lane.
     pub fn change_lane(&mut self, id: RequestId, lane: usize) {
-        self.lift(id);
-        if let Some(l) = self.live.get_mut(&id) {
+        self.remove_from_stage(id);
+        if let Some(l) = self.requests.get_mut(&id) {
             l.lane = lane;
         }
-        self.enter(id);
+        self.add_to_stage(id);
     }
 
     /// Brings forward the time by which a request is answered.
-    pub fn bring_forward(&mut self, id: RequestId, end: f64) {
-        if self.live.get(&id).is_none_or(|l| l.answered || l.last_use <= end) {
+    pub fn shorten_deadline(&mut self, id: RequestId, end: f64) {
+        if self.requests.get(&id).is_none_or(|l| l.answered || l.due_at <= end) {
             return;
         }
-        self.lift(id);
-        let Some(l) = self.live.get_mut(&id) else { return };
-        self.due.remove(&(micros(l.last_use), id));
-        (l.aim, l.last_use) = (l.aim.min(end), end);
-        self.due.insert((micros(end), id));
-        self.enter(id);
+        self.remove_from_stage(id);
+        let Some(l) = self.requests.get_mut(&id) else { return };
+        self.due.remove(&(to_micros(l.due_at), id));
+        (l.target_at, l.due_at) = (l.target_at.min(end), end);
+        self.due.insert((to_micros(end), id));
+        self.add_to_stage(id);
     }
 
     /// Nothing is owed for this request any more; its caller has room for another.
-    pub fn settle(&mut self, id: RequestId) {
-        let Some(l) = self.live.get_mut(&id).filter(|l| !l.answered) else { return };
+    pub fn mark_answered(&mut self, id: RequestId) {
+        let Some(l) = self.requests.get_mut(&id).filter(|l| !l.answered) else { return };
         l.answered = true;
-        let (order, caller) = ((micros(l.last_use), id), l.request.caller);
+        let (order, caller) = ((to_micros(l.due_at), id), l.request.caller);
         let (stage, lane) = (l.stage, l.lane);
         self.due.remove(&order);
-        if matches!(stage, Stage::WantsCall | Stage::OnCore) {
+        if matches!(stage, Stage::AwaitsCall | Stage::Running) {
             self.queue_of(stage, lane).map(|queue| queue.remove(&order));
         }
-        self.callers.change(caller, -1);
+        self.callers.change_in_flight(caller, -1);
     }
 
     /// The request is over, here and everywhere.
     pub fn remove(&mut self, id: RequestId) {
-        self.settle(id);
-        self.lift(id);
-        self.live.remove(&id);
-        if self.keys.unused(id) {
+        self.mark_answered(id);
+        self.remove_from_stage(id);
+        self.requests.remove(&id);
+        if self.keys.is_unused(id) {
             self.keys.forget(id);
         }
     }
 
     /// Has so many lanes from now on, with each request in the one that is given for it.
-    pub fn relane(&mut self, lanes: usize, places: &[(RequestId, usize)]) {
+    pub fn reassign_lanes(&mut self, lanes: usize, places: &[(RequestId, usize)]) {
         for (id, _) in places {
-            self.lift(*id);
+            self.remove_from_stage(*id);
         }
         self.lanes.resize_with(lanes, Default::default);
-        self.wanted.resize_with(lanes, Default::default);
+        self.awaiting_call.resize_with(lanes, Default::default);
         for (id, lane) in places {
-            if let Some(l) = self.live.get_mut(id) {
+            if let Some(l) = self.requests.get_mut(id) {
                 l.lane = *lane;
             }
-            self.enter(*id);
+            self.add_to_stage(*id);
         }
     }
 
     fn queue_of(&mut self, stage: Stage, lane: usize) -> Option<&mut Queue> {
         match stage {
-            Stage::Held => self.lanes.get_mut(lane),
+            Stage::Queued => self.lanes.get_mut(lane),
             Stage::Paused => Some(&mut self.paused),
-            Stage::OnCore => Some(&mut self.running),
-            Stage::WantsCall => self.wanted.get_mut(lane),
+            Stage::Running => Some(&mut self.running),
+            Stage::AwaitsCall => self.awaiting_call.get_mut(lane),
             _ => None,
         }
     }
 
-    fn enter(&mut self, id: RequestId) {
-        let Some(l) = self.live.get(&id) else { return };
-        let (stage, lane, order) = (l.stage, l.lane, (micros(l.last_use), id));
+    fn add_to_stage(&mut self, id: RequestId) {
+        let Some(l) = self.requests.get(&id) else { return };
+        let (stage, lane, order) = (l.stage, l.lane, (to_micros(l.due_at), id));
         let (kb, answered) = (l.request.held_kb, l.answered);
         self.counts[stage as usize] += 1;
-        *self.kb_of(stage) += kb;
+        *self.memory_counter(stage) += kb;
         if let Some(queue) = self.queue_of(stage, lane).filter(|_| !answered) {
             queue.insert(order);
         }
     }
 
-    fn lift(&mut self, id: RequestId) {
-        let Some(l) = self.live.get(&id) else { return };
-        let (stage, lane, order) = (l.stage, l.lane, (micros(l.last_use), id));
+    fn remove_from_stage(&mut self, id: RequestId) {
+        let Some(l) = self.requests.get(&id) else { return };
+        let (stage, lane, order) = (l.stage, l.lane, (to_micros(l.due_at), id));
         let kb = l.request.held_kb;
         self.counts[stage as usize] -= 1;
-        *self.kb_of(stage) -= kb;
+        *self.memory_counter(stage) -= kb;
         if let Some(queue) = self.queue_of(stage, lane) {
             queue.remove(&order);
         }
     }
 
-    fn kb_of(&mut self, stage: Stage) -> &mut f64 {
+    fn memory_counter(&mut self, stage: Stage) -> &mut f64 {
         match stage {
-            Stage::Held | Stage::Follows => &mut self.held_kb,
+            Stage::Queued | Stage::SharesAnswer => &mut self.queued_kb,
             _ => &mut self.started_kb,
         }
     }
 }
 
 /// A time in whole microseconds, for ordering.
-pub(crate) fn micros(t: f64) -> u64 {
+pub(crate) fn to_micros(t: f64) -> u64 {
     (t.max(0.0) * 1e6).round() as u64
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -148,7 +148,7 @@
 
 #[test]
 fn level_and_weight_take_the_place_of_the_credit() {
-    for (say, calm, pressed) in [(Say::Weight, 1.0, 0.4), (Say::Level, 0.0, 0.6)] {
+    for (say, calm, pressed) in [(CallerFeedback::Weight, 1.0, 0.4), (CallerFeedback::Level, 0.0, 0.6)] {
         let mut server = Server::new(Settings { say, ..settings() });
         let first = said(&server.step(0.0, &[arrived(1, 0, 1)]));
         assert_eq!(first.unwrap_or(0.0), calm);
@@ -156,7 +156,7 @@
         let actions = server.step(0.001, &(2..=5).map(|i| arrived(i, 0, 1)).collect::<Vec<_>>());
         assert!((said(&actions).unwrap() - pressed).abs() < 1e-9);
     }
-    let mut server = Server::new(Settings { say: Say::Nothing, ..settings() });
+    let mut server = Server::new(Settings { say: CallerFeedback::Nothing, ..settings() });
     assert_eq!(said(&server.step(0.0, &[arrived(1, 0, 1)])), None);
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -99,7 +99,7 @@
 fn a_cold_server_bounds_the_crowd_lower() {
     // Warm: 2 x 5 x 0.8 = 8. Cold: 2 x (1 + 4 x 0.25) x 0.8 = 3.2; four that come back from calls are one too many.
     for (cold, stops) in [(false, 0), (true, 1)] {
-        let mut server = Server::new(Settings { cold, below: Below::NextTier, ..settings() });
+        let mut server = Server::new(Settings { cold, below: DependencyModel::NextTier, ..settings() });
         let mut now = 0.0;
         for id in [1, 3] {
             let actions = server.step(now, &[arrived(id, 0, 1), arrived(id + 1, 0, 2)]);
@@ -132,7 +132,7 @@
 
 #[test]
 fn a_share_of_calls_under_one_is_kept_in_the_mean() {
-    let below = Below::Shared { fair_calls: 0.5, over: 5.0 };
+    let below = DependencyModel::Shared { fair_calls: 0.5, over: 5.0 };
     let mut server = Server::new(Settings { below, ..settings() });
     server.step(0.0, &[arrived(1, 0, 1), arrived(2, 0, 2)]);
     let wanted = [1, 2].map(|id| Event::CallWanted { id: RequestId(id) });
@@ -320,7 +320,7 @@
 /// that is turned away at once must not be wanted again in the same step for ever.
 #[test]
 fn calls_to_several_dependencies_are_all_made_and_each_end_is_final() {
-    let settings = Settings { cores: 8, below: Below::Several { parked: 100.0 }, ..settings() };
+    let settings = Settings { cores: 8, below: DependencyModel::Several { parked: 100.0 }, ..settings() };
     let mut server = Server::new(settings.clone());
     let ids = [1, 2, 3, 4, 5];
     server.step(0.0, &ids.map(|id| arrived(id, 0, id)));
@@ -352,7 +352,7 @@
 #[test]
 fn the_parked_bound_of_several_dependencies_is_the_one_that_is_told() {
     for (parked, runs_of) in [(2.0, vec![]), (3.0, vec![3])] {
-        let below = Below::Several { parked };
+        let below = DependencyModel::Several { parked };
         let mut server = Server::new(Settings { cores: 1, crowd_multiple: 20.0, below, ..settings() });
         server.step(0.0, &[arrived(1, 0, 1)]);
         server.step(0.1, &[Event::CallWanted { id: RequestId(1) }, arrived(2, 0, 2)]);
