--- a/src/api.rs
+++ b/src/api.rs
@@ -1,29 +1,29 @@
-//! The interface of the decision module: what it is told at start, what it is told as it goes, and what it asks for.
+//! The interface of the decision module: its settings, the events it receives, and the actions it requests.
 //!
-//! There is no decision here and no tuned value: those are all in `src/logic.rs`.
+//! All decisions and their constants are in `src/logic.rs`.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A span of time, or the reading of the clock that drives the module, in seconds.
+/// A duration, or a reading of the clock that drives the module, in seconds.
 pub type Seconds = f64;
 
-/// One try of a request at this server. Ids are never used twice in the life of a [`crate::Controller`].
+/// Identifies one try of a request at this server. A [`crate::Controller`] must never see the same id twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// One of the callers that send requests here.
+/// Identifies a caller that sends requests to this server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallerId(pub u64);
 
-/// Whether a request may run again.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Repeat {
     /// It may run any number of times.
     Safe,
-    /// It may come again within this time of its arrival, and must not run twice here within it.
+    /// It may be repeated within this time of its arrival, and must not run twice here within it.
     Keyed(Seconds),
-    /// It must not run twice and does not come again once it may have run.
+    /// It must not run twice, and is not repeated once it may have run.
     Unsafe,
 }
 
@@ -32,36 +32,36 @@
 pub struct Class {
     /// Its name, for messages.
     pub name: String,
-    /// What an answer within the aim is worth.
+    /// The worth of an answer within the target.
     pub worth: f64,
-    /// The part of the worth that an answer after the aim and before the deadline still earns.
+    /// The part of the worth that an answer after the target and before the deadline has.
     pub late_worth: f64,
-    /// The time within which an answer earns its full worth.
+    /// The latency target, within which an answer has its full worth.
     pub aim: Seconds,
-    /// The aim grows by this multiple of the request's own work.
+    /// The multiple of the request's expected core time that is added to the target.
     pub aim_stretch: f64,
-    /// The time after which nobody waits any more.
+    /// The time after which the caller no longer waits.
     pub deadline: Seconds,
-    /// Whether it may run again.
+    /// Whether a request may run more than once.
     pub repeat: Repeat,
-    /// Whether its requests may call what lies below.
+    /// Whether its requests may call dependencies.
     pub calls: bool,
-    /// The part of the worth that is left when a call is skipped; 0 forbids skipping.
+    /// The part of the worth that an answer without its call has; 0 forbids skipping the call.
     pub skip_worth: f64,
 }
 
-/// A tenant and what it is entitled to.
+/// A tenant and its share of the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
     /// Its name, for messages.
     pub name: String,
-    /// Its part of the service.
+    /// Its share of the service.
     pub share: f64,
-    /// Requests a second, over the whole fleet, that count as within its share.
+    /// Requests a second, over the whole fleet, that are within its share.
     pub allowance: f64,
 }
 
-/// What the worth of a class is counted for.
+/// The unit that the worth of a class refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorthBy {
     /// Each request.
@@ -70,63 +70,64 @@
     Work,
 }
 
-/// What callers can be told with every answer.
+/// The feedback that callers can get with every answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallerFeedback {
     /// Nothing.
     Nothing,
-    /// How many requests each of them may have here.
+    /// The number of requests that each caller may have here.
     Credit,
-    /// The rank, from 0 to 1, below which they should send nothing.
+    /// The rank, from 0 to 1, below which callers should send nothing.
     Level,
-    /// The chance, from 0 to 1, that they do not pass this server over.
+    /// The probability, from 0 to 1, that callers do not skip this server.
     Weight,
 }
 
-/// What becomes of running work that is stopped.
+/// What happens to a run that is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopMode {
     /// It cannot be stopped.
     Never,
-    /// What it did is lost.
+    /// Its progress is lost.
     Drop,
-    /// It can be taken up again.
+    /// It can be resumed.
     Pause,
 }
 
-/// What lies below this server.
+/// The dependencies of this server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DependencyModel {
-    /// Nothing.
+    /// None.
     Nothing,
     /// One dependency that all servers share.
     Shared {
-        /// This server's part of the calls that the dependency survives, as a mean number in hand.
+        /// This server's share of the calls that the dependency can take, as a mean number in flight.
         fair_calls: f64,
         /// The time over which that mean is taken.
         over: Seconds,
     },
     /// Another tier of servers.
     NextTier,
-    /// Several things. What carries the calls out bounds and times them and makes them again; how one ends is final.
+    /// Several dependencies. The code that makes the calls limits, times and retries them; outcomes are
+    /// final.
     Several {
-        /// Requests that may be parked at calls.
+        /// The most requests that may be parked at calls.
         parked: f64,
     },
 }
 
-/// What a server is told when it starts.
+/// The settings of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// The classes of requests; [`Request::class`] counts in this list.
+    /// The classes of requests; [`Request::class`] is an index into this list.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty. [`Request::tenant`] counts in this list.
+    /// The tenants; may be empty. [`Request::tenant`] is an index into this list.
     pub tenants: Vec<Tenant>,
     /// The part of its worth that a request beyond its tenant's share keeps.
     pub over_share_worth: f64,
-    /// What worth is counted for.
+    /// The unit that worth refers to.
     pub worth_by: WorthBy,
-    /// Servers in the fleet at this start.
+    /// Servers in the fleet when this server started.
     pub servers: u32,
     /// Cores of this server.
     pub cores: u32,
@@ -136,44 +137,44 @@
     pub cold_from: f64,
     /// The longest a server takes to become warm.
     pub cold_for: Seconds,
-    /// Running requests on the cores, for each core, that a warm server survives.
+    /// Running requests for each core that a warm server survives.
     pub crowd_multiple: f64,
-    /// The time over which that crowd is averaged.
+    /// The time over which that number is averaged.
     pub crowd_over: Seconds,
     /// Memory, in kilobytes.
     pub memory_kb: f64,
-    /// Memory of a running or paused request, as a multiple of what it takes while held.
+    /// Memory of a request that was started, as a multiple of its memory while queued.
     pub run_factor: f64,
     /// Memory of one entry in the table of keys, in kilobytes.
     pub key_kb: f64,
-    /// How long an answer to a read can serve others; 0 means never.
+    /// How long the answer to a read may be shared with repeats; 0 means never.
     pub fresh_for: Seconds,
-    /// What becomes of work that is stopped.
+    /// What happens to a run that is stopped.
     pub halt: StopMode,
-    /// What lies below.
+    /// The dependencies.
     pub below: DependencyModel,
-    /// The longest that an abandoned call goes on below.
+    /// The longest that an abandoned call keeps running at the dependency.
     pub linger: Seconds,
-    /// What callers can be told.
+    /// The feedback that callers can get.
     pub say: CallerFeedback,
-    /// Whether the list of servers follows the health answer.
+    /// Whether the balancer's list of servers follows the health answer.
     pub readiness: bool,
-    /// The longest advice to stay away that is honoured; 0 where none is passed on.
+    /// The longest retry delay that callers obey; 0 if they receive none.
     pub max_stay_away: Seconds,
-    /// After the notice to leave, nothing that arrives later than this may run.
+    /// The grace period after the shutdown notice; requests that arrive later must not run.
     pub drain_grace: Seconds,
     /// The shortest time between two steps.
     pub tick: Seconds,
-    /// Whether further tries of a request are marked.
+    /// Whether retries of a request are marked.
     pub marks_retry: bool,
     /// How long callers keep an idle connection open.
     pub idle: Seconds,
 }
 
-/// A setting that makes no sense.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field, with its place in its list where it is in one.
+    /// The field, with its index if it is in a list.
     pub field: String,
     /// What is wrong with it.
     pub problem: &'static str,
@@ -188,10 +189,11 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Rejects settings that make no sense, naming the first such field.
+    /// Checks the settings.
     ///
     /// # Errors
-    /// The field that is wrong: no cores, no class, a class without a deadline, a number below 0 or not finite.
+    /// Names the first invalid field: no cores, no class, a class without a deadline, a number that is
+    /// negative or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
         let bad = |field: &str, problem| Err(SettingsError { field: field.to_string(), problem });
         if self.cores == 0 {
@@ -253,67 +255,67 @@
     }
 }
 
-/// A request that has been read and waits in the hold.
+/// A request that has been read and queued.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
     /// The id of this try.
     pub id: RequestId,
-    /// Its class, by place in [`Settings::classes`].
+    /// Its class, as an index into [`Settings::classes`].
     pub class: usize,
-    /// Its tenant, by place in [`Settings::tenants`].
+    /// Its tenant, as an index into [`Settings::tenants`].
     pub tenant: Option<usize>,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: CallerId,
-    /// How long ago it reached the machine.
+    /// The queueing delay: how long ago it reached the machine.
     pub waited: Seconds,
-    /// How long its caller still waits, where that is passed on.
+    /// How long its caller still waits, if it is known.
     pub time_left: Option<Seconds>,
-    /// A rough measure of its work, where there is one.
+    /// A rough measure of its work, if there is one.
     pub cost_hint: Option<f64>,
-    /// The memory that it takes while held, in kilobytes.
+    /// Its memory while queued, in kilobytes.
     pub held_kb: f64,
     /// Its rank by worth, from 0 to under 1.
     pub rank: f64,
-    /// Whether it is marked as a further try.
+    /// Whether it is marked as a retry.
     pub retry: bool,
-    /// The request known here that it repeats.
+    /// The earlier request at this server that it repeats.
     pub repeats: Option<RequestId>,
 }
 
 /// How a run or a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Well.
+    /// Successfully.
     Done,
-    /// It failed, perhaps after having its effect.
+    /// It failed, and may have had its effect.
     Failed,
-    /// It was turned away unseen.
+    /// It was rejected without being processed.
     TurnedAway,
-    /// It took too long and was given up, perhaps after having its effect.
+    /// It timed out and was given up, and may have had its effect.
     GivenUp,
-    /// What lies below could not be reached.
+    /// The dependency could not be reached.
     Unreachable,
-    /// It broke off, perhaps after having its effect.
+    /// Its connection broke, and it may have had its effect.
     Broken,
     /// It was stopped.
     Stopped,
-    /// Nothing started: the request was over.
+    /// Nothing started, because the request was over.
     NotStarted,
 }
 
 impl Outcome {
-    /// Whether it is certain that there was no effect.
+    /// Whether it certainly had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::TurnedAway | Outcome::Unreachable | Outcome::NotStarted)
     }
 }
 
-/// Readings of the server's own instruments. Each may be missing.
+/// Gauge readings of the server. Each may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Gauges {
     /// The share of the cores that was busy in the recent past.
     pub core_use: Option<f64>,
-    /// Everything that wants a core now: runs, reading, checks, new connections.
+    /// Work that needs a core now: runs, reading, checks, new connections.
     pub on_cores: Option<f64>,
     /// The share of the memory in use.
     pub memory_share: Option<f64>,
@@ -321,24 +323,24 @@
     pub connections: Option<f64>,
 }
 
-/// What the module is told.
+/// An event that the module handles.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// A request was read and waits in the hold.
+    /// A request was read and queued.
     Arrived(Request),
-    /// A run ended, or an answer taken from another request.
+    /// A run ended, or an answer shared from another request was given.
     Ended {
         /// The request.
         id: RequestId,
         /// How it ended.
         outcome: Outcome,
     },
-    /// A running request needs a call to what lies below and waits.
+    /// A running request needs a call to a dependency and waits for it.
     CallWanted {
         /// The request.
         id: RequestId,
     },
-    /// A call ended. On [`Outcome::Done`] the request goes on by itself.
+    /// A call ended. After [`Outcome::Done`] the request continues by itself.
     CallEnded {
         /// The request.
         id: RequestId,
@@ -347,59 +349,59 @@
         /// How long the call took.
         took: Seconds,
     },
-    /// The caller has gone; no answer is owed.
+    /// The caller is gone and needs no answer.
     Withdrawn {
         /// The request.
         id: RequestId,
     },
-    /// The server is to leave; its process is stopped after this time.
+    /// The server is shutting down; its process is stopped after this time.
     Leave {
-        /// The time that is left.
+        /// The time until then.
         within: Seconds,
     },
-    /// A [`Action::Wake`] came due.
+    /// The time of an [`Action::Wake`] has come.
     Woke {
         /// Its token.
         token: u64,
-        /// The instruments.
+        /// The current gauge readings.
         gauges: Gauges,
     },
-    /// New settings are in force. Classes and tenants of the settings before keep their places, whether or not requests
-    /// still come for them, as open requests keep what they came with; further ones have places behind, or that of one
-    /// with no request left.
+    /// New settings apply. Classes and tenants of the previous settings keep their index, even if no more
+    /// requests name them, since in-flight requests keep what they arrived with. New ones are appended, or
+    /// take the index of one that has no request left.
     Settings(Box<Settings>),
 }
 
-/// What the module asks for. A request for which nothing is asked stays where it is.
+/// An action that the module requests. A request without an action stays as it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Start a held request, or take up a paused one.
+    /// Start a queued request, or resume a paused one.
     Run(RequestId),
-    /// Stop a running request; what becomes of it is [`Settings::halt`].
+    /// Stop a running request; [`Settings::halt`] tells what happens to it.
     Stop(RequestId),
-    /// Final answer: turned away.
+    /// Final answer: refused.
     Refuse {
         /// The request.
         id: RequestId,
-        /// For how long the caller should keep away; 0 gives no advice.
+        /// The retry delay for the caller; 0 gives none.
         stay_away: Seconds,
-        /// Ask the caller not to try elsewhere.
+        /// Ask the caller not to retry at another server.
         last: bool,
     },
     /// Final answer: failed.
     Fail(RequestId),
-    /// Answer a held request with the result of the one that it repeats, waiting for that if need be.
+    /// Answer a queued request with the result of the one that it repeats, once that has ended.
     ServeFrom(RequestId),
     /// Make the call that a request waits for.
     Call {
         /// The request.
         id: RequestId,
-        /// Give the call up after this time.
+        /// The call timeout.
         give_up_after: Seconds,
     },
-    /// Go on without the call.
+    /// Continue without the call.
     SkipCall(RequestId),
-    /// Remember the request, so that repeats of it are known.
+    /// Remember the request, so that its repeats are recognized.
     Keep {
         /// The request.
         id: RequestId,
@@ -408,24 +410,24 @@
     },
     /// Forget a remembered request.
     Forget(RequestId),
-    /// From now on tell callers this number; [`Settings::say`] is what it means.
+    /// Send callers this value from now on; [`Settings::say`] defines its meaning.
     Say(f64),
-    /// From now on answer health checks so.
+    /// Set the answer to health checks.
     Health {
-        /// In good health.
+        /// Whether the server is in good health.
         good: bool,
-        /// Answer from store, without real work.
+        /// Whether to answer from a cache, without real work.
         stored: bool,
     },
-    /// Close connections that have been idle for this long.
+    /// Close connections that were idle for this long.
     CloseIdle(Seconds),
     /// Send [`Event::Woke`] after this time.
     Wake {
-        /// The time.
+        /// The delay.
         after: Seconds,
-        /// Comes back with the event.
+        /// A token that the event returns.
         token: u64,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Note(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! jaspershunt decides, inside each server of a fleet, what the server takes, runs and turns away.
+//! Overload control for the servers of a fleet: decides what a server queues, runs and refuses.
 //!
-//! A server owns one [`Controller`]. It tells the controller what happened, in batches, with its own clock, and does
-//! what the controller asks for. The controller has no clock, thread, timer or transport of its own.
+//! A server owns one [`Controller`]. It passes it batches of events with the time of its own clock, and
+//! carries out the actions. The controller has no clock, thread, timer or transport of its own.
 //!
 //! - Read a request, give it an id that was never used before, and report [`Event::Arrived`].
-//! - Carry out each [`Action`] in order. A request for which nothing is asked waits.
-//! - Report how runs and calls end, when callers leave, and when a [`Action::Wake`] comes due.
-//! - Put the number of [`Action::Say`] on every answer, so that callers learn what they may send.
+//! - Carry out each [`Action`] in order. A request without an action waits.
+//! - Report how runs and calls end, when callers disconnect, and when an [`Action::Wake`] is due.
+//! - Send the value of [`Action::Say`] with every answer, so that callers know what they may send.
 //!
 //! ```
 //! use jaspershunt::*;
@@ -35,16 +35,16 @@
 //! server.step(0.0, &[Event::Arrived(request)], &mut actions);
 //! assert!(actions.contains(&Action::Run(id)));
 //!
-//! // It needs what lies below, and goes on by itself when the call has ended well.
+//! // It needs a call to a dependency, and continues by itself after the call has succeeded.
 //! actions.clear();
 //! server.step(0.2, &[Event::CallWanted { id }], &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Call { .. })));
 //! server.step(0.3, &[Event::CallEnded { id, outcome: Outcome::Done, took: 0.1 }], &mut actions);
 //!
-//! // It ended well: its answer has gone to the caller.
+//! // It succeeded: its answer was sent to the caller.
 //! server.step(0.4, &[Event::Ended { id, outcome: Outcome::Done }], &mut actions);
 //!
-//! // The server is told to leave: health is withdrawn, and all is answered before the process is stopped.
+//! // The server is to shut down: it reports bad health and answers everything before the process is stopped.
 //! actions.clear();
 //! server.step(1.0, &[Event::Leave { within: 4.0 }], &mut actions);
 //! assert!(actions.contains(&Action::Health { good: false, stored: true }));
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -2,8 +2,8 @@
 //! bookkeeping and decides nothing.
 //!
 //! The main path is win-cont of "Application Layer Feedback-based SIP Server Overload Control", section 3.4:
-//! learn the service rate (mu), limit the queue (N_sess) to rate x delay budget (N_max), tell callers how
-//! many requests each may have here, and refuse the excess while the queue is over its limit.
+//! learn the service rate, limit the queue to service rate x delay budget, tell callers how many requests
+//! each may have here, and refuse the excess while the queue is over its limit.
 
 use crate::api::*;
 use crate::state::{InFlightRequest, ServerState, Stage, to_micros};
@@ -36,7 +36,7 @@
 const RETRY_STORM_REFUSED_SHARE: f64 = 0.4;
 /// Open connections for each core above which those of inactive callers are closed.
 const MAX_CONNECTIONS_PER_CORE: f64 = 20.0;
-/// How long the overload credit applies after N_sess exceeded N_max.
+/// How long the overload credit applies after the queue exceeded its limit.
 const OVERLOAD_CREDIT_SECONDS: f64 = 0.4;
 /// Weight of the newest sample in the statistics of a class.
 const CLASS_SMOOTHING: f64 = 0.08;
@@ -478,8 +478,8 @@
 
     // Measurement.
 
-    /// Updates the measurements and the run limit once per T_m. The service rate is learned from intervals
-    /// that had a queue or beat it.
+    /// Updates the measurements and the run limit once per interval. The service rate is learned from
+    /// intervals that had a queue or beat it.
     fn measure(&mut self, out: &mut Vec<Action>) {
         self.meter.busy |= self.queued_requests() >= 1.0;
         let length = self.now - self.meter.interval_start;
@@ -556,7 +556,7 @@
     }
 
     /// Requests that wait to be read, by Little's law, less one that each core reads. The paper's backlog
-    /// (equation 1) includes them, so they count in N_sess for the credit; not for refusals, which would come
+    /// (equation 1) includes them, so they count as queued for the credit; not for refusals, which would come
     /// after the work of reading and leave cores idle.
     fn read_backlog(&self) -> f64 {
         (self.meter.read_rate * self.meter.queueing_delay - f64::from(self.settings.cores)).max(0.0)
@@ -721,8 +721,8 @@
 
     // Refusals.
 
-    /// Refuses requests over credit, as in the paper: while N_sess exceeds N_max, each new arrival of a
-    /// caller over its credit causes one refusal, of the queued request of least worth among such callers
+    /// Refuses requests over credit, as in the paper: while the queue is over its limit, each new arrival of
+    /// a caller over its credit causes one refusal, of the queued request of least worth among such callers
     /// (mostly the new one). This matters only where classes differ in worth for their work.
     fn refuse_over_credit(&mut self, out: &mut Vec<Action>) {
         for i in 0..self.new_arrivals.len() {
@@ -758,8 +758,8 @@
         self.refuse(id, self.retry_after(), last, out);
     }
 
-    /// The retry delay: until the queue beyond N_max is worked off, and at least the delay budget. A shorter
-    /// one brings retries into the same overload; one that outlasts it wastes capacity.
+    /// The retry delay: until the queue over its limit is worked off, and at least the delay budget. A
+    /// shorter one brings retries into the same overload; one that outlasts it wastes capacity.
     fn retry_after(&self) -> f64 {
         let beyond = self.queued_requests() + self.read_backlog() - self.queue_limit();
         let after = if self.shutdown.is_some() { f64::INFINITY } else { beyond / self.meter.rate.max(1e-9) };
@@ -989,7 +989,7 @@
         }
     }
 
-    /// Requests a wake at the next due time, and once per T_m while there is something to measure.
+    /// Requests a wake at the next due time, and once per interval while there is something to measure.
     fn schedule_wake(&mut self, out: &mut Vec<Action>) {
         // A server out of the balancer's list gets no requests: only its own wakes bring it back.
         let idle = self.state.requests.is_empty() && !self.meter.unhealthy;
--- a/src/logic/apply_settings.rs
+++ b/src/logic/apply_settings.rs
@@ -1,13 +1,13 @@
-//! New settings for a server that runs. Nothing is decided here: what is remembered is put where the new settings have it.
+//! Applies new settings to a running server. No decisions are made here: the state moves to its new indices.
 
 use super::{Controller, lanes};
 use crate::api::Settings;
 
 impl Controller {
-    /// Takes up new settings. Classes and tenants that were there keep their places, be it unused; further ones stand behind
-    /// them, or in the place of one that nothing is left of. What waits and runs stays as it came; what was learned stays,
-    /// and a class that takes the name of an earlier one takes what was learned of that. Settings that make no sense, or
-    /// that have fewer places, change nothing.
+    /// Applies new settings. Classes and tenants keep their index, even if unused; new ones are appended, or
+    /// take the index of one that has no request left. Requests in flight stay as they are, and so do the
+    /// statistics: a class with the name of an earlier one gets that one's. Settings that are invalid, or
+    /// have fewer classes or tenants, change nothing.
     pub(super) fn apply_settings(&mut self, new: &Settings) {
         let old = &self.settings;
         if new.check().is_err()
@@ -26,7 +26,7 @@
         self.tenant_rates.resize(new.tenants.len(), 0.0);
         self.settings = new.clone();
         self.lanes = lanes(new);
-        // An odd lane is that of requests that are late for their aim.
+        // Odd lanes are those of requests that are late for their target.
         let places: Vec<_> = self
             .state
             .requests
--- a/src/logic/decision_metrics.rs
+++ b/src/logic/decision_metrics.rs
@@ -1,40 +1,40 @@
-//! What a decision rested on, for those who ask afterwards. Nothing is decided here.
+//! Exposes the quantities behind decisions for later explanation. No decisions are made here.
 
 use super::Controller;
 use crate::api::{CallerId, Seconds};
 use crate::state::Stage;
 
-/// The figures that decisions rest on, at one moment.
+/// The quantities that decisions depend on, at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DecisionMetrics {
-    /// N_sess: requests held unstarted.
+    /// N_sess: requests in the queue that are not started.
     pub queued_requests: f64,
-    /// N_max: how many may be, as the rate of service and the budget of delay have it.
+    /// N_max: the limit of the queue, service rate x delay budget.
     pub queue_limit: f64,
-    /// The rate of service, μ, a second.
+    /// The service rate, mu, in requests a second.
     pub service_rate: f64,
-    /// On the cores.
+    /// Requests on the cores.
     pub running: f64,
-    /// How many may be.
+    /// The limit of requests on the cores.
     pub run_limit: f64,
-    /// Parked at calls, those that wait to be made included.
+    /// Requests parked at calls, including those that wait until theirs can be made.
     pub parked: f64,
-    /// What a caller may have here.
+    /// The number of requests that each caller may have here.
     pub caller_credit: f64,
-    /// Callers that are active.
+    /// The number of active callers.
     pub active_callers: f64,
-    /// Memory that is left, in kilobytes.
+    /// Free memory, in kilobytes.
     pub free_memory_kb: f64,
-    /// How long requests lie unread.
+    /// The smoothed queueing delay, from arrival at the machine until read.
     pub queueing_delay: Seconds,
-    /// Tries storm: more is asked for by far than is served.
+    /// Whether far more is requested than served, so that refused callers are asked not to retry.
     pub retry_storm: bool,
-    /// The server was told to leave.
+    /// Whether the server is shutting down.
     pub leaving: bool,
 }
 
 impl Controller {
-    /// The figures as they stand.
+    /// The current quantities.
     pub fn decision_metrics(&self) -> DecisionMetrics {
         DecisionMetrics {
             queued_requests: self.queued_requests(),
@@ -52,12 +52,13 @@
         }
     }
 
-    /// Requests that a caller has here.
+    /// The number of requests that a caller has in flight.
     pub fn in_flight_requests_of(&self, caller: CallerId) -> f64 {
         self.state.callers.in_flight(caller)
     }
 
-    /// The time on a core and at calls that a request of a class is expected to need; 0 while nothing is known.
+    /// The time on a core and at calls that a request of a class is expected to need; 0 until one was
+    /// measured.
     pub fn expected_run_time(&self, class: usize, cost_hint: Option<f64>) -> Seconds {
         match self.class_stats.get(class) {
             Some(stats) => self.expected_core_time(class, cost_hint) + stats.parked_time.unwrap_or(0.0),
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What one server remembers, kept consistent: requests by stage, callers, and keys. Nothing is decided here.
+//! The state of one server: requests by stage, callers, and keys. No decisions are made here.
 
 use crate::api::*;
 use serde::{Deserialize, Serialize};
@@ -7,50 +7,50 @@
 /// Requests ordered by a time, in microseconds.
 pub(crate) type Queue = BTreeSet<(u64, RequestId)>;
 
-/// Where a request is.
+/// The stage of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub(crate) enum Stage {
     /// Read and not started.
     Queued,
-    /// Running.
+    /// On the cores.
     Running,
-    /// Started, and off the cores until it is taken up again.
+    /// Started, and off the cores until it is resumed.
     Paused,
-    /// Started, and waits for the call it needs to be made.
+    /// Started, and waits until its call can be made.
     AwaitsCall,
-    /// Started, and its call is under way.
+    /// Started, and its call is in flight.
     InCall,
     /// Gets its answer from another request.
     SharesAnswer,
 }
 
-/// A request that was read and whose end is not yet known.
+/// A request that was read and has not ended.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct InFlightRequest {
     pub request: Request,
     pub arrived: f64,
-    /// When an answer stops earning its full worth.
+    /// When an answer loses its full worth.
     pub target_at: f64,
-    /// When an answer stops earning anything; it is owed by then.
+    /// When an answer loses all worth; it must be given by then.
     pub due_at: f64,
     pub stage: Stage,
     pub stage_since: f64,
-    /// A final answer was given or none is owed; only its work is left.
+    /// Whether the final answer was given or is not needed; only its work remains.
     pub answered: bool,
-    /// It was started at least once.
+    /// Whether it was started at least once.
     pub has_run: bool,
-    /// It was told to stop, and has not yet.
+    /// Whether a stop was requested that has not happened yet.
     pub stopping: bool,
-    /// Its place in [`ServerState::lanes`].
+    /// Its index into [`ServerState::lanes`].
     pub lane: usize,
     pub core_time: f64,
     pub parked_time: f64,
-    /// Calls whose replies never came.
+    /// Calls whose replies were lost.
     pub lost_calls: u32,
 }
 
 impl InFlightRequest {
-    /// A request that was just read.
+    /// Creates a request that was just read.
     pub fn new(request: Request, now: f64, target_at: f64, due_at: f64, lane: usize) -> InFlightRequest {
         InFlightRequest {
             arrived: now - request.waited,
@@ -70,17 +70,17 @@
     }
 }
 
-/// Callers: when each was last seen, and how many requests each has here.
+/// When each caller was last seen, and how many requests it has in flight.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Callers {
     by_id: BTreeMap<CallerId, (u64, u32)>,
     last_seen: BTreeSet<(u64, CallerId)>,
-    /// How many callers have so many requests here.
+    /// The number of callers by their count of requests in flight.
     callers_by_in_flight: BTreeMap<u32, u32>,
 }
 
 impl Callers {
-    /// Notes a request of a caller; whether the caller was active.
+    /// Records a request of a caller and returns whether the caller was active.
     pub fn record_request(&mut self, id: CallerId, now: f64) -> bool {
         let at = to_micros(now).max(1);
         let caller = self.by_id.entry(id).or_default();
@@ -90,7 +90,7 @@
         active
     }
 
-    /// Those last seen before this time are no longer active.
+    /// Makes callers inactive that were last seen before this time.
     pub fn expire(&mut self, before: f64) {
         while let Some((at, id)) = self.last_seen.first().copied().filter(|(at, _)| *at < to_micros(before)) {
             self.last_seen.remove(&(at, id));
@@ -117,23 +117,23 @@
         }
     }
 
-    /// Callers that are active.
+    /// The number of active callers.
     pub fn active(&self) -> f64 {
         self.last_seen.len() as f64
     }
 
-    /// The requests that a caller has here.
+    /// The number of requests that a caller has in flight.
     pub fn in_flight(&self, id: CallerId) -> f64 {
         self.by_id.get(&id).map_or(0.0, |caller| f64::from(caller.1))
     }
 
-    /// The most requests that any caller has here.
+    /// The most requests that any caller has in flight.
     pub fn max_in_flight(&self) -> f64 {
         self.callers_by_in_flight.last_key_value().map_or(0.0, |(here, _)| f64::from(*here))
     }
 }
 
-/// The table of keys: until when each entry lives, and whether a try of it ran.
+/// The key table: when each entry expires, and whether a try of it ran.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Keys {
     entries: BTreeMap<RequestId, (u64, bool)>,
@@ -157,12 +157,12 @@
         }
     }
 
-    /// Whether the request is remembered and no try of it ran.
+    /// Whether the request is remembered and none of its tries ran.
     pub fn is_unused(&self, id: RequestId) -> bool {
         self.entries.get(&id).is_some_and(|(_, ran)| !ran)
     }
 
-    /// Whether it was remembered.
+    /// Removes a request and returns whether it was remembered.
     pub fn forget(&mut self, id: RequestId) -> bool {
         let entry = self.entries.remove(&id);
         if let Some((until, _)) = entry {
@@ -179,23 +179,23 @@
     }
 }
 
-/// Requests, and all that is counted over them.
+/// The requests of a server, with the queues and counters over them.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct ServerState {
     pub requests: BTreeMap<RequestId, InFlightRequest>,
-    /// The hold, in lanes; by the time at which each request stops earning.
+    /// Queued requests by lane, ordered by the time at which each is due.
     pub lanes: Vec<Queue>,
     pub paused: Queue,
-    /// Those on the cores.
+    /// Requests on the cores.
     pub running: Queue,
-    /// Those that wait for their call to be made, in lanes.
+    /// Requests that wait until their call can be made, by lane.
     pub awaiting_call: Vec<Queue>,
-    /// All that is still owed an answer, by the time at which it must be given.
+    /// Requests without a final answer, ordered by the time at which it is due.
     pub due: Queue,
     pub callers: Callers,
     pub keys: Keys,
     counts: [usize; 6],
-    /// Memory of requests that were not started, and of those that were, at their size while held.
+    /// Memory of requests that were not started, and of those that were, at their size while queued.
     pub queued_kb: f64,
     pub started_kb: f64,
 }
@@ -205,7 +205,7 @@
         self.counts[stage as usize] as f64
     }
 
-    /// Requests that were started and are not over.
+    /// The number of requests that were started and have not ended.
     pub fn started(&self) -> f64 {
         [Stage::Running, Stage::Paused, Stage::AwaitsCall, Stage::InCall].map(|s| self.count(s)).iter().sum()
     }
@@ -218,7 +218,7 @@
         self.add_to_stage(id);
     }
 
-    /// Moves a request to another stage, with all that is counted by stage.
+    /// Moves a request to another stage and updates the queues and counters.
     pub fn set_stage(&mut self, id: RequestId, stage: Stage, now: f64) {
         self.remove_from_stage(id);
         let Some(l) = self.requests.get_mut(&id) else { return };
@@ -231,7 +231,7 @@
         self.add_to_stage(id);
     }
 
-    /// Moves a held request to another lane.
+    /// Moves a queued request to another lane.
     pub fn change_lane(&mut self, id: RequestId, lane: usize) {
         self.remove_from_stage(id);
         if let Some(l) = self.requests.get_mut(&id) {
@@ -240,7 +240,7 @@
         self.add_to_stage(id);
     }
 
-    /// Brings forward the time by which a request is answered.
+    /// Makes a request due earlier, never later.
     pub fn shorten_deadline(&mut self, id: RequestId, end: f64) {
         if self.requests.get(&id).is_none_or(|l| l.answered || l.due_at <= end) {
             return;
@@ -253,7 +253,7 @@
         self.add_to_stage(id);
     }
 
-    /// Nothing is owed for this request any more; its caller has room for another.
+    /// Records that a request needs no more answer; its caller may send another.
     pub fn mark_answered(&mut self, id: RequestId) {
         let Some(l) = self.requests.get_mut(&id).filter(|l| !l.answered) else { return };
         l.answered = true;
@@ -266,7 +266,7 @@
         self.callers.change_in_flight(caller, -1);
     }
 
-    /// The request is over, here and everywhere.
+    /// Removes a request that has ended.
     pub fn remove(&mut self, id: RequestId) {
         self.mark_answered(id);
         self.remove_from_stage(id);
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Has so many lanes from now on, with each request in the one that is given for it.
+    /// Sets the number of lanes, and the lane of each request.
     pub fn reassign_lanes(&mut self, lanes: usize, places: &[(RequestId, usize)]) {
         for (id, _) in places {
             self.remove_from_stage(*id);
@@ -331,7 +331,7 @@
     }
 }
 
-/// A time in whole microseconds, for ordering.
+/// Converts a time to whole microseconds, for ordering.
 pub(crate) fn to_micros(t: f64) -> u64 {
     (t.max(0.0) * 1e6).round() as u64
 }
