--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,5 +1,6 @@
-//! Puts the jaspershunt module on a line-based wire: reads batches of events for many servers, hands each server's
-//! events to its own [`jaspershunt::Controller`], and prints what they ask for. It translates and decides nothing.
+//! Connects the decision module to a line-based protocol: reads batches of events for many servers, passes
+//! each server's events to its own [`jaspershunt::Controller`], and prints the actions. It makes no
+//! decisions.
 
 mod line;
 
@@ -10,7 +11,7 @@
 use std::fmt::{self, Write as _};
 use std::io::{self, BufRead, Write};
 
-/// What went wrong on the wire, and where.
+/// An error in the input or output, with its position.
 #[derive(Debug)]
 pub struct ProtocolError {
     batch: u64,
@@ -26,14 +27,14 @@
 
 impl std::error::Error for ProtocolError {}
 
-/// A server's instance of the module, with the names that its settings gave.
+/// The controller of one server, with the names from its settings.
 pub(crate) struct Server {
     controller: Controller,
     names: Names,
     inbox: Vec<Event>,
 }
 
-/// Where the reader is: which batch, and which line counted from the first of the input.
+/// The position in the input: the batch, and the line counted from the start of the input.
 #[derive(Default)]
 struct Position {
     batch: u64,
@@ -45,7 +46,7 @@
         ProtocolError { batch: self.batch, line: self.line, message: message.into() }
     }
 
-    /// The next line without its end, or `None` at the end of the input.
+    /// Reads the next line without its line break; returns `None` at the end of the input.
     fn next<'a>(
         &mut self,
         input: &mut impl BufRead,
@@ -67,10 +68,10 @@
 /// Reads batches until the input ends and answers each.
 ///
 /// # Errors
-/// The first thing that is malformed, with its batch and line. Nothing is answered for the batch it is in.
+/// The first malformed line. Its batch gets no answer.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), ProtocolError> {
     let mut servers: BTreeMap<u64, Server> = BTreeMap::new();
-    // Those that a batch holds events for; no others are looked at.
+    // Servers with events in the current batch; only these are stepped.
     let mut with_events: BTreeSet<u64> = BTreeSet::new();
     let mut position = Position::default();
     let (mut buffer, mut reply, mut actions) = (String::new(), String::new(), Vec::new());
@@ -108,7 +109,7 @@
     Ok(())
 }
 
-/// Takes in one line of a batch. A server begins at `HELLO` and ends at `KILL`; events without use are skipped.
+/// Handles one line of a batch. `HELLO` starts a server and `KILL` ends it; unknown events are ignored.
 fn handle_line(
     servers: &mut BTreeMap<u64, Server>,
     with_events: &mut BTreeSet<u64>,
--- a/crates/adapter/src/line.rs
+++ b/crates/adapter/src/line.rs
@@ -1,14 +1,14 @@
-//! Single lines of the wire: their fields, the events they carry, and how actions are printed.
+//! Parses the fields and events of single lines, and prints actions as lines.
 
 use jaspershunt::{Action, CallerId, Event, Gauges, Outcome, Request, RequestId};
 use jaspershunt_settings::{Names, gauge_by_name_mut};
 use std::fmt::Write;
 
-/// The events that the module has a use for; others are skipped.
+/// The events that the module handles; others are ignored.
 pub const EVENT_NAMES: [&str; 7] =
     ["JOB_IN", "ENDED", "CAME_BACK", "BELL", "WITHDRAWN", "NEEDS", "TERMINATE_SOON"];
 
-/// Fields whose value goes on to the end of the line.
+/// Fields whose value extends to the end of the line.
 const TEXT_FIELDS: [&str; 2] = ["facts", "words"];
 
 /// The name and the fields of a line.
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Takes a line apart.
+    /// Splits a line into its name and fields.
     pub fn parse(text: &'a str) -> Result<Self, String> {
         let (name, mut rest) = text.split_once(' ').unwrap_or((text, ""));
         if name.is_empty() || name.contains('=') {
@@ -49,17 +49,17 @@
         self.pairs.iter().find(|(k, _)| *k == key).map(|(_, v)| *v)
     }
 
-    /// A field that must be there.
+    /// Returns a required field.
     pub fn text(&self, key: &str) -> Result<&'a str, String> {
         self.get(key).ok_or_else(|| format!("{} without {key}", self.name))
     }
 
-    /// A whole number that must be there.
+    /// Returns a required whole number.
     pub fn whole(&self, key: &str) -> Result<u64, String> {
         parse_whole(key, self.text(key)?)
     }
 
-    /// A number of seconds, not negative, that must be there.
+    /// Returns a required, non-negative number of seconds.
     pub fn seconds(&self, key: &str) -> Result<f64, String> {
         parse_number(key, self.text(key)?)
     }
@@ -118,15 +118,15 @@
     for pair in text.split(',').filter(|pair| !pair.is_empty()) {
         let (name, value) =
             pair.split_once(':').ok_or_else(|| format!("expected name:value at {:?}", truncate(pair)))?;
-        let Some(place) = gauge_by_name_mut(&mut gauges, name) else { continue };
-        // A reading may be a rounding below 0.
+        let Some(gauge) = gauge_by_name_mut(&mut gauges, name) else { continue };
+        // A reading may be slightly below 0 through rounding.
         let reading: Option<f64> = value.parse().ok().filter(|v: &f64| v.is_finite());
-        *place = Some(reading.ok_or_else(|| format!("{name} must be a number, got {:?}", truncate(value)))?);
+        *gauge = Some(reading.ok_or_else(|| format!("{name} must be a number, got {:?}", truncate(value)))?);
     }
     Ok(gauges)
 }
 
-/// The event that a line carries; its name is one of [`EVENT_NAMES`].
+/// Reads the event of a line whose name is one of [`EVENT_NAMES`].
 pub fn read_event(fields: &Fields, names: &Names) -> Result<Event, String> {
     let id = || fields.whole("req").map(RequestId);
     Ok(match fields.name {
@@ -159,7 +159,7 @@
     })
 }
 
-/// Prints what a server's module asks for as one line.
+/// Prints an action of a server as one line.
 pub fn print_action(out: &mut String, server: u64, action: &Action) {
     // Writing to a String cannot fail.
     let _ = match action {
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the jaspershunt module on standard input and output. See `line` for the lines.
+//! Runs the adapter on standard input and output.
 use std::io::{BufReader, BufWriter, stdin, stdout};
 use std::process::ExitCode;
 
--- a/crates/adapter/tests/transcripts.rs
+++ b/crates/adapter/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! Whole conversations on the wire, written here.
+//! Complete transcripts of the protocol.
 
 use jaspershunt_adapter::serve;
 
@@ -11,7 +11,7 @@
     r#""orgs":[],"servers":3}"#
 );
 
-fn play(text: &str) -> Result<String, String> {
+fn run_adapter(text: &str) -> Result<String, String> {
     let mut output = Vec::new();
     serve(text.as_bytes(), &mut output).map_err(|e| e.to_string())?;
     Ok(String::from_utf8(output).unwrap())
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_is_clean() {
-    assert_eq!(play("MARK tsS=8.41225 n=1\nEOF_BATCH\n").unwrap(), "NEXT n=1\n");
-    assert_eq!(play("").unwrap(), "");
+fn an_empty_batch_is_answered_and_the_end_of_input_is_no_error() {
+    assert_eq!(run_adapter("MARK tsS=8.41225 n=1\nEOF_BATCH\n").unwrap(), "NEXT n=1\n");
+    assert_eq!(run_adapter("").unwrap(), "");
 }
 
 #[test]
@@ -33,7 +33,7 @@
         + "MARK tsS=1.5 n=2\nNEWS instance=3 of=x\n"
         + "JOB_IN instance=3 req=1125699607499204 lane=read sizeKb=24.5 neighbour=17 layS=0.001 colour=red\nEOF_BATCH\n"
         + "MARK tsS=1.6 n=3\nBELL instance=3 token=0 telemetry=core_use:0.5,moon:full,heap_share:-0.0000001\nEOF_BATCH\n";
-    let output = play(&input).unwrap();
+    let output = run_adapter(&input).unwrap();
     assert!(output.starts_with("MARK_HEALTH instance=3 enable=1 cached=1\n"), "{output}");
     assert!(output.contains("ADMIT instance=3 req=1125699607499204\n"), "{output}");
     assert!(output.contains("ADVERTISE instance=3 value="), "{output}");
@@ -41,23 +41,23 @@
 }
 
 #[test]
-fn instances_act_alike_together_and_apart() {
+fn instances_do_not_affect_each_other() {
     let job = |number: u64| {
         format!(
             "MARK tsS=2 n=2\nJOB_IN instance={number} req={number} lane=buy sizeKb=9 neighbour=1\nEOF_BATCH\n"
         )
     };
-    let mine = |text: String, number: u64| -> Vec<String> {
+    let lines_of = |text: String, number: u64| -> Vec<String> {
         let of = format!(" instance={number} ");
         text.lines().filter(|line| line.contains(&of)).map(str::to_string).collect()
     };
-    let alone = mine(play(&(hello(2) + &job(2))).unwrap(), 2);
+    let alone = lines_of(run_adapter(&(hello(2) + &job(2))).unwrap(), 2);
     let both = format!(
         "MARK tsS=1 n=1\nHELLO instance=1 initSeed=5 facts={FACTS}\nHELLO instance=2 initSeed=5 facts={FACTS}\nEOF_BATCH\n\
          MARK tsS=2 n=2\nJOB_IN instance=1 req=1 lane=buy sizeKb=9 neighbour=1\n\
          JOB_IN instance=2 req=2 lane=buy sizeKb=9 neighbour=1\nEOF_BATCH\n"
     );
-    let together = mine(play(&both).unwrap(), 2);
+    let together = lines_of(run_adapter(&both).unwrap(), 2);
     assert!(alone.iter().any(|line| line.starts_with("KEEP ")));
     assert_eq!(alone, together);
 }
@@ -68,11 +68,11 @@
         + "MARK tsS=2 n=2\nKILL instance=3\nHELLO instance=3 initSeed=6 facts="
         + FACTS
         + "\nEOF_BATCH\n";
-    assert_eq!(play(&input).unwrap().matches("MARK_HEALTH instance=3 enable=1").count(), 2);
+    assert_eq!(run_adapter(&input).unwrap().matches("MARK_HEALTH instance=3 enable=1").count(), 2);
 }
 
 #[test]
-fn what_is_malformed_is_named_with_its_batch_and_line() {
+fn errors_name_the_batch_and_line() {
     let job = "MARK tsS=2 n=2\nJOB_IN instance=3 req=7 lane=read sizeKb=9 neighbour=1\nEOF_BATCH\n";
     let cases = [
         (job.replace(" req=7", ""), "batch 2, line 5: JOB_IN without req"),
@@ -85,11 +85,11 @@
         (job.replace("neighbour=1", "neighbour"), "expected name=value"),
     ];
     for (text, expected) in cases {
-        let problem = play(&(hello(3) + &text)).unwrap_err();
+        let problem = run_adapter(&(hello(3) + &text)).unwrap_err();
         assert!(problem.contains(expected), "{problem:?} should contain {expected:?}");
     }
     let no_cores = hello(3).replace("\"nCores\":2", "\"nCores\":0");
-    assert!(play(&no_cores).unwrap_err().contains("setting cores must be at least 1"));
+    assert!(run_adapter(&no_cores).unwrap_err().contains("setting cores must be at least 1"));
     let no_memory = hello(3).replace("\"heapKb\":10000,", "");
-    assert!(play(&no_memory).unwrap_err().contains("facts.domain.heapKb is missing"));
+    assert!(run_adapter(&no_memory).unwrap_err().contains("facts.domain.heapKb is missing"));
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Reads the settings object of a server: the one in the simulator's first message and in a nodo's configuration.
+//! Reads the settings object of a server, from the simulator's first message or a nodo's configuration.
 //!
-//! Keys that are not known are skipped; what is wrong is named with the way to it.
+//! Unknown keys are ignored; errors name the path of the wrong value.
 
 use jaspershunt::{
     CallerFeedback, Class, DependencyModel, Gauges, Repeat, Settings, StopMode, Tenant, WorthBy,
@@ -14,50 +14,51 @@
 /// The names that later messages use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Names {
-    /// Classes and tenants that requests may name, with their places in the settings.
+    /// Classes and tenants that requests may name, with their indices in the settings.
     classes: Vec<(String, usize)>,
     tenants: Vec<(String, usize)>,
-    /// The gauges, in the order in which readings are given.
+    /// The gauges, in the order of their readings.
     pub gauges: Vec<String>,
-    /// Whether requests tell how long their caller waits.
+    /// Whether requests include the time that their caller still waits.
     pub passes_deadline: bool,
 }
 
 impl Names {
-    /// The place of a class in the settings.
+    /// Returns the index of a class in the settings.
     ///
     /// # Errors
     /// No class has this name.
     pub fn class(&self, name: &str) -> Result<usize, String> {
-        place(&self.classes, name).ok_or_else(|| format!("unknown class {name:?}"))
+        index_of(&self.classes, name).ok_or_else(|| format!("unknown class {name:?}"))
     }
 
-    /// Whether a class may be named that has this place.
+    /// Whether requests may name the class at this index.
     pub fn has_class_at(&self, class: usize) -> bool {
-        self.classes.iter().any(|(_, place)| *place == class)
+        self.classes.iter().any(|(_, index)| *index == class)
     }
 
-    /// The names of the classes that requests may name.
+    /// Returns the names of the classes that requests may name.
     pub fn classes(&self) -> impl Iterator<Item = &str> {
         self.classes.iter().map(|(name, _)| name.as_str())
     }
 
-    /// Whether requests have to name a tenant. Settings that follow others may have places of tenants that nobody names any more.
+    /// Whether requests must name a tenant. After a merge the settings may still have tenants that no request
+    /// may name.
     pub fn has_tenants(&self) -> bool {
         !self.tenants.is_empty()
     }
 
-    /// The place of a tenant in the settings, if it is there.
+    /// Returns the index of a tenant in the settings, if there is one of this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        place(&self.tenants, name)
+        index_of(&self.tenants, name)
     }
 }
 
-fn place(names: &[(String, usize)], name: &str) -> Option<usize> {
-    names.iter().find(|(known, _)| known == name).map(|(_, place)| *place)
+fn index_of(names: &[(String, usize)], name: &str) -> Option<usize> {
+    names.iter().find(|(known, _)| known == name).map(|(_, index)| *index)
 }
 
-/// Where the reading of a gauge belongs; `None` for gauges that the module has no use for.
+/// Returns the field for the reading of a gauge; `None` for gauges that the module does not use.
 pub fn gauge_by_name_mut<'a>(gauges: &'a mut Gauges, name: &str) -> Option<&'a mut Option<f64>> {
     Some(match name {
         "core_use" => &mut gauges.core_use,
@@ -68,7 +69,7 @@
     })
 }
 
-/// The keys of the module's fields, as they stand in the settings.
+/// The keys in the settings object of the module's fields.
 const KEYS: [(&str, &str); 17] = [
     ("cores", "domain.nCores"),
     ("over_share_worth", "overShareWorth"),
@@ -98,23 +99,23 @@
     ("allowance", "allowancePerS"),
 ];
 
-/// The key in the settings of a field that [`Settings::check`] names.
+/// Returns the key in the settings object of a field that [`Settings::check`] names.
 pub fn key_of(field: &str) -> String {
     let known = |keys: &[(&str, &str)], field: &str| {
         let key = keys.iter().find(|(name, _)| *name == field).map(|(_, key)| *key);
         key.unwrap_or(field).to_string()
     };
     let Some((list, name)) = field.rsplit_once("].") else { return known(&KEYS, field) };
-    let (list, place) = list.split_once('[').unwrap_or((list, ""));
+    let (list, index) = list.split_once('[').unwrap_or((list, ""));
     match (list, name) {
-        // These stand in a list of their own.
-        ("classes", "skip_worth") => format!("domain.classSkipWorth[{place}]"),
-        ("tenants", name) => format!("orgs[{place}].{}", known(&LIST_KEYS, name)),
-        (list, name) => format!("{list}[{place}].{}", known(&LIST_KEYS, name)),
+        // The settings object has a separate list for these.
+        ("classes", "skip_worth") => format!("domain.classSkipWorth[{index}]"),
+        ("tenants", name) => format!("orgs[{index}].{}", known(&LIST_KEYS, name)),
+        (list, name) => format!("{list}[{index}].{}", known(&LIST_KEYS, name)),
     }
 }
 
-/// A part of the settings, with the way to it for messages.
+/// A part of the settings object, with its path for messages.
 struct Section<'a> {
     value: &'a JsonValue,
     path: String,
@@ -143,16 +144,16 @@
         self.required(key)?.as_number()
     }
 
-    fn number_or(&self, key: &str, missing: f64) -> Result<f64, String> {
-        self.get(key).map_or(Ok(missing), |part| part.as_number())
+    fn number_or(&self, key: &str, default: f64) -> Result<f64, String> {
+        self.get(key).map_or(Ok(default), |part| part.as_number())
     }
 
-    fn count_or(&self, key: &str, missing: u32) -> Result<u32, String> {
+    fn count_or(&self, key: &str, default: u32) -> Result<u32, String> {
         let Some(part) = self.get(key) else {
-            return Ok(missing);
+            return Ok(default);
         };
         let number = part.as_number()?;
-        // The cast is exact for what is whole and in range.
+        // The cast is exact for whole numbers in this range.
         let whole = number.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&number);
         if whole { Ok(number as u32) } else { part.type_error("a whole number") }
     }
@@ -178,11 +179,11 @@
         self.required(key)?.as_text()
     }
 
-    fn text_or(&self, key: &str, missing: &'a str) -> Result<&'a str, String> {
-        self.get(key).map_or(Ok(missing), |part| part.as_text())
+    fn text_or(&self, key: &str, default: &'a str) -> Result<&'a str, String> {
+        self.get(key).map_or(Ok(default), |part| part.as_text())
     }
 
-    /// The parts of a list; one that is missing is empty.
+    /// Returns the items of a list; a missing list is empty.
     fn list(&self, key: &str) -> Result<Vec<Section<'a>>, String> {
         let Some(part) = self.get(key) else {
             return Ok(Vec::new());
@@ -195,19 +196,19 @@
     }
 }
 
-/// Reads the settings from their text; `name` is what messages call the object.
+/// Reads the settings from JSON text; messages call the object `name`.
 ///
 /// # Errors
-/// What is missing or wrong, with the way to it.
+/// Names the path of what is missing or wrong.
 pub fn read(text: &str, name: &str) -> Result<(Settings, Names), String> {
     let value: JsonValue = text.parse().map_err(|e| format!("{name} are not JSON: {e}"))?;
     from_value(&value, name)
 }
 
-/// Reads the settings from an object; `name` is what messages call it.
+/// Reads the settings from a JSON value; messages call it `name`.
 ///
 /// # Errors
-/// What is missing or wrong, with the way to it.
+/// Names the path of what is missing or wrong.
 pub fn from_value(value: &JsonValue, name: &str) -> Result<(Settings, Names), String> {
     if !value.is_object() {
         return Err(format!("{name} must be an object"));
@@ -216,9 +217,9 @@
     let domain = facts.required("domain")?;
     let rules = facts.required("obligations")?;
     let empty = JsonValue::Null;
-    let none = |path: &str| Section { value: &empty, path: path.to_string() };
-    let allowed = facts.get("allowed").unwrap_or_else(|| none(&format!("{name}.allowed")));
-    let habits = facts.get("clientHabits").unwrap_or_else(|| none(&format!("{name}.clientHabits")));
+    let empty_section = |path: &str| Section { value: &empty, path: path.to_string() };
+    let allowed = facts.get("allowed").unwrap_or_else(|| empty_section(&format!("{name}.allowed")));
+    let habits = facts.get("clientHabits").unwrap_or_else(|| empty_section(&format!("{name}.clientHabits")));
     let classes = read_classes(&facts, &domain)?;
     let tenants = read_tenants(&facts)?;
     let names = Names {
@@ -255,7 +256,7 @@
             "drop" => StopMode::Drop,
             _ => StopMode::Never,
         },
-        below: read_below(&domain)?,
+        below: read_dependencies(&domain)?,
         linger: domain.number_or("lingerS", 0.0)?,
         say: match domain.text_or("say", "silent")? {
             "tokens" => CallerFeedback::Credit,
@@ -311,7 +312,7 @@
     facts.list("orgs")?.iter().map(read).collect()
 }
 
-fn read_below(domain: &Section) -> Result<DependencyModel, String> {
+fn read_dependencies(domain: &Section) -> Result<DependencyModel, String> {
     Ok(match domain.text_or("dependsOn", "silent")? {
         "common" => DependencyModel::Shared {
             fair_calls: domain.number("fairCalls")?,
--- a/crates/settings/src/merge.rs
+++ b/crates/settings/src/merge.rs
@@ -1,18 +1,20 @@
-//! Settings that follow others while requests are open: which place each class and tenant has. Without I/O.
+//! Merges new settings into those in force while requests are in flight: assigns each class and tenant a
+//! slot.
 
 use crate::Names;
 use jaspershunt::{Class, Settings};
 
-/// Classes, and tenants, that may have places at once, those included that settings no longer name and of which requests
-/// are still open.
+/// The most slots of classes, and of tenants, including those that the settings no longer name but in-flight
+/// requests still use.
 pub const MAX_SLOTS: usize = 64;
 
-/// Lays new settings over those in force, so that what is open keeps the place, and with it the deadlines and repeat rules,
-/// that it came with. A class that is the same keeps its place. One that is new, or has changed, gets the place of one that
-/// nobody names any more and that `free` says nothing is left of, or a place behind all. Tenants are known by name alone.
+/// Merges new settings into those in force. In-flight requests keep the slot, and with it the deadlines and
+/// repeat rules, that they arrived with. An unchanged class keeps its slot. A new or changed class gets a
+/// slot that no class in force uses and that `is_free` confirms, or a new one at the end. Tenants are matched
+/// by name alone.
 ///
 /// # Errors
-/// There are more places than there may be, or a class is named twice.
+/// There are more than [`MAX_SLOTS`] slots, or a class is named twice.
 pub fn merge(
     old: &Settings,
     new: Settings,
@@ -20,7 +22,7 @@
     is_free: impl Fn(usize) -> bool,
 ) -> Result<(Settings, Names), String> {
     let mut merged = Settings { classes: old.classes.clone(), tenants: old.tenants.clone(), ..new };
-    // How warm the server is, is known of its interpreter and not of a file.
+    // Whether the server is cold depends on its interpreter, not on the settings file.
     merged.cold = old.cold;
     let mut slots: Vec<Option<usize>> =
         new.classes.iter().map(|class| old.classes.iter().position(|before| before == class)).collect();
@@ -41,10 +43,10 @@
         }
         tenant_slots.push(slot.unwrap_or(merged.tenants.len() - 1));
     }
-    for (what, count) in [("classes", merged.classes.len()), ("orgs", merged.tenants.len())] {
+    for (list, count) in [("classes", merged.classes.len()), ("orgs", merged.tenants.len())] {
         if count > MAX_SLOTS {
             return Err(format!(
-                "{what} add up to {count} with those still open, and there are {MAX_SLOTS} places"
+                "there are {count} {list} including those still in use, but only {MAX_SLOTS} places"
             ));
         }
     }
@@ -54,7 +56,7 @@
     Ok((merged, names))
 }
 
-/// Gives a class a place.
+/// Stores a class in the first free slot, or in a new one, and returns the slot.
 fn assign_slot(
     classes: &mut Vec<Class>,
     class: Class,
--- a/crates/settings/src/merge/tests.rs
+++ b/crates/settings/src/merge/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_is_the_same_keeps_its_place_and_what_has_changed_gets_another() {
+fn unchanged_classes_keep_their_slot_and_changed_ones_get_another() {
     let (old, _) = facts(&[("a", 4.0), ("b", 5.0)], &[("x", 0.5), ("y", 0.5)]);
     let (new, names) = facts(&[("c", 6.0), ("b", 5.0), ("a", 9.0)], &[("y", 0.7), ("z", 0.3)]);
     let (merged, names) = merge(&old, new, names, |_| false).unwrap();
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn a_place_is_used_again_once_nothing_is_left_of_it_and_places_are_bounded() {
+fn free_slots_are_reused_and_the_number_of_slots_is_limited() {
     let (mut settings, mut names) = facts(&[("a", 1.0)], &[]);
     for round in 0..1000 {
         let (new, next) = facts(&[("a", 2.0 + f64::from(round))], &[]);
         let used = names.clone();
         (settings, names) = merge(&settings, new, next, |place| !used.has_class_at(place)).unwrap();
-        assert!(settings.classes.len() <= 2, "one in force and one before");
+        assert!(settings.classes.len() <= 2, "the class in force and its predecessor");
         assert_eq!(settings.classes[names.class("a").unwrap()].deadline, 2.0 + f64::from(round));
     }
     let mut refused = None;
--- a/crates/settings/tests/values.rs
+++ b/crates/settings/tests/values.rs
@@ -1,4 +1,4 @@
-//! Values of settings that the program does not know count as the careful one; where there is none, the key is named.
+//! Unknown values of settings select the safe default; where there is none, the error names the key.
 
 use jaspershunt::{CallerFeedback, DependencyModel, StopMode, WorthBy};
 use jaspershunt_settings::read;
@@ -12,18 +12,18 @@
 }
 
 #[test]
-fn values_that_are_not_known_count_as_the_careful_one() {
+fn unknown_values_select_the_safe_default() {
     let (settings, names) = read(&text("free", "tomorrow"), "settings").unwrap();
     assert_eq!(
         (settings.halt, settings.say, settings.below, settings.worth_by),
         (StopMode::Never, CallerFeedback::Nothing, DependencyModel::Nothing, WorthBy::Request)
     );
-    // Where nothing is promised nothing is passed on.
+    // Deadlines are not passed on unless the settings say so.
     assert!(!names.passes_deadline);
 }
 
 #[test]
-fn there_is_no_careful_value_for_whether_work_may_run_again() {
+fn unknown_repeat_semantics_are_an_error() {
     let problem = read(&text("tomorrow", "silent"), "settings").unwrap_err();
     assert_eq!(problem, "settings.classes[0].semantics must be free, guarded or single_shot");
 }
