--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A server small enough to work its numbers out by hand, and short ways to drive it.
+//! A server whose expected numbers can be worked out by hand, and helpers to drive it.
 #![allow(dead_code)]
 
 use jaspershunt::*;
@@ -84,7 +84,7 @@
 
 impl Server {
     pub fn new(settings: Settings) -> Server {
-        Server(Controller::new(settings).expect("settings that make sense"))
+        Server(Controller::new(settings).expect("valid settings"))
     }
 
     pub fn step(&mut self, now: f64, events: &[Event]) -> Vec<Action> {
@@ -114,7 +114,7 @@
     actions.iter().filter_map(stop).collect()
 }
 
-pub fn said(actions: &[Action]) -> Option<f64> {
+pub fn advertised(actions: &[Action]) -> Option<f64> {
     actions.iter().rev().find_map(|a| if let Action::Say(value) = a { Some(*value) } else { None })
 }
 
--- a/tests/learned_cost.rs
+++ b/tests/learned_cost.rs
@@ -1,18 +1,18 @@
-//! What is learned of the time that a class takes, where that was long once.
+//! The expected time of a class after a single slow run.
 
 mod common;
 use common::*;
 use jaspershunt::*;
 
-/// Tries of the class, one a second, on a server that has nothing else to do.
+/// Number of requests of the class, one a second, on an otherwise idle server.
 const TRIES: u64 = 60;
 
-/// A mean beyond the aim must not have every request of the class refused for ever, as nothing more would be learned of it.
+/// With a mean longer than the target, every request would be refused and the mean would never change.
 #[test]
-fn a_class_that_was_slow_once_is_tried_again() {
+fn a_class_with_one_slow_run_is_tried_again() {
     let mut server = Server::new(settings());
     assert_eq!(runs(&server.step(0.0, &[arrived(1, 0, 1)])), [1]);
-    // Beyond its aim of 2 s, within its deadline of 4 s.
+    // After its target of 2 s, before its deadline of 4 s.
     server.step(3.0, &[ended(1, Outcome::Done)]);
     let mut tried = 0;
     for n in 2..2 + TRIES {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The module that is read aloud stays short enough to be, and ranks once a step.
+//! Limits the length of `src/logic.rs`, and the ranking of lanes to once a step.
 
 #[test]
 fn the_module_keeps_to_its_limits() {
@@ -10,8 +10,8 @@
     }
 }
 
-/// Ranking the lanes is the one thing that costs more than the events it follows from: it is done once a step, where
-/// `step` calls it, and nothing else sorts.
+/// Ranking the lanes is the only work that costs more than handling the events: `step` calls it once, and
+/// nothing else sorts.
 #[test]
 fn the_order_is_ranked_once_a_step() {
     let text = include_str!("../src/logic.rs");
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -1,9 +1,9 @@
-//! The program serves deployments that nobody here has seen: what differs is told by the settings, and no name of a site, class,
-//! tenant or kind of machine that happens to be known stands in what the platform builds.
+//! The program must work for any deployment: differences belong into the settings, and the code that the platform
+//! builds must not contain the name of a known site, class, tenant or kind of machine.
 
 use std::path::{Path, PathBuf};
 
-/// Names of the deployments that are known. One that is a common word too is looked for in quotes.
+/// Names of known deployments. Names that are also common words are searched for in quotes.
 const NAMES: [&str; 27] = [
     "firma-cordoba",
     "sala-cordoba",
@@ -47,7 +47,7 @@
     }
 }
 
-/// The lines of a file that are built into the program, with their numbers: no comments, nothing below the tests.
+/// Returns the numbered lines of a file that are built into the program, without comments and tests.
 fn built(text: &str) -> impl Iterator<Item = (usize, &str)> {
     let lines = text.lines().take_while(|line| *line != "#[cfg(test)]").enumerate();
     lines.filter(|(_, line)| !line.trim_start().starts_with("//")).map(|(at, line)| (at + 1, line))
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn no_name_of_a_deployment_stands_in_the_program() {
+fn the_program_contains_no_name_of_a_deployment() {
     let deploy = include_str!("../deploy/balancer.toml");
     let (_, node) = deploy.split_once("node = [").expect("the deploy file names what is built");
     let (node, _) = node.split_once(']').expect("a list");
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_name_is_found_where_it_is_built_and_only_there() {
+fn names_are_found_in_built_code_only() {
     assert_eq!(named("if class == \"page-edit\" {\n"), [(1, "page-edit")]);
     assert_eq!(named("//! as `page-edit` is\n#[cfg(test)]\nmod tests { \"page-edit\" }\n"), []);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,11 +1,11 @@
-//! The four rules at their edges.
+//! Edge cases of the rules on deadlines, repeats, memory and cores, calls, and shutdown.
 
 mod common;
 use common::*;
 use jaspershunt::*;
 
 #[test]
-fn running_work_is_failed_before_it_falls_due() {
+fn a_running_request_is_failed_before_it_is_due() {
     let mut set = settings();
     set.classes[2].late_worth = 0.5;
     let mut server = Server::new(set);
@@ -17,16 +17,16 @@
 }
 
 #[test]
-fn the_time_that_the_caller_still_waits_goes_before_the_deadline() {
+fn the_time_left_of_the_caller_overrides_the_deadline() {
     let mut server = Server::new(settings());
-    let hurried = Request { time_left: Some(0.5), ..request(1, 0, 1) };
-    server.step(0.0, &[Event::Arrived(hurried)]);
+    let urgent = Request { time_left: Some(0.5), ..request(1, 0, 1) };
+    server.step(0.0, &[Event::Arrived(urgent)]);
     assert!(refused(&server.step(0.47, &[])).is_empty());
     assert_eq!(refused(&server.step(0.49, &[])), [1]);
 }
 
 #[test]
-fn a_run_that_ends_in_the_batch_in_which_it_falls_due_is_not_answered_again() {
+fn a_run_that_ends_in_the_batch_in_which_it_is_due_is_not_answered_again() {
     let mut server = Server::new(settings());
     server.step(0.0, &[arrived(1, 0, 1)]);
     let actions = server.step(2.0, &[ended(1, Outcome::Done)]);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_wake_a_rounding_early_does_not_stop_later_ones() {
+fn a_wake_that_fires_slightly_early_does_not_stop_later_ones() {
     let mut server = Server::new(settings());
     server.step(0.0, &[arrived(1, 0, 1)]);
     let woke = [Event::Woke { token: 0, gauges: Gauges::default() }];
@@ -56,14 +56,14 @@
     let actions = server.step(0.1, &[repeated(2, 1, 1)]);
     assert_eq!(actions.iter().filter(|a| **a == Action::ServeFrom(RequestId(2))).count(), 1);
     assert!(runs(&actions).is_empty());
-    // Also after it ended, and however full the server is.
+    // This also holds after it ended, whatever the load.
     server.step(0.2, &[ended(1, Outcome::Done)]);
     let actions = server.step(9.0, &[repeated(3, 1, 1)]);
     assert!(actions.contains(&Action::ServeFrom(RequestId(3))));
 }
 
 #[test]
-fn a_repeat_takes_the_place_of_a_first_try_that_still_waits() {
+fn a_repeat_replaces_a_first_try_that_is_still_queued() {
     let mut server = Server::new(settings());
     server.step(0.0, &[arrived(1, 0, 1), arrived(2, 0, 2), arrived(3, 1, 3)]);
     let actions = server.step(0.1, &[repeated(4, 1, 3)]);
@@ -83,21 +83,23 @@
 fn a_keyed_request_without_room_for_its_key_never_runs() {
     let mut server = Server::new(Settings { memory_kb: 200.0, ..settings() });
     let actions = server.step(0.0, &[arrived(1, 1, 1), arrived(2, 1, 2)]);
-    // 190 usable: 10 + 100 for the first, then 10 + 100 more do not fit.
+    // 190 kB usable: 10 + 100 for the first; another 10 + 100 do not fit.
     assert_eq!(refused(&actions), [2]);
 }
 
 #[test]
-fn memory_is_kept_in_hand_for_runs() {
-    // Each takes 10 held and 80 running; of 190 usable, two run and hold 160, a third would pass it.
+fn memory_is_reserved_for_runs() {
+    // Each takes 10 kB queued and 80 kB running; of 190 kB usable, two runs take 160 and a third does not
+    // fit.
     let mut server = Server::new(Settings { memory_kb: 200.0, cores: 8, ..settings() });
     let actions = server.step(0.0, &[arrived(1, 0, 1), arrived(2, 0, 2), arrived(3, 0, 3)]);
     assert_eq!(runs(&actions), [1, 2]);
 }
 
 #[test]
-fn a_cold_server_bounds_the_crowd_lower() {
-    // Warm: 2 x 5 x 0.8 = 8. Cold: 2 x (1 + 4 x 0.25) x 0.8 = 3.2; four that come back from calls are one too many.
+fn a_cold_server_limits_concurrency_more() {
+    // Warm: 2 x 5 x 0.8 = 8. Cold: 2 x (1 + 4 x 0.25) x 0.8 = 3.2; four that return from calls are one too
+    // many.
     for (cold, stops) in [(false, 0), (true, 1)] {
         let mut server = Server::new(Settings { cold, below: DependencyModel::NextTier, ..settings() });
         let mut now = 0.0;
@@ -116,35 +118,36 @@
 
 #[test]
 fn calls_stay_within_the_share() {
-    // Room for 4 x 0.95 = 3.8: three at once. The level in the mean is 4 x 0.45 = 1.8.
+    // At most 4 x 0.95 = 3.8 calls, so three at once. The allowed mean is 4 x 0.45 = 1.8.
     let mut server = Server::new(Settings { cores: 8, ..settings() });
     let ids = [1, 2, 3, 4];
     server.step(0.0, &ids.map(|id| arrived(id, 0, id)));
     let wanted = ids.map(|id| Event::CallWanted { id: RequestId(id) });
     assert_eq!(calls(&server.step(0.1, &wanted)), [1, 2, 3]);
     let back = |id| Event::CallEnded { id: RequestId(id), outcome: Outcome::Done, took: 0.1 };
-    // 0.1 s without a call saved 0.18 call-seconds. Three calls for 0.2 s use 0.2 x (3 - 1.8) = 0.24 more than the
-    // level, so 0.06 are owed. With none in hand that takes 0.06 / 1.8 = 0.033 s.
+    // 0.1 s without a call saved 0.18 call-seconds. Three calls for 0.2 s use 0.2 x (3 - 1.8) = 0.24 above
+    // the mean, so the excess is 0.06. With no call in flight it takes 0.06 / 1.8 = 0.033 s to work off.
     assert!(calls(&server.step(0.3, &[back(1), back(2), back(3)])).is_empty());
     assert!(calls(&server.step(0.33, &[])).is_empty());
     assert_eq!(calls(&server.step(0.34, &[])), [4]);
 }
 
 #[test]
-fn a_share_of_calls_under_one_is_kept_in_the_mean() {
+fn a_share_of_less_than_one_call_is_kept_as_a_mean() {
     let below = DependencyModel::Shared { fair_calls: 0.5, over: 5.0 };
     let mut server = Server::new(Settings { below, ..settings() });
     server.step(0.0, &[arrived(1, 0, 1), arrived(2, 0, 2)]);
     let wanted = [1, 2].map(|id| Event::CallWanted { id: RequestId(id) });
     let actions = server.step(0.01, &wanted);
     assert_eq!(calls(&actions), [1], "one at a time");
-    // However long all calls take, one takes at most 0.5 x (0.95 - 0.45 x 1.25) x 5 - 0.2 = 0.76875 s.
+    // However long calls take, the timeout is at most 0.5 x (0.95 - 0.45 x 1.25) x 5 - 0.2 = 0.76875 s.
     let limit = actions.iter().find_map(|a| match a {
         Action::Call { give_up_after, .. } => Some(*give_up_after),
         _ => None,
     });
     assert!((limit.unwrap() - 0.76875).abs() < 1e-9);
-    // 0.01 s saved 0.00225; 0.2 s of a call cost 0.2 x (1 - 0.225) = 0.155: made up at 0.225 a second in 0.679 s.
+    // 0.01 s saved 0.00225; 0.2 s of a call cost 0.2 x (1 - 0.225) = 0.155: worked off at 0.225 a second in
+    // 0.679 s.
     let back = Event::CallEnded { id: RequestId(1), outcome: Outcome::Done, took: 0.2 };
     assert!(calls(&server.step(0.21, &[back])).is_empty());
     assert!(calls(&server.step(0.88, &[])).is_empty());
@@ -163,9 +166,10 @@
     }
 }
 
-/// A reply that got lost costs the part of the worth that a skipped call costs, or all, unless the call is made again.
+/// Guards against lost replies that cost the worth of skipping the call, or all worth, where the call may be
+/// repeated.
 #[test]
-fn a_call_whose_reply_got_lost_is_made_again_where_it_may_be() {
+fn a_call_whose_reply_is_lost_is_retried_if_it_is_safe() {
     let mut set = settings();
     set.classes[0].skip_worth = 0.5;
     let mut server = Server::new(set);
@@ -177,51 +181,51 @@
     assert_eq!((calls(&actions), failed(&actions)), (vec![1], vec![2]));
     assert_eq!(calls(&server.step(0.3, &[lost(1, Outcome::Broken)])), [1]);
     let actions = server.step(0.4, &[lost(1, Outcome::Broken)]);
-    assert!(actions.contains(&Action::SkipCall(RequestId(1))), "not for ever");
+    assert!(actions.contains(&Action::SkipCall(RequestId(1))), "retries are limited");
 }
 
-/// A reply that never comes would keep its call in hand until the request falls due, and with a few of those no other
-/// call could be made.
+/// A missing reply would keep its call in flight until the request is due; a few of those would block all
+/// other calls.
 #[test]
-fn a_call_that_takes_far_longer_than_usual_is_given_up_whatever_its_class() {
+fn a_call_that_takes_far_longer_than_usual_times_out_in_every_class() {
     for class in 0..3 {
         let mut server = Server::new(settings());
         server.step(0.0, &[arrived(1, 0, 1), arrived(2, class, 2)]);
         server.step(0.1, &[Event::CallWanted { id: RequestId(1) }]);
         let back = Event::CallEnded { id: RequestId(1), outcome: Outcome::Done, took: 0.01 };
         let actions = server.step(0.11, &[back, Event::CallWanted { id: RequestId(2) }]);
-        // Calls took 0.01 s here, and 20 x 0.01 s is more than the least of 0.05 s.
+        // Calls took 0.01 s, and 20 x 0.01 s is more than the shortest timeout of 0.05 s.
         let call = Action::Call { id: RequestId(2), give_up_after: 0.01 * 20.0 };
         assert!(actions.contains(&call), "{actions:?}");
     }
 }
 
 #[test]
-fn after_the_notice_nothing_that_arrives_past_the_grace_runs() {
+fn requests_that_arrive_after_the_grace_period_do_not_run() {
     let mut server = Server::new(settings());
     let actions = server.step(10.0, &[Event::Leave { within: 5.0 }]);
     assert!(actions.contains(&Action::Health { good: false, stored: true }));
     assert_eq!(runs(&server.step(11.9, &[arrived(1, 0, 1)])), [1]);
     assert_eq!(refused(&server.step(12.1, &[arrived(2, 0, 1)])), [2]);
-    // Read after the grace, but it reached the machine before.
+    // Read after the grace period, but it reached the machine before its end.
     let early = Request { waited: 0.3, ..request(3, 0, 1) };
     assert_eq!(runs(&server.step(12.2, &[Event::Arrived(early)])), [3]);
 }
 
 #[test]
-fn a_further_try_that_came_past_the_grace_takes_no_place_of_one_that_waits() {
+fn a_retry_after_the_grace_period_does_not_replace_a_queued_try() {
     let mut server = Server::new(settings());
     server.step(0.1, &[Event::Leave { within: 5.0 }]);
-    // Both cores are busy, so that the keyed try waits.
+    // Both cores are busy, so the keyed try is queued.
     server.step(1.9, &[arrived(1, 0, 1), arrived(2, 0, 2), arrived(3, 1, 3)]);
     let actions = server.step(2.5, &[repeated(4, 1, 3)]);
-    assert_eq!(refused(&actions), [4], "it came past the grace");
+    assert_eq!(refused(&actions), [4], "it arrived after the grace period");
     let actions = server.step(2.6, &[ended(1, Outcome::Done)]);
-    assert_eq!(runs(&actions), [3], "the one that waits keeps its place");
+    assert_eq!(runs(&actions), [3], "the queued try still runs");
 }
 
 #[test]
-fn all_is_answered_before_the_stop() {
+fn all_requests_are_answered_before_the_stop() {
     let mut server = Server::new(settings());
     server.step(0.0, &[arrived(1, 0, 1), arrived(2, 1, 2), arrived(3, 0, 3)]);
     server.step(0.1, &[Event::Leave { within: 1.0 }]);
@@ -236,7 +240,7 @@
 }
 
 #[test]
-fn odd_but_legal_events_do_no_harm() {
+fn unusual_but_legal_events_are_handled() {
     let mut server = Server::new(settings());
     let unknown = RequestId(99);
     let actions = server.step(
@@ -258,7 +262,7 @@
     assert_eq!(runs(&late), [2]);
     assert!(
         late.contains(&Action::ServeFrom(RequestId(3))),
-        "what it repeats may have run: never run it again"
+        "the request that it repeats may have run, so it must not run again"
     );
 }
 
@@ -281,7 +285,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_named() {
+fn invalid_settings_are_rejected_by_field() {
     let field = |set: Settings| Controller::new(set).err().expect("rejected").field;
     assert_eq!(field(Settings { cores: 0, ..settings() }), "cores");
     assert_eq!(field(Settings { memory_kb: f64::NAN, ..settings() }), "memory_kb");
@@ -291,7 +295,7 @@
 }
 
 #[test]
-fn a_safe_run_that_can_earn_nothing_more_ends_with_the_wish_not_to_try_elsewhere() {
+fn a_safe_run_without_worth_left_is_refused_with_a_request_not_to_retry() {
     let mut server = Server::new(settings());
     server.step(0.0, &[arrived(1, 0, 1)]);
     let actions = server.step(1.99, &[]);
@@ -300,7 +304,7 @@
 }
 
 #[test]
-fn while_calls_are_slow_fewer_are_in_hand() {
+fn fewer_calls_are_in_flight_while_calls_are_slow() {
     let mut server = Server::new(Settings { cores: 8, ..settings() });
     let back = |id, took| Event::CallEnded { id: RequestId(id), outcome: Outcome::Done, took };
     server.step(0.0, &[arrived(1, 0, 1)]);
@@ -308,18 +312,18 @@
         server.step(0.01 + i as f64 * 0.02, &[Event::CallWanted { id: RequestId(1) }]);
         server.step(0.02 + i as f64 * 0.02, &[back(1, took)]);
     }
-    // Room for 4 x 0.4 = 1.6 in place of 4 x 0.95 = 3.8.
+    // At most 4 x 0.4 = 1.6 calls instead of 4 x 0.95 = 3.8.
     let ids = [2, 3, 4];
     server.step(0.5, &ids.map(|id| arrived(id, 0, id)));
     let wanted = ids.map(|id| Event::CallWanted { id: RequestId(id) });
     assert_eq!(calls(&server.step(0.51, &wanted)).len(), 1);
 }
 
-/// Where several things lie below, what carries the calls out has bounded and repeated them. The module makes each at
-/// once, takes its end for final, and is not led by the length of one thing's calls to give up those of another; one
-/// that is turned away at once must not be wanted again in the same step for ever.
+/// With several dependencies, the code that makes the calls limits and retries them. The module starts each
+/// call at once, takes its outcome as final, and must not derive the timeout of one dependency's calls from
+/// another's. A call that is rejected at once must not be requested again endlessly in the same step.
 #[test]
-fn calls_to_several_dependencies_are_all_made_and_each_end_is_final() {
+fn calls_to_several_dependencies_are_all_made_and_each_outcome_is_final() {
     let settings = Settings { cores: 8, below: DependencyModel::Several { parked: 100.0 }, ..settings() };
     let mut server = Server::new(settings.clone());
     let ids = [1, 2, 3, 4, 5];
@@ -328,18 +332,18 @@
     assert_eq!(calls(&server.step(0.1, &wanted)), ids);
     let end = |id, outcome, took| Event::CallEnded { id: RequestId(id), outcome, took };
     server.step(0.11, &[end(1, Outcome::Done, 0.001)]);
-    // Patience is the request's own time, though a call took 1 ms before.
+    // The timeout is the request's time left, although an earlier call took 1 ms.
     let again = server.step(0.2, &[Event::CallWanted { id: RequestId(1) }]);
-    let patience = again.iter().find_map(|a| match a {
+    let timeout = again.iter().find_map(|a| match a {
         Action::Call { give_up_after, .. } => Some(*give_up_after),
         _ => None,
     });
-    assert!(patience > Some(1.0), "{patience:?}");
+    assert!(timeout > Some(1.0), "{timeout:?}");
     for (id, outcome) in [(2, Outcome::TurnedAway), (3, Outcome::Broken), (4, Outcome::GivenUp)] {
         let actions = server.step(0.2, &[end(id, outcome, 0.1)]);
         assert_eq!((calls(&actions), failed(&actions)), (vec![], vec![id]));
     }
-    // A class that may go without does.
+    // A class that may skip its call does.
     let mut classes = settings.classes.clone();
     classes[0].skip_worth = 0.5;
     let mut server = Server::new(Settings { classes, ..settings });
@@ -350,7 +354,7 @@
 }
 
 #[test]
-fn the_parked_bound_of_several_dependencies_is_the_one_that_is_told() {
+fn the_limit_of_parked_requests_for_several_dependencies_is_the_configured_one() {
     for (parked, runs_of) in [(2.0, vec![]), (3.0, vec![3])] {
         let below = DependencyModel::Several { parked };
         let mut server = Server::new(Settings { cores: 1, crowd_multiple: 20.0, below, ..settings() });
