--- a/src/logic.rs
+++ b/src/logic.rs
@@ -19,8 +19,8 @@
 /// D_B, the budget of delay in the queue. The paper's 200 ms still reach full goodput at 400 ms (section
 /// 5.3); the longer budget fits targets of seconds and leaves more requests to choose from.
 const DELAY_BUDGET_SECONDS: f64 = 0.4;
-/// Weight of the newest interval in the service rate. The first intervals make a plain mean: a rate smoothed
-/// up from 0 would keep callers from a server with free capacity.
+/// Weight of the newest interval in the service rate: a memory of about a second. The first intervals make a
+/// plain mean, since a rate smoothed up from 0 would keep callers from a server with free capacity.
 const RATE_SMOOTHING: f64 = 0.1;
 /// A caller counts as active for this long after its last request (section 3.2 of the paper).
 const CALLER_EXPIRY_SECONDS: f64 = 1.0;
@@ -28,7 +28,7 @@
 const NORMAL_CREDIT_MULTIPLE: f64 = 2.0;
 /// Weight of the newest sample in the read rate and the queueing delay.
 const QUEUEING_DELAY_SMOOTHING: f64 = 0.2;
-/// Queueing delay, in delay budgets, above which no run starts until it is below half of this.
+/// Queueing delay, in delay budgets, above which the cores only read: no run starts until it is below half.
 const MAX_QUEUEING_DELAY_BUDGETS: f64 = 3.0;
 /// Longest time to report bad health at a stretch, after as long in good health.
 const MAX_UNHEALTHY_SECONDS: f64 = 4.0;
@@ -494,8 +494,8 @@
         }
         self.meter.read_rate += QUEUEING_DELAY_SMOOTHING
             * (self.meter.reads / length.max(MEASURE_SECONDS) - self.meter.read_rate);
-        let fades = if self.meter.reads == 0.0 { QUEUEING_DELAY_SMOOTHING } else { 0.0 };
-        self.meter.queueing_delay -= fades * self.meter.queueing_delay;
+        let decay = if self.meter.reads == 0.0 { QUEUEING_DELAY_SMOOTHING } else { 0.0 };
+        self.meter.queueing_delay -= decay * self.meter.queueing_delay;
         self.meter.reads = 0.0;
         let bound =
             DELAY_BUDGET_SECONDS * MAX_QUEUEING_DELAY_BUDGETS * if self.meter.delay_high { 0.5 } else { 1.0 };
@@ -535,9 +535,9 @@
         }
     }
 
-    /// Closes connections of inactive callers, which use core time and can fill the connection table: a guard
-    /// against many infrequent callers and those that left without closing. It would harm where a new
-    /// connection costs more than its requests.
+    /// Closes connections of inactive callers, which use core time and can fill the connection table, so that
+    /// others cannot connect. They come from infrequent callers and those that left without closing. It would
+    /// harm where a new connection costs more than its requests.
     fn close_idle(&self, out: &mut Vec<Action>) {
         let open = self.meter.gauges.connections.unwrap_or(0.0);
         if open > MAX_CONNECTIONS_PER_CORE * f64::from(self.settings.cores) {
@@ -565,11 +565,11 @@
     /// Raises the run limit while cores idle and requests are queued; lowers it while cores are contended.
     fn adjust_run_limit(&mut self) {
         let cores = f64::from(self.settings.cores);
-        let wanting = self.meter.gauges.on_cores.unwrap_or(self.count(Stage::Running));
+        let demand = self.meter.gauges.on_cores.unwrap_or(self.count(Stage::Running));
         let full = self.meter.gauges.core_use.unwrap_or(1.0) > FULL_CORE_USE;
-        if wanting < cores && !full && self.meter.busy && self.count(Stage::Running) >= self.run_limit - 1.0 {
+        if demand < cores && !full && self.meter.busy && self.count(Stage::Running) >= self.run_limit - 1.0 {
             self.run_limit += 1.0;
-        } else if (wanting > cores && full) || !self.meter.busy {
+        } else if (demand > cores && full) || !self.meter.busy {
             self.run_limit -= 0.5;
         }
         self.run_limit = self.run_limit.clamp(cores, self.max_concurrency().max(cores));
--- a/src/logic/apply_settings.rs
+++ b/src/logic/apply_settings.rs
@@ -16,24 +16,24 @@
         {
             return;
         }
-        let learned = new.classes.iter().enumerate().map(|(place, class)| {
-            let same = old.classes.get(place).is_some_and(|old| old.name == class.name);
-            let place =
-                if same { Some(place) } else { old.classes.iter().rposition(|old| old.name == class.name) };
-            place.map_or_else(Default::default, |place| self.class_stats[place].clone())
+        let class_stats = new.classes.iter().enumerate().map(|(index, class)| {
+            let same = old.classes.get(index).is_some_and(|old| old.name == class.name);
+            let index =
+                if same { Some(index) } else { old.classes.iter().rposition(|old| old.name == class.name) };
+            index.map_or_else(Default::default, |index| self.class_stats[index].clone())
         });
-        self.class_stats = learned.collect();
+        self.class_stats = class_stats.collect();
         self.tenant_rates.resize(new.tenants.len(), 0.0);
         self.settings = new.clone();
         self.lanes = lanes(new);
         // Odd lanes are those of requests that are late for their target.
-        let places: Vec<_> = self
+        let lanes_by_id: Vec<_> = self
             .state
             .requests
             .values()
             .map(|l| (l.request.id, self.lane_of(&l.request) + l.lane % 2))
             .collect();
-        self.state.reassign_lanes(self.lanes.len(), &places);
+        self.state.reassign_lanes(self.lanes.len(), &lanes_by_id);
         self.run_limit = self.run_limit.max(f64::from(new.cores));
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -73,6 +73,7 @@
 /// When each caller was last seen, and how many requests it has in flight.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Callers {
+    /// When each caller was last seen, or 0 if it is inactive, and its number of requests in flight.
     by_id: BTreeMap<CallerId, (u64, u32)>,
     last_seen: BTreeSet<(u64, CallerId)>,
     /// The number of callers by their count of requests in flight.
