--- a/crates/work/src/entry.rs
+++ b/crates/work/src/entry.rs
@@ -1,258 +1,260 @@
-//! What the log has of work, what comes of it, and what a start of a member is shown.
+//! Log entries of in-flight work, their outcomes, and the view of the state that each incarnation of a member
+//! receives.
 
 use crate::bounds::{MAX_BODY_BYTES, MAX_KEY_BYTES, MAX_NAME_BYTES, MAX_RESULT_BYTES};
 use jaspershunt_fleet::Holder;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// What the class's resource can do after begun work was lost.
+/// What the resource of a class offers for work whose owner was lost after beginning it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Effect {
-    /// It tells by key what it did. Of a key that it did not do it says so only if it will not do it any more under a lower token
-    /// than the one that asked; if it cannot promise that, it cannot tell.
+    /// It answers queries by key. It reports a key as not done only if it will also reject later calls under
+    /// a token lower than the query's; if it cannot guarantee that, it answers that it cannot tell.
     Asks,
-    /// It turns lower tokens of a key away, and answers a repeat of a key with what it did.
+    /// It rejects tokens of a key lower than the highest seen, and answers a repeated key with the first
+    /// result.
     Fenced,
-    /// Neither: begun work that was lost ends as unknown.
+    /// Neither: begun work that is lost ends as unknown.
     Unknown,
 }
 
-/// Work that is to survive its nodo.
+/// A request whose work is recorded in the replicated log so that it survives the loss of its nodo.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The operation key; the same over all tries.
+    /// The operation key, the same over all tries.
     pub key: String,
-    /// The class, by the operator's file.
+    /// The class from the operator's file.
     pub class: String,
     /// The tenant.
     pub tenant: Option<String>,
-    /// What is to be done.
+    /// The request body.
     pub body: Vec<u8>,
-    /// After this it is of no use, in Unix milliseconds.
+    /// The deadline, in Unix milliseconds.
     pub due_ms: u64,
-    /// Until then the key is known, in Unix milliseconds.
+    /// End of the key's deduplication window, in Unix milliseconds.
     pub window_ends_ms: u64,
-    /// What it is worth, in thousandths; the least worth is given up first.
+    /// The worth in thousandths; work of the least worth is given up first.
     pub worth_milli: u32,
-    /// What its resource can do.
+    /// What the resource offers after the loss of an owner.
     pub effect: Effect,
 }
 
-/// What became of work. The first that is recorded counts for all.
+/// The final outcome of work. Only the first one recorded counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// It has had its effect, with this result.
+    /// It took effect, with this result.
     Done(Vec<u8>),
-    /// It has failed or was given up, and has had no effect.
+    /// It failed or was given up, without an effect.
     Failed,
-    /// It was never run.
+    /// It never ran.
     NeverRan,
-    /// Whether it has had an effect nobody can tell. It is not run again.
+    /// Whether it took effect is not known. It is not run again.
     Unknown,
 }
 
-/// An entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// Work, before it is run; or a repeat of it.
+    /// Records work before it runs, or repeats an earlier offer.
     Offer {
-        /// Who has it.
+        /// The proposer, which becomes the owner.
         by: Holder,
-        /// What it is.
+        /// The work.
         offer: Offer,
-        /// It is run as soon as this is agreed.
+        /// The run begins as soon as this is committed.
         begin: bool,
         /// The proposer's time, in Unix milliseconds.
         now_ms: u64,
     },
-    /// It is to be run.
+    /// Begins a run.
     Begin {
-        /// Which.
+        /// The operation key.
         key: String,
-        /// By whom.
+        /// The owner.
         by: Holder,
-        /// Under which token.
+        /// The owner's token.
         token: u64,
     },
-    /// It has come to an end.
+    /// Records the outcome.
     End {
-        /// Which.
+        /// The operation key.
         key: String,
-        /// By whom.
+        /// The incarnation that ran the work.
         by: Holder,
-        /// Under which token.
+        /// The token under which it ran.
         token: u64,
-        /// Which end.
+        /// The outcome.
         end: End,
     },
-    /// It goes to an heir, if its owner is lost or has handed it over.
+    /// Gives the work to a successor, if its owner is lost or has handed it over.
     TakeOver {
-        /// Which.
+        /// The operation key.
         key: String,
-        /// The present token.
+        /// The current token.
         token: u64,
-        /// To whom.
+        /// The new owner.
         successor: Holder,
     },
-    /// There is no heir in time: failed if it was not begun, unknown if it was. Counts only for what has lost its owner.
+    /// Ends orphaned work that finds no successor in time: as failed if it was not begun, else as unknown.
     GiveUp {
-        /// Which.
+        /// The operation key.
         key: String,
-        /// The present token.
+        /// The current token.
         token: u64,
     },
-    /// This start has told its end to who asked.
+    /// Reports that an incarnation has delivered the outcome to its clients.
     Answered {
-        /// Which.
+        /// The operation key.
         key: String,
-        /// Who told it.
+        /// The reporting incarnation.
         by: Holder,
     },
-    /// What a start could take now.
+    /// Reports the spare capacity of an incarnation.
     Capacity {
-        /// Which start.
+        /// The reporting incarnation.
         holder: Holder,
-        /// Where it is.
+        /// Its region.
         region: String,
-        /// How many requests it could take.
+        /// How many more requests it can accept.
         capacity: u32,
     },
-    /// A start leaves, and what it has not ended by now is an heir's.
+    /// Releases all unfinished work of a leaving incarnation to successors.
     HandOver {
-        /// Which start.
+        /// The leaving incarnation.
         by: Holder,
-        /// The proposer's time, in Unix milliseconds, for who reads the log.
+        /// The proposer's time, in Unix milliseconds; only for readers of the log.
         now_ms: u64,
     },
-    /// So late it is, by the fleet's clock: what is over is forgotten.
+    /// Advances the replicated clock, ends expired work and forgets expired keys.
     Tidy {
-        /// In Unix milliseconds.
+        /// The leader's time, in Unix milliseconds.
         now_ms: u64,
     },
 }
 
-/// What came of an entry.
+/// The outcome of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is the proposer's, or the heir's, under this token.
+    /// The proposer, or the successor, owns the work under this token.
     Yours {
         /// The token.
         token: u64,
     },
-    /// Another has it; its end is heard of through [`Seen`].
+    /// Another incarnation owns the work; its outcome arrives in the [`MemberView`].
     Waits,
-    /// It has ended so.
+    /// The work has ended with this outcome.
     Known(End),
-    /// It is so; there is nothing to say.
+    /// The entry was applied; there is nothing to return.
     Done,
-    /// Nothing has changed.
+    /// The entry changed nothing.
     Refused(Refusal),
 }
 
-/// Why nothing has changed.
+/// Why an entry changed nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The bytes are no entry.
+    /// The bytes do not decode to an entry.
     NoEntry,
     /// A text, a body or a result is too long, or a key is empty.
     TooLong,
-    /// There is no room. Of a new key this says that the fleet knows nothing of it.
+    /// A limit is reached. A new key was not recorded.
     Full,
-    /// As many wait for this key as may.
+    /// The key has the maximum number of waiters.
     Crowded,
-    /// That start is not the present one of its member.
+    /// The incarnation is not the current one of its member.
     NotPresent,
-    /// There is nothing of that key.
+    /// The key is not known.
     Nothing,
-    /// The token is not the present one.
+    /// The token is not the current one.
     OldToken,
-    /// The key is known with another body, class or tenant.
+    /// The key is recorded with another body, class or tenant.
     OtherBody,
-    /// It is due, or its window has ended.
+    /// The work is past its deadline, or its window has ended.
     Late,
-    /// Its owner is there, and has not handed it over.
+    /// The owner is present and has not handed the work over.
     Owned,
-    /// The heir has as much as it may take over at once.
+    /// The successor has taken over the maximum number of items.
     HeirFull,
-    /// It may have run, and its resource cannot tell: it is not run again, and not said to have failed.
+    /// The work may have run and its resource cannot tell, so it is neither run again nor recorded as failed.
     MayHaveRun,
-    /// It was done, and the result is not kept any more.
+    /// The work was done, and its result has been dropped.
     Dropped,
-    /// It has not ended yet.
+    /// The work has not ended yet.
     NotEnded,
 }
 
 impl std::fmt::Display for Refusal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Refusal::NoEntry => "the bytes are no entry of work",
+            Refusal::NoEntry => "the bytes do not decode to an entry of work",
             Refusal::TooLong => "a text, a body or a result is too long, or the key is empty",
-            Refusal::Full => "there is no room",
-            Refusal::Crowded => "as many wait for this key as may",
-            Refusal::NotPresent => "that start is not the present one of its member",
-            Refusal::Nothing => "there is nothing of that key",
-            Refusal::OldToken => "the token is not the present one",
-            Refusal::OtherBody => "the key is known with another body, class or tenant",
-            Refusal::Late => "it is due, or its window has ended",
-            Refusal::Owned => "its owner is there and has not handed it over",
-            Refusal::HeirFull => "the heir has taken over as much as it may at once",
-            Refusal::MayHaveRun => "it may have run, and its resource cannot tell",
-            Refusal::Dropped => "it was done, and the result is not kept any more",
-            Refusal::NotEnded => "it has not ended yet",
+            Refusal::Full => "a limit is reached",
+            Refusal::Crowded => "the key has the maximum number of waiters",
+            Refusal::NotPresent => "the incarnation is not the current one of its member",
+            Refusal::Nothing => "the key is not known",
+            Refusal::OldToken => "the token is not the current one",
+            Refusal::OtherBody => "the key is recorded with another body, class or tenant",
+            Refusal::Late => "the work is past its deadline, or its window has ended",
+            Refusal::Owned => "the owner is present and has not handed the work over",
+            Refusal::HeirFull => "the successor has taken over the maximum number of items",
+            Refusal::MayHaveRun => "the work may have run, and its resource cannot tell",
+            Refusal::Dropped => "the work was done, and its result has been dropped",
+            Refusal::NotEnded => "the work has not ended yet",
         })
     }
 }
 
-/// What is agreed of an item's run.
+/// Progress of an item, as its owner sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
-    /// Nobody has begun it.
+    /// Recorded, and not begun.
     Held,
-    /// It was begun under this token: its owner's own, or that of one before.
+    /// Begun under this token, the owner's or that of a previous owner.
     Begun {
         /// The token.
         token: u64,
     },
-    /// It has ended, and nobody was told yet.
+    /// Ended, and the owner has not reported that it received the outcome.
     Ended(End),
 }
 
-/// An item that a start owns.
+/// An item as its owner sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnedItem {
-    /// Its key.
+    /// The operation key.
     pub key: String,
-    /// What it is. The body is gone once it has ended.
+    /// The request; its body is empty unless the item was taken over and has not ended.
     pub offer: Offer,
-    /// The present token.
+    /// The current token.
     pub token: u64,
-    /// What is agreed of it.
+    /// How far it has come.
     pub state: Progress,
-    /// It was taken over. Only then the body is shown: its first owner has it.
+    /// It was taken over. Only then the body is sent, as the first owner has it already.
     pub taken_over: bool,
 }
 
-/// What a start of a member is shown.
+/// The part of the state that an incarnation of a member receives.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// What it owns and has not answered.
+    /// Items that it owns and whose outcome it has not reported as received.
     pub owned: Vec<OwnedItem>,
-    /// Ends of the keys that it waits for.
+    /// Outcomes of keys that it waits for.
     pub ended: Vec<AwaitedEnd>,
 }
 
-/// The end of a key that a start waits for.
+/// The outcome of a key that an incarnation waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AwaitedEnd {
-    /// The key.
+    /// The operation key.
     pub key: String,
-    /// Stands for class and body: what is shown late may be of an earlier use of the key.
+    /// Digest of class and body, which tells a late outcome of an earlier use of the key.
     pub digest: u64,
-    /// The end.
+    /// The outcome.
     pub end: End,
 }
 
 fn to_postcard(value: &impl Serialize) -> Vec<u8> {
-    // Writing into memory fails for nothing that these hold.
+    // Serializing these types into memory cannot fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
@@ -264,12 +266,12 @@
 macro_rules! byte_codec {
     ($($kind:ty),*) => {$(
         impl $kind {
-            /// As bytes.
+            /// Encodes the value.
             pub fn to_bytes(&self) -> Vec<u8> {
                 to_postcard(self)
             }
 
-            /// From bytes; `None` if these are not its bytes.
+            /// Decodes a value; `None` if the bytes do not encode one.
             pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
                 from_postcard(bytes)
             }
--- a/crates/work/src/index.rs
+++ b/crates/work/src/index.rs
@@ -1,21 +1,22 @@
-//! What can be told from the items alone, kept at hand: who owns and awaits what, how many bytes there are, which results may go.
+//! Index derived from the items: keys by owner and by waiter, the total size, and the results that can be
+//! dropped.
 
 use crate::state::Item;
 use jaspershunt_fleet::Holder;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Not saved: it is built anew from the items.
+/// Not part of snapshots; rebuilt from the items on load.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Index {
-    /// Keys of each owner that it has not told its end to.
+    /// Keys of each owner whose outcome it has not received.
     pub owned: BTreeMap<Holder, BTreeSet<String>>,
-    /// Keys that each start waits for.
+    /// Keys that each incarnation waits for.
     pub awaited: BTreeMap<Holder, BTreeSet<String>>,
-    /// How many items each heir has taken over and not ended.
+    /// Number of items that each successor has taken over and not ended.
     pub taken_over: BTreeMap<Holder, usize>,
-    /// Results that somebody was told, by the order of their ends.
+    /// Delivered results that can be dropped, in the order in which they were recorded.
     pub droppable: BTreeSet<(u64, String)>,
-    /// Bytes of all items.
+    /// Accounted size of all items.
     pub bytes: usize,
 }
 
--- a/crates/work/src/local.rs
+++ b/crates/work/src/local.rs
@@ -1,6 +1,7 @@
-//! One process's side: what it offered for its clients, what it waits for, and what it has taken over. Told what came of its
-//! proposals, runs and questions, it says what to do next. Nothing is run before the log has it begun under this process's
-//! token, and nobody is told an outcome that the log has not.
+//! The state machine of one process: the work that it offered for its clients, waits for or has taken over.
+//! Its inputs are the results of its proposals, runs and queries; its outputs are the next [`Action`]s.
+//! Nothing runs before a committed entry has begun it under this process's token, and no client receives an
+//! outcome that is not committed.
 
 use crate::bounds::{MAX_CLIENTS_PER_KEY, MAX_LOCAL_ITEMS, MAX_RETRIES, REOFFER_INTERVAL_MS};
 use crate::entry::{
@@ -10,78 +11,79 @@
 use jaspershunt_fleet::Holder;
 use std::collections::BTreeMap;
 
-/// What is to be done.
+/// What the caller of the state machine must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Have this agreed, and say through [`Own::agreed`] what came of it.
+    /// Propose this entry and pass its outcome to [`LocalWork::on_outcome`].
     Propose(Entry),
-    /// Ask the resource what became of it.
+    /// Ask the resource what became of the key and pass the answer to [`LocalWork::on_query_result`].
     Query {
-        /// The token to ask with.
+        /// The token to query with.
         token: u64,
-        /// What is asked for.
+        /// The work.
         offer: Offer,
     },
-    /// Run it.
+    /// Run the work and pass the result to [`LocalWork::on_run_result`].
     Run {
-        /// The token to show.
+        /// The token to present to the resource.
         token: u64,
-        /// What to run.
+        /// The work.
         offer: Offer,
-        /// It was another's, and no client of this process need be there.
+        /// The work was taken over, so this process may have no client for it.
         taken_over: bool,
     },
-    /// Its outcome is agreed: tell the clients that wait here, if any do.
+    /// The outcome is committed: send it to the clients that wait here, if any.
     Answer {
         /// The key.
         key: String,
-        /// Its outcome.
+        /// The outcome.
         end: End,
     },
-    /// It is not held, and this process has not run it. Only after [`Refusal::Full`] and [`Refusal::TooLong`] does nobody else
-    /// have it: whether it is then served without a heir is for the operator's file.
+    /// The offer was not recorded, and this process has not run it. Only with [`Refusal::Full`] and
+    /// [`Refusal::TooLong`] has no other process recorded it: the operator's file then decides whether it is
+    /// served without a successor.
     NotRecorded {
         /// The key.
         key: String,
-        /// Why.
+        /// The reason.
         reason: Refusal,
     },
-    /// What became of it cannot be told here: it may be another's by now. It is not served.
+    /// The outcome is not known here, as another process may own the work by now. It is not served.
     OutcomeUnavailable {
         /// The key.
         key: String,
-        /// Why.
+        /// The reason.
         reason: Refusal,
     },
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunResult {
-    /// Its result.
+    /// It succeeded with this result.
     Done(Vec<u8>),
-    /// It failed, and this call has had no effect.
+    /// It failed, and this call had no effect.
     Failed,
-    /// The resource has seen a higher token.
+    /// The resource rejected the call because it has seen a higher token.
     StaleToken,
-    /// The call was sent, and its answer is lost.
+    /// The call was sent, and its answer was lost.
     AnswerLost,
     /// This process has not run it under this token, and will not.
     NeverRan,
-    /// It is over, what it did is not known, and this process does not run it again.
+    /// The run has ended with an unknown effect, and this process will not run it again.
     OutcomeUnknown,
 }
 
-/// What the resource said of a key.
+/// The resource's answer to a query for a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryResult {
-    /// It was done, with this result.
+    /// The work was done, with this result.
     Done(Vec<u8>),
-    /// It was not, and will not be under a lower token than the one asked with.
+    /// The work was not done, and will not be under a lower token than the one queried with.
     NeverRan,
-    /// It cannot tell, or cannot promise.
+    /// The resource does not know, or cannot guarantee that no earlier call is still to come.
     CannotTell,
-    /// There was no answer.
+    /// No answer arrived.
     AnswerLost,
 }
 
@@ -100,24 +102,24 @@
 #[derive(Clone, Debug)]
 struct LocalItem {
     offer: Offer,
-    /// The start that has it: a process that begins again in its fleet has other ones after it.
+    /// The incarnation that offered or owns it; the process may have rejoined the fleet as a later one since.
     holder: Holder,
     token: u64,
-    /// It was another's.
+    /// It was taken over from another incarnation.
     taken_over: bool,
-    /// A client would have it run as soon as it may be.
+    /// It runs as soon as it is recorded.
     run_at_once: bool,
     step: Step,
     client_count: u32,
-    /// Under which token the one before began it.
+    /// The token under which a previous owner began it.
     earlier_run_token: Option<u64>,
-    /// An offer of it may be agreed of which this process has not heard.
+    /// A copy of the offer may be committed without this process knowing.
     may_be_recorded: bool,
-    /// When it was asked for last.
+    /// Time of the latest offer, in Unix milliseconds.
     offered_at_ms: u64,
 }
 
-/// One process's side.
+/// The in-flight work of one process.
 #[derive(Clone, Debug)]
 pub struct LocalWork {
     holder: Holder,
@@ -125,24 +127,24 @@
     actions: Vec<Action>,
 }
 
-/// What a client wants.
+/// Requests of clients.
 impl LocalWork {
-    /// A start that has nothing yet.
+    /// Returns the state of an incarnation without any work.
     pub fn new(holder: Holder) -> LocalWork {
         LocalWork { holder, items: BTreeMap::new(), actions: Vec::new() }
     }
 
-    /// This process is another start of its member from here on. What it had stays its earlier start's.
+    /// Continues as another incarnation of the same member. Existing items stay with the earlier incarnation.
     pub fn set_holder(&mut self, holder: Holder) {
         self.holder = holder;
     }
 
-    /// The start that it is by now.
+    /// Returns the current incarnation.
     pub fn holder(&self) -> &Holder {
         &self.holder
     }
 
-    /// How much work is this process's, and has no agreed end.
+    /// Number of items that this process owns and whose outcome is not committed.
     pub fn in_flight(&self) -> usize {
         let has = |item: &&LocalItem| {
             !matches!(item.step, Step::Offering { .. } | Step::Waiting | Step::Answered(_))
@@ -150,22 +152,22 @@
         self.items.values().filter(has).count()
     }
 
-    /// Whether anything of a key is under way here.
+    /// Whether there is an item for the key.
     pub fn contains(&self, key: &str) -> bool {
         self.items.contains_key(key)
     }
 
-    /// What is to be done since it was asked last.
+    /// Takes the actions that have accumulated since the last call.
     pub fn actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether nothing is under way here.
+    /// Whether there are no items.
     pub fn is_idle(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// A client asks for work; `begin` if it would be run at once.
+    /// Handles a client's request; with `begin` it runs as soon as the offer is committed.
     pub fn offer(&mut self, offer: Offer, begin: bool, now_ms: u64) -> Result<(), Refusal> {
         offer.check()?;
         if let Some(item) = self.items.get_mut(&offer.key) {
@@ -210,14 +212,14 @@
         Ok(())
     }
 
-    /// Work that is held would run now.
+    /// Begins work that is recorded and not begun.
     pub fn begin_held(&mut self, key: &str) {
         if self.items.get(key).is_some_and(|item| item.step == Step::Held) {
             self.begin(key);
         }
     }
 
-    /// A client does not wait any more. The work goes on: it was accepted.
+    /// Removes a client that no longer waits. Accepted work continues.
     pub fn client_left(&mut self, key: &str) {
         let Some(item) = self.items.get_mut(key) else { return };
         item.client_count = item.client_count.saturating_sub(1);
@@ -226,38 +228,39 @@
         }
     }
 
-    /// What is held and due is not run any more, what is long waited for is asked for again, and an offer that is due is given up
-    /// where nobody waits: it has not run, and says so if it turns out to be held.
+    /// Handles timeouts. Recorded work that is past due ends as `NeverRan`. A wait for another owner's
+    /// outcome is renewed. An offer past due without clients is abandoned: it has not run, and ends as
+    /// `NeverRan` if it turns out to be recorded.
     pub fn tick(&mut self, now_ms: u64) {
-        let nobody = |item: &LocalItem| {
+        let is_unwanted = |item: &LocalItem| {
             let offering = matches!(item.step, Step::Offering { .. });
             offering && item.client_count == 0 && item.offer.due_ms <= now_ms
         };
-        let over = self.items.iter().filter(|(_, item)| nobody(item)).map(|(key, _)| key.clone());
-        for key in over.collect::<Vec<_>>() {
+        let unwanted = self.items.iter().filter(|(_, item)| is_unwanted(item)).map(|(key, _)| key.clone());
+        for key in unwanted.collect::<Vec<_>>() {
             self.abandon(&key, Refusal::Late);
         }
-        let waits = |item: &LocalItem| {
+        let is_overdue = |item: &LocalItem| {
             item.step == Step::Waiting && item.offered_at_ms + REOFFER_INTERVAL_MS <= now_ms
         };
-        let long = self.items.iter().filter(|(_, item)| waits(item)).map(|(key, _)| key.clone());
-        for key in long.collect::<Vec<_>>() {
+        let overdue = self.items.iter().filter(|(_, item)| is_overdue(item)).map(|(key, _)| key.clone());
+        for key in overdue.collect::<Vec<_>>() {
             self.wait_for_owner(&key, now_ms);
         }
-        let due = |item: &LocalItem| item.step == Step::Held && item.offer.due_ms <= now_ms;
-        let late = self.items.iter().filter(|(_, item)| due(item)).map(|(key, _)| key.clone());
+        let is_late = |item: &LocalItem| item.step == Step::Held && item.offer.due_ms <= now_ms;
+        let late = self.items.iter().filter(|(_, item)| is_late(item)).map(|(key, _)| key.clone());
         for key in late.collect::<Vec<_>>() {
             self.end(&key, End::NeverRan);
         }
     }
 }
 
-/// What is agreed.
+/// Inputs from the fleet.
 impl LocalWork {
-    /// What the fleet shows this process.
+    /// Handles a new view of the replicated state.
     pub fn on_view(&mut self, view: &MemberView, now_ms: u64) {
         for AwaitedEnd { key, digest, end } in &view.ended {
-            // Guards against the outcome of an earlier use of the key, shown late.
+            // Ignores a late outcome of an earlier use of the key.
             let waits = |item: &LocalItem| {
                 let same = jaspershunt_keys::print(&item.offer.class, &item.offer.body) == *digest;
                 same && item.step == Step::Waiting
@@ -275,9 +278,10 @@
                 Progress::Ended(end) if known.is_none_or(|known| known == owned.token) => {
                     self.finish(&owned.key, end.clone());
                 }
-                // What came of an offer is heard by its own answer.
+                // The outcome of a pending offer arrives through `on_outcome`.
                 _ if offering || !newer => {}
-                // A copy of an offer was agreed after this process had stopped to ask: it has not run, and will not.
+                // A copy of an offer was committed after this process had abandoned it: it has not run, and
+                // will not.
                 _ if !owned.taken_over && known.is_none() => self.reject_late_offer(owned, now_ms),
                 _ if !owned.taken_over => {}
                 Progress::Held => self.adopt(owned, None, now_ms),
@@ -287,30 +291,24 @@
         }
     }
 
-    /// What came of a proposal; `None` if nobody knows.
+    /// Handles the outcome of a proposal; `None` if it is not known.
     pub fn on_outcome(&mut self, entry: &Entry, outcome: Option<&Outcome>, now_ms: u64) {
         let Some(outcome) = outcome else { return self.propose_again(entry) };
         match entry {
             Entry::Offer { offer, begin, .. } if self.is_offering(offer) => {
                 self.on_offer_outcome(&offer.key, *begin, outcome);
             }
-            Entry::Begin { key, token, .. } if self.is_in_step(key, *token, &Step::Beginning) => {
-                match outcome {
-                    Outcome::Yours { .. } => self.run(key, 0),
-                    Outcome::Known(end) => self.finish(key, end.clone()),
-                    Outcome::Refused(Refusal::MayHaveRun) => self.end(key, End::Unknown),
-                    _ => self.wait_for_owner(key, now_ms),
-                }
-            }
-            Entry::End { key, token, end, .. } if self.is_in_step(key, *token, &Step::Ending) => {
-                match outcome {
-                    Outcome::Known(first) => self.finish(key, first.clone()),
-                    Outcome::Refused(Refusal::MayHaveRun) if *end != End::Unknown => {
-                        self.end(key, End::Unknown)
-                    }
-                    _ => self.wait_for_owner(key, now_ms),
-                }
-            }
+            Entry::Begin { key, token, .. } if self.at_step(key, *token, &Step::Beginning) => match outcome {
+                Outcome::Yours { .. } => self.run(key, 0),
+                Outcome::Known(end) => self.finish(key, end.clone()),
+                Outcome::Refused(Refusal::MayHaveRun) => self.end(key, End::Unknown),
+                _ => self.wait_for_owner(key, now_ms),
+            },
+            Entry::End { key, token, end, .. } if self.at_step(key, *token, &Step::Ending) => match outcome {
+                Outcome::Known(first) => self.finish(key, first.clone()),
+                Outcome::Refused(Refusal::MayHaveRun) if *end != End::Unknown => self.end(key, End::Unknown),
+                _ => self.wait_for_owner(key, now_ms),
+            },
             Entry::Answered { key, .. } => {
                 self.items.retain(|known, item| known != key || !matches!(item.step, Step::Answered(_)));
             }
@@ -318,8 +316,9 @@
         }
     }
 
-    /// An entry was said more than once before its outcome came. Guards against a client that is told that nothing ran by the refusal of
-    /// one copy of its offer, while another is agreed later: as this start is enrolled by then, or there is room.
+    /// Notes that an entry was sent more than once before its outcome arrived. One copy of an offer may be
+    /// refused and another committed later, once this incarnation is enrolled or there is space, so the
+    /// refusal does not prove that nothing ran.
     pub fn on_resent(&mut self, entry: &Entry) {
         if let Entry::Offer { offer, .. } = entry
             && let Some(item) = self.items.get_mut(&offer.key)
@@ -329,13 +328,13 @@
         }
     }
 
-    /// Each of a process's proposals may be made twice.
+    /// Proposes an entry again whose outcome is unknown. All proposals of a process are idempotent.
     fn propose_again(&mut self, entry: &Entry) {
         let wanted = match entry {
             Entry::Offer { offer, .. } => self.is_offering(offer),
-            Entry::Begin { key, token, .. } => self.is_in_step(key, *token, &Step::Beginning),
+            Entry::Begin { key, token, .. } => self.at_step(key, *token, &Step::Beginning),
             Entry::End { key, token, end, .. } => {
-                self.is_in_step(key, *token, &Step::Ending) || matches!(end, End::Done(_))
+                self.at_step(key, *token, &Step::Ending) || matches!(end, End::Done(_))
             }
             Entry::Answered { .. } => true,
             _ => false,
@@ -352,7 +351,7 @@
             Outcome::Yours { token } => {
                 item.token = *token;
                 item.step = Step::Held;
-                // Nobody waits for it any more.
+                // No client waits for it any more.
                 if begin && item.client_count == 0 {
                     self.end(key, End::NeverRan);
                 } else if begin {
@@ -368,8 +367,9 @@
         }
     }
 
-    /// Guards against a further client here, who would be told that it is this process's, and have it run under the token of which it is
-    /// said that it never ran: it waits for that word.
+    /// Ends a late copy of an offer as `NeverRan`. The item stays here until that is committed: a further
+    /// client would otherwise own the recorded offer and run it under the token that is about to be recorded
+    /// as `NeverRan`.
     fn reject_late_offer(&mut self, owned: &OwnedItem, now_ms: u64) {
         if is_active(Mutant::TurnsAwayAndRuns) {
             return self.propose_end(&owned.key, owned.token, End::NeverRan);
@@ -393,7 +393,7 @@
     }
 
     fn adopt(&mut self, owned: &OwnedItem, earlier_run_token: Option<u64>, now_ms: u64) {
-        // Guards against clients of an earlier use of the key, who would be told this one's outcome.
+        // Clients of an earlier use of the key must not receive this outcome.
         if self.items.get(&owned.key).is_some_and(|item| item.offer.body != owned.offer.body) {
             self.reject(&owned.key, Refusal::Late);
         }
@@ -427,16 +427,16 @@
     }
 }
 
-/// What the resource says.
+/// Inputs from the resource.
 impl LocalWork {
-    /// What came of a run under this token.
+    /// Handles the result of a run under this token.
     pub fn on_run_result(&mut self, key: &str, token: u64, result: RunResult) {
         let Some(item) = self.items.get(key) else { return };
         let retries = match item.step {
             Step::Running { retries } if item.token == token || is_active(Mutant::HeirDoesNotFence) => {
                 retries
             }
-            // That it was done is a fact, also when this process has lost it meanwhile.
+            // A success is final, even if this process has lost the work meanwhile.
             _ => {
                 if let RunResult::Done(output) = result {
                     self.propose_end(key, token, End::Done(output));
@@ -446,14 +446,14 @@
         };
         match (result, item.offer.effect) {
             (RunResult::Done(result), _) => self.end(key, End::Done(result)),
-            // A try before it may still have its effect.
+            // An earlier call may still take effect.
             (RunResult::Failed, _) if retries > 0 => self.end(key, End::Unknown),
             (RunResult::Failed, _) => self.end(key, End::Failed),
             (RunResult::StaleToken, _) => {
                 let offered_at_ms = item.offered_at_ms;
                 self.wait_for_owner(key, offered_at_ms);
             }
-            // Guards against an heir that answers for the one before it: that one's call may have its effect yet.
+            // A successor cannot vouch for the previous owner, whose call may still take effect.
             (RunResult::NeverRan, effect) => {
                 let alone = item.earlier_run_token.is_none() || effect == Effect::Asks;
                 let never = retries == 0 && (alone || is_active(Mutant::HeirAnswersForAll));
@@ -465,13 +465,13 @@
         }
     }
 
-    /// What the resource said of a key.
+    /// Handles the resource's answer to a query.
     pub fn on_query_result(&mut self, key: &str, token: u64, result: QueryResult, now_ms: u64) {
         let Some(item) = self.items.get(key).filter(|item| item.token == token) else { return };
         let Step::Querying { retries, run_sent } = item.step else { return };
         match result {
             QueryResult::Done(result) => self.end(key, End::Done(result)),
-            // Guards against a run of this token that is still on its way: the answer speaks of lower ones.
+            // The answer covers only lower tokens; a call under this one may still be on its way.
             QueryResult::NeverRan if run_sent && !is_active(Mutant::TrustsOwnCall) => {
                 self.end(key, End::Unknown)
             }
@@ -483,19 +483,19 @@
     }
 }
 
-/// Steps.
+/// Transitions between steps.
 impl LocalWork {
-    fn is_in_step(&self, key: &str, token: u64, step: &Step) -> bool {
+    fn at_step(&self, key: &str, token: u64, step: &Step) -> bool {
         self.items.get(key).is_some_and(|item| item.token == token && item.step == *step)
     }
 
-    /// Guards against what came of an earlier use of the key.
+    /// Whether this very offer is pending; another one belongs to an earlier use of the key.
     fn is_offering(&self, offer: &Offer) -> bool {
         let offering = |item: &LocalItem| matches!(item.step, Step::Offering { .. }) && item.offer == *offer;
         self.items.get(&offer.key).is_some_and(offering)
     }
 
-    /// The start that has a key, or had it.
+    /// Returns the incarnation in whose name entries of a key are proposed.
     fn holder_of(&self, key: &str) -> Holder {
         self.items.get(key).map_or_else(|| self.holder.clone(), |item| item.holder.clone())
     }
@@ -538,13 +538,15 @@
     }
 
     fn propose_end(&mut self, key: &str, token: u64, end: End) {
-        // Guards against a result that the log refuses, and work that has had its effect being taken for work that has not.
+        // The log refuses a result that is too long. The work may have had its effect, so it ends as unknown,
+        // not failed.
         let end = if end.check().is_ok() { end } else { End::Unknown };
         let (key, by) = (key.to_string(), self.holder_of(key));
         self.actions.push(Action::Propose(Entry::End { key, by, token, end }));
     }
 
-    /// The outcome is agreed: who waits here is told, and the fleet that they were.
+    /// Handles a committed outcome: answers the clients here and reports to the fleet that they were
+    /// answered.
     fn finish(&mut self, key: &str, end: End) {
         if let Some(item) = self.items.get_mut(key) {
             if matches!(item.step, Step::Answered(_)) {
@@ -558,13 +560,15 @@
         self.actions.push(Action::Propose(Entry::Answered { key, by }));
     }
 
-    /// Nobody waits for it here. Guards against a run of it, over by now, that waits for its end for ever.
+    /// Removes an item without clients. The action releases a run of it that still waits for the outcome.
     fn abandon(&mut self, key: &str, reason: Refusal) {
         if self.items.remove(key).is_some() {
             self.actions.push(Action::OutcomeUnavailable { key: key.to_string(), reason });
         }
     }
 
+    /// Removes an item whose offer was refused. Clients are told that it was not recorded only if no copy of
+    /// it can be.
     fn reject(&mut self, key: &str, reason: Refusal) {
         if let Some(item) = self.items.remove(key)
             && item.client_count > 0
@@ -579,7 +583,7 @@
         }
     }
 
-    /// Another has it by now. Clients that wait here hear of the end as those of a repeat do.
+    /// Offers work again that another process owns by now, so that the clients here wait for its outcome.
     fn wait_for_owner(&mut self, key: &str, now_ms: u64) {
         let Some((_, offer)) = self.enter_step(key, Step::Offering { begin: false }) else { return };
         if self.items.get(key).is_some_and(|item| item.client_count == 0) {
--- a/crates/work/src/local/tests.rs
+++ b/crates/work/src/local/tests.rs
@@ -18,7 +18,7 @@
     LocalWork::new(Holder::new("n1", 1))
 }
 
-/// The entry that is to be proposed, if nothing else is to be done.
+/// Returns the proposed entry if that is the only action.
 fn proposed(own: &mut LocalWork) -> Option<Entry> {
     match own.actions().as_slice() {
         [Action::Propose(entry)] => Some(entry.clone()),
@@ -40,11 +40,11 @@
 }
 
 #[test]
-fn it_is_run_once_it_is_held_and_answered_once_its_end_is_agreed() {
+fn work_runs_after_its_offer_is_committed_and_is_answered_after_its_outcome_is() {
     let mut own = own();
     own.offer(offer("k", Effect::Fenced), true, 0).unwrap();
     let entry = proposed(&mut own).unwrap();
-    // Nobody knows whether it was agreed: the same is said again.
+    // The outcome of the proposal is unknown, so the same entry is proposed again.
     own.on_outcome(&entry, None, 0);
     assert_eq!(proposed(&mut own), Some(entry.clone()));
     own.on_outcome(&entry, Some(&Outcome::Yours { token: 3 }), 0);
@@ -59,7 +59,7 @@
     let answered = Entry::Answered { key: "k".into(), by: Holder::new("n1", 1) };
     let answer = Action::Answer { key: "k".into(), end: first };
     assert_eq!(own.actions(), [answer.clone(), Action::Propose(answered.clone())]);
-    // A repeat before the fleet has heard that it was answered hears the same.
+    // A repeat before `Answered` is committed receives the same outcome.
     own.offer(offer("k", Effect::Fenced), true, 0).unwrap();
     assert_eq!(own.actions(), [answer]);
     own.on_outcome(&answered, Some(&Outcome::Done), 0);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_heir_does_what_the_effect_allows() {
+fn a_successor_does_what_the_effect_allows() {
     let begun = || Progress::Begun { token: 2 };
     let begin = Entry::Begin { key: "k".into(), by: Holder::new("n1", 1), token: 4 };
     let end = |end| Entry::End { key: "k".into(), by: Holder::new("n1", 1), token: 4, end };
@@ -84,7 +84,7 @@
         own.on_query_result("k", 4, asked, 0);
         assert_eq!(proposed(&mut own), Some(then));
     }
-    // Too late to run, and it can be said that it was not.
+    // Past its deadline and known not to have run, it ends as failed.
     let mut own = successor(Effect::Asks, begun());
     own.actions();
     own.on_query_result("k", 4, QueryResult::NeverRan, 5_000);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_was_done_with_too_long_a_result_is_not_said_to_have_failed() {
+fn work_done_with_an_oversized_result_does_not_end_as_failed() {
     let mut own = successor(Effect::Fenced, Progress::Held);
     let begin = proposed(&mut own).unwrap();
     own.on_outcome(&begin, Some(&Outcome::Yours { token: 4 }), 0);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_asked_for_only_so_often() {
+fn retries_after_a_lost_answer_are_bounded() {
     for effect in [Effect::Asks, Effect::Fenced] {
         let mut own = successor(effect, Progress::Held);
         let begin = proposed(&mut own).unwrap();
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn keys_and_clients_are_bounded_and_waits_are_asked_for_again() {
+fn keys_and_clients_are_bounded_and_waits_are_renewed() {
     let mut own = own();
     for n in 0..MAX_LOCAL_ITEMS {
         own.offer(offer(&format!("k{n}"), Effect::Asks), true, 0).unwrap();
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn what_this_process_turned_away_is_said_to_have_never_run_only_where_nobody_else_may_have_run_it() {
+fn a_rejected_run_ends_as_never_ran_only_if_no_previous_owner_may_have_run_it() {
     let begun = || Progress::Begun { token: 2 };
     for (effect, state, expected) in [
         (Effect::Fenced, Progress::Held, End::NeverRan),
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_run_that_is_over_is_asked_for_where_that_tells_and_never_run_again() {
+fn a_run_with_unknown_outcome_is_queried_if_possible_and_never_run_again() {
     for (effect, asks) in [(Effect::Asks, true), (Effect::Fenced, false), (Effect::Unknown, false)] {
         let mut own = own();
         own.offer(offer("k", effect), true, 0).unwrap();
@@ -187,14 +187,14 @@
 }
 
 #[test]
-fn what_nobody_waits_for_any_more_is_not_run() {
+fn work_without_clients_is_not_run() {
     let mut own = own();
     own.offer(offer("k", Effect::Asks), true, 0).unwrap();
     let entry = proposed(&mut own).unwrap();
     own.client_left("k");
     own.on_outcome(&entry, Some(&Outcome::Yours { token: 3 }), 0);
     assert!(matches!(proposed(&mut own), Some(Entry::End { end: End::NeverRan, token: 3, .. })));
-    // Of one that was never heard of nothing is kept beyond its time.
+    // An offer without an outcome and without clients is kept until its deadline.
     own.offer(offer("l", Effect::Asks), true, 0).unwrap();
     own.client_left("l");
     own.tick(4_999);
@@ -202,12 +202,12 @@
     own.actions();
     own.tick(5_000);
     assert!(!own.contains("l"));
-    // Whatever is still there of it hears so.
+    // A run of it that still waits is released.
     assert_eq!(own.actions(), [Action::OutcomeUnavailable { key: "l".into(), reason: Refusal::Late }]);
 }
 
 #[test]
-fn a_process_that_begins_again_ends_what_it_had_as_the_start_that_had_it() {
+fn a_rejoined_process_ends_earlier_work_as_the_earlier_incarnation() {
     let mut own = own();
     own.offer(offer("k", Effect::Asks), true, 0).unwrap();
     let entry = proposed(&mut own).unwrap();
@@ -218,7 +218,7 @@
     let (by, end) = (Holder::new("n1", 1), End::Done(vec![7]));
     let entry = Entry::End { key: "k".into(), by, token: 3, end };
     assert_eq!(proposed(&mut own), Some(entry.clone()));
-    // Another has it: it is waited for as the start that there is now.
+    // Another owns the work, so the current incarnation waits for its outcome.
     own.on_outcome(&entry, Some(&Outcome::Refused(Refusal::OldToken)), 0);
     let again = proposed(&mut own);
     let now = |by: &Holder| *by == Holder::new("n1", 2);
--- a/crates/work/src/mutants.rs
+++ b/crates/work/src/mutants.rs
@@ -1,47 +1,47 @@
-//! Ways in which the rules could be wrong, for those who show that their checks find each. There is none in a program that is built
-//! without the feature `mutants`: the question is answered when it is compiled.
+//! Deliberate faults for tests that prove that the checks detect each one. Without the feature `mutants` they
+//! are compiled out.
 
-/// A rule left out.
+/// A deliberate fault: one rule is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// An heir of fenced work shows the token of the one before it.
+    /// A successor of fenced work presents the token of the previous owner.
     HeirDoesNotFence = 1,
-    /// Begun work of a lost owner is run by its heir as if nobody had begun it.
+    /// A successor runs work that its lost owner had begun as if it had not been begun.
     BegunCountsAsHeld,
-    /// Whoever owned it once may begin it.
+    /// A previous owner may begin the work.
     TokenNotCompared,
-    /// An heir does not get the window of the key.
+    /// A successor does not inherit the window of the key.
     WindowNotHandedOn,
-    /// The origin runs before it has heard that the work is held.
+    /// The origin node runs the work before its offer is committed.
     RunsBeforeHeld,
-    /// A client is told what came of a run before that is agreed.
+    /// A client receives the outcome of a run before it is committed.
     AnswersBeforeAgreed,
-    /// A later outcome takes the place of the first.
+    /// A later outcome replaces the first.
     LaterOutcomeOverwrites,
-    /// Work is taken from an owner that is there.
+    /// Work is taken from an owner that is present.
     TakesFromTheLiving,
-    /// What was handed over once is handed over again.
+    /// Work that was handed over stays available for further takeovers.
     HandedOverTwice,
-    /// A snapshot forgets the count of tokens.
+    /// A snapshot loses the token counter.
     SnapshotForgetsTokens,
-    /// A late copy of an offer counts, though its key is forgotten.
+    /// A late copy of an offer is accepted although its key was forgotten.
     LateOfferCounts,
-    /// A key with another body is taken for a repeat.
+    /// A known key with another body is treated as a repeat.
     OtherBodyIsARepeat,
-    /// Begun work without an heir is said to have failed.
+    /// Begun work without a successor is recorded as failed.
     GivenUpAsFailed,
-    /// An heir that does not run what another had begun says that it never ran.
+    /// A successor that does not run work that another had begun reports that it never ran.
     HeirAnswersForAll,
-    /// The resource's "never ran" is trusted by a process whose own call may be on its way.
+    /// A process whose own call may be on its way trusts the resource's "never ran".
     TrustsOwnCall,
-    /// One copy of an offer was refused: so nothing of it runs.
+    /// The refusal of one copy of an offer is taken to mean that no copy runs.
     OneCopyRefusedIsAll,
-    /// An offer that nobody asks for any more is said never to have run, and run for the next who asks.
+    /// An abandoned offer is reported as never run, and yet run for the next client of its key.
     TurnsAwayAndRuns,
 }
 
-/// All of them.
+/// All faults.
 pub const ALL: [Mutant; 17] = [
     Mutant::HeirDoesNotFence,
     Mutant::BegunCountsAsHeld,
@@ -65,19 +65,19 @@
 #[cfg(feature = "mutants")]
 static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// From now on this rule is left out in the whole process; or none.
+/// Activates one fault in the whole process, or none.
 #[cfg(feature = "mutants")]
 pub fn activate(mutant: Option<Mutant>) {
     ACTIVE.store(mutant.map_or(0, |mutant| mutant as u8), std::sync::atomic::Ordering::SeqCst);
 }
 
-/// Whether this rule is left out.
+/// Whether this fault is active.
 #[cfg(feature = "mutants")]
 pub fn is_active(mutant: Mutant) -> bool {
     ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == mutant as u8
 }
 
-/// Whether this rule is left out: never.
+/// Whether this fault is active: never without the feature.
 #[cfg(not(feature = "mutants"))]
 pub const fn is_active(_: Mutant) -> bool {
     false
--- a/crates/work/src/orphans.rs
+++ b/crates/work/src/orphans.rs
@@ -1,50 +1,50 @@
-//! Work that has lost its owner, and who is there to have it.
+//! Orphaned work, which has lost its owner, and the members that can take it over.
 
 use crate::bounds::MAX_SUCCESSORS;
 use crate::entry::Effect;
 use crate::state::Work;
 use jaspershunt_fleet::{Fleet, Holder};
 
-/// Work whose owner is lost, or has handed it over.
+/// Work whose owner is lost or has handed it over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Orphan {
-    /// Its key.
+    /// The operation key.
     pub key: String,
-    /// Its class.
+    /// The class.
     pub class: String,
-    /// Its tenant.
+    /// The tenant.
     pub tenant: Option<String>,
-    /// The present token.
+    /// The current token.
     pub token: u64,
-    /// Who had it.
+    /// The owner that was lost or is leaving.
     pub owner: Holder,
-    /// Somebody has begun it.
+    /// A run has begun.
     pub begun: bool,
-    /// What its resource can do.
+    /// What the resource offers after the loss of an owner.
     pub effect: Effect,
-    /// After this it is of no use, in Unix milliseconds.
+    /// The deadline, in Unix milliseconds.
     pub due_ms: u64,
-    /// What it is worth, in thousandths.
+    /// The worth in thousandths.
     pub worth_milli: u32,
-    /// How many more heirs it may have.
+    /// How many more successors it may have.
     pub successors_left: usize,
 }
 
-/// A start that may be an heir.
+/// An incarnation that can take over work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EligibleMember {
-    /// Which start.
+    /// The incarnation.
     pub holder: Holder,
-    /// Where it is.
+    /// Its region.
     pub region: String,
-    /// How many requests it could take now, as it told.
+    /// How many more requests it can accept, by its latest report.
     pub capacity: u32,
-    /// What it has taken over and not ended.
+    /// Number of items that it has taken over and not ended.
     pub taken_over: usize,
 }
 
 impl Work {
-    /// All work without an owner, the highest worth first; then by when it is due.
+    /// Returns all orphaned work, by falling worth and then by deadline.
     pub fn orphans(&self, fleet: &Fleet) -> Vec<Orphan> {
         let keys = self.index.owned.values().flatten();
         let orphaned = keys.filter_map(|key| self.items.get(key)).filter(|item| item.is_orphan(fleet));
@@ -66,7 +66,7 @@
         orphans
     }
 
-    /// Those that may be heirs: present starts that told their room.
+    /// Returns the present incarnations that have reported their capacity.
     pub fn eligible_members(&self, fleet: &Fleet) -> Vec<EligibleMember> {
         let present = self.capacities().filter(|(holder, _)| fleet.is_present(holder));
         present
--- a/crates/work/src/part.rs
+++ b/crates/work/src/part.rs
@@ -1,4 +1,4 @@
-//! Work in hand as a part of the agreed state.
+//! In-flight work as a part of the replicated state.
 
 use crate::bounds::MAX_VIEW_BYTES;
 use crate::entry::{AwaitedEnd, Entry, MemberView, Offer, Outcome, OwnedItem, Refusal};
@@ -13,18 +13,19 @@
 pub const NAME: &str = "work";
 
 impl Work {
-    /// What a start is shown: what it has taken over, what it waits for, and what else it owns, as far as [`MAX_SEEN`] allows.
-    /// Bodies are shown of what was taken over alone: its first owner has the rest.
+    /// Returns the view of an incarnation: first what it has taken over, then the outcomes that it waits for,
+    /// then the rest that it owns, up to [`MAX_VIEW_BYTES`]. Only items that were taken over have bodies, as
+    /// first owners have theirs.
     pub fn view(&self, holder: &Holder) -> MemberView {
         let items = |keys: Option<&BTreeSet<String>>| -> Vec<&Item> {
             keys.into_iter().flatten().filter_map(|key| self.items.get(key)).collect()
         };
         let (taken_over, own): (Vec<&Item>, Vec<&Item>) =
             items(self.index.owned.get(holder)).into_iter().partition(|item| item.is_taken_over());
-        let mut room = MAX_VIEW_BYTES;
+        let mut left = MAX_VIEW_BYTES;
         let mut fits = |item: &&Item| {
-            let fits = item.size_bytes() <= room;
-            room = room.saturating_sub(item.size_bytes());
+            let fits = item.size_bytes() <= left;
+            left = left.saturating_sub(item.size_bytes());
             fits
         };
         let mut view = MemberView::default();
@@ -85,7 +86,7 @@
     }
 
     fn save(&self) -> Vec<u8> {
-        // Writing into memory fails for nothing that the state holds.
+        // Serializing the state into memory cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
--- a/crates/work/src/sim.rs
+++ b/crates/work/src/sim.rs
@@ -1,36 +1,37 @@
-//! Schedules over these decisions: three members with several starts each, that are frozen, die, wake, start beside themselves and
-//! leave; proposals that are lost, doubled and late; calls whose answers are lost; and a resource of each kind that counts what it
-//! did. After each step nothing may be wrong, and at the end everything that was accepted has one outcome. A schedule is a tape of
-//! choices: from a seed, or given, so that one that fails can be shortened.
+//! A simulation of the whole crate. Three members have several incarnations each, which are paused, stopped,
+//! resumed, started beside each other and leave. Proposals are lost, duplicated and delayed, answers to calls
+//! are lost, and a resource of each kind counts its effects. The invariants are checked after each step, and
+//! at the end all accepted work has one outcome. A schedule is a list of choices, drawn from a seed or given,
+//! so that a failing one can be shrunk.
 
 use crate::{
     Action, Effect, End, Entry, LocalWork, MemberView, Offer, Outcome, QueryResult, Refusal, RunResult, Work,
     plan_takeovers,
 };
 use jaspershunt_fleet::parts::Part;
-use jaspershunt_fleet::{Entry as Enrolled, Fleet, Holder};
+use jaspershunt_fleet::{Entry as FleetEntry, Fleet, Holder};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Steps of a schedule before everything heals.
+/// Steps of a schedule in which faults occur.
 const FAULT_STEPS: usize = 160;
-/// Rounds after which everything has to have come to its end.
+/// Rounds without faults within which all work must end.
 const SETTLE_ROUNDS: usize = 400;
 const MEMBERS: usize = 3;
 const MAX_PROCESSES: usize = 12;
 const WINDOW_MS: u64 = 20_000;
 const KEYS: [(&str, Effect); 3] = [("a", Effect::Asks), ("f", Effect::Fenced), ("u", Effect::Unknown)];
 
-/// Where choices come from.
+/// Source of the choices of a schedule.
 #[derive(Clone, Debug)]
 pub enum Choices {
-    /// A seed.
+    /// A random generator with this state.
     Seed(u64),
-    /// These, and zeros after them.
+    /// These choices from an index on, and zeros after them.
     Given(Vec<u16>, usize),
 }
 
 impl Choices {
-    /// A choice among `n`.
+    /// Returns a number below `n`.
     fn below(&mut self, n: usize) -> usize {
         let drawn = match self {
             Choices::Seed(state) => {
@@ -50,27 +51,27 @@
     }
 
     fn one_in(&mut self, n: usize) -> bool {
-        // The last of them, so that zeros at the end of a tape are the quiet way.
+        // The last of `n`, so that the zeros after the given choices cause no faults.
         self.below(n) == n - 1
     }
 }
 
-/// What was seen, to tell that a search saw anything.
+/// Counts of events, which show that the schedules reach the interesting cases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Uses of a key that were accepted.
+    /// Accepted uses of a key. Each use stands for one request.
     pub accepted: u64,
     /// Effects at the resource.
     pub effects: u64,
-    /// Takeovers that counted.
+    /// Takeovers that were applied.
     pub takeovers: u64,
-    /// Ends done, failed, never run, unknown.
+    /// Outcomes: done, failed, never ran, unknown.
     pub ends: [u64; 4],
     /// Answers to clients.
     pub answers: u64,
-    /// Clients to whom nothing could be said.
+    /// Clients that received no outcome.
     pub unavailable: u64,
-    /// Calls that the resource turned away.
+    /// Calls that the resource rejected for a stale token.
     pub stale_tokens: u64,
 }
 
@@ -99,11 +100,11 @@
     holder: Holder,
     local: LocalWork,
     state: ProcessState,
-    /// It leaves, and is asked for nothing new.
+    /// It is leaving and receives no new requests.
     leaving: bool,
-    /// What the fleet showed it at some time.
+    /// The latest view that the fleet sent it, possibly stale.
     view: MemberView,
-    /// Uses whose clients wait here, by key.
+    /// The use whose client waits here, by key.
     clients: BTreeMap<String, u64>,
 }
 
@@ -113,15 +114,15 @@
         id: u64,
         entry: Entry,
     },
-    /// From one that leads.
+    /// A proposal of a leader.
     FromLeader(Entry),
-    /// A start of this member takes part from here on.
+    /// Enrols an incarnation of this member.
     Enrol(usize, Holder),
     Reply {
         to: usize,
         entry: Entry,
         outcome: Option<Outcome>,
-        /// It was said more than once.
+        /// The entry was sent more than once.
         resent: bool,
     },
     Run {
@@ -133,7 +134,7 @@
         to: usize,
         key: String,
         token: u64,
-        ran: RunResult,
+        result: RunResult,
     },
     Query {
         from: usize,
@@ -144,18 +145,18 @@
         to: usize,
         key: String,
         token: u64,
-        asked: QueryResult,
+        result: QueryResult,
     },
 }
 
-/// The resource's record.
+/// State of the resource.
 #[derive(Default)]
 struct Resource {
-    /// The highest token seen of a key.
+    /// The highest token seen for each key.
     tokens: BTreeMap<String, u64>,
-    /// By use.
+    /// Number of effects, by use.
     effects: BTreeMap<u64, u64>,
-    /// Tokens under which there was one.
+    /// Tokens under which an effect happened.
     effect_tokens: BTreeSet<u64>,
 }
 
@@ -165,30 +166,30 @@
     work: Work,
     processes: Vec<Process>,
     net: Vec<Message>,
-    /// Proposals whose proposer still listens.
+    /// Proposals whose proposer still waits for the outcome.
     awaited_proposals: BTreeSet<u64>,
     proposal_count: u64,
     resource: Resource,
     now_ms: u64,
-    /// The present use of each key, and when its window ends.
+    /// The current use of each key, and when its window ends.
     uses: BTreeMap<&'static str, (u64, u64)>,
     use_count: u64,
-    /// Starts so far.
+    /// Number of incarnations started so far.
     incarnation_count: u64,
-    /// By use: what was told or recorded first.
+    /// The first outcome that was reported or recorded, by use.
     outcomes: BTreeMap<u64, End>,
     accepted: BTreeSet<u64>,
-    /// Tokens of work that ended as never run. The use may be taken up anew, under other tokens.
+    /// Tokens of work that ended as `NeverRan`. The same use may be offered again and get other tokens.
     never_ran_tokens: BTreeSet<u64>,
-    /// Uses of which some work ended so.
+    /// Uses of which some work ended as `NeverRan`.
     never_ran_uses: BTreeSet<u64>,
     /// Keys with the tokens under which they were handed over.
     handed_over_tokens: BTreeSet<(String, u64)>,
-    /// Starts that the fleet has heard the last of.
+    /// Incarnations that the fleet has removed.
     departed: BTreeSet<Holder>,
-    /// By use: tries that were offered, and those whose client was told that nothing ran.
+    /// Number of tries, and of tries whose client was told that nothing ran, by use.
     offer_counts: BTreeMap<u64, (u64, u64)>,
-    /// Uses by the print of class and body.
+    /// The use of each digest of class and body.
     digests: BTreeMap<u64, u64>,
     violation: Option<String>,
     highest_token: u64,
@@ -200,7 +201,7 @@
     body.try_into().map_or(0, u64::from_le_bytes)
 }
 
-/// Plays one schedule; what is wrong, if anything is.
+/// Runs one schedule. Returns the violated invariant if there is one.
 pub fn run_schedule(choices: Choices) -> Result<Totals, String> {
     let mut simulation = Simulation {
         choices,
@@ -238,18 +239,18 @@
     Ok(simulation.totals)
 }
 
-/// Plays `n` schedules from `seed` on; the seed of the first that goes wrong, and what is wrong.
+/// Runs `n` schedules from `seed` on. Returns the first seed that violates an invariant, with the violation.
 pub fn run_schedules(seed: u64, n: u64) -> Result<Totals, (u64, String)> {
     let mut sum = Totals::default();
     for seed in seed..seed.saturating_add(n) {
-        // Seeds beside each other have to have nothing in common.
+        // Decorrelates neighbouring seeds.
         let choices = Choices::Seed(seed.wrapping_mul(0xd134_2543_de82_ef95));
         sum.add(&run_schedule(choices).map_err(|violation| (seed, violation))?);
     }
     Ok(sum)
 }
 
-/// What happens.
+/// Events of a schedule.
 impl Simulation {
     fn step(&mut self) -> Result<(), String> {
         match self.choices.below(100) {
@@ -323,7 +324,7 @@
                 return Err("accepted work was forgotten without an outcome".into());
             }
         }
-        Err("accepted work has no outcome, or a client no answer, though all is well".into())
+        Err("accepted work has no outcome, or a client no answer, after the faults have ended".into())
     }
 
     fn any_process(&mut self) -> usize {
@@ -343,7 +344,7 @@
             clients: BTreeMap::new(),
         });
         if !self.settling && self.choices.one_in(3) {
-            // Its word that it takes part is overtaken by what it offers.
+            // Its enrolment may be committed after its first offers.
             self.net.push(Message::Enrol(member, holder));
             return Ok(());
         }
@@ -354,13 +355,13 @@
         if self.departed.contains(&holder) {
             return Ok(());
         }
-        self.apply_to_fleet(&Enrolled::Enrol { holder: holder.clone() });
+        self.apply_to_fleet(&FleetEntry::Enrol { holder: holder.clone() });
         let report = Entry::Capacity { holder, region: format!("r{}", member % 2), capacity: 2 };
         self.apply(&report).map(drop)
     }
 
-    fn apply_to_fleet(&mut self, entry: &Enrolled) {
-        if let Enrolled::Gone { holder } = entry {
+    fn apply_to_fleet(&mut self, entry: &FleetEntry) {
+        if let FleetEntry::Gone { holder } = entry {
             self.departed.insert(holder.clone());
         }
         self.fleet.apply(entry);
@@ -373,22 +374,22 @@
             (ProcessState::Running, 0) => {
                 self.processes[at].state = ProcessState::Paused;
                 if self.choices.one_in(2) {
-                    self.apply_to_fleet(&Enrolled::Gone { holder: self.processes[at].holder.clone() });
+                    self.apply_to_fleet(&FleetEntry::Gone { holder: self.processes[at].holder.clone() });
                 }
             }
             (ProcessState::Running, 1) => {
-                // Cut off: it runs, and the fleet has not heard of it for long.
-                self.apply_to_fleet(&Enrolled::Gone { holder: self.processes[at].holder.clone() });
+                // Partitioned: it runs while the fleet presumes it lost.
+                self.apply_to_fleet(&FleetEntry::Gone { holder: self.processes[at].holder.clone() });
                 if self.choices.one_in(4) {
                     self.rejoin(at)?;
                 }
             }
             (ProcessState::Running, _) => {
                 self.processes[at].state = ProcessState::Stopped;
-                self.apply_to_fleet(&Enrolled::Gone { holder: self.processes[at].holder.clone() });
+                self.apply_to_fleet(&FleetEntry::Gone { holder: self.processes[at].holder.clone() });
             }
             (ProcessState::Paused, 0) => {
-                self.apply_to_fleet(&Enrolled::Gone { holder: self.processes[at].holder.clone() })
+                self.apply_to_fleet(&FleetEntry::Gone { holder: self.processes[at].holder.clone() })
             }
             (ProcessState::Paused, _) => self.resume(at)?,
             (ProcessState::Stopped, _) if self.processes.len() < MAX_PROCESSES => self.start(at % MEMBERS)?,
@@ -397,14 +398,14 @@
         Ok(())
     }
 
-    /// The process's member has failed and begins again, while what the process has in hand goes on.
+    /// Replaces the process's member by a new incarnation while the in-flight work of the process continues.
     fn rejoin(&mut self, at: usize) -> Result<(), String> {
         self.incarnation_count += 1;
         let holder = Holder::new(&self.processes[at].holder.member, self.incarnation_count);
         let process = &mut self.processes[at];
         process.local.set_holder(holder.clone());
         (process.holder, process.view) = (holder.clone(), MemberView::default());
-        self.apply_to_fleet(&Enrolled::Enrol { holder: holder.clone() });
+        self.apply_to_fleet(&FleetEntry::Enrol { holder: holder.clone() });
         let report = Entry::Capacity { holder, region: "r0".into(), capacity: 2 };
         self.apply(&report).map(drop)
     }
@@ -415,8 +416,8 @@
         }
         self.processes[at].state = ProcessState::Running;
         let holder = self.processes[at].holder.clone();
-        // If a later start is here, this one counts for nothing.
-        self.apply_to_fleet(&Enrolled::Enrol { holder: holder.clone() });
+        // The fleet ignores this if a later incarnation is enrolled.
+        self.apply_to_fleet(&FleetEntry::Enrol { holder: holder.clone() });
         if self.fleet.is_present(&holder) {
             self.apply(&Entry::Capacity { holder, region: "r0".into(), capacity: 2 })?;
         }
@@ -443,7 +444,7 @@
         let (key, effect) = KEYS[self.choices.below(3)];
         let (now_ms, count) = (self.now_ms, self.use_count + 1);
         let (present, window_ends_ms) = *self.uses.entry(key).or_insert((count, now_ms + WINDOW_MS));
-        // A key is used again as its window ends, or just before.
+        // A key gets a new use when its window ends, or just before.
         let again = window_ends_ms <= now_ms + 100;
         let stranger = self.choices.one_in(12);
         let (number, window_ends_ms) =
@@ -483,7 +484,7 @@
 
     fn deliver_view(&mut self) {
         let at = self.any_process();
-        // Else it sees what it was shown before.
+        // Otherwise it receives its previous view again.
         if !self.choices.one_in(4) {
             self.refresh_view(at);
         }
@@ -506,13 +507,13 @@
         let all = |_: &_| Some(BTreeSet::new());
         let plan = plan_takeovers(&orphans, &members, self.now_ms, all, |_, regions| regions);
         for entry in plan.entries() {
-            // Two that lead may say it twice.
+            // Two leaders may both propose it.
             if !self.settling && self.choices.one_in(4) {
                 self.net.push(Message::FromLeader(entry.clone()));
             }
             self.net.push(Message::FromLeader(entry));
         }
-        // One that leads and believes that somebody is lost who is not.
+        // A leader may wrongly presume an owner lost.
         if !self.settling && self.choices.one_in(6) {
             let key = KEYS[self.choices.below(3)].0;
             let successor = self.any_process();
@@ -527,14 +528,14 @@
         let saved = self.work.save();
         let mut loaded = Work::default();
         if !loaded.load(&saved) || (loaded != self.work && loaded.last_token() == self.work.last_token()) {
-            return Err("a state that was saved and loaded is another".into());
+            return Err("the state differs after it was saved and loaded".into());
         }
         self.work = loaded;
         Ok(())
     }
 }
 
-/// What goes to and fro.
+/// Actions and messages.
 impl Simulation {
     fn act(&mut self, at: usize, act: impl FnOnce(&mut LocalWork)) {
         if self.processes[at].state != ProcessState::Running {
@@ -545,10 +546,10 @@
             match action {
                 Action::Propose(entry) => self.propose(at, entry),
                 Action::Run { token, offer, .. } => {
-                    // Its own decisions turn it away: it is not called.
+                    // The nodo's own admission rejects the run without a call.
                     if !self.settling && self.choices.one_in(10) {
                         let key = offer.key;
-                        self.net.push(Message::RunResult { to: at, key, token, ran: RunResult::NeverRan });
+                        self.net.push(Message::RunResult { to: at, key, token, result: RunResult::NeverRan });
                     } else {
                         self.net.push(Message::Run { from: at, token, offer });
                     }
@@ -556,7 +557,7 @@
                 Action::Query { token, offer } => self.net.push(Message::Query { from: at, token, offer }),
                 Action::Answer { key, end } => self.answer(at, &key, end),
                 Action::NotRecorded { key, reason } => {
-                    // A client of another body hears that its key is taken, no more.
+                    // With `OtherBody` the client learns only that the key is in use.
                     let number = self.processes[at].clients.remove(&key);
                     if let Some(number) = number.filter(|_| reason != Refusal::OtherBody) {
                         self.offer_counts.entry(number).or_default().1 += 1;
@@ -579,7 +580,8 @@
     fn answer(&mut self, at: usize, key: &str, end: End) {
         if let Some(number) = self.processes[at].clients.remove(key) {
             self.totals.answers += 1;
-            // That its own try never ran is no word on a further one, which may have been at it by the time that this is told.
+            // `NeverRan` for this try says nothing of a later one, which may have run before this answer
+            // arrives.
             if end == End::NeverRan && self.never_ran_uses.contains(&number) {
                 return;
             }
@@ -603,13 +605,13 @@
             }
             Message::FromLeader(_) | Message::Enrol(..) => (0, false),
         };
-        let leads = matches!(self.net[at], Message::FromLeader(_) | Message::Enrol(..));
-        let state = if leads { ProcessState::Running } else { self.processes[process].state };
+        let to_log = matches!(self.net[at], Message::FromLeader(_) | Message::Enrol(..));
+        let state = if to_log { ProcessState::Running } else { self.processes[process].state };
         if state == ProcessState::Paused {
             return Ok(());
         }
         let message = self.net.swap_remove(at);
-        // What a dead one had said may be on its way still.
+        // Messages that a stopped process sent may still be on their way.
         if state == ProcessState::Stopped && !(sent && self.choices.one_in(2)) {
             return Ok(());
         }
@@ -622,11 +624,11 @@
                     self.net.push(Message::Propose { from, id, entry: entry.clone() });
                 }
                 let outcome = if lost { None } else { Some(self.apply(&entry)?) };
-                // Its proposer hears of it once, or gives it up; a copy may be agreed long after.
+                // The proposer receives at most one outcome; a copy may be committed long after.
                 if self.awaited_proposals.remove(&id) {
-                    let heard = outcome.filter(|_| self.settling || !self.choices.one_in(8));
+                    let received = outcome.filter(|_| self.settling || !self.choices.one_in(8));
                     let resent = duplicated || lost;
-                    self.net.push(Message::Reply { to: from, entry, outcome: heard, resent });
+                    self.net.push(Message::Reply { to: from, entry, outcome: received, resent });
                 }
             }
             Message::FromLeader(entry) => {
@@ -645,23 +647,23 @@
                 let key = offer.key.clone();
                 let unclear =
                     if self.choices.one_in(2) { RunResult::OutcomeUnknown } else { RunResult::AnswerLost };
-                let ran = if lost { unclear } else { self.run(token, &offer) };
-                self.net.push(Message::RunResult { to: from, key, token, ran });
-                // The caller gives up, and the call comes late.
+                let result = if lost { unclear } else { self.run(token, &offer) };
+                self.net.push(Message::RunResult { to: from, key, token, result });
+                // The call may arrive after the caller has given it up.
                 if lost && self.choices.one_in(2) {
                     self.net.push(Message::Run { from, token, offer });
                 }
             }
-            Message::RunResult { to, key, token, ran } => {
-                self.act(to, |local| local.on_run_result(&key, token, ran))
+            Message::RunResult { to, key, token, result } => {
+                self.act(to, |local| local.on_run_result(&key, token, result))
             }
             Message::Query { from, token, offer } => {
-                let asked = if lost { QueryResult::AnswerLost } else { self.query(token, &offer) };
+                let result = if lost { QueryResult::AnswerLost } else { self.query(token, &offer) };
                 let key = offer.key;
-                self.net.push(Message::QueryResult { to: from, key, token, asked });
+                self.net.push(Message::QueryResult { to: from, key, token, result });
             }
-            Message::QueryResult { to, key, token, asked } => {
-                self.act(to, |local| local.on_query_result(&key, token, asked, now_ms));
+            Message::QueryResult { to, key, token, result } => {
+                self.act(to, |local| local.on_query_result(&key, token, result, now_ms));
             }
         }
         Ok(())
@@ -707,7 +709,7 @@
     }
 }
 
-/// What may not be.
+/// Invariants.
 impl Simulation {
     fn apply(&mut self, entry: &Entry) -> Result<Outcome, String> {
         let known = match entry {
@@ -716,7 +718,7 @@
         };
         let before = self.work.last_token();
         let bytes = self.work.apply(&self.fleet, &entry.to_bytes());
-        let outcome = Outcome::from_bytes(&bytes).ok_or("an outcome that is none")?;
+        let outcome = Outcome::from_bytes(&bytes).ok_or("the outcome does not decode")?;
         let granted = self.work.last_token() != before || matches!(entry, Entry::TakeOver { .. });
         if let (true, Outcome::Yours { token }) = (granted, &outcome) {
             if *token <= self.highest_token {
@@ -729,7 +731,7 @@
                 self.totals.accepted += u64::from(self.accepted.insert(use_of(&offer.body)));
             }
             (Entry::TakeOver { key, .. }, Outcome::Yours { .. }) => {
-                let item = known.ok_or("taken over, though there was nothing")?;
+                let item = known.ok_or("taken over, though the key was not known")?;
                 let handed_over = self.handed_over_tokens.remove(&(key.clone(), item.token));
                 if self.fleet.is_present(&item.owner) && !handed_over {
                     return Err(format!("taken from {:?}, which is there", item.owner));
@@ -782,7 +784,7 @@
             let fits = match end {
                 End::Done(result) => use_of(result) == *number && effects == 1,
                 End::Failed => effects == 0,
-                // What never ran is judged by its tokens.
+                // `NeverRan` is checked by tokens above.
                 End::NeverRan | End::Unknown => true,
             };
             if !fits {
@@ -792,9 +794,9 @@
         Ok(())
     }
 
-    /// One outcome a use, whoever tells it.
+    /// Checks that each use has one outcome, whoever reports it.
     fn record_outcome(&mut self, number: u64, end: End) -> Result<(), String> {
-        // What was turned away may be taken up anew, and then has an outcome.
+        // Work that ended as `NeverRan` may be offered again and then end otherwise.
         let settled = self.outcomes.get(&number).filter(|first| **first != End::NeverRan);
         let Some(first) = settled else {
             let which = match end {
--- a/crates/work/src/state.rs
+++ b/crates/work/src/state.rs
@@ -1,4 +1,4 @@
-//! The part itself: what is agreed of all work in hand, a function of the log alone.
+//! The replicated state of all in-flight work: a deterministic function of the log.
 
 use crate::bounds::{
     ENDED_RETENTION_MS, ITEM_OVERHEAD_BYTES, MAX_BYTES, MAX_ITEMS, MAX_REGIONS, MAX_RESULT_BYTES,
@@ -11,61 +11,61 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is agreed of one key.
+/// The replicated state of one operation key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// What it is. The body goes when it has ended; its print stays.
+    /// The request. Its body is dropped when the work ends; `digest` stays.
     pub offer: Offer,
-    /// Stands for class and body.
+    /// Digest of class and body.
     pub digest: u64,
-    /// Whose it is.
+    /// The incarnation that owns the work.
     pub owner: Holder,
-    /// The present token.
+    /// The current fencing token.
     pub token: u64,
-    /// The tokens before it.
+    /// Tokens of earlier owners, oldest first.
     pub previous_tokens: Vec<u64>,
-    /// Under which token it was begun last.
+    /// The token under which the latest run began.
     pub begun_token: Option<u64>,
-    /// Its owner leaves, and an heir may have it.
+    /// The owner is leaving, so a successor may take the work over.
     pub handed_over: bool,
-    /// Starts that wait for its end.
+    /// Incarnations that wait for the outcome.
     pub waiters: BTreeSet<Holder>,
-    /// Its outcome.
+    /// The recorded outcome, once there is one.
     pub ended: Option<Ended>,
 }
 
-/// An outcome that is known.
+/// A recorded outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
-    /// Which.
+    /// The outcome itself.
     pub end: End,
-    /// Which of all ends this is.
+    /// Position among all recorded outcomes.
     pub sequence: u64,
-    /// When, by the agreed clock, in Unix milliseconds.
+    /// When it was recorded, by the replicated clock, in Unix milliseconds.
     pub at_ms: u64,
-    /// Who asked for it was told.
+    /// A client received the outcome.
     pub answered: bool,
-    /// Its owner knows of it.
+    /// The owner has received the outcome.
     pub owner_informed: bool,
-    /// The result went for want of room.
+    /// The result was dropped to free space.
     pub result_dropped: bool,
 }
 
-/// The stages of work as the agreed state has them. What was offered and is not agreed, and what is forgotten, is not in it.
+/// The stages of work in the replicated state. Uncommitted offers and forgotten keys have none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Agreed, and nobody has begun it.
+    /// Recorded, and not begun.
     Held,
-    /// Somebody has begun it.
+    /// A run has begun.
     Begun,
-    /// Its outcome is known.
+    /// The outcome is recorded.
     Known,
-    /// And who asked was told.
+    /// The outcome is recorded and a client received it.
     Answered,
 }
 
 impl Item {
-    /// How far it has come.
+    /// Returns the stage of the work.
     pub fn stage(&self) -> Stage {
         match &self.ended {
             Some(ended) if ended.answered => Stage::Answered,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// What its owner is shown of it.
+    /// Returns the progress that the owner sees.
     pub fn state(&self) -> Progress {
         match (&self.ended, self.begun_token) {
             (Some(ended), _) => Progress::Ended(ended.end.clone()),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether its owner is an heir.
+    /// Whether the current owner took the work over from another.
     pub fn is_taken_over(&self) -> bool {
         !self.previous_tokens.is_empty()
     }
@@ -92,7 +92,7 @@
     pub(crate) fn size_bytes(&self) -> usize {
         let texts = self.offer.key.len() + self.offer.class.len();
         let content = match self.ended.as_ref().map(|ended| &ended.end) {
-            // Guards against an outcome for which there is no room when it comes.
+            // Reserves space for the longest result, so that an outcome can always be recorded.
             None => self.offer.body.len() + MAX_RESULT_BYTES,
             Some(End::Done(result)) => result.len(),
             Some(_) => 0,
@@ -113,7 +113,7 @@
         matches!(&ended.end, End::Done(result) if !result.is_empty()).then_some(ended.sequence)
     }
 
-    /// Whether an heir may have it.
+    /// Whether a successor may take the work over.
     pub fn is_orphan(&self, fleet: &Fleet) -> bool {
         self.ended.is_none() && (self.handed_over || !fleet.is_present(&self.owner))
     }
@@ -131,34 +131,34 @@
         self.handed_over = false;
     }
 
-    /// The end of work that nobody will bring to one.
+    /// Returns the outcome to record for work that will not be run to its end.
     fn give_up_end(&self) -> End {
         let may_have_run = self.begun_token.is_some() && !is_active(Mutant::GivenUpAsFailed);
         if may_have_run { End::Unknown } else { End::Failed }
     }
 }
 
-/// What a member told of itself.
+/// The capacity that a member reported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
-    /// Which start.
+    /// The member's incarnation.
     pub incarnation: u64,
-    /// Where it is.
+    /// The member's region.
     pub region: String,
-    /// How many requests it could take.
+    /// How many more requests it can accept.
     pub capacity: u32,
 }
 
-/// All work in hand.
+/// The replicated state of all in-flight work.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
     pub(crate) items: BTreeMap<String, Item>,
     pub(crate) capacities: BTreeMap<String, Capacity>,
-    /// The last token that was given out. One count for all, so that none comes twice though keys come and go.
+    /// The last token issued. One counter for all keys, so that a key used again never gets an old token.
     pub(crate) last_token: u64,
-    /// How many ends there were.
+    /// Number of outcomes recorded so far.
     end_count: u64,
-    /// How late it is, by the last tidying.
+    /// Unix time of the latest `Tidy` entry.
     clock_ms: u64,
     change_count: u64,
     pub(crate) epochs: BTreeMap<Holder, u64>,
@@ -167,42 +167,42 @@
 }
 
 impl Work {
-    /// An item, if anything is known of the key.
+    /// Returns the item of a key.
     pub fn item(&self, key: &str) -> Option<&Item> {
         self.items.get(key)
     }
 
-    /// All items.
+    /// Iterates over all items in key order.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.items.values()
     }
 
-    /// What the present start of each member told of itself.
+    /// Iterates over the latest capacity report of each member.
     pub fn capacities(&self) -> impl Iterator<Item = (Holder, &Capacity)> {
         self.capacities.iter().map(|(member, reported)| (Holder::new(member, reported.incarnation), reported))
     }
 
-    /// How many items an heir has taken over and not ended.
+    /// Number of items that a successor has taken over and not ended.
     pub fn taken_over_count(&self, successor: &Holder) -> usize {
         self.index.taken_over.get(successor).copied().unwrap_or_default()
     }
 
-    /// Bytes of all items.
+    /// Returns the accounted size of all items.
     pub fn bytes(&self) -> usize {
         self.index.bytes
     }
 
-    /// The last token that was given out.
+    /// Returns the last token issued.
     pub fn last_token(&self) -> u64 {
         self.last_token
     }
 
-    /// How late it is by the agreed state, in Unix milliseconds.
+    /// Returns the replicated clock, in Unix milliseconds.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// Takes in the next entry.
+    /// Applies the next committed entry.
     pub fn apply_entry(&mut self, fleet: &Fleet, entry: &Entry) -> Outcome {
         self.try_apply_entry(fleet, entry).unwrap_or_else(Outcome::Refused)
     }
@@ -222,7 +222,7 @@
     }
 }
 
-/// Entries.
+/// Handlers of the entries.
 impl Work {
     fn offer(
         &mut self,
@@ -236,29 +236,30 @@
         let digest = jaspershunt_keys::print(&offer.class, &offer.body);
         if let Some(item) = self.items.get(&offer.key) {
             let known = &item.offer;
-            // Guards against a stranger who is served the outcome of someone else's work.
+            // Prevents serving one client the outcome of another client's work.
             let same = (item.digest, &known.class, &known.tenant) == (digest, &offer.class, &offer.tenant);
             if !same && !is_active(Mutant::OtherBodyIsARepeat) {
                 return Err(Refusal::OtherBody);
             }
-            // What was turned away has had no effect and will have none: a further try may have it anew. Guards against a client
-            // that is turned away everywhere until its key's window ends, as one crowded nodo turned it away once.
+            // Work that ended as `NeverRan` has no effect and will have none, so a further try may offer it
+            // again. Otherwise one rejection by a full nodo would be repeated by all nodos until the key's
+            // window ends.
             if item.ended.as_ref().is_none_or(|ended| ended.end != End::NeverRan || ended.result_dropped) {
                 return self.repeat(fleet, by, &offer.key, begin);
             }
         }
         check_present(fleet, by)?;
-        // Guards against a copy of an offer that was held up until its key is forgotten, and would be run once more.
-        // A key is forgotten after its work is due, so that what is forgotten is late.
+        // Prevents a delayed copy of an offer from running the work again after its key was forgotten. A key
+        // is forgotten only after its work is due, so such a copy is always late.
         let late = offer.due_ms <= self.clock_ms && !is_active(Mutant::LateOfferCounts);
         if late || offer.due_ms <= now_ms {
             return Err(Refusal::Late);
         }
         let token = self.last_token + 1;
         let mut offer = offer.clone();
-        // Known at least as long as it may be run.
+        // The key is remembered at least as long as the work may run.
         offer.window_ends_ms = offer.window_ends_ms.max(offer.due_ms);
-        // Those who have not heard that it was turned away hear what it comes to now.
+        // Waiters that have not received the `NeverRan` outcome wait for the new one instead.
         let waiters = self.remove(&offer.key).map_or_else(BTreeSet::new, |before| before.waiters);
         let item = Item {
             offer,
@@ -286,7 +287,7 @@
             return outcome;
         }
         let token = item.token;
-        // Guards against an heir whose own client asks for it, and who would run what the one before it had begun.
+        // A successor whose own client offers the work must not run what its previous owner had begun.
         if item.owner == *by && !item.handed_over && !item.is_taken_over() {
             if begin && item.begun_token.is_none() {
                 self.update(key, |item| item.begun_token = Some(token));
@@ -313,7 +314,7 @@
         if let Some(outcome) = item.outcome() {
             return outcome;
         }
-        // Guards against an owner that was taken for lost, wakes, and runs what its heir runs.
+        // Prevents a previous owner that was paused and presumed lost from running what its successor runs.
         if (item.token, &item.owner) != (token, by) && !is_active(Mutant::TokenNotCompared) {
             return Err(Refusal::OldToken);
         }
@@ -334,7 +335,8 @@
             return outcome;
         }
         if (item.token, &item.owner) != (token, by) {
-            // That it was done is a fact, whoever owns it now. That it was not is none: an heir may be at it.
+            // A previous owner's success is final whoever owns the work now. Its failure is not: a successor
+            // may be running.
             if !matches!(end, End::Done(_)) {
                 return Err(Refusal::OldToken);
             }
@@ -342,7 +344,7 @@
             && item.begun_token.is_some_and(|begun_token| begun_token != token)
             && item.offer.effect != Effect::Asks
         {
-            // Guards against an heir that calls failed what the one before it may have done.
+            // A successor cannot report as failed what a previous owner may have done.
             return Err(Refusal::MayHaveRun);
         }
         Ok(self.record(key, end.clone()))
@@ -377,7 +379,7 @@
             item.token = next;
             let before = std::mem::replace(&mut item.owner, successor.clone());
             item.handed_over &= is_active(Mutant::HandedOverTwice);
-            // One that leaves, or wakes, has somebody who waits for the answer.
+            // The previous owner may be leaving or resume later, and its clients still wait for the outcome.
             if item.waiters.len() < MAX_WAITERS {
                 item.waiters.insert(before);
             }
@@ -406,7 +408,7 @@
                 (item.waiters.remove(by), item.owner == *by, item.is_taken_over());
             let Some(ended) = &mut item.ended else { return };
             ended.owner_informed |= owns;
-            // Nobody asked an heir: that it knows tells no client.
+            // A successor has no client of its own, so its receipt does not mean that a client was answered.
             ended.answered |= waited || (owns && !taken_over);
         });
         Ok(Outcome::Done)
@@ -441,32 +443,30 @@
     fn tidy(&mut self, fleet: &Fleet, now_ms: u64) -> Result<Outcome, Refusal> {
         self.clock_ms = self.clock_ms.max(now_ms);
         let now_ms = self.clock_ms;
-        let (mut expired, mut forgotten, mut may_be_recorded) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut due, mut forgotten, mut overdue_waits) = (Vec::new(), Vec::new(), Vec::new());
         for (key, item) in &self.items {
             let window_ends = item.offer.window_ends_ms;
             match &item.ended {
-                None if item.begun_token.is_none() && item.offer.due_ms <= now_ms => {
-                    expired.push(key.clone())
-                }
-                // Guards against a key that is forgotten before anybody could say what became of it.
-                None if window_ends <= now_ms => expired.push(key.clone()),
+                None if item.begun_token.is_none() && item.offer.due_ms <= now_ms => due.push(key.clone()),
+                // Records an outcome before the key is forgotten.
+                None if window_ends <= now_ms => due.push(key.clone()),
                 Some(ended) if window_ends.max(ended.at_ms).saturating_add(ENDED_RETENTION_MS) <= now_ms => {
                     forgotten.push(key.clone());
                 }
-                // Guards against a result that cannot go, as one that is lost waits for it.
+                // Prevents a lost waiter from keeping a result from being dropped.
                 Some(ended)
                     if !item.waiters.is_empty()
                         && ended.at_ms.saturating_add(ENDED_RETENTION_MS) <= now_ms =>
                 {
-                    may_be_recorded.push(key.clone());
+                    overdue_waits.push(key.clone());
                 }
                 _ => {}
             }
         }
-        for key in may_be_recorded {
+        for key in overdue_waits {
             self.update(&key, |item| item.waiters.retain(|waiter| fleet.is_present(waiter)));
         }
-        for key in expired {
+        for key in due {
             let end = self.find(&key)?.give_up_end();
             self.record(&key, end);
         }
@@ -477,24 +477,25 @@
     }
 }
 
-/// Items, with what is kept of them at hand.
+/// Changes of items, which keep the index and the epochs in step.
 impl Work {
     fn find(&self, key: &str) -> Result<&Item, Refusal> {
         self.items.get(key).ok_or(Refusal::Nothing)
     }
 
-    /// An item that has, or had, this token. Guards against an owner of an earlier use of the key, who would be told this one's
-    /// outcome.
+    /// Returns the item if the token is its current one or a previous one. Other tokens belong to an earlier
+    /// use of the key, whose owner must not receive this outcome.
     fn find_by_token(&self, key: &str, token: u64) -> Result<&Item, Refusal> {
         let item = self.find(key)?;
-        let its = item.token == token || item.previous_tokens.contains(&token);
-        if its { Ok(item) } else { Err(Refusal::OldToken) }
+        let known = item.token == token || item.previous_tokens.contains(&token);
+        if known { Ok(item) } else { Err(Refusal::OldToken) }
     }
 
-    /// An item that has lost its owner, or has ended.
+    /// Returns the item if it is orphaned or has ended.
     fn reassignable_item(&self, fleet: &Fleet, key: &str, token: u64) -> Result<&Item, Refusal> {
         let item = self.find(key)?;
-        // Guards against two that lead, or one that says it twice: the second finds another token.
+        // Makes duplicate proposals harmless, from two leaders or one: the second no longer has the current
+        // token.
         if item.token != token {
             return Err(Refusal::OldToken);
         }
@@ -529,7 +530,7 @@
         }
     }
 
-    /// Those whom it concerns are shown something else.
+    /// Advances the epochs of the owner and all waiters, whose views change with the item.
     fn advance_epochs(&mut self, item: &Item) {
         self.change_count += 1;
         for holder in item.waiters.iter().chain([&item.owner]) {
@@ -540,7 +541,8 @@
         }
     }
 
-    /// Drops results that were told, the oldest first. What was done stays known as done.
+    /// Drops results that were delivered, oldest first, until `bytes` more fit. The items stay recorded as
+    /// done.
     fn drop_results(&mut self, bytes: usize) {
         while self.index.bytes + bytes > MAX_BYTES {
             let Some((_, key)) = self.index.droppable.first().cloned() else { return };
@@ -552,7 +554,7 @@
         }
     }
 
-    /// What starts told that have gone is of no use.
+    /// Removes capacity reports and unused epochs of incarnations that are gone.
     pub(crate) fn remove_departed(&mut self, fleet: &Fleet) {
         self.capacities
             .retain(|member, reported| fleet.is_present(&Holder::new(member, reported.incarnation)));
--- a/crates/work/src/state/tests.rs
+++ b/crates/work/src/state/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::bounds::{MAX_BODY_BYTES, MAX_KEY_BYTES, MAX_NAME_BYTES, MAX_VIEW_BYTES};
-use jaspershunt_fleet::Entry as Enrolled;
+use jaspershunt_fleet::Entry as FleetEntry;
 use jaspershunt_fleet::parts::Part;
 use proptest::prelude::*;
 
@@ -11,7 +11,7 @@
 fn fleet(members: usize) -> Fleet {
     let mut fleet = Fleet::default();
     for n in 0..members {
-        fleet.apply(&Enrolled::Enrol { holder: incarnation(n) });
+        fleet.apply(&FleetEntry::Enrol { holder: incarnation(n) });
     }
     fleet
 }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_is_too_long_is_refused() {
+fn oversized_fields_are_refused() {
     let (fleet, mut work) = (fleet(1), Work::default());
     let long = |bytes| "x".repeat(bytes);
     for it in [
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_full_table_refuses_and_drops_told_results_first() {
+fn full_state_refuses_offers_and_drops_delivered_results_first() {
     let (fleet, mut work) = (fleet(1), Work::default());
     let mut held = 0;
     while work.apply_entry(&fleet, &offered(0, offer(&format!("k{held}")))) != Outcome::Refused(Refusal::Full)
@@ -76,7 +76,7 @@
     for n in 0..held {
         let done = End::Done(vec![1; MAX_RESULT_BYTES]);
         work.apply_entry(&fleet, &end(0, &format!("k{n}"), n as u64 + 1, done));
-        // The second is told before the first, and stays longer: its end came later.
+        // k1 is delivered before k0 and dropped after it, as its outcome was recorded later.
         if n < 3 {
             work.apply_entry(&fleet, &Entry::Answered { key: format!("k{}", 2 - n), by: incarnation(0) });
         }
@@ -92,7 +92,7 @@
     }
     let again = |work: &mut Work, key| work.apply_entry(&fleet, &offered(0, offer(key)));
     assert_eq!(again(&mut work, "k0"), Outcome::Refused(Refusal::Dropped));
-    // A result that nobody was told stays.
+    // A result that was not delivered is kept.
     assert_eq!(again(&mut work, "k3"), Outcome::Known(End::Done(vec![1; MAX_RESULT_BYTES])));
     assert_eq!(
         work.item("k0").map(|item| item.ended.as_ref().is_some_and(|ended| ended.result_dropped)),
@@ -116,9 +116,9 @@
     }
     let next = offered(MAX_WAITERS + 1, offer("k"));
     assert_eq!(work.apply_entry(&fleet, &next), Outcome::Refused(Refusal::Crowded));
-    // One that is lost makes way.
+    // A lost waiter is replaced.
     let mut fleet = fleet;
-    fleet.apply(&Enrolled::Gone { holder: incarnation(3) });
+    fleet.apply(&FleetEntry::Gone { holder: incarnation(3) });
     assert_eq!(work.apply_entry(&fleet, &next), Outcome::Waits);
     let capacity = |n: usize, region: usize| Entry::Capacity {
         holder: incarnation(n),
@@ -133,12 +133,12 @@
 }
 
 #[test]
-fn an_heir_has_only_so_much_and_work_only_so_many_heirs() {
+fn items_per_successor_and_successors_per_item_are_bounded() {
     let (mut fleet, mut work) = (fleet(3), Work::default());
     for n in 0..=MAX_TAKEN_OVER {
         work.apply_entry(&fleet, &offered(0, offer(&format!("k{n}"))));
     }
-    fleet.apply(&Enrolled::Gone { holder: incarnation(0) });
+    fleet.apply(&FleetEntry::Gone { holder: incarnation(0) });
     let take = |key: &str, token, successor| Entry::TakeOver {
         key: key.into(),
         token,
@@ -152,31 +152,31 @@
     assert_eq!(work.apply_entry(&fleet, &one_more), Outcome::Refused(Refusal::HeirFull));
     work.apply_entry(&fleet, &end(1, "k0", MAX_TAKEN_OVER as u64 + 2, End::Unknown));
     assert!(matches!(work.apply_entry(&fleet, &one_more), Outcome::Yours { .. }));
-    // The heirs of another die one after the other.
-    for dies in 1..=MAX_SUCCESSORS {
-        let successor = Holder::new("heir", dies as u64);
-        fleet.apply(&Enrolled::Enrol { holder: successor.clone() });
+    // The successors of another item are lost one after the other.
+    for lost in 1..=MAX_SUCCESSORS {
+        let successor = Holder::new("successor", lost as u64);
+        fleet.apply(&FleetEntry::Enrol { holder: successor.clone() });
         let token = work.item("k1").map_or(0, |item| item.token);
-        fleet.apply(&Enrolled::Gone { holder: incarnation(1) });
+        fleet.apply(&FleetEntry::Gone { holder: incarnation(1) });
         let taken_over = work
             .apply_entry(&fleet, &Entry::TakeOver { key: "k1".into(), token, successor: successor.clone() });
-        fleet.apply(&Enrolled::Gone { holder: successor });
-        // One heir it had before.
-        if dies < MAX_SUCCESSORS {
+        fleet.apply(&FleetEntry::Gone { holder: successor });
+        // It had one successor before.
+        if lost < MAX_SUCCESSORS {
             assert!(matches!(taken_over, Outcome::Yours { .. }), "{taken_over:?}");
         } else {
-            fleet.apply(&Enrolled::Enrol { holder: incarnation(2) });
+            fleet.apply(&FleetEntry::Enrol { holder: incarnation(2) });
             assert_eq!(work.apply_entry(&fleet, &take("k1", token, 2)), Outcome::Known(End::Unknown));
         }
     }
 }
 
 #[test]
-fn an_end_that_comes_with_the_window_is_known_for_a_while() {
+fn an_outcome_recorded_as_the_window_ends_is_kept_for_a_while() {
     let (fleet, mut work) = (fleet(2), Work::default());
     work.apply_entry(&fleet, &offered(0, offer("k")));
     let tidy = |now_ms| Entry::Tidy { now_ms };
-    // The clock jumps far beyond the window, and says so twice.
+    // The clock jumps far beyond the window, and the jump is reported twice.
     for late in [100_000, 100_000, 100_000 + ENDED_RETENTION_MS - 1] {
         work.apply_entry(&fleet, &tidy(late));
         assert_eq!(work.apply_entry(&fleet, &offered(1, offer("k"))), Outcome::Known(End::Unknown));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_start_is_shown_no_more_than_fits() {
+fn views_are_bounded_and_epochs_grow_only_for_affected_members() {
     let (fleet, mut work) = (fleet(2), Work::default());
     for n in 0..1_000 {
         work.apply_entry(&fleet, &offered(0, Offer { body: vec![0; 1_000], ..offer(&format!("k{n}")) }));
@@ -222,7 +222,7 @@
 
 proptest! {
     #[test]
-    fn what_was_saved_and_loaded_goes_on_alike(entries in proptest::collection::vec(any_entry(), 0..60), at in 0usize..60) {
+    fn a_loaded_snapshot_behaves_like_the_original(entries in proptest::collection::vec(any_entry(), 0..60), at in 0usize..60) {
         let (fleet, mut work, mut other) = (fleet(2), Work::default(), Work::default());
         for (n, entry) in entries.iter().enumerate() {
             if n == at {
--- a/crates/work/src/takeover.rs
+++ b/crates/work/src/takeover.rs
@@ -1,5 +1,6 @@
-//! Who gets what after a loss: a function of what is agreed alone. Those who have more room get more, nobody more than it told,
-//! the highest worth comes first, and what cannot be run in time is given up at once.
+//! Assignment of orphaned work to successors, a function of the replicated state alone. Members with more
+//! spare capacity get more work and none more than it reported; the highest worth comes first; work that
+//! cannot run in time is given up at once.
 
 use crate::bounds::{CAPACITY_REPORT_INTERVAL_MS, MAX_TAKEN_OVER, MAX_TAKEOVERS_PER_ROUND};
 use crate::entry::{Effect, Entry};
@@ -8,12 +9,12 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Why there is no heir.
+/// Why orphaned work gets no successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GiveUpReason {
-    /// It is due before anybody has room for it, as higher worth comes first.
+    /// Work of higher worth takes all capacity until its deadline.
     NotInTime,
-    /// As many heirs as may be were lost with it.
+    /// The maximum number of successors were lost with it.
     NoMoreSuccessors,
     /// The class or its route does not exist any more.
     NoRoute,
@@ -22,24 +23,24 @@
 impl std::fmt::Display for GiveUpReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            GiveUpReason::NotInTime => "no heir in time",
-            GiveUpReason::NoMoreSuccessors => "too many heirs were lost with it",
+            GiveUpReason::NotInTime => "no successor in time",
+            GiveUpReason::NoMoreSuccessors => "too many successors were lost with it",
             GiveUpReason::NoRoute => "its class or route does not exist any more",
         })
     }
 }
 
-/// What is to become of work that has lost its owner. What is in neither list waits for room.
+/// Decisions on orphaned work. Work in neither list waits for capacity.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TakeoverPlan {
-    /// Key, present token, heir.
+    /// Key, current token and successor.
     pub assignments: Vec<(String, u64, Holder)>,
-    /// Key, present token, why.
+    /// Key, current token and reason.
     pub given_up: Vec<(String, u64, GiveUpReason)>,
 }
 
 impl TakeoverPlan {
-    /// As entries for the log.
+    /// Returns the log entries that carry out the plan.
     pub fn entries(self) -> Vec<Entry> {
         let takes = self.assignments.into_iter();
         let takes = takes.map(|(key, token, successor)| Entry::TakeOver { key, token, successor });
@@ -47,12 +48,12 @@
     }
 }
 
-/// One that may be an heir, in this round.
+/// A possible successor with what it can still be given in this round.
 struct Successor<'a> {
     member: &'a EligibleMember,
-    /// Requests that it can still be given.
+    /// Requests that it can still run.
     capacity_left: u32,
-    /// Items that it can still be given, also those that nobody runs.
+    /// Items that it can still own, including those that are not run.
     slots_left: usize,
 }
 
@@ -61,7 +62,7 @@
         self.slots_left > 0 && self.capacity_left >= needed
     }
 
-    /// The one with the greater share of its room left comes first, so that all fill up alike.
+    /// Prefers the member with the greater share of its capacity left, so that all fill up evenly.
     fn cmp_preference(&self, other: &Successor<'_>) -> Ordering {
         let share = |one: &Successor<'_>, other: &Successor<'_>| {
             u64::from(one.capacity_left) * u64::from(other.member.capacity.max(1))
@@ -71,8 +72,8 @@
     }
 }
 
-/// Spreads `orphans`, which are in the order of their worth. `allowed` says in which regions an item may be run, where an empty
-/// set means in all, and `None` that it has no route any more; `preferred` puts regions in order.
+/// Assigns `orphans`, which are ordered by worth. `allowed` returns the regions in which an item may run, an
+/// empty set for all and `None` if the item has no route any more; `preferred` orders the regions.
 pub fn plan_takeovers(
     orphans: &[Orphan],
     members: &[EligibleMember],
@@ -89,7 +90,7 @@
             slots_left,
         });
     }
-    // What those who are there can do in later rounds, and is not spoken for.
+    // Runs in later rounds that are reserved for waiting work, by region.
     let mut reserved: BTreeMap<&str, u64> = BTreeMap::new();
     let mut plan = TakeoverPlan::default();
     for orphan in orphans {
@@ -108,9 +109,9 @@
         let usable = |region: &&str| allowed.is_empty() || allowed.contains(*region);
         let usable: Vec<String> = regions.keys().copied().filter(usable).map(String::from).collect();
         let order = preferred(orphan, usable.clone());
-        // Guards against a preference that names what is not allowed.
+        // A preference may name regions that are not allowed.
         let order: Vec<&String> = order.iter().filter(|region| usable.contains(region)).collect();
-        // What was begun and cannot be told is not run: its heir only says so.
+        // Begun work whose resource cannot tell is not run: its successor only records it as unknown.
         let needed = u32::from(!(orphan.begun && orphan.effect == Effect::Unknown));
         let region = order.iter().find(|region| {
             let successors = regions.get(region.as_str()).into_iter().flatten();
@@ -134,7 +135,8 @@
     plan
 }
 
-/// Whether one of these regions will have room for it before it is due, after what has more worth; it is then spoken for.
+/// Whether one of these regions will have capacity before the deadline, after work of higher worth. If so,
+/// reserves it.
 fn can_wait<'a>(
     orphan: &Orphan,
     order: &[&String],
@@ -143,7 +145,7 @@
     now_ms: u64,
 ) -> bool {
     let rounds = orphan.due_ms.saturating_sub(now_ms) / CAPACITY_REPORT_INTERVAL_MS;
-    // Nobody has come back yet, as after a restart of all: there is nothing to go by, so it waits.
+    // Without any capacity report, as after a restart of all members, the work waits for its deadline.
     if members.is_empty() {
         return orphan.due_ms > now_ms;
     }
--- a/crates/work/src/takeover/tests.rs
+++ b/crates/work/src/takeover/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn one_loss_is_spread_in_proportion_to_room() {
+fn orphans_are_assigned_in_proportion_to_capacity() {
     let orphans: Vec<Orphan> = (0..30).map(|n| orphan(n, 1_000)).collect();
     let members = [member("a", "r", 40), member("b", "r", 20), member("c", "r", 0)];
     let plan = plan_takeovers(&orphans, &members, 0, all, as_is);
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn nobody_is_given_more_than_its_room_and_the_least_worth_is_given_up() {
-    // Room for 4 now, and for 4 more in each of the three seconds until all is due.
+fn no_member_exceeds_its_capacity_and_the_least_worth_is_given_up() {
+    // Capacity for 4 now, and for 4 more in each of the three seconds until the deadline.
     let mut orphans: Vec<Orphan> = (0..20).map(|n| orphan(n, 20_000 - 1_000 * n)).collect();
     let members = [member("a", "r", 3), member("b", "s", 1)];
     let first = plan_takeovers(&orphans, &members, 0, all, as_is);
@@ -50,18 +50,18 @@
     let given_up: Vec<u64> = first.given_up.iter().map(|(_, token, _)| *token).collect();
     assert_eq!(given_up, [16, 17, 18, 19]);
     assert!(first.given_up.iter().all(|(_, _, why)| *why == GiveUpReason::NotInTime));
-    // As time goes by, what still waits is given up.
+    // Closer to the deadline, the work that still waits is given up.
     orphans.drain(..4);
     let last = plan_takeovers(&orphans, &members, 2_500, all, as_is);
     assert_eq!((last.assignments.len(), last.given_up.len()), (4, 12));
 }
 
 #[test]
-fn routes_allow_and_steering_prefers() {
+fn routes_limit_regions_and_steering_orders_them() {
     let orphans = [orphan(1, 1_000), orphan(2, 900), orphan(3, 800), orphan(4, 700)];
     let members = [member("a", "r", 9), member("b", "s", 1), member("c", "t", 9)];
     let allowed = |one: &Orphan| (one.token != 4).then(|| BTreeSet::from(["r".to_string(), "s".to_string()]));
-    // Steering also names what is not allowed, which does not count.
+    // Steering also names a region that is not allowed, which is ignored.
     let preferred = |_: &Orphan, _: Vec<String>| vec!["t".to_string(), "s".to_string(), "r".to_string()];
     let plan = plan_takeovers(&orphans, &members, 0, allowed, preferred);
     assert_eq!((assigned(&plan, "b"), assigned(&plan, "a"), assigned(&plan, "c")), (1, 2, 0));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_loss_makes_no_wave() {
+fn takeovers_are_bounded_per_member_and_per_round() {
     let orphans: Vec<Orphan> = (0..2_000).map(|n| Orphan { due_ms: 600_000, ..orphan(n, 1_000) }).collect();
     let crowded = EligibleMember { taken_over: MAX_TAKEN_OVER - 2, ..member("a", "r", 1_000) };
     let first = plan_takeovers(&orphans, &[crowded, member("b", "r", 1_000)], 0, all, as_is);
@@ -82,17 +82,17 @@
 }
 
 #[test]
-fn while_nobody_is_back_work_waits_until_it_is_due() {
+fn without_capacity_reports_work_waits_until_its_deadline() {
     let orphans = [orphan(1, 1_000)];
     assert_eq!(plan_takeovers(&orphans, &[], 2_999, all, as_is), TakeoverPlan::default());
     assert_eq!(plan_takeovers(&orphans, &[], 3_000, all, as_is).given_up.len(), 1);
 }
 
 #[test]
-fn what_is_not_run_needs_no_room_and_what_lost_all_heirs_is_given_up() {
-    let told = Orphan { begun: true, effect: Effect::Unknown, ..orphan(1, 1_000) };
+fn work_that_is_not_run_needs_no_capacity_and_work_without_successors_left_is_given_up() {
+    let unknown = Orphan { begun: true, effect: Effect::Unknown, ..orphan(1, 1_000) };
     let spent = Orphan { successors_left: 0, ..orphan(2, 1_000) };
-    let plan = plan_takeovers(&[told, spent], &[member("a", "r", 0)], 0, all, as_is);
+    let plan = plan_takeovers(&[unknown, spent], &[member("a", "r", 0)], 0, all, as_is);
     assert_eq!(assigned(&plan, "a"), 1);
     assert_eq!(plan.given_up, [("k0002".to_string(), 2, GiveUpReason::NoMoreSuccessors)]);
     assert_eq!(plan.entries().len(), 2);
--- a/crates/work/tests/mutants.rs
+++ b/crates/work/tests/mutants.rs
@@ -1,17 +1,19 @@
-//! Each rule is left out in turn, and the schedules find it. The table of `docs/design/work.md` says with which seed.
+//! Activates each deliberate fault in turn and checks that the schedules detect it. `docs/design/work.md`
+//! lists the seeds.
 
 use jaspershunt_work::mutants::{ALL, Mutant, activate};
 use jaspershunt_work::sim::run_schedules;
 
-/// Schedules within which each has to be found.
+/// Number of schedules within which each fault must be detected.
 const MAX_SCHEDULES: u64 = 6_000;
 
 #[test]
-fn every_rule_left_out_is_found() {
+fn schedules_detect_every_mutant() {
     let mut undetected = Vec::new();
     for mutant in ALL {
         activate(Some(mutant));
-        // One needs a course of things that is rare; the search for it begins near one that is known.
+        // This fault needs a rare sequence of events, so its search starts near a seed that is known to show
+        // it.
         let first = if mutant == Mutant::TurnsAwayAndRuns { 7_001_000 } else { 1 };
         let found = run_schedules(first, MAX_SCHEDULES);
         activate(None);
--- a/crates/work/tests/table.rs
+++ b/crates/work/tests/table.rs
@@ -1,6 +1,6 @@
-//! The table of stages in `docs/design/work.md` says what the code does, for every stage and every entry.
+//! Checks that the table of stages in `docs/design/work.md` matches the code for every stage and every entry.
 
-use jaspershunt_fleet::{Entry as Enrolled, Fleet, Holder};
+use jaspershunt_fleet::{Entry as FleetEntry, Fleet, Holder};
 use jaspershunt_work::{Effect, End, Entry, Offer, Outcome, Stage, Work};
 
 const STAGES: [&str; 7] = ["offered", "held", "begun", "taken over", "known", "answered", "forgotten"];
@@ -59,7 +59,7 @@
     }
 
     fn lose(&mut self) {
-        self.fleet.apply(&Enrolled::Gone { holder: self.owner.clone() });
+        self.fleet.apply(&FleetEntry::Gone { holder: self.owner.clone() });
     }
 }
 
@@ -70,7 +70,7 @@
 fn at(stage: &str) -> Case {
     let mut fleet = Fleet::default();
     for n in 1..=3 {
-        fleet.apply(&Enrolled::Enrol { holder: incarnation(n) });
+        fleet.apply(&FleetEntry::Enrol { holder: incarnation(n) });
     }
     let mut case = Case { fleet, work: Work::default(), owner: incarnation(1), token: 1 };
     if stage == "offered" {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_table_says_what_the_code_does() {
+fn documented_table_matches_the_code() {
     let notes = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/design/work.md");
     let notes = std::fs::read_to_string(notes).expect("the design note");
     let row = |cells: Vec<String>| format!("| {} |\n", cells.join(" | "));
@@ -161,5 +161,5 @@
         let cells = STAGES.iter().map(|stage| cell(stage, entry));
         table += &row(std::iter::once(entry.to_string()).chain(cells).collect());
     }
-    assert!(notes.contains(&table), "the note should have this table:\n{table}");
+    assert!(notes.contains(&table), "docs/design/work.md should contain this table:\n{table}");
 }
