--- a/crates/work/src/orphans.rs
+++ b/crates/work/src/orphans.rs
@@ -1,79 +1,79 @@
-//! Work that has lost its owner, and who is there to have it.
+//! Orphaned work, which has lost its owner, and the members that can take it over.
 
-use crate::bounds::MAX_HEIRS;
+use crate::bounds::MAX_SUCCESSORS;
 use crate::entry::Effect;
 use crate::state::Work;
 use jaspershunt_fleet::{Fleet, Holder};
 
-/// Work whose owner is lost, or has handed it over.
+/// Work whose owner is lost or has handed it over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Orphan {
-    /// Its key.
+    /// The operation key.
     pub key: String,
-    /// Its class.
+    /// The class.
     pub class: String,
-    /// Its tenant.
+    /// The tenant.
     pub tenant: Option<String>,
-    /// The present token.
+    /// The current token.
     pub token: u64,
-    /// Who had it.
+    /// The owner that was lost or is leaving.
     pub owner: Holder,
-    /// Somebody has begun it.
+    /// A run has begun.
     pub begun: bool,
-    /// What its resource can do.
+    /// What the resource offers after the loss of an owner.
     pub effect: Effect,
-    /// After this it is of no use, in Unix milliseconds.
+    /// The deadline, in Unix milliseconds.
     pub due_ms: u64,
-    /// What it is worth, in thousandths.
+    /// The worth in thousandths.
     pub worth_milli: u32,
-    /// How many more heirs it may have.
-    pub heirs_left: usize,
+    /// How many more successors it may have.
+    pub successors_left: usize,
 }
 
-/// A start that may be an heir.
+/// An incarnation that can take over work.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Which start.
+pub struct EligibleMember {
+    /// The incarnation.
     pub holder: Holder,
-    /// Where it is.
+    /// Its region.
     pub region: String,
-    /// How many requests it could take now, as it told.
-    pub room: u32,
-    /// What it has taken over and not ended.
-    pub taken: usize,
+    /// How many more requests it can accept, by its latest report.
+    pub capacity: u32,
+    /// Number of items that it has taken over and not ended.
+    pub taken_over: usize,
 }
 
 impl Work {
-    /// All work without an owner, the highest worth first; then by when it is due.
+    /// Returns all orphaned work, by falling worth and then by deadline.
     pub fn orphans(&self, fleet: &Fleet) -> Vec<Orphan> {
         let keys = self.index.owned.values().flatten();
-        let lost = keys.filter_map(|key| self.items.get(key)).filter(|item| item.is_orphan(fleet));
-        let mut orphans: Vec<Orphan> = lost
+        let orphaned = keys.filter_map(|key| self.items.get(key)).filter(|item| item.is_orphan(fleet));
+        let mut orphans: Vec<Orphan> = orphaned
             .map(|item| Orphan {
                 key: item.offer.key.clone(),
                 class: item.offer.class.clone(),
                 tenant: item.offer.tenant.clone(),
                 token: item.token,
                 owner: item.owner.clone(),
-                begun: item.begun.is_some(),
+                begun: item.begun_token.is_some(),
                 effect: item.offer.effect,
                 due_ms: item.offer.due_ms,
                 worth_milli: item.offer.worth_milli,
-                heirs_left: MAX_HEIRS.saturating_sub(item.past.len()),
+                successors_left: MAX_SUCCESSORS.saturating_sub(item.previous_tokens.len()),
             })
             .collect();
         orphans.sort_by(|a, b| (b.worth_milli, a.due_ms, &a.key).cmp(&(a.worth_milli, b.due_ms, &b.key)));
         orphans
     }
 
-    /// Those that may be heirs: present starts that told their room.
-    pub fn places(&self, fleet: &Fleet) -> Vec<Place> {
-        let present = self.rooms().filter(|(holder, _)| fleet.is_present(holder));
+    /// Returns the present incarnations that have reported their capacity.
+    pub fn eligible_members(&self, fleet: &Fleet) -> Vec<EligibleMember> {
+        let present = self.capacities().filter(|(holder, _)| fleet.is_present(holder));
         present
-            .map(|(holder, told)| Place {
-                region: told.region.clone(),
-                room: told.room,
-                taken: self.taken(&holder),
+            .map(|(holder, reported)| EligibleMember {
+                region: reported.region.clone(),
+                capacity: reported.capacity,
+                taken_over: self.taken_over_count(&holder),
                 holder,
             })
             .collect()
