--- a/crates/capture/src/edit.rs
+++ b/crates/capture/src/edit.rs
@@ -88,7 +88,9 @@
 fn gather_keys(record: &mut Record, keys: &mut BTreeSet<Key>) {
     match record {
         Record::Sides(sides) => {
-            keys.extend(sides.keys.iter_mut().filter_map(|step| step.call.key_mut().map(|key| key.clone())));
+            keys.extend(
+                sides.keys.iter_mut().filter_map(|step| step.operation.key_mut().map(|key| key.clone())),
+            );
         }
         Record::SideStates(states) => {
             if let (Some(table), _) = states.load() {
@@ -109,11 +111,15 @@
             }
         }
         Record::Sides(sides) => {
-            sides.keys.iter_mut().filter_map(|step| step.call.key_mut()).for_each(|key| *key = word(key));
+            sides
+                .keys
+                .iter_mut()
+                .filter_map(|step| step.operation.key_mut())
+                .for_each(|key| *key = word(key));
         }
         Record::SideStates(states) => {
             if let (Some(table), below) = states.load() {
-                *states = SideStates::of(&table.renamed(word), below.as_ref());
+                *states = SideStates::of(&table.with_renamed_keys(word), below.as_ref());
             }
         }
         _ => {}
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -1,8 +1,8 @@
 //! What a capture holds.
 
 use jaspershunt::{Action, Event, RequestId, Settings};
-use jaspershunt_dependencies::{Dependencies, tape::Step as BelowStep};
-use jaspershunt_keys::{Keys, tape::Step as KeyStep};
+use jaspershunt_dependencies::{Dependencies, journal::Step as BelowStep};
+use jaspershunt_keys::{KeyTable, journal::Step as KeyStep};
 use serde::{Deserialize, Serialize};
 
 /// One thing in a capture, in the order in which it happened.
@@ -50,7 +50,7 @@
 
 impl SideStates {
     /// The states as bytes; `below` has no bodies in it.
-    pub fn of(keys: &Keys, below: Option<&Dependencies>) -> SideStates {
+    pub fn of(keys: &KeyTable, below: Option<&Dependencies>) -> SideStates {
         let mut bytes = Vec::new();
         if let Some(below) = below {
             // Writing into memory fails for nothing that the state holds.
@@ -60,7 +60,7 @@
     }
 
     /// The states again; `None` for one that is not there or not understood.
-    pub fn load(&self) -> (Option<Keys>, Option<Dependencies>) {
+    pub fn load(&self) -> (Option<KeyTable>, Option<Dependencies>) {
         (postcard::from_bytes(&self.keys).ok(), ciborium::from_reader(&self.below[..]).ok())
     }
 }
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -4,7 +4,7 @@
 use crate::record::{Record, Round, SideStates, Sides};
 use jaspershunt::{Action, Controller};
 use jaspershunt_dependencies::Dependencies;
-use jaspershunt_keys::Keys;
+use jaspershunt_keys::KeyTable;
 use std::fmt;
 
 /// Rounds that are shown before one that differs.
@@ -75,7 +75,7 @@
 #[derive(Default)]
 pub struct Replay {
     module: Option<Controller>,
-    keys: Option<Keys>,
+    keys: Option<KeyTable>,
     below: Option<Dependencies>,
     before: Vec<Round>,
     so_far: Replayed,
@@ -159,20 +159,20 @@
     fn sides(&mut self, sides: &Sides) {
         for step in &sides.keys {
             let Some(keys) = &mut self.keys else { break };
-            let came = step.call.apply(keys);
-            if came != step.came {
+            let came = step.operation.apply(keys);
+            if came != step.result {
                 self.so_far
                     .differs_beside
-                    .get_or_insert(format!("{:?}: captured {:?}, now {came:?}", step.call, step.came));
+                    .get_or_insert(format!("{:?}: captured {:?}, now {came:?}", step.operation, step.result));
                 return;
             }
             self.so_far.same_beside += 1;
         }
         for step in &sides.below {
             let Some(below) = &mut self.below else { break };
-            let asks = step.told.tell(below, step.now);
-            if asks != step.asked {
-                let what = format!("{:?}: captured {:?}, now {asks:?}", step.told, step.asked);
+            let asks = step.input.apply(below, step.now);
+            if asks != step.actions {
+                let what = format!("{:?}: captured {:?}, now {asks:?}", step.input, step.actions);
                 self.so_far.differs_beside.get_or_insert(what);
                 return;
             }
--- a/crates/capture/src/story.rs
+++ b/crates/capture/src/story.rs
@@ -99,7 +99,7 @@
     /// request is open.
     fn sides(&mut self, sides: &Sides) {
         for step in &sides.below {
-            for action in &step.asked {
+            for action in &step.actions {
                 if let BelowAction::Note(text) = action {
                     self.tell(step.now.as_secs_f64(), format!("meanwhile: {text}"));
                 }
--- a/crates/dependencies/src/breaker/tests.rs
+++ b/crates/dependencies/src/breaker/tests.rs
@@ -25,28 +25,28 @@
 fn a_breaker_opens_tries_with_few_and_closes_only_when_all_of_them_go_well() {
     let mut breaker = Breaker::new(config(), 7);
     let mut at = ms(0);
-    let one = |breaker: &mut Breaker, at, went| match breaker.admit(at) {
-        Verdict::Yes { period } => breaker.ended(at, period, went),
-        Verdict::No => panic!("shut"),
+    let one = |breaker: &mut Breaker, at, result| match breaker.admit(at) {
+        Admission::Admitted { generation } => breaker.record_result(at, generation, result),
+        Admission::Rejected => panic!("shut"),
     };
-    for went in [Went::Well, Went::Badly, Went::Well] {
-        one(&mut breaker, at, went);
+    for result in [CallResult::Success, CallResult::Failure, CallResult::Success] {
+        one(&mut breaker, at, result);
     }
     assert_eq!(breaker.state(), State::Closed);
     // From before it turned: says nothing any more.
-    let Verdict::Yes { period: old } = breaker.admit(at) else { panic!() };
-    one(&mut breaker, at, Went::Badly);
+    let Admission::Admitted { generation: old } = breaker.admit(at) else { panic!() };
+    one(&mut breaker, at, CallResult::Failure);
     let mut waits = Vec::new();
     for _ in 0..5 {
         let State::Open { until } = breaker.state() else { panic!("{:?}", breaker.state()) };
         waits.push((until - at).as_millis());
-        breaker.ended(at, old, Went::Well);
-        assert_eq!(breaker.admit(until - ms(1)), Verdict::No);
+        breaker.record_result(at, old, CallResult::Success);
+        assert_eq!(breaker.admit(until - ms(1)), Admission::Rejected);
         at = until;
-        let Verdict::Yes { period } = breaker.admit(at) else { panic!() };
-        assert!(matches!(breaker.admit(at), Verdict::Yes { .. }));
-        assert_eq!(breaker.admit(at), Verdict::No);
-        breaker.ended(at, period, Went::Badly);
+        let Admission::Admitted { generation } = breaker.admit(at) else { panic!() };
+        assert!(matches!(breaker.admit(at), Admission::Admitted { .. }));
+        assert_eq!(breaker.admit(at), Admission::Rejected);
+        breaker.record_result(at, generation, CallResult::Failure);
     }
     // 200 ms, doubled each time up to 1 s, a quarter more or less.
     for (wait, middle) in waits.iter().zip([200, 400, 800, 1000, 1000]) {
@@ -54,12 +54,12 @@
     }
     let State::Open { until } = breaker.state() else { panic!() };
     for _ in 0..2 {
-        one(&mut breaker, until, Went::Well);
+        one(&mut breaker, until, CallResult::Success);
     }
     assert_eq!(breaker.state(), State::Closed);
     // Flapping: it opens again soon, and the wait goes on growing.
     for _ in 0..4 {
-        one(&mut breaker, until, Went::Badly);
+        one(&mut breaker, until, CallResult::Failure);
     }
     let State::Open { until: next } = breaker.state() else { panic!() };
     assert!(next - until >= ms(750));
@@ -69,17 +69,19 @@
 fn a_breaker_lets_go_of_trials_that_say_nothing_and_tries_nothing_once_the_nodo_leaves() {
     let mut breaker = Breaker::new(config(), 7);
     for _ in 0..4 {
-        let Verdict::Yes { period } = breaker.admit(ms(0)) else { panic!() };
-        breaker.ended(ms(0), period, Went::Badly);
+        let Admission::Admitted { generation } = breaker.admit(ms(0)) else { panic!() };
+        breaker.record_result(ms(0), generation, CallResult::Failure);
         if let State::Open { until } = breaker.state() {
             for _ in 0..5 {
-                let Verdict::Yes { period } = breaker.admit(until) else { panic!("a trial is lost") };
-                breaker.withdrawn(period);
+                let Admission::Admitted { generation } = breaker.admit(until) else {
+                    panic!("a trial is lost")
+                };
+                breaker.record_no_result(generation);
             }
-            let Verdict::Yes { period } = breaker.admit(until) else { panic!() };
-            breaker.ended(until, period, Went::Slowly);
-            breaker.leave();
-            assert_eq!(breaker.admit(ms(1_000_000)), Verdict::No);
+            let Admission::Admitted { generation } = breaker.admit(until) else { panic!() };
+            breaker.record_result(until, generation, CallResult::Slow);
+            breaker.drain();
+            assert_eq!(breaker.admit(ms(1_000_000)), Admission::Rejected);
             return;
         }
     }
@@ -90,15 +92,15 @@
 fn slow_calls_open_a_breaker_as_failures_do_and_old_ones_are_forgotten() {
     let mut breaker = Breaker::new(config(), 7);
     for at in [0, 10, 20] {
-        let Verdict::Yes { period } = breaker.admit(ms(at)) else { panic!() };
-        breaker.ended(ms(at), period, Went::Slowly);
+        let Admission::Admitted { generation } = breaker.admit(ms(at)) else { panic!() };
+        breaker.record_result(ms(at), generation, CallResult::Slow);
     }
     // The window has passed over those three.
-    let Verdict::Yes { period } = breaker.admit(ms(1100)) else { panic!() };
-    breaker.ended(ms(1100), period, Went::Slowly);
+    let Admission::Admitted { generation } = breaker.admit(ms(1100)) else { panic!() };
+    breaker.record_result(ms(1100), generation, CallResult::Slow);
     assert_eq!(breaker.state(), State::Closed);
     for _ in 0..3 {
-        breaker.ended(ms(1200), period, Went::Slowly);
+        breaker.record_result(ms(1200), generation, CallResult::Slow);
     }
     assert!(matches!(breaker.state(), State::Open { .. }));
 }
--- a/crates/dependencies/src/tape.rs
+++ b/crates/dependencies/src/journal.rs
@@ -2,7 +2,7 @@
 //! What bodies say is not on it: each stands as bytes of the same length that are made of its print, since what decides is
 //! whether two are the same, and how long they are.
 
-use crate::{Action, AttemptId, CallId, Dependencies, End, Room, Wanted};
+use crate::{Action, AttemptId, CallId, Dependencies, End, ParkingCapacity, Wanted};
 use jaspershunt::Outcome;
 use jaspershunt_operator::File;
 use jaspershunt_operator::explain::explain;
@@ -15,7 +15,7 @@
 
 /// Something that was told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
+pub enum Input {
     /// A call is wanted.
     Wanted(Wanted),
     /// An attempt ended.
@@ -45,24 +45,24 @@
     /// The time.
     pub now: Duration,
     /// What was told.
-    pub told: Told,
+    pub input: Input,
     /// What was asked for.
-    pub asked: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
 /// Bytes of the same length that say nothing but whether two bodies are the same.
 fn mask(body: &[u8]) -> Rc<[u8]> {
     let mut hasher = SipHasher13::new_with_keys(0, 0);
     hasher.write(body);
-    let print = hasher.finish().to_le_bytes();
-    print.iter().copied().cycle().take(body.len()).collect()
+    let digest = hasher.finish().to_le_bytes();
+    digest.iter().copied().cycle().take(body.len()).collect()
 }
 
 fn masked(action: &Action) -> Action {
     let end = |end: &End| match end {
         End::Reply { body, took } => End::Reply { body: mask(body).to_vec(), took: *took },
         End::Kept { body, since } => End::Kept { body: mask(body), since: *since },
-        nothing => nothing.clone(),
+        no_reply => no_reply.clone(),
     };
     match action {
         Action::End { call, end: how } => Action::End { call: *call, end: end(how) },
@@ -70,22 +70,22 @@
     }
 }
 
-impl Told {
+impl Input {
     /// Tells the same; returns what is asked for.
-    pub fn tell(&self, below: &mut Dependencies, now: Duration) -> Vec<Action> {
+    pub fn apply(&self, dependencies: &mut Dependencies, now: Duration) -> Vec<Action> {
         let mut out = Vec::new();
         match self {
-            Told::Wanted(wanted) => below.wanted(now, wanted.clone(), &mut out),
-            Told::Ended { attempt, outcome, took, body } => {
-                below.ended(now, *attempt, *outcome, *took, body.clone(), &mut out);
+            Input::Wanted(wanted) => dependencies.start_call(now, wanted.clone(), &mut out),
+            Input::Ended { attempt, outcome, took, body } => {
+                dependencies.attempt_ended(now, *attempt, *outcome, *took, body.clone(), &mut out);
             }
-            Told::Dropped(call) => below.dropped(now, *call, &mut out),
-            Told::Tick => below.tick(now, &mut out),
-            Told::Leave => below.leave(),
+            Input::Dropped(call) => dependencies.cancel_call(now, *call, &mut out),
+            Input::Tick => dependencies.tick(now, &mut out),
+            Input::Leave => dependencies.drain(),
             // What was written out can be read again.
-            Told::Reload(text) => {
-                if let Ok(file) = jaspershunt_operator::read("tape", text) {
-                    below.reload(now, &file, &mut out);
+            Input::Reload(text) => {
+                if let Ok(file) = jaspershunt_operator::read("journal", text) {
+                    dependencies.reload(now, &file, &mut out);
                 }
             }
         }
@@ -95,64 +95,67 @@
 
 /// The owner of the decisions, with a tape if it is asked for one.
 #[derive(Clone, Debug)]
-pub struct Taped {
-    below: Dependencies,
-    tape: Option<Vec<Step>>,
+pub struct JournaledDependencies {
+    dependencies: Dependencies,
+    journal: Option<Vec<Step>>,
 }
 
-impl Deref for Taped {
+impl Deref for JournaledDependencies {
     type Target = Dependencies;
     fn deref(&self) -> &Dependencies {
-        &self.below
+        &self.dependencies
     }
 }
 
-impl Taped {
+impl JournaledDependencies {
     /// [`Dependencies::new`]; `on` has it keep a tape.
     pub fn new<S: AsRef<str>>(
         file: &File,
         classes: &[S],
-        room: Room,
+        capacity: ParkingCapacity,
         seed: u64,
         now: Duration,
-        on: bool,
-    ) -> Taped {
-        Taped { below: Dependencies::new(file, classes, room, seed, now), tape: on.then(Vec::new) }
+        enabled: bool,
+    ) -> JournaledDependencies {
+        JournaledDependencies {
+            dependencies: Dependencies::new(file, classes, capacity, seed, now),
+            journal: enabled.then(Vec::new),
+        }
     }
 
     /// What was told since the last time.
-    pub fn take_tape(&mut self) -> Vec<Step> {
-        self.tape.as_mut().map(std::mem::take).unwrap_or_default()
+    pub fn take_steps(&mut self) -> Vec<Step> {
+        self.journal.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
     /// The state as it may be saved: with no body in it.
     pub fn masked(&self) -> Dependencies {
-        self.below.masked(mask)
+        self.dependencies.masked(mask)
     }
 
     /// Has something told, and puts it on the tape with all that is asked for.
-    fn tell(
+    fn record(
         &mut self,
         now: Duration,
-        told: impl FnOnce() -> Told,
+        input: impl FnOnce() -> Input,
         out: &mut Vec<Action>,
-        tell: impl FnOnce(&mut Dependencies, &mut Vec<Action>),
+        decide: impl FnOnce(&mut Dependencies, &mut Vec<Action>),
     ) {
-        let Some(tape) = &mut self.tape else { return tell(&mut self.below, out) };
-        let (told, from) = (told(), out.len());
-        tell(&mut self.below, out);
-        tape.push(Step { now, told, asked: out[from..].iter().map(masked).collect() });
+        let Some(steps) = &mut self.journal else { return decide(&mut self.dependencies, out) };
+        let (input, from) = (input(), out.len());
+        decide(&mut self.dependencies, out);
+        steps.push(Step { now, input, actions: out[from..].iter().map(masked).collect() });
     }
 
     /// [`Dependencies::wanted`].
-    pub fn wanted(&mut self, now: Duration, wanted: Wanted, out: &mut Vec<Action>) {
-        let told = wanted.clone();
-        let on_tape = || Told::Wanted(Wanted { body: mask(&told.body), ..told.clone() });
-        self.tell(now, on_tape, out, |below, out| below.wanted(now, wanted, out));
+    pub fn start_call(&mut self, now: Duration, wanted: Wanted, out: &mut Vec<Action>) {
+        let recorded = wanted.clone();
+        let input = || Input::Wanted(Wanted { body: mask(&recorded.body), ..recorded.clone() });
+        self.record(now, input, out, |dependencies, out| dependencies.start_call(now, wanted, out));
     }
 
     /// [`Dependencies::ended`].
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Duration,
         attempt: AttemptId,
@@ -161,29 +164,36 @@
         body: Vec<u8>,
         out: &mut Vec<Action>,
     ) {
-        let hidden = if self.tape.is_some() { mask(&body).to_vec() } else { Vec::new() };
-        let told = || Told::Ended { attempt, outcome, took, body: hidden };
-        self.tell(now, told, out, |below, out| below.ended(now, attempt, outcome, took, body, out));
+        let masked_body = if self.journal.is_some() { mask(&body).to_vec() } else { Vec::new() };
+        let input = || Input::Ended { attempt, outcome, took, body: masked_body };
+        self.record(now, input, out, |dependencies, out| {
+            dependencies.attempt_ended(now, attempt, outcome, took, body, out)
+        });
     }
 
     /// [`Dependencies::dropped`].
-    pub fn dropped(&mut self, now: Duration, id: CallId, out: &mut Vec<Action>) {
-        self.tell(now, || Told::Dropped(id), out, |below, out| below.dropped(now, id, out));
+    pub fn cancel_call(&mut self, now: Duration, id: CallId, out: &mut Vec<Action>) {
+        self.record(
+            now,
+            || Input::Dropped(id),
+            out,
+            |dependencies, out| dependencies.cancel_call(now, id, out),
+        );
     }
 
     /// [`Dependencies::tick`].
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
-        self.tell(now, || Told::Tick, out, |below, out| below.tick(now, out));
+        self.record(now, || Input::Tick, out, |dependencies, out| dependencies.tick(now, out));
     }
 
     /// [`Dependencies::leave`].
-    pub fn leave(&mut self, now: Duration) {
-        self.tell(now, || Told::Leave, &mut Vec::new(), |below, _| below.leave());
+    pub fn drain(&mut self, now: Duration) {
+        self.record(now, || Input::Leave, &mut Vec::new(), |dependencies, _| dependencies.drain());
     }
 
     /// [`Dependencies::reload`].
     pub fn reload(&mut self, now: Duration, file: &File, out: &mut Vec<Action>) {
-        let told = || Told::Reload(explain(file));
-        self.tell(now, told, out, |below, out| below.reload(now, file, out));
+        let input = || Input::Reload(explain(file));
+        self.record(now, input, out, |dependencies, out| dependencies.reload(now, file, out));
     }
 }
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`calls`] takes a call through all of these, from one dependency to the next.
 //!
 //! ```
-//! use jaspershunt_dependencies::{Action, CallId, Dependencies, End, Room, Wanted};
+//! use jaspershunt_dependencies::{Action, CallId, Dependencies, End, ParkingCapacity, Wanted};
 //! use std::time::Duration;
 //!
 //! let file = jaspershunt_operator::read("site.hcl", r#"
@@ -25,27 +25,27 @@
 //!       call "any" { to = "padron" }
 //!     }
 //! "#).unwrap();
-//! let room = Room { places: 16, memory_kb: 10_000.0 };
-//! let mut below = Dependencies::new(&file, &["consulta-estado"], room, 7, Duration::ZERO);
+//! let capacity = ParkingCapacity { runs: 16, memory_kb: 10_000.0 };
+//! let mut dependencies = Dependencies::new(&file, &["consulta-estado"], capacity, 7, Duration::ZERO);
 //! let mut actions = Vec::new();
 //! let call = Wanted {
 //!     call: CallId(1), class: 0, place: 1, left: Duration::from_secs(2), body: b"who?".to_vec().into(), kb: 20.0, by: None,
 //! };
-//! below.wanted(Duration::ZERO, call, &mut actions);
+//! dependencies.start_call(Duration::ZERO, call, &mut actions);
 //! let Action::Attempt { attempt, .. } = actions.remove(0) else { panic!() };
 //! let took = Duration::from_millis(5);
-//! below.ended(took, attempt, jaspershunt::Outcome::Done, took, b"Ana".to_vec(), &mut actions);
+//! dependencies.attempt_ended(took, attempt, jaspershunt::Outcome::Done, took, b"Ana".to_vec(), &mut actions);
 //! assert!(matches!(&actions[..], [Action::End { end: End::Reply { body, .. }, .. }] if body == b"Ana"));
 //! ```
 
 pub mod breaker;
 pub mod budget;
 pub mod calls;
-pub mod kept;
+pub mod journal;
 pub mod limit;
+pub mod reply_cache;
 pub mod retries;
 pub mod routes;
-pub mod tape;
 
 pub use budget::Counts;
 pub use calls::Dependencies;
@@ -66,9 +66,10 @@
 
 /// What the nodo has for runs that are parked at calls, at all dependencies together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Room {
+pub struct ParkingCapacity {
     /// Runs.
-    pub places: usize,
+    #[serde(rename = "places")]
+    pub runs: usize,
     /// Their memory, in kilobytes.
     pub memory_kb: f64,
 }
@@ -134,7 +135,7 @@
 /// What is asked for. To be carried out in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Make an attempt, and report its end with [`Dependencies::ended`].
+    /// Make an attempt, and report its end with [`Dependencies::attempt_ended`].
     Attempt {
         /// Its call.
         call: CallId,
@@ -173,9 +174,9 @@
     /// Its name.
     pub name: String,
     /// Calls in hand, those given up included that may go on.
-    pub in_hand: usize,
+    pub in_flight: usize,
     /// Calls that wait.
-    pub waiting: usize,
+    pub queued: usize,
     /// Runs parked.
     pub parked: usize,
     /// What may be in hand at present.
--- a/crates/dependencies/src/retries.rs
+++ b/crates/dependencies/src/retries.rs
@@ -6,50 +6,56 @@
 use serde::{Deserialize, Serialize};
 
 /// What was earned is counted in these parts of an attempt, so that no rounding adds up.
-const PARTS: u64 = 10_000;
+const CREDIT_PER_RETRY: u64 = 10_000;
 
 /// The budget.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Retries {
-    earned: u64,
-    share: u64,
-    saved: u64,
+pub struct RetryBudget {
+    #[serde(rename = "earned")]
+    credit: u64,
+    #[serde(rename = "share")]
+    credit_per_call: u64,
+    #[serde(rename = "saved")]
+    max_credit: u64,
     /// First attempts so far, and further ones.
-    pub first: u64,
+    #[serde(rename = "first")]
+    pub first_attempts: u64,
     /// Attempts beyond the first.
-    pub further: u64,
+    #[serde(rename = "further")]
+    pub retries: u64,
 }
 
-impl Retries {
+impl RetryBudget {
     /// Nothing is earned yet, so that the share holds from the first moment on.
-    pub fn new(config: &Config) -> Retries {
-        let mut retries = Retries { earned: 0, share: 0, saved: 0, first: 0, further: 0 };
-        retries.configure(config);
-        retries
+    pub fn new(config: &Config) -> RetryBudget {
+        let mut budget =
+            RetryBudget { credit: 0, credit_per_call: 0, max_credit: 0, first_attempts: 0, retries: 0 };
+        budget.configure(config);
+        budget
     }
 
     /// Goes by another configuration from now on; what is saved beyond it is lost.
     pub fn configure(&mut self, config: &Config) {
-        self.share = (config.share.0 * PARTS as f64).round() as u64;
-        self.saved = config.saved as u64 * PARTS;
-        self.earned = self.earned.min(self.saved);
+        self.credit_per_call = (config.share.0 * CREDIT_PER_RETRY as f64).round() as u64;
+        self.max_credit = config.saved as u64 * CREDIT_PER_RETRY;
+        self.credit = self.credit.min(self.max_credit);
     }
 
     /// A first attempt is made.
-    pub fn first(&mut self) {
-        self.first += 1;
-        self.earned = (self.earned + self.share).min(self.saved);
+    pub fn record_first_attempt(&mut self) {
+        self.first_attempts += 1;
+        self.credit = (self.credit + self.credit_per_call).min(self.max_credit);
     }
 
     /// Whether a further attempt can be made.
-    pub fn allow(&self) -> bool {
-        self.earned >= PARTS
+    pub fn allows_retry(&self) -> bool {
+        self.credit >= CREDIT_PER_RETRY
     }
 
     /// A further attempt is made.
-    pub fn further(&mut self) {
-        self.further += 1;
-        self.earned = self.earned.saturating_sub(PARTS);
+    pub fn record_retry(&mut self) {
+        self.retries += 1;
+        self.credit = self.credit.saturating_sub(CREDIT_PER_RETRY);
     }
 }
 
--- a/crates/dependencies/src/retries/tests.rs
+++ b/crates/dependencies/src/retries/tests.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn saved_up_attempts_are_bounded() {
-    let mut retries = Retries::new(&Config::default());
-    (0..10_000).for_each(|_| retries.first());
-    let mut further = 0;
-    while retries.allow() {
-        retries.further();
-        further += 1;
+    let mut budget = RetryBudget::new(&Config::default());
+    (0..10_000).for_each(|_| budget.record_first_attempt());
+    let mut retries = 0;
+    while budget.allows_retry() {
+        budget.record_retry();
+        retries += 1;
     }
-    assert_eq!(further, 10);
+    assert_eq!(retries, 10);
 }
--- a/crates/dependencies/src/routes.rs
+++ b/crates/dependencies/src/routes.rs
@@ -10,13 +10,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// The name of the dependency.
-    pub to: String,
+    #[serde(rename = "to")]
+    pub dependency: String,
     /// It may go on to those that the dependency falls back on.
-    pub elsewhere: bool,
+    #[serde(rename = "elsewhere")]
+    pub may_fall_back: bool,
     /// A reply of this age may stand in.
-    pub kept: Option<Duration>,
+    #[serde(rename = "kept")]
+    pub max_reply_age: Option<Duration>,
     /// It must not be made again once it may have run.
-    pub once: bool,
+    #[serde(rename = "once")]
+    pub at_most_once: bool,
 }
 
 /// The routes of all classes, by class and place; place 0 is any.
@@ -31,20 +35,20 @@
             let Some(route) = file.route.get(name) else { continue };
             for (place, call) in &route.call {
                 let place = if place == ANY { 0 } else { place.parse().unwrap_or(MAX_PLACE + 1) };
-                let to = Route {
-                    to: call.to.clone(),
-                    elsewhere: call.elsewhere,
-                    kept: call.kept.map(|span| span.0),
-                    once: route.repeat != Repeat::Safe,
+                let target = Route {
+                    dependency: call.to.clone(),
+                    may_fall_back: call.elsewhere,
+                    max_reply_age: call.kept.map(|span| span.0),
+                    at_most_once: route.repeat != Repeat::Safe,
                 };
-                routes.insert((class, place), to);
+                routes.insert((class, place), target);
             }
         }
         Routes(routes)
     }
 
     /// The route of a call.
-    pub fn of(&self, class: usize, place: usize) -> Option<&Route> {
+    pub fn find(&self, class: usize, place: usize) -> Option<&Route> {
         self.0.get(&(class, place)).or_else(|| self.0.get(&(class, 0)))
     }
 }
--- a/crates/dependencies/src/tests.rs
+++ b/crates/dependencies/src/tests.rs
@@ -83,8 +83,8 @@
 }
 
 /// Dependencies with the test in the place of the sockets.
-struct Rig {
-    below: Dependencies,
+struct Harness {
+    dependencies: Dependencies,
     now: Duration,
     calls: u64,
     tried: Vec<(CallId, AttemptId, u16, Duration)>,
@@ -93,12 +93,12 @@
     notes: usize,
 }
 
-impl Rig {
-    fn new(file: &File) -> Rig {
-        let room = Room { places: 20, memory_kb: 1000.0 };
-        let below = Dependencies::new(file, &CLASSES, room, 1, ms(0));
+impl Harness {
+    fn new(file: &File) -> Harness {
+        let capacity = ParkingCapacity { runs: 20, memory_kb: 1000.0 };
+        let dependencies = Dependencies::new(file, &CLASSES, capacity, 1, ms(0));
         let (tried, abandoned) = (Vec::new(), Vec::new());
-        Rig { below, now: ms(0), calls: 0, tried, abandoned, ends: BTreeMap::new(), notes: 0 }
+        Harness { dependencies, now: ms(0), calls: 0, tried, abandoned, ends: BTreeMap::new(), notes: 0 }
     }
 
     fn take(&mut self, actions: Vec<Action>) {
@@ -114,7 +114,7 @@
                 Action::Note(_) => self.notes += 1,
             }
         }
-        self.below.check().unwrap();
+        self.dependencies.check_invariants().unwrap();
     }
 
     fn want(&mut self, class: usize, place: usize, body: &[u8]) -> CallId {
@@ -122,7 +122,7 @@
         let call = CallId(self.calls);
         let wanted = Wanted { call, class, place, left: ms(2000), body: body.into(), kb: 10.0, by: None };
         let mut out = Vec::new();
-        self.below.wanted(self.now, wanted, &mut out);
+        self.dependencies.start_call(self.now, wanted, &mut out);
         self.take(out);
         call
     }
@@ -134,7 +134,7 @@
         let wanted =
             Wanted { call, class: SIGN, place: 1, left: ms(2000), body: b"x"[..].into(), kb: 10.0, by };
         let mut out = Vec::new();
-        self.below.wanted(self.now, wanted, &mut out);
+        self.dependencies.start_call(self.now, wanted, &mut out);
         self.take(out);
         call
     }
@@ -149,26 +149,26 @@
         let (attempt, _) = self.attempt(call);
         let body = if outcome == Outcome::Done { b"reply".to_vec() } else { Vec::new() };
         let mut out = Vec::new();
-        self.below.ended(self.now, attempt, outcome, ms(took), body, &mut out);
+        self.dependencies.attempt_ended(self.now, attempt, outcome, ms(took), body, &mut out);
         self.take(out);
     }
 
     fn until(&mut self, at: u64) {
         self.now = ms(at);
         let mut out = Vec::new();
-        self.below.tick(self.now, &mut out);
+        self.dependencies.tick(self.now, &mut out);
         self.take(out);
     }
 
     fn drop_call(&mut self, call: CallId) {
         let mut out = Vec::new();
-        self.below.dropped(self.now, call, &mut out);
+        self.dependencies.cancel_call(self.now, call, &mut out);
         self.take(out);
     }
 
     fn reload(&mut self, file: &File) {
         let mut out = Vec::new();
-        self.below.reload(self.now, file, &mut out);
+        self.dependencies.reload(self.now, file, &mut out);
         self.take(out);
     }
 
@@ -189,7 +189,7 @@
     }
 
     fn state(&self, name: &str) -> Status {
-        self.below.status().into_iter().find(|status| status.name == name).unwrap()
+        self.dependencies.status().into_iter().find(|status| status.name == name).unwrap()
     }
 
     fn outcome(&self, call: CallId) -> Option<Outcome> {
@@ -203,238 +203,238 @@
 
 #[test]
 fn a_table_says_where_calls_go_how_many_and_what_stands_in() {
-    let mut rig = Rig::new(&file(&[]));
+    let mut harness = Harness::new(&file(&[]));
     let by = |to: &str, calls, then: &[&str]| {
         let then = then.iter().map(|name| (*name).to_string()).collect();
         Rc::new(By { route: "r1".into(), calls, to: to.into(), then })
     };
     // The file sends the class to "a", on to "b" and "c"; the table to "b", on to "a".
-    let (table, at_a) = (by("b", 1, &["a"]), |rig: &Rig, call| rig.attempt(call).1 <= 2);
-    let first = rig.want_by(&table);
-    assert_eq!(rig.attempt(first).1, 3);
+    let (table, at_a) = (by("b", 1, &["a"]), |harness: &Harness, call| harness.attempt(call).1 <= 2);
+    let first = harness.want_by(&table);
+    assert_eq!(harness.attempt(first).1, 3);
     // The route has its one call at once: the next goes on to what stands in, also where "b" has room.
-    let second = rig.want_by(&table);
-    assert!(at_a(&rig, second));
-    assert_eq!((rig.state("a").in_hand, rig.state("b").in_hand), (1, 1));
+    let second = harness.want_by(&table);
+    assert!(at_a(&harness, second));
+    assert_eq!((harness.state("a").in_flight, harness.state("b").in_flight), (1, 1));
     // What it took elsewhere does not count against the route.
-    rig.end(first, Outcome::Done, 1);
+    harness.end(first, Outcome::Done, 1);
     // "b" takes so many a second.
-    rig.until(100);
-    let third = rig.want_by(&table);
-    assert_eq!(rig.attempt(third).1, 3);
+    harness.until(100);
+    let third = harness.want_by(&table);
+    assert_eq!(harness.attempt(third).1, 3);
     // A request goes by one table to its end, whatever the file falls back on by now.
-    rig.reload(&file(&[("  fall_back = \"c\"\n", "")]));
-    rig.end(second, Outcome::Done, 1);
-    rig.earn(1);
-    rig.end(third, Outcome::TurnedAway, 1);
-    assert!(at_a(&rig, third), "{:?}", rig.tried);
+    harness.reload(&file(&[("  fall_back = \"c\"\n", "")]));
+    harness.end(second, Outcome::Done, 1);
+    harness.earn(1);
+    harness.end(third, Outcome::TurnedAway, 1);
+    assert!(at_a(&harness, third), "{:?}", harness.tried);
     // A dependency without an address here: the file's own route stands.
-    let lost = rig.want_by(&by("lejos", 1, &[]));
-    assert!(rig.attempt(lost).1 <= 2);
+    let lost = harness.want_by(&by("lejos", 1, &[]));
+    assert!(harness.attempt(lost).1 <= 2);
     // None at all by the table, and nothing stands in.
-    let none = rig.want_by(&by("b", 0, &[]));
-    assert_eq!(rig.outcome(none), Some(Outcome::TurnedAway));
-    rig.below.check().unwrap();
+    let none = harness.want_by(&by("b", 0, &[]));
+    assert_eq!(harness.outcome(none), Some(Outcome::TurnedAway));
+    harness.dependencies.check_invariants().unwrap();
 }
 
 #[test]
 fn a_dependency_that_hangs_holds_its_part_and_no_more() {
-    let mut rig = Rig::new(&file(&[]));
-    let calls: Vec<CallId> = (0..12).map(|_| rig.want(SIGN, 1, b"x")).collect();
-    let a = rig.state("a");
+    let mut harness = Harness::new(&file(&[]));
+    let calls: Vec<CallId> = (0..12).map(|_| harness.want(SIGN, 1, b"x")).collect();
+    let a = harness.state("a");
     // Four in hand, three in line; "sign" may go to "b" too, where guests have half of two.
-    assert_eq!((a.in_hand, a.waiting, a.parked), (4, 3, 7));
-    assert_eq!(rig.state("b").in_hand, 1);
-    assert_eq!(calls.iter().filter(|c| rig.outcome(**c) == Some(Outcome::TurnedAway)).count(), 4);
+    assert_eq!((a.in_flight, a.queued, a.parked), (4, 3, 7));
+    assert_eq!(harness.state("b").in_flight, 1);
+    assert_eq!(calls.iter().filter(|c| harness.outcome(**c) == Some(Outcome::TurnedAway)).count(), 4);
     // Those that need another one are none the worse.
-    let other = rig.want(READ, 2, b"x");
-    assert_eq!(rig.attempt(other).1, 4);
+    let other = harness.want(READ, 2, b"x");
+    assert_eq!(harness.attempt(other).1, 4);
     // What waits does so for its time and no longer.
-    rig.until(100);
-    assert_eq!(rig.state("a").waiting, 0);
-    assert_eq!(calls.iter().filter(|c| rig.outcome(**c) == Some(Outcome::TurnedAway)).count(), 7);
+    harness.until(100);
+    assert_eq!(harness.state("a").queued, 0);
+    assert_eq!(calls.iter().filter(|c| harness.outcome(**c) == Some(Outcome::TurnedAway)).count(), 7);
 }
 
 #[test]
 fn calls_given_up_count_until_they_are_surely_over() {
-    let mut rig = Rig::new(&file(&[]));
-    let calls: Vec<CallId> = (0..4).map(|_| rig.want(SIGN, 1, b"x")).collect();
-    rig.until(500);
+    let mut harness = Harness::new(&file(&[]));
+    let calls: Vec<CallId> = (0..4).map(|_| harness.want(SIGN, 1, b"x")).collect();
+    harness.until(500);
     for call in &calls {
-        rig.end(*call, Outcome::GivenUp, 500);
+        harness.end(*call, Outcome::GivenUp, 500);
     }
-    assert_eq!(rig.state("a").in_hand, 4);
+    assert_eq!(harness.state("a").in_flight, 4);
     // The breaker has seen four that failed; but even with it out of the way nothing would go there yet.
-    assert!(matches!(rig.state("a").breaker, State::Open { .. }));
-    rig.until(699);
-    assert_eq!(rig.state("a").in_hand, 4);
-    rig.until(700);
-    assert_eq!(rig.state("a").in_hand, 0);
-    let dropped = rig.want(READ, 2, b"x");
-    rig.drop_call(dropped);
-    assert_eq!((rig.abandoned.len(), rig.state("c").in_hand, rig.state("c").parked), (1, 1, 0));
+    assert!(matches!(harness.state("a").breaker, State::Open { .. }));
+    harness.until(699);
+    assert_eq!(harness.state("a").in_flight, 4);
+    harness.until(700);
+    assert_eq!(harness.state("a").in_flight, 0);
+    let dropped = harness.want(READ, 2, b"x");
+    harness.drop_call(dropped);
+    assert_eq!((harness.abandoned.len(), harness.state("c").in_flight, harness.state("c").parked), (1, 1, 0));
 }
 
 #[test]
 fn a_call_that_may_have_had_its_effect_is_never_made_again_or_elsewhere() {
     for outcome in [Outcome::Failed, Outcome::GivenUp, Outcome::Broken] {
-        let mut rig = Rig::new(&file(&[]));
-        rig.earn(5);
-        let call = rig.want(SIGN, 1, b"x");
-        let before = rig.tried.len();
-        rig.end(call, outcome, 10);
-        assert_eq!((rig.outcome(call), rig.tried.len()), (Some(outcome), before));
+        let mut harness = Harness::new(&file(&[]));
+        harness.earn(5);
+        let call = harness.want(SIGN, 1, b"x");
+        let before = harness.tried.len();
+        harness.end(call, outcome, 10);
+        assert_eq!((harness.outcome(call), harness.tried.len()), (Some(outcome), before));
         // Of a class that is safe to repeat it is.
-        let call = rig.want(READ, 1, b"x");
-        rig.end(call, outcome, 10);
-        assert_eq!(rig.outcome(call), None, "{outcome:?}");
-        rig.end(call, Outcome::Done, 10);
-        assert_eq!(rig.outcome(call), Some(Outcome::Done));
+        let call = harness.want(READ, 1, b"x");
+        harness.end(call, outcome, 10);
+        assert_eq!(harness.outcome(call), None, "{outcome:?}");
+        harness.end(call, Outcome::Done, 10);
+        assert_eq!(harness.outcome(call), Some(Outcome::Done));
     }
 }
 
 #[test]
 fn one_that_provably_never_ran_goes_on_elsewhere_and_what_may_have_run_is_not_forgotten() {
-    let mut rig = Rig::new(&file(&[]));
-    rig.earn(5);
-    let call = rig.want(SIGN, 1, b"x");
-    rig.end(call, Outcome::TurnedAway, 1);
-    assert_eq!(rig.attempt(call).1, 3);
-    rig.end(call, Outcome::Done, 1);
-    assert_eq!(rig.outcome(call), Some(Outcome::Done));
+    let mut harness = Harness::new(&file(&[]));
+    harness.earn(5);
+    let call = harness.want(SIGN, 1, b"x");
+    harness.end(call, Outcome::TurnedAway, 1);
+    assert_eq!(harness.attempt(call).1, 3);
+    harness.end(call, Outcome::Done, 1);
+    assert_eq!(harness.outcome(call), Some(Outcome::Done));
     // Unreachable at one address, it goes to the other first; and the other stays in use.
-    rig.until(40);
-    let call = rig.want(SIGN, 1, b"x");
-    rig.end(call, Outcome::Unreachable, 1);
-    assert_eq!(rig.attempt(call).1, 2);
-    rig.end(call, Outcome::TurnedAway, 1);
-    assert_eq!(rig.attempt(call).1, 3);
-    rig.end(call, Outcome::Failed, 1);
-    assert_eq!(rig.outcome(call), Some(Outcome::Failed));
-    let next = rig.want(SIGN, 1, b"x");
-    assert_eq!(rig.attempt(next).1, 2);
+    harness.until(40);
+    let call = harness.want(SIGN, 1, b"x");
+    harness.end(call, Outcome::Unreachable, 1);
+    assert_eq!(harness.attempt(call).1, 2);
+    harness.end(call, Outcome::TurnedAway, 1);
+    assert_eq!(harness.attempt(call).1, 3);
+    harness.end(call, Outcome::Failed, 1);
+    assert_eq!(harness.outcome(call), Some(Outcome::Failed));
+    let next = harness.want(SIGN, 1, b"x");
+    assert_eq!(harness.attempt(next).1, 2);
     // A safe call failed here and was turned away there: it may have run.
-    rig.until(80);
-    let call = rig.want(READ, 1, b"y");
-    rig.end(call, Outcome::Failed, 1);
-    rig.end(call, Outcome::TurnedAway, 1);
-    if rig.outcome(call).is_none() {
-        rig.end(call, Outcome::TurnedAway, 1);
-    }
-    assert_eq!(rig.outcome(call), Some(Outcome::Failed));
+    harness.until(80);
+    let call = harness.want(READ, 1, b"y");
+    harness.end(call, Outcome::Failed, 1);
+    harness.end(call, Outcome::TurnedAway, 1);
+    if harness.outcome(call).is_none() {
+        harness.end(call, Outcome::TurnedAway, 1);
+    }
+    assert_eq!(harness.outcome(call), Some(Outcome::Failed));
 }
 
 #[test]
 fn a_fall_back_that_is_shut_or_full_takes_nothing() {
-    let mut rig = Rig::new(&file(&[]));
-    rig.earn(9);
-    rig.fail(4);
-    assert!(matches!(rig.state("a").breaker, State::Open { .. }));
+    let mut harness = Harness::new(&file(&[]));
+    harness.earn(9);
+    harness.fail(4);
+    assert!(matches!(harness.state("a").breaker, State::Open { .. }));
     // Shut out at "a", calls go to "b" as guests: half of its limit of two; then to "c" likewise.
-    let calls: Vec<CallId> = (0..4).map(|_| rig.want(SIGN, 1, b"x")).collect();
-    assert_eq!((rig.state("b").in_hand, rig.state("c").in_hand), (1, 0));
-    assert_eq!(calls.iter().filter(|call| rig.outcome(**call) == Some(Outcome::TurnedAway)).count(), 3);
+    let calls: Vec<CallId> = (0..4).map(|_| harness.want(SIGN, 1, b"x")).collect();
+    assert_eq!((harness.state("b").in_flight, harness.state("c").in_flight), (1, 0));
+    assert_eq!(calls.iter().filter(|call| harness.outcome(**call) == Some(Outcome::TurnedAway)).count(), 3);
     // Its own calls have the other half.
-    rig.until(50);
-    let own = rig.want(READ, 3, b"x");
-    assert_eq!(rig.attempt(own).1, 3);
-    assert_eq!(rig.state("b").in_hand, 2);
+    harness.until(50);
+    let own = harness.want(READ, 3, b"x");
+    assert_eq!(harness.attempt(own).1, 3);
+    assert_eq!(harness.state("b").in_flight, 2);
 }
 
 #[test]
 fn repeated_attempts_stay_within_their_share_from_the_first_on() {
-    let mut rig = Rig::new(&file(&[("least = 4", "least = 1000")]));
+    let mut harness = Harness::new(&file(&[("least = 4", "least = 1000")]));
     for _ in 0..200 {
-        let call = rig.want(READ, 1, b"x");
-        while rig.outcome(call).is_none() && !rig.ends.contains_key(&call) {
-            rig.end(call, Outcome::Broken, 1);
+        let call = harness.want(READ, 1, b"x");
+        while harness.outcome(call).is_none() && !harness.ends.contains_key(&call) {
+            harness.end(call, Outcome::Broken, 1);
         }
-        let (first, further) = rig.below.attempts();
+        let (first, further) = harness.dependencies.attempts();
         assert!(further as f64 <= first as f64 * 0.1, "{further} of {first}");
-        rig.until(rig.now.as_millis() as u64 + 150);
+        harness.until(harness.now.as_millis() as u64 + 150);
     }
-    assert_eq!(rig.below.attempts(), (200, 20));
+    assert_eq!(harness.dependencies.attempts(), (200, 20));
 }
 
 #[test]
 fn a_kept_reply_stands_in_while_it_is_young_and_for_the_same_call_only() {
-    let mut rig = Rig::new(&file(&[]));
-    let call = rig.want(READ, 1, b"ana");
-    rig.end(call, Outcome::Done, 5);
-    rig.fail(4);
+    let mut harness = Harness::new(&file(&[]));
+    let call = harness.want(READ, 1, b"ana");
+    harness.end(call, Outcome::Done, 5);
+    harness.fail(4);
     // The chain behind "a" is full, so that nothing else can answer.
-    let hold: Vec<CallId> = (0..4).map(|_| rig.want(READ, 3, b"x")).collect();
-    rig.until(10);
-    let same = rig.want(READ, 1, b"ana");
-    assert_eq!(rig.ends[&same], End::Kept { body: b"reply"[..].into(), since: ms(0) });
-    let other = rig.want(READ, 1, b"eva");
-    assert_eq!(rig.outcome(other), Some(Outcome::TurnedAway));
+    let hold: Vec<CallId> = (0..4).map(|_| harness.want(READ, 3, b"x")).collect();
+    harness.until(10);
+    let same = harness.want(READ, 1, b"ana");
+    assert_eq!(harness.ends[&same], End::Kept { body: b"reply"[..].into(), since: ms(0) });
+    let other = harness.want(READ, 1, b"eva");
+    assert_eq!(harness.outcome(other), Some(Outcome::TurnedAway));
     // Of a keyed class never, though the call is the same to the letter.
-    let keyed = rig.want(SIGN, 1, b"ana");
-    assert_eq!(rig.outcome(keyed), Some(Outcome::TurnedAway));
+    let keyed = harness.want(SIGN, 1, b"ana");
+    assert_eq!(harness.outcome(keyed), Some(Outcome::TurnedAway));
     assert_eq!(hold.len(), 4);
 }
 
 #[test]
 fn a_reload_moves_addresses_and_budgets_and_calls_under_way_end_where_they_are() {
-    let mut rig = Rig::new(&file(&[]));
-    let old: Vec<CallId> = (0..4).map(|_| rig.want(SIGN, 1, b"x")).collect();
-    let waits = rig.want(SIGN, 1, b"x");
-    rig.reload(&file(&[("127.0.0.1:1\"", "127.0.0.1:9\""), ("calls = 4", "calls = 2")]));
+    let mut harness = Harness::new(&file(&[]));
+    let old: Vec<CallId> = (0..4).map(|_| harness.want(SIGN, 1, b"x")).collect();
+    let waits = harness.want(SIGN, 1, b"x");
+    harness.reload(&file(&[("127.0.0.1:1\"", "127.0.0.1:9\""), ("calls = 4", "calls = 2")]));
     // Four in hand of two: nothing new until three are back.
     for call in &old[..2] {
-        rig.end(*call, Outcome::Done, 1);
+        harness.end(*call, Outcome::Done, 1);
     }
-    assert!(!rig.tried.iter().any(|(call, ..)| *call == waits));
-    rig.end(old[2], Outcome::Done, 1);
-    assert_eq!(rig.attempt(waits).1, 9);
+    assert!(!harness.tried.iter().any(|(call, ..)| *call == waits));
+    harness.end(old[2], Outcome::Done, 1);
+    assert_eq!(harness.attempt(waits).1, 9);
     // "a" goes: what waits for it goes on, what is on its way ends well.
-    let more: Vec<CallId> = (0..2).map(|_| rig.want(SIGN, 1, b"x")).collect();
+    let more: Vec<CallId> = (0..2).map(|_| harness.want(SIGN, 1, b"x")).collect();
     let without = FILE.split("dependency \"b\"").nth(1).unwrap().replace("to = \"a\"", "to = \"b\"");
-    rig.reload(&read("t.hcl", &format!("dependency \"b\"{without}")).unwrap());
-    assert!(more.iter().all(|call| rig.ends.contains_key(call) || rig.attempt(*call).1 == 3));
-    rig.end(old[3], Outcome::Done, 1);
-    rig.end(waits, Outcome::Done, 1);
-    assert_eq!(rig.outcome(waits), Some(Outcome::Done));
+    harness.reload(&read("t.hcl", &format!("dependency \"b\"{without}")).unwrap());
+    assert!(more.iter().all(|call| harness.ends.contains_key(call) || harness.attempt(*call).1 == 3));
+    harness.end(old[3], Outcome::Done, 1);
+    harness.end(waits, Outcome::Done, 1);
+    assert_eq!(harness.outcome(waits), Some(Outcome::Done));
     // Its place is used again, however often that happens.
     for _ in 0..100 {
-        rig.reload(&file(&[]));
-        rig.reload(&read("t.hcl", &format!("dependency \"b\"{without}")).unwrap());
+        harness.reload(&file(&[]));
+        harness.reload(&read("t.hcl", &format!("dependency \"b\"{without}")).unwrap());
     }
-    assert_eq!(rig.below.status().len(), 2);
-    rig.until(1000);
-    let call = rig.want(SIGN, 1, b"x");
-    assert_eq!(rig.attempt(call).1, 3);
+    assert_eq!(harness.dependencies.status().len(), 2);
+    harness.until(1000);
+    let call = harness.want(SIGN, 1, b"x");
+    assert_eq!(harness.attempt(call).1, 3);
 }
 
 #[test]
 fn what_can_wait_has_a_tick_and_what_has_nobody_waiting_has_none() {
-    let mut rig = Rig::new(&file(&[]));
-    assert_eq!(rig.below.next_tick(rig.now), None);
+    let mut harness = Harness::new(&file(&[]));
+    assert_eq!(harness.dependencies.next_tick(harness.now), None);
     // Fifty a second at "b", and one at the beginning.
     for _ in 0..2 {
-        rig.want(READ, 3, b"x");
+        harness.want(READ, 3, b"x");
     }
-    assert_eq!((rig.tried.len(), rig.state("b").waiting), (1, 1));
-    let due = rig.below.next_tick(rig.now).unwrap();
+    assert_eq!((harness.tried.len(), harness.state("b").queued), (1, 1));
+    let due = harness.dependencies.next_tick(harness.now).unwrap();
     assert!(due <= ms(20), "{due:?}");
-    rig.now = due;
+    harness.now = due;
     let mut out = Vec::new();
-    rig.below.tick(due, &mut out);
-    rig.take(out);
-    assert_eq!((rig.tried.len(), rig.below.next_tick(rig.now)), (2, None));
+    harness.dependencies.tick(due, &mut out);
+    harness.take(out);
+    assert_eq!((harness.tried.len(), harness.dependencies.next_tick(harness.now)), (2, None));
 }
 
 #[test]
 fn a_hang_that_outlasts_every_caller_opens_the_breaker_all_the_same() {
-    let mut rig = Rig::new(&file(&[]));
-    let calls: Vec<CallId> = (0..4).map(|_| rig.want(SIGN, 1, b"x")).collect();
-    rig.until(450);
+    let mut harness = Harness::new(&file(&[]));
+    let calls: Vec<CallId> = (0..4).map(|_| harness.want(SIGN, 1, b"x")).collect();
+    harness.until(450);
     for call in calls {
-        rig.drop_call(call);
+        harness.drop_call(call);
     }
-    assert!(matches!(rig.state("a").breaker, State::Open { .. }));
-    assert_eq!(rig.notes, 1);
+    assert!(matches!(harness.state("a").breaker, State::Open { .. }));
+    assert_eq!(harness.notes, 1);
 }
 
 // The whole under random events.
@@ -489,8 +489,8 @@
 }
 
 /// Keeps its own count of all that is asked for, and holds it against the file.
-struct Witness {
-    below: Dependencies,
+struct Model {
+    dependencies: Dependencies,
     file: File,
     now: Duration,
     open: BTreeMap<AttemptId, Open>,
@@ -502,12 +502,12 @@
     names: BTreeMap<u16, &'static str>,
 }
 
-impl Witness {
-    fn new() -> Witness {
+impl Model {
+    fn new() -> Model {
         let file = file(&[]);
-        let room = Room { places: 20, memory_kb: 1000.0 };
-        Witness {
-            below: Dependencies::new(&file, &CLASSES, room, 3, ms(0)),
+        let capacity = ParkingCapacity { runs: 20, memory_kb: 1000.0 };
+        Model {
+            dependencies: Dependencies::new(&file, &CLASSES, capacity, 3, ms(0)),
             file,
             now: ms(0),
             open: BTreeMap::new(),
@@ -526,10 +526,10 @@
                     let config = &self.file.dependency[self.names[&address.port()]];
                     let now = self.now;
                     self.lingering.retain(|(until, _)| *until > now);
-                    let in_hand = self.open.values().filter(|o| o.dependency == dependency).count()
+                    let in_flight = self.open.values().filter(|o| o.dependency == dependency).count()
                         + self.lingering.iter().filter(|(_, at)| *at == dependency).count();
-                    assert!(in_hand < config.calls, "{in_hand} in hand of {}", config.calls);
-                    assert!(in_hand < connections);
+                    assert!(in_flight < config.calls, "{in_flight} in hand of {}", config.calls);
+                    assert!(in_flight < connections);
                     let (class, until, may_have_run, attempts) = self.calls.get_mut(&call).expect("a call");
                     assert!(!(once && *may_have_run), "made again though it may have run");
                     assert_eq!(once, *class == SIGN);
@@ -575,16 +575,16 @@
     }
 
     fn check(&self) {
-        self.below.check().unwrap();
-        let (first, further) = self.below.attempts();
+        self.dependencies.check_invariants().unwrap();
+        let (first, further) = self.dependencies.attempts();
         assert!(further * 10 <= first, "{further} beyond {first}");
-        assert_eq!(self.below.under_way(), self.calls.len());
-        for status in self.below.status() {
+        assert_eq!(self.dependencies.active_calls(), self.calls.len());
+        for status in self.dependencies.status() {
             let config = &self.file.dependency[&status.name];
             let places = (20.0 * config.share.0) as usize;
             // What came before the budget was lowered may still be there.
             assert!(status.parked <= places, "{} parked of {places}", status.parked);
-            assert!(status.waiting <= 3);
+            assert!(status.queued <= 3);
         }
     }
 
@@ -598,7 +598,7 @@
         }
         let mut out = Vec::new();
         let took = self.now - open.began;
-        self.below.ended(self.now, attempt, outcome, took, b"reply".to_vec(), &mut out);
+        self.dependencies.attempt_ended(self.now, attempt, outcome, took, b"reply".to_vec(), &mut out);
         self.take(out);
     }
 
@@ -611,7 +611,7 @@
         }
         self.now = until;
         let mut out = Vec::new();
-        self.below.tick(self.now, &mut out);
+        self.dependencies.tick(self.now, &mut out);
         self.take(out);
     }
 
@@ -627,7 +627,7 @@
                 self.calls.insert(call, (class, self.now + ms(left), false, 0));
                 let body = vec![0; bytes].into();
                 let wanted = Wanted { call, class, place, left: ms(left), body, kb: 30.0, by: None };
-                self.below.wanted(self.now, wanted, &mut out);
+                self.dependencies.start_call(self.now, wanted, &mut out);
             }
             Step::End { which, outcome } if !self.open.is_empty() => {
                 let attempt = *self.open.keys().nth(which % self.open.len()).unwrap();
@@ -635,16 +635,16 @@
             }
             Step::Drop { which } if !self.calls.is_empty() => {
                 let call = *self.calls.keys().nth(which % self.calls.len()).unwrap();
-                self.below.dropped(self.now, call, &mut out);
+                self.dependencies.cancel_call(self.now, call, &mut out);
                 self.calls.remove(&call);
             }
             Step::End { .. } | Step::Drop { .. } => {}
             Step::Pass { ms: time } => self.pass(self.now + ms(time)),
             Step::Reload { variant } => {
                 self.file = variants().swap_remove(variant);
-                self.below.reload(self.now, &self.file, &mut out);
+                self.dependencies.reload(self.now, &self.file, &mut out);
             }
-            Step::Leave => self.below.leave(),
+            Step::Leave => self.dependencies.drain(),
         }
         self.take(out);
         self.check();
@@ -656,21 +656,21 @@
 
     #[test]
     fn whatever_happens_budgets_hold_and_each_call_has_one_end(steps in steps()) {
-        let mut witness = Witness::new();
+        let mut model = Model::new();
         let wanted = steps.iter().filter(|step| matches!(step, Step::Want { .. })).count() as u64;
         let mut dropped = 0;
         for (number, step) in steps.into_iter().enumerate() {
-            dropped += u64::from(matches!(step, Step::Drop { .. }) && !witness.calls.is_empty());
-            witness.step(step, number as u64);
+            dropped += u64::from(matches!(step, Step::Drop { .. }) && !model.calls.is_empty());
+            model.step(step, number as u64);
         }
         for _ in 0..20 {
-            witness.pass(witness.now + ms(1000));
-            witness.check();
+            model.pass(model.now + ms(1000));
+            model.check();
         }
-        prop_assert!(witness.calls.is_empty() && witness.open.is_empty());
-        prop_assert_eq!(witness.ended + dropped, wanted);
-        for status in witness.below.status() {
-            prop_assert_eq!((status.in_hand, status.waiting, status.parked), (0, 0, 0));
+        prop_assert!(model.calls.is_empty() && model.open.is_empty());
+        prop_assert_eq!(model.ended + dropped, wanted);
+        for status in model.dependencies.status() {
+            prop_assert_eq!((status.in_flight, status.queued, status.parked), (0, 0, 0));
         }
     }
 }
@@ -678,46 +678,46 @@
 /// A part that is too small for a burst fails calls to a dependency that is well; whoever set it must be able to see it.
 #[test]
 fn calls_that_find_no_place_are_counted_apart_and_told_seldom() {
-    let mut rig = Rig::new(&file(&[("waiting = 3", "waiting = 100"), ("fall_back = \"b\"", "")]));
+    let mut harness = Harness::new(&file(&[("waiting = 3", "waiting = 100"), ("fall_back = \"b\"", "")]));
     for _ in 0..20 {
-        rig.want(SIGN, 1, b"x");
+        harness.want(SIGN, 1, b"x");
     }
     // Eight of twenty places, and four in hand.
-    let a = rig.state("a");
-    assert_eq!((a.in_hand, a.waiting, a.parked), (4, 4, 8));
-    assert_eq!((a.counts.no_place, a.counts.no_room, rig.notes), (12, 0, 1));
-    rig.until(100);
-    assert_eq!((rig.state("a").counts.no_room, rig.notes), (4, 1));
-    rig.until(10_000);
+    let a = harness.state("a");
+    assert_eq!((a.in_flight, a.queued, a.parked), (4, 4, 8));
+    assert_eq!((a.counts.over_share, a.counts.over_limit, harness.notes), (12, 0, 1));
+    harness.until(100);
+    assert_eq!((harness.state("a").counts.over_limit, harness.notes), (4, 1));
+    harness.until(10_000);
     for _ in 0..10 {
-        rig.want(SIGN, 1, b"x");
+        harness.want(SIGN, 1, b"x");
     }
-    assert_eq!(rig.notes, 2);
+    assert_eq!(harness.notes, 2);
 }
 
 /// A request that came with little time says nothing of the dependency when its call is given up: neither the breaker
 /// nor the limit may learn from it, or a few impatient callers would cut a healthy dependency off.
 #[test]
 fn calls_given_up_for_want_of_the_requests_own_time_teach_nothing() {
-    let mut rig = Rig::new(&file(&[("learned = false", "start = 4")]));
+    let mut harness = Harness::new(&file(&[("learned = false", "start = 4")]));
     for n in 1..=20 {
-        rig.calls += 1;
-        let call = CallId(rig.calls);
+        harness.calls += 1;
+        let call = CallId(harness.calls);
         let wanted =
             Wanted { call, class: SIGN, place: 1, left: ms(20), body: b"x"[..].into(), kb: 10.0, by: None };
         let mut out = Vec::new();
-        rig.below.wanted(rig.now, wanted, &mut out);
-        rig.take(out);
-        rig.until(n * 300);
-        rig.end(call, Outcome::GivenUp, 20);
+        harness.dependencies.start_call(harness.now, wanted, &mut out);
+        harness.take(out);
+        harness.until(n * 300);
+        harness.end(call, Outcome::GivenUp, 20);
     }
-    assert_eq!((rig.state("a").breaker, rig.state("a").limit), (State::Closed, 4));
+    assert_eq!((harness.state("a").breaker, harness.state("a").limit), (State::Closed, 4));
     for n in 21..=40 {
-        let call = rig.want(SIGN, 1, b"x");
-        rig.until(n * 300);
-        if !rig.ends.contains_key(&call) {
-            rig.end(call, Outcome::GivenUp, 500);
+        let call = harness.want(SIGN, 1, b"x");
+        harness.until(n * 300);
+        if !harness.ends.contains_key(&call) {
+            harness.end(call, Outcome::GivenUp, 500);
         }
     }
-    assert!(rig.state("a").limit < 4);
+    assert!(harness.state("a").limit < 4);
 }
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -4,7 +4,7 @@
 //! A record of a run stays for the whole window of its key, whatever became of the run, so that no second try is run
 //! within it. Results are kept beside it as long as there is room; the oldest go first.
 
-pub mod tape;
+pub mod journal;
 
 use jaspershunt::RequestId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -17,14 +17,14 @@
 pub type Key = Rc<str>;
 
 /// Tries of another process have ids from this one on in the table, those of this process lower ones.
-pub const ADOPTED: RequestId = RequestId(1 << 62);
+pub const FIRST_ADOPTED_ID: RequestId = RequestId(1 << 62);
 
 /// What a record takes beside its key and result: the record, its places in both indexes, and their slack.
 const RECORD_BYTES: usize = 400;
 
 /// What became of the run of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Run {
+pub enum RunState {
     /// It is not over.
     Running,
     /// It ended well, with this result.
@@ -39,35 +39,35 @@
 }
 
 /// The longest result that a saved table may claim to have: far beyond any that an interpreter can tell.
-const MAX_RESULT: u64 = 1024 * 1024;
+const MAX_RESULT_BYTES: u64 = 1024 * 1024;
 
 fn blank<'de, D: Deserializer<'de>>(from: D) -> Result<Rc<[u8]>, D::Error> {
     let bytes = u64::deserialize(from)?;
-    if bytes > MAX_RESULT {
+    if bytes > MAX_RESULT_BYTES {
         return Err(serde::de::Error::custom("a result is too long"));
     }
     Ok(vec![0; bytes as usize].into())
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Ran {
+struct RunRecord {
     id: RequestId,
-    until: u64,
-    run: Run,
+    expires_at: u64,
+    state: RunState,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Record {
     /// What stands for the class and body that all tries share.
-    print: u64,
+    digest: u64,
     /// The newest try that may run, while none ran.
-    holder: Option<RequestId>,
-    ran: Option<Ran>,
+    pending_try: Option<RequestId>,
+    run: Option<RunRecord>,
 }
 
 /// Why a try is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NotTaken {
+pub enum TryRejected {
     /// There is no room to remember another key; without its record the try must not run.
     Full,
     /// The key is that of a request with another body.
@@ -79,7 +79,7 @@
 ///
 /// The same in every build and version, as it crosses from one start of the program to the next; the class counts by its
 /// name, as its place may be another there.
-pub fn print(class: &str, body: &[u8]) -> u64 {
+pub fn digest(class: &str, body: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0, 0);
     hasher.write(&(class.len() as u64).to_le_bytes());
     hasher.write(class.as_bytes());
@@ -89,14 +89,14 @@
 
 /// The table of keys.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Keys {
+pub struct KeyTable {
     records: BTreeMap<Key, Record>,
     /// Keys that ran, by the end of their window.
-    ends: BTreeSet<(u64, Key)>,
+    expirations: BTreeSet<(u64, Key)>,
     /// Those of them whose result is kept.
     results: BTreeSet<(u64, Key)>,
     bytes: usize,
-    most: usize,
+    max_bytes: usize,
 }
 
 fn micros(t: f64) -> u64 {
@@ -107,15 +107,21 @@
     micros as f64 / 1e6
 }
 
-fn weight(key: &Key) -> usize {
+fn record_bytes(key: &Key) -> usize {
     // Each of the three tables holds the key by reference.
     RECORD_BYTES + key.len()
 }
 
-impl Keys {
+impl KeyTable {
     /// An empty table that may take so many bytes.
-    pub fn new(most: usize) -> Keys {
-        Keys { records: BTreeMap::new(), ends: BTreeSet::new(), results: BTreeSet::new(), bytes: 0, most }
+    pub fn new(max_bytes: usize) -> KeyTable {
+        KeyTable {
+            records: BTreeMap::new(),
+            expirations: BTreeSet::new(),
+            results: BTreeSet::new(),
+            bytes: 0,
+            max_bytes,
+        }
     }
 
     /// Bytes that the table takes.
@@ -128,101 +134,110 @@
     ///
     /// # Errors
     /// There is no room for a new key, or the try is none of the request that the key is known for.
-    pub fn arrived(
+    pub fn register_try(
         &mut self,
         key: &Key,
-        print: u64,
+        digest: u64,
         id: RequestId,
         arrived: f64,
         held: impl Fn(RequestId) -> bool,
-    ) -> Result<Option<RequestId>, NotTaken> {
+    ) -> Result<Option<RequestId>, TryRejected> {
         // Of this key alone: tries of others that came earlier may be read later.
-        if let Some(ran) = self.records.get(key).and_then(|record| record.ran.as_ref())
-            && ran.until < micros(arrived)
+        if let Some(run) = self.records.get(key).and_then(|record| record.run.as_ref())
+            && run.expires_at < micros(arrived)
         {
-            self.forget_run(ran.until, key);
+            self.remove_run(run.expires_at, key);
         }
         if !self.records.contains_key(key) {
-            let most = self.most;
-            self.make_room(weight(key));
-            if self.bytes + weight(key) > most {
-                return Err(NotTaken::Full);
+            let max_bytes = self.max_bytes;
+            self.make_room(record_bytes(key));
+            if self.bytes + record_bytes(key) > max_bytes {
+                return Err(TryRejected::Full);
             }
-            self.bytes += weight(key);
-            self.records.insert(key.clone(), Record { print, holder: None, ran: None });
+            self.bytes += record_bytes(key);
+            self.records.insert(key.clone(), Record { digest, pending_try: None, run: None });
         }
-        let Some(record) = self.records.get_mut(key) else { return Err(NotTaken::Full) };
+        let Some(record) = self.records.get_mut(key) else { return Err(TryRejected::Full) };
         // Guards against a stranger to whom the result of someone else's request would be served, or who would have
         // that request turned away as the older of two tries.
-        if record.print != print {
-            return Err(NotTaken::OtherBody);
+        if record.digest != digest {
+            return Err(TryRejected::OtherBody);
         }
-        if let Some(ran) = &record.ran {
-            return Ok(Some(ran.id));
+        if let Some(run) = &record.run {
+            return Ok(Some(run.id));
         }
-        let earlier = record.holder.filter(|holder| held(*holder));
+        let earlier = record.pending_try.filter(|pending_try| held(*pending_try));
         if earlier.is_none() {
-            record.holder = Some(id);
+            record.pending_try = Some(id);
         }
         Ok(earlier)
     }
 
     /// This try takes the place of an earlier one.
-    pub fn hold(&mut self, key: &Key, id: RequestId) {
+    pub fn replace_pending(&mut self, key: &Key, id: RequestId) {
         if let Some(record) = self.records.get_mut(key) {
-            record.holder = Some(id);
+            record.pending_try = Some(id);
         }
     }
 
     /// This try is over, or not to be known any more. What ran stays known all the same.
-    pub fn forget(&mut self, key: &Key, id: RequestId) {
+    pub fn release_try(&mut self, key: &Key, id: RequestId) {
         let Some(record) = self.records.get_mut(key) else { return };
-        if record.holder == Some(id) {
-            record.holder = None;
+        if record.pending_try == Some(id) {
+            record.pending_try = None;
         }
         self.drop_if_empty(key);
     }
 
     /// Whether anything is known of a key.
-    pub fn knows(&self, key: &Key) -> bool {
+    pub fn contains(&self, key: &Key) -> bool {
         self.records.contains_key(key)
     }
 
     /// All keys with their prints, and for those that ran, what became of that and until when it is remembered.
-    pub fn entries(&self) -> impl Iterator<Item = (&Key, u64, Option<(f64, &Run)>)> {
-        let ran = |ran: &'_ Ran| seconds(ran.until);
-        self.records.iter().map(move |(key, r)| (key, r.print, r.ran.as_ref().map(|it| (ran(it), &it.run))))
+    pub fn entries(&self) -> impl Iterator<Item = (&Key, u64, Option<(f64, &RunState)>)> {
+        let expires_at = |run: &'_ RunRecord| seconds(run.expires_at);
+        self.records
+            .iter()
+            .map(move |(key, r)| (key, r.digest, r.run.as_ref().map(|run| (expires_at(run), &run.state))))
     }
 
     /// The same table under other names. Those of the same length, in the same order, leave every decision as it is.
-    pub fn renamed(&self, name: impl Fn(&Key) -> Key) -> Keys {
+    pub fn with_renamed_keys(&self, name: impl Fn(&Key) -> Key) -> KeyTable {
         let all = |set: &BTreeSet<(u64, Key)>| set.iter().map(|(until, key)| (*until, name(key))).collect();
-        Keys {
+        KeyTable {
             records: self.records.iter().map(|(key, record)| (name(key), record.clone())).collect(),
-            ends: all(&self.ends),
+            expirations: all(&self.expirations),
             results: all(&self.results),
             ..*self
         }
     }
 
     /// What [`Keys::entries`] has of one key that ran.
-    pub fn run_until(&self, key: &Key) -> Option<(u64, f64, &Run)> {
+    pub fn run_entry(&self, key: &Key) -> Option<(u64, f64, &RunState)> {
         let record = self.records.get(key)?;
-        record.ran.as_ref().map(|ran| (record.print, seconds(ran.until), &ran.run))
+        record.run.as_ref().map(|run| (record.digest, seconds(run.expires_at), &run.state))
     }
 
     /// Takes over a key from another process, or news of one that was taken over; `None` says that no try of it ran. Returns
     /// whether it was news. Never left out for want of room, as the key would run twice then; but its result may be.
-    pub fn adopt(&mut self, key: &Key, print: u64, id: RequestId, until: f64, run: Option<Run>) -> bool {
-        if let Some(ran) = self.records.get(key).and_then(|record| record.ran.as_ref()) {
+    pub fn adopt(
+        &mut self,
+        key: &Key,
+        digest: u64,
+        id: RequestId,
+        until: f64,
+        run: Option<RunState>,
+    ) -> bool {
+        if let Some(run) = self.records.get(key).and_then(|record| record.run.as_ref()) {
             // What is known for certain does not change; and guards against old news of a key, said twice, that would have a
             // run of this process forgotten, and its key run once more.
-            if ran.run != Run::Running || ran.id < ADOPTED {
+            if run.state != RunState::Running || run.id < FIRST_ADOPTED_ID {
                 return false;
             }
-            self.ends.remove(&(ran.until, key.clone()));
+            self.expirations.remove(&(run.expires_at, key.clone()));
             if let Some(record) = self.records.get_mut(key) {
-                record.ran = None;
+                record.run = None;
             }
         }
         let Some(run) = run else {
@@ -230,28 +245,30 @@
             return true;
         };
         if !self.records.contains_key(key) {
-            self.bytes += weight(key);
-            self.records.insert(key.clone(), Record { print, holder: None, ran: None });
+            self.bytes += record_bytes(key);
+            self.records.insert(key.clone(), Record { digest, pending_try: None, run: None });
         }
-        let until = micros(until);
+        let expires_at = micros(until);
         if let Some(record) = self.records.get_mut(key) {
-            record.ran = Some(Ran { id, until, run: Run::Running });
+            record.run = Some(RunRecord { id, expires_at, state: RunState::Running });
         }
-        self.ends.insert((until, key.clone()));
+        self.expirations.insert((expires_at, key.clone()));
         match run {
-            Run::Running => {}
-            Run::Done(result) => self.ended(key, id, Some(result)),
-            Run::Failed => self.ended(key, id, None),
+            RunState::Running => {}
+            RunState::Done(result) => self.end_run(key, id, Some(result)),
+            RunState::Failed => self.end_run(key, id, None),
         }
         true
     }
 
     /// The runs of all tries from this id on are over, and nobody knows how; returns their keys.
-    pub fn fail_from(&mut self, first: RequestId) -> Vec<Key> {
+    pub fn fail_runs_from(&mut self, first: RequestId) -> Vec<Key> {
         let mut failed = Vec::new();
         for (key, record) in &mut self.records {
-            if let Some(ran) = record.ran.as_mut().filter(|ran| ran.id >= first && ran.run == Run::Running) {
-                ran.run = Run::Failed;
+            if let Some(run) =
+                record.run.as_mut().filter(|run| run.id >= first && run.state == RunState::Running)
+            {
+                run.state = RunState::Failed;
                 failed.push(key.clone());
             }
         }
@@ -259,102 +276,104 @@
     }
 
     /// What became of the run of a key within its window; `None` if there was none.
-    pub fn run(&self, key: &Key) -> Option<&Run> {
-        self.records.get(key)?.ran.as_ref().map(|ran| &ran.run)
+    pub fn run_state(&self, key: &Key) -> Option<&RunState> {
+        self.records.get(key)?.run.as_ref().map(|run| &run.state)
     }
 
     /// This try is run now; its key is remembered until then.
-    pub fn started(&mut self, key: &Key, id: RequestId, until: f64) {
+    pub fn start_run(&mut self, key: &Key, id: RequestId, until: f64) {
         let Some(record) = self.records.get_mut(key) else { return };
-        let until = micros(until);
-        record.ran = Some(Ran { id, until, run: Run::Running });
-        self.ends.insert((until, key.clone()));
+        let expires_at = micros(until);
+        record.run = Some(RunRecord { id, expires_at, state: RunState::Running });
+        self.expirations.insert((expires_at, key.clone()));
     }
 
     /// The run of this try is over. A result for which there is no room is not kept: a repeat then fails.
-    pub fn ended(&mut self, key: &Key, id: RequestId, result: Option<Rc<[u8]>>) {
+    pub fn end_run(&mut self, key: &Key, id: RequestId, result: Option<Rc<[u8]>>) {
         let room = result.as_ref().is_some_and(|result| {
             self.make_room(result.len());
-            self.bytes + result.len() <= self.most
+            self.bytes + result.len() <= self.max_bytes
         });
-        let Some(ran) = self.records.get_mut(key).and_then(|r| r.ran.as_mut()).filter(|r| r.id == id) else {
+        let Some(run) = self.records.get_mut(key).and_then(|r| r.run.as_mut()).filter(|r| r.id == id) else {
             return;
         };
-        if ran.run != Run::Running {
+        if run.state != RunState::Running {
             return;
         }
-        ran.run = match result {
+        run.state = match result {
             Some(result) if room => {
                 self.bytes += result.len();
-                self.results.insert((ran.until, key.clone()));
-                Run::Done(result)
+                self.results.insert((run.expires_at, key.clone()));
+                RunState::Done(result)
             }
-            _ => Run::Failed,
+            _ => RunState::Failed,
         };
     }
 
     /// It is proven that this try, though started, never ran: it keeps no other from running.
     pub fn never_ran(&mut self, key: &Key, id: RequestId) {
         let Some(record) = self.records.get_mut(key) else { return };
-        if let Some(ran) = record.ran.take_if(|ran| ran.id == id && ran.run == Run::Running) {
-            self.ends.remove(&(ran.until, key.clone()));
+        if let Some(run) = record.run.take_if(|run| run.id == id && run.state == RunState::Running) {
+            self.expirations.remove(&(run.expires_at, key.clone()));
         }
         self.drop_if_empty(key);
     }
 
     /// Drops kept results, the oldest first, until there is room or none are left.
     fn make_room(&mut self, bytes: usize) {
-        while self.bytes + bytes > self.most {
+        while self.bytes + bytes > self.max_bytes {
             let Some((_, key)) = self.results.pop_first() else { return };
-            if let Some(ran) = self.records.get_mut(&key).and_then(|r| r.ran.as_mut()) {
-                if let Run::Done(result) = &ran.run {
+            if let Some(run) = self.records.get_mut(&key).and_then(|r| r.run.as_mut()) {
+                if let RunState::Done(result) = &run.state {
                     self.bytes -= result.len();
                 }
-                ran.run = Run::Failed;
+                run.state = RunState::Failed;
             }
         }
     }
 
     /// Whether the window of some run has passed.
-    pub fn has_ended(&self, now: f64) -> bool {
-        self.ends.first().is_some_and(|(until, _)| *until < micros(now))
+    pub fn has_expired(&self, now: f64) -> bool {
+        self.expirations.first().is_some_and(|(until, _)| *until < micros(now))
     }
 
     /// Forgets the runs whose window has passed.
     pub fn expire(&mut self, now: f64) {
-        while let Some((until, key)) = self.ends.first().filter(|(until, _)| *until < micros(now)).cloned() {
-            self.forget_run(until, &key);
+        while let Some((until, key)) =
+            self.expirations.first().filter(|(until, _)| *until < micros(now)).cloned()
+        {
+            self.remove_run(until, &key);
         }
     }
 
     /// Windows are longer by so many seconds from now on, and with them those of the runs that are known. None of them has to
     /// be remembered beyond `most`.
-    pub fn lengthen(&mut self, by: f64, most: f64) {
-        let longer = |until: u64| until.max(until.saturating_add(micros(by)).min(micros(most)));
-        for ran in self.records.values_mut().filter_map(|record| record.ran.as_mut()) {
-            ran.until = longer(ran.until);
+    pub fn extend_windows(&mut self, by: f64, latest_end: f64) {
+        let longer = |until: u64| until.max(until.saturating_add(micros(by)).min(micros(latest_end)));
+        for run in self.records.values_mut().filter_map(|record| record.run.as_mut()) {
+            run.expires_at = longer(run.expires_at);
         }
-        for index in [&mut self.ends, &mut self.results] {
+        for index in [&mut self.expirations, &mut self.results] {
             *index = std::mem::take(index).into_iter().map(|(until, key)| (longer(until), key)).collect();
         }
     }
 
-    fn forget_run(&mut self, until: u64, key: &Key) {
-        self.ends.remove(&(until, key.clone()));
+    fn remove_run(&mut self, until: u64, key: &Key) {
+        self.expirations.remove(&(until, key.clone()));
         if let Some(record) = self.records.get_mut(key)
-            && let Some(ran) = record.ran.take()
-            && let Run::Done(result) = ran.run
+            && let Some(run) = record.run.take()
+            && let RunState::Done(result) = run.state
         {
             self.bytes -= result.len();
-            self.results.remove(&(ran.until, key.clone()));
+            self.results.remove(&(run.expires_at, key.clone()));
         }
         self.drop_if_empty(key);
     }
 
     fn drop_if_empty(&mut self, key: &Key) {
-        if self.records.get(key).is_some_and(|r| r.holder.is_none() && r.ran.is_none()) {
+        if self.records.get(key).is_some_and(|r| r.pending_try.is_none() && r.run.is_none()) {
             self.records.remove(key);
-            self.bytes -= weight(key);
+            self.bytes -= record_bytes(key);
         }
     }
 }
@@ -367,7 +386,7 @@
         Key::from(text)
     }
 
-    const PRINT: u64 = 9278708264738962703;
+    const DIGEST: u64 = 9278708264738962703;
 
     fn result(bytes: usize) -> Option<Rc<[u8]>> {
         Some(vec![7; bytes].into())
@@ -376,70 +395,73 @@
     #[test]
     fn a_run_is_known_for_its_window_whatever_became_of_it() {
         for made in [result(3), None] {
-            let (mut keys, k) = (Keys::new(100_000), key("k"));
-            assert_eq!(keys.arrived(&k, 7, RequestId(1), 1.0, |_| false), Ok(None));
-            keys.started(&k, RequestId(1), 11.0);
-            keys.ended(&k, RequestId(1), made.clone());
-            keys.forget(&k, RequestId(1));
-            assert_eq!(keys.arrived(&k, 7, RequestId(2), 10.9, |_| false), Ok(Some(RequestId(1))));
-            assert_eq!(keys.run(&k), Some(&made.map_or(Run::Failed, Run::Done)));
-            assert_eq!(keys.arrived(&k, 7, RequestId(3), 11.1, |_| false), Ok(None));
-            assert_eq!(keys.run(&k), None);
+            let (mut keys, k) = (KeyTable::new(100_000), key("k"));
+            assert_eq!(keys.register_try(&k, 7, RequestId(1), 1.0, |_| false), Ok(None));
+            keys.start_run(&k, RequestId(1), 11.0);
+            keys.end_run(&k, RequestId(1), made.clone());
+            keys.release_try(&k, RequestId(1));
+            assert_eq!(keys.register_try(&k, 7, RequestId(2), 10.9, |_| false), Ok(Some(RequestId(1))));
+            assert_eq!(keys.run_state(&k), Some(&made.map_or(RunState::Failed, RunState::Done)));
+            assert_eq!(keys.register_try(&k, 7, RequestId(3), 11.1, |_| false), Ok(None));
+            assert_eq!(keys.run_state(&k), None);
         }
     }
 
     #[test]
     fn tries_that_did_not_run_are_known_while_they_are_held() {
-        let (mut keys, k) = (Keys::new(100_000), key("k"));
-        assert_eq!(keys.arrived(&k, 7, RequestId(1), 1.0, |_| true), Ok(None));
-        assert_eq!(keys.arrived(&k, 7, RequestId(2), 1.0, |_| true), Ok(Some(RequestId(1))));
-        keys.hold(&k, RequestId(2));
-        keys.forget(&k, RequestId(1));
-        assert_eq!(keys.arrived(&k, 7, RequestId(3), 1.0, |id| id == RequestId(2)), Ok(Some(RequestId(2))));
-        keys.forget(&k, RequestId(2));
+        let (mut keys, k) = (KeyTable::new(100_000), key("k"));
+        assert_eq!(keys.register_try(&k, 7, RequestId(1), 1.0, |_| true), Ok(None));
+        assert_eq!(keys.register_try(&k, 7, RequestId(2), 1.0, |_| true), Ok(Some(RequestId(1))));
+        keys.replace_pending(&k, RequestId(2));
+        keys.release_try(&k, RequestId(1));
+        assert_eq!(
+            keys.register_try(&k, 7, RequestId(3), 1.0, |id| id == RequestId(2)),
+            Ok(Some(RequestId(2)))
+        );
+        keys.release_try(&k, RequestId(2));
         assert_eq!(keys.bytes(), 0);
     }
 
     #[test]
     fn a_try_with_another_body_is_none_of_the_request() {
-        let (mut keys, k) = (Keys::new(100_000), key("k"));
-        assert_ne!(print("1", b"a"), print("1", b"b"));
-        assert_ne!(print("1", b"a"), print("2", b"a"));
-        assert_ne!(print("1", b"a"), print("1a", b""));
-        assert_eq!(print("sign", b"body"), PRINT, "another version would not know it");
-        assert_eq!(keys.arrived(&k, 7, RequestId(1), 1.0, |_| true), Ok(None));
-        assert_eq!(keys.arrived(&k, 8, RequestId(2), 1.0, |_| true), Err(NotTaken::OtherBody));
-        keys.started(&k, RequestId(1), 11.0);
-        assert_eq!(keys.arrived(&k, 8, RequestId(3), 1.0, |_| true), Err(NotTaken::OtherBody));
+        let (mut keys, k) = (KeyTable::new(100_000), key("k"));
+        assert_ne!(digest("1", b"a"), digest("1", b"b"));
+        assert_ne!(digest("1", b"a"), digest("2", b"a"));
+        assert_ne!(digest("1", b"a"), digest("1a", b""));
+        assert_eq!(digest("sign", b"body"), DIGEST, "another version would not know it");
+        assert_eq!(keys.register_try(&k, 7, RequestId(1), 1.0, |_| true), Ok(None));
+        assert_eq!(keys.register_try(&k, 8, RequestId(2), 1.0, |_| true), Err(TryRejected::OtherBody));
+        keys.start_run(&k, RequestId(1), 11.0);
+        assert_eq!(keys.register_try(&k, 8, RequestId(3), 1.0, |_| true), Err(TryRejected::OtherBody));
         // Proven never to have run, it makes way for whoever comes next.
         keys.never_ran(&k, RequestId(1));
-        keys.forget(&k, RequestId(1));
-        assert_eq!((keys.bytes(), keys.ends.len()), (0, 0));
-        assert_eq!(keys.arrived(&k, 8, RequestId(4), 1.0, |_| true), Ok(None));
+        keys.release_try(&k, RequestId(1));
+        assert_eq!((keys.bytes(), keys.expirations.len()), (0, 0));
+        assert_eq!(keys.register_try(&k, 8, RequestId(4), 1.0, |_| true), Ok(None));
     }
 
     #[test]
     fn memory_is_bounded_and_given_back() {
-        let mut keys = Keys::new(10_000);
+        let mut keys = KeyTable::new(10_000);
         let mut refused = 0;
         for n in 0..50 {
             let k = key(&format!("{n:02}"));
-            match keys.arrived(&k, 7, RequestId(n), 1.0, |_| false) {
-                Err(NotTaken::Full) => refused += 1,
-                Err(NotTaken::OtherBody) => panic!("the body is the same"),
+            match keys.register_try(&k, 7, RequestId(n), 1.0, |_| false) {
+                Err(TryRejected::Full) => refused += 1,
+                Err(TryRejected::OtherBody) => panic!("the body is the same"),
                 Ok(_) => {
-                    keys.started(&k, RequestId(n), 10.0 + n as f64);
-                    keys.ended(&k, RequestId(n), result(1000));
-                    keys.forget(&k, RequestId(n));
+                    keys.start_run(&k, RequestId(n), 10.0 + n as f64);
+                    keys.end_run(&k, RequestId(n), result(1000));
+                    keys.release_try(&k, RequestId(n));
                 }
             }
             assert!(keys.bytes() <= 10_000);
         }
         assert!(refused > 0);
         // The oldest results went first, and their runs stay known.
-        assert_eq!(keys.run(&key("00")), Some(&Run::Failed));
+        assert_eq!(keys.run_state(&key("00")), Some(&RunState::Failed));
         keys.expire(1000.0);
         assert_eq!(keys.bytes(), 0);
-        assert!(keys.records.is_empty() && keys.ends.is_empty() && keys.results.is_empty());
+        assert!(keys.records.is_empty() && keys.expirations.is_empty() && keys.results.is_empty());
     }
 }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -11,7 +11,7 @@
 use crate::database;
 use crate::directory::Mode;
 use crate::interpreter::{self, Command};
-use crate::keys::tape::Taped as Keys;
+use crate::keys::journal::JournaledKeyTable;
 use crate::log;
 use crate::request::{Answer, Key, Label, Reply, ReplyTo};
 use jaspershunt::{Action, Controller, Event, Gauges, RequestId, Say, Settings};
@@ -187,7 +187,7 @@
     module: Option<Controller>,
     requests: BTreeMap<RequestId, Entry>,
     by_uid: HashMap<Rc<str>, RequestId>,
-    keys: Keys,
+    keys: JournaledKeyTable,
     followers: BTreeMap<Key, Vec<RequestId>>,
     /// What the module has not been told yet.
     events: Vec<Event>,
@@ -247,7 +247,7 @@
             module: None,
             requests: BTreeMap::new(),
             by_uid: HashMap::new(),
-            keys: Keys::new(config.bounds.kept, capture.is_some()),
+            keys: JournaledKeyTable::new(config.bounds.kept, capture.is_some()),
             followers: BTreeMap::new(),
             events: Vec::new(),
             say: None,
@@ -433,12 +433,12 @@
             }
             Action::Keep { id, .. } => {
                 if let Some(key) = self.requests.get(&id).and_then(|entry| entry.key.clone()) {
-                    self.keys.hold(&key, id);
+                    self.keys.replace_pending(&key, id);
                 }
             }
             Action::Forget(id) => {
                 if let Some(key) = self.requests.get(&id).and_then(|entry| entry.key.clone()) {
-                    self.keys.forget(&key, id);
+                    self.keys.release_try(&key, id);
                 }
             }
             Action::Say(value) => self.say = Some(value),
--- a/crates/node/src/engine/arrivals.rs
+++ b/crates/node/src/engine/arrivals.rs
@@ -3,7 +3,7 @@
 use super::{AHEAD, BEHIND, Engine, Entry, LOST_AFTER, Place};
 use crate::counts::Ended;
 use crate::engine::input::Input;
-use crate::keys::{NotTaken, print};
+use crate::keys::{TryRejected, digest};
 use crate::log;
 use crate::request::{Answer, Label, Reply, ReplyTo, Work};
 use crate::upgrade::claims::{Claims, Goes};
@@ -117,20 +117,20 @@
         if let Some(key) = &work.key {
             let requests = &self.requests;
             let held = |id| requests.get(&id).is_some_and(|e| matches!(e.place, Place::Held) && !e.started);
-            match self.keys.arrived(
+            match self.keys.register_try(
                 key,
-                print(&self.settings.classes[work.class].name, &work.body),
+                digest(&self.settings.classes[work.class].name, &work.body),
                 id,
                 // Guards against a try that came within the window and was read after it, behind much else.
                 arrived,
                 held,
             ) {
                 Ok(earlier) => repeats = earlier,
-                Err(NotTaken::OtherBody) => {
+                Err(TryRejected::OtherBody) => {
                     return Err((reply, Answer::Bad));
                 }
                 // What cannot be remembered cannot be kept from running twice.
-                Err(NotTaken::Full) => {
+                Err(TryRejected::Full) => {
                     let stay_away = self.settings.max_stay_away;
                     return Err((reply, Answer::Refused { stay_away, last: false }));
                 }
@@ -232,7 +232,7 @@
         let Some(entry) = self.requests.remove(&id) else { return };
         self.by_uid.remove(&entry.uid);
         if let Some(key) = &entry.key {
-            self.keys.forget(key, id);
+            self.keys.release_try(key, id);
             if entry.started {
                 self.key_ended(key, id, None);
             }
--- a/crates/node/src/engine/below.rs
+++ b/crates/node/src/engine/below.rs
@@ -8,8 +8,8 @@
 use crate::interpreter::Command;
 use crate::log;
 use jaspershunt::{Below, Event, Outcome, RequestId, Settings};
-use jaspershunt_dependencies::tape::Taped;
-use jaspershunt_dependencies::{Action, AttemptId, By, CallId, End, Room, Wanted};
+use jaspershunt_dependencies::journal::JournaledDependencies;
+use jaspershunt_dependencies::{Action, AttemptId, By, CallId, End, ParkingCapacity, Wanted};
 use jaspershunt_operator::File;
 use jaspershunt_routes::Snapshot;
 use jaspershunt_routes::below::overlaid;
@@ -25,7 +25,7 @@
 
 /// What decides on calls, and what is under way for it.
 pub(super) struct Several {
-    pub(super) decisions: Taped,
+    pub(super) decisions: JournaledDependencies,
     /// Each attempt is given up when its half is dropped.
     attempts: HashMap<AttemptId, oneshot::Sender<()>>,
     calls: HashMap<CallId, RequestId>,
@@ -50,8 +50,9 @@
     pub fn new(config: &Config, now: Duration, settings: &mut Settings) -> Option<Several> {
         let file = config.operator.as_ref().filter(|file| !file.dependency.is_empty())?;
         let crowd = f64::from(settings.cores) * settings.crowd_multiple * PARKED_PART;
-        let room = Room { places: crowd.max(1.0) as usize, memory_kb: settings.memory_kb * PARKED_PART };
-        settings.below = Below::Several { parked: room.places as f64 };
+        let capacity =
+            ParkingCapacity { runs: crowd.max(1.0) as usize, memory_kb: settings.memory_kb * PARKED_PART };
+        settings.below = Below::Several { parked: capacity.runs as f64 };
         let classes: Vec<String> = settings.classes.iter().map(|class| class.name.clone()).collect();
         let without = without(file, &classes);
         for (class, allowed) in settings.classes.iter_mut().zip(&without) {
@@ -59,19 +60,20 @@
                 class.skip_worth = 0.0;
             }
         }
-        let decisions = Taped::new(file, &classes, room, config.seed, now, file.capture.is_some());
+        let decisions =
+            JournaledDependencies::new(file, &classes, capacity, config.seed, now, file.capture.is_some());
         let (attempts, calls) = (HashMap::new(), HashMap::new());
         Some(Several { decisions, attempts, calls, due: None, without, classes, file: file.clone() })
     }
 
     /// The nodo leaves.
     pub fn leave(&mut self, now: Duration) {
-        self.decisions.leave(now);
+        self.decisions.drain(now);
     }
 
     /// The run of a request goes on without its present call: its answer will lack what that would have brought.
     pub fn label(&self, entry: &mut Entry) {
-        let by_file = || self.decisions.asked_of(entry.class, entry.calls).unwrap_or("unknown");
+        let by_file = || self.decisions.dependency_of(entry.class, entry.calls).unwrap_or("unknown");
         let name = entry.by.as_ref().map_or_else(by_file, |by| &by.to);
         let name = name.to_string();
         if !entry.label.lacks.iter().any(|known| **known == *name) {
@@ -98,7 +100,7 @@
         };
         self.decide(|several, now, out| {
             several.calls.insert(wanted.call, id);
-            several.decisions.wanted(now, wanted, out);
+            several.decisions.start_call(now, wanted, out);
         });
     }
 
@@ -148,7 +150,7 @@
         let Some((number, _give_up)) = made.take() else { return };
         self.decide(|several, now, out| {
             several.calls.remove(&CallId(number));
-            several.decisions.dropped(now, CallId(number), out);
+            several.decisions.cancel_call(now, CallId(number), out);
         });
     }
 
@@ -157,7 +159,7 @@
         let took = Duration::from_secs_f64(took.max(0.0));
         self.decide(|several, now, out| {
             several.attempts.remove(&attempt);
-            several.decisions.ended(now, attempt, end.outcome, took, end.body, out);
+            several.decisions.attempt_ended(now, attempt, end.outcome, took, end.body, out);
         });
     }
 
@@ -209,7 +211,14 @@
                 several.attempts.remove(&attempt);
                 let mut out = Vec::new();
                 let unreachable = Outcome::Unreachable;
-                several.decisions.ended(now, attempt, unreachable, Duration::ZERO, Vec::new(), &mut out);
+                several.decisions.attempt_ended(
+                    now,
+                    attempt,
+                    unreachable,
+                    Duration::ZERO,
+                    Vec::new(),
+                    &mut out,
+                );
                 actions.extend(out);
             }
         }
--- a/crates/node/src/engine/captures.rs
+++ b/crates/node/src/engine/captures.rs
@@ -23,8 +23,8 @@
     /// Hands over what was asked of the keys and of the decisions on dependencies.
     pub(super) fn capture_sides(&mut self) {
         let Some(capture) = &mut self.capture else { return };
-        let below = self.several.as_mut().map(|several| several.decisions.take_tape()).unwrap_or_default();
-        let sides = Sides { keys: self.keys.take_tape(), below };
+        let below = self.several.as_mut().map(|several| several.decisions.take_steps()).unwrap_or_default();
+        let sides = Sides { keys: self.keys.take_steps(), below };
         // What comes before the module is no part of a capture: it begins with the first state.
         if self.module.is_some() {
             capture.sides(sides);
--- a/crates/node/src/engine/handover/runs.rs
+++ b/crates/node/src/engine/handover/runs.rs
@@ -3,7 +3,7 @@
 use super::{AHEAD_OF_DUE, Engine, Place, Run, Waiting, answer_of, seconds};
 use crate::engine::input::{Input, RunEnd, Word};
 use crate::interpreter::Command;
-use crate::keys::print;
+use crate::keys::digest;
 use crate::log;
 use crate::request::{Answer, Key, ReplyTo, Work};
 use jaspershunt::{CallerId, Halt, RequestId};
@@ -46,7 +46,7 @@
             return;
         }
         // Guards against a second run of a key in its window by this nodo, whoever had the key between.
-        if self.keys.run(&key).is_some() {
+        if self.keys.run_state(&key).is_some() {
             return self.over(&key, None, Ran::Over);
         }
         let first = (!taken).then(|| handover.waits_for(&key).first().copied()).flatten();
@@ -76,7 +76,7 @@
         let unix = self.now + self.epoch;
         let arrived = (seconds(offer.due_ms) - self.settings.classes[class].deadline).min(unix);
         // The interpreter and what lies below know the run by this: another one for each heir.
-        let uid = format!("{:016x}", print(&format!("{token}/{key}"), &offer.body));
+        let uid = format!("{:016x}", digest(&format!("{token}/{key}"), &offer.body));
         let work = Work {
             uid: uid.into(),
             class,
@@ -154,7 +154,7 @@
         let (token, told) = (run.token, run.told.take());
         // Guards against a try that waited for the run of its key and leaves after that one, whose end was never heard: that nothing ran
         // would be said of both, and another nodo would run the key again.
-        let started = ran == Ran::NeverRan && self.keys.run(key).is_some();
+        let started = ran == Ran::NeverRan && self.keys.run_state(key).is_some();
         let ran = if started { Ran::Over } else { ran };
         match told {
             Some(end) => self.told(key, &end),
--- a/crates/node/src/engine/handover/tries.rs
+++ b/crates/node/src/engine/handover/tries.rs
@@ -13,7 +13,7 @@
     pub(in crate::engine) fn is_handed_over(&self, work: &Work) -> bool {
         let Some(handover) = &self.handover else { return false };
         let class = &self.settings.classes[work.class].name;
-        let known = |key: &Key| self.keys.knows(key);
+        let known = |key: &Key| self.keys.contains(key);
         self.module.is_some()
             && handover.classes.contains_key(class)
             && work.key.as_ref().is_some_and(|key| !known(key))
--- a/crates/node/src/engine/keys.rs
+++ b/crates/node/src/engine/keys.rs
@@ -2,7 +2,7 @@
 
 use super::upgrade::longest;
 use super::{Engine, Place, WINDOW_SLACK};
-use crate::keys::Run;
+use crate::keys::RunState;
 use crate::request::{Answer, Key};
 use jaspershunt::{Event, Outcome, Repeat, RequestId, Settings};
 use jaspershunt_settings::Names;
@@ -40,13 +40,13 @@
         if by > 0.0 {
             let longest = names.classes().map(window).fold(0.0, f64::max);
             // Whatever ran has come by now.
-            self.keys.lengthen(by, self.now + longest + WINDOW_SLACK);
+            self.keys.extend_windows(by, self.now + longest + WINDOW_SLACK);
         }
     }
 
     /// The run of a key is over: those that wait for it get what it made. Only the first report counts.
     pub(super) fn key_ended(&mut self, key: &Key, id: RequestId, result: Option<Rc<[u8]>>) {
-        self.keys.ended(key, id, result.clone());
+        self.keys.end_run(key, id, result.clone());
         self.tell_of_key(key);
         self.serve_followers(key, result);
     }
@@ -69,13 +69,13 @@
         let Some(key) = entry.key.clone() else {
             return self.serve_from(id, None);
         };
-        match self.keys.run(&key).cloned() {
-            Some(Run::Running) => {
+        match self.keys.run_state(&key).cloned() {
+            Some(RunState::Running) => {
                 entry.place = Place::Follows;
                 self.followers.entry(key).or_default().push(id);
             }
-            Some(Run::Done(result)) => self.serve_from(id, Some(result)),
-            Some(Run::Failed) | None => self.serve_from(id, None),
+            Some(RunState::Done(result)) => self.serve_from(id, Some(result)),
+            Some(RunState::Failed) | None => self.serve_from(id, None),
         }
     }
 }
--- a/crates/node/src/engine/runs.rs
+++ b/crates/node/src/engine/runs.rs
@@ -96,13 +96,13 @@
         if let Some(key) = entry.key.clone()
             && !resumes
         {
-            if self.keys.run(&key).is_some() {
+            if self.keys.run_state(&key).is_some() {
                 log!(ERROR, "request {} must not run: another try of it did", entry.uid);
                 self.write_capture(Reason::Guard);
                 return self.follow(id);
             }
             let window = self.window_of(entry.class);
-            self.keys.started(&key, id, entry.arrived + window + WINDOW_SLACK);
+            self.keys.start_run(&key, id, entry.arrived + window + WINDOW_SLACK);
         }
         let Some(entry) = self.requests.get_mut(&id) else { return };
         entry.place = Place::Running;
@@ -181,7 +181,7 @@
     pub(super) fn refuse(&mut self, id: RequestId, stay_away: f64, last: bool) {
         let Some(entry) = self.requests.get(&id) else { return };
         let unsafe_ran = entry.started && !matches!(self.settings.classes[entry.class].repeat, Repeat::Safe);
-        let key_ran = entry.key.as_ref().is_some_and(|key| self.keys.run(key).is_some());
+        let key_ran = entry.key.as_ref().is_some_and(|key| self.keys.run_state(key).is_some());
         if unsafe_ran || key_ran {
             log!(ERROR, "request {} must not be turned away: it ran", entry.uid);
             self.write_capture(Reason::Guard);
--- a/crates/node/src/engine/upgrade.rs
+++ b/crates/node/src/engine/upgrade.rs
@@ -4,7 +4,7 @@
 use super::{Engine, Entry, Place, WINDOW_SLACK};
 use crate::config::OTHER_SOCKETS;
 use crate::engine::input::Peer;
-use crate::keys::{ADOPTED, Run};
+use crate::keys::{FIRST_ADOPTED_ID, RunState};
 use crate::log;
 use crate::request::{Answer, Key, Reply, ReplyTo, Work};
 use crate::upgrade::claims::{Claims, Doubt, Goes, Known, Try};
@@ -248,7 +248,7 @@
     pub(super) fn place(&mut self, work: &Work) -> Goes {
         let known = match &work.key {
             None => Known::NoKey,
-            Some(key) if self.keys.knows(key) => Known::Here,
+            Some(key) if self.keys.contains(key) => Known::Here,
             Some(_) => Known::Nothing,
         };
         let may_repeat = work.resent || !self.settings.marks_retry;
@@ -298,10 +298,10 @@
         if self.partner.to.is_none() || self.claims != Claims::Theirs {
             return;
         }
-        let Some((print, until, state)) = (match self.keys.run_until(key) {
-            Some((_, _, Run::Running)) => None,
+        let Some((print, until, state)) = (match self.keys.run_entry(key) {
+            Some((_, _, RunState::Running)) => None,
             Some((print, until, run)) => Some((print, until, state_of(run))),
-            None if self.keys.knows(key) => None,
+            None if self.keys.contains(key) => None,
             None => Some((0, self.now, State::NeverRan)),
         }) else {
             return;
@@ -334,14 +334,14 @@
     fn adopt(&mut self, entry: wire::Entry) {
         let until = entry.until - self.epoch;
         self.partner.adopted += 1;
-        let id = RequestId(ADOPTED.0 + self.partner.adopted);
+        let id = RequestId(FIRST_ADOPTED_ID.0 + self.partner.adopted);
         let (run, result) = match entry.state {
-            State::InHand => (Some(Run::Running), None),
-            State::Done(result) => (Some(Run::Done(result.clone())), Some(result)),
-            State::Failed => (Some(Run::Failed), None),
+            State::InHand => (Some(RunState::Running), None),
+            State::Done(result) => (Some(RunState::Done(result.clone())), Some(result)),
+            State::Failed => (Some(RunState::Failed), None),
             State::NeverRan => (None, None),
         };
-        let running = run == Some(Run::Running);
+        let running = run == Some(RunState::Running);
         let news = self.keys.adopt(&entry.key, entry.print, id, until, run);
         if news && !running {
             self.serve_followers(&entry.key, result);
@@ -380,7 +380,7 @@
         if partner.load != Load::default() {
             self.events.push(Event::Settings(Box::new(self.share())));
         }
-        for key in self.keys.fail_from(ADOPTED) {
+        for key in self.keys.fail_runs_from(FIRST_ADOPTED_ID) {
             self.serve_followers(&key, None);
         }
     }
@@ -405,10 +405,10 @@
     })
 }
 
-fn state_of(run: &Run) -> State {
+fn state_of(run: &RunState) -> State {
     match run {
-        Run::Running => State::InHand,
-        Run::Done(result) => State::Done(result.clone()),
-        Run::Failed => State::Failed,
+        RunState::Running => State::InHand,
+        RunState::Done(result) => State::Done(result.clone()),
+        RunState::Failed => State::Failed,
     }
 }
--- a/crates/node/src/upgrade/claims/tests.rs
+++ b/crates/node/src/upgrade/claims/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::keys::{ADOPTED, Keys, Run, print};
+use crate::keys::{FIRST_ADOPTED_ID, KeyTable, RunState, digest};
 use crate::request::Key;
 use jaspershunt::RequestId;
 use std::cell::Cell;
@@ -576,46 +576,46 @@
 /// The table of keys on the side that takes over: what the other had in hand is followed, never run.
 #[test]
 fn adopted_keys_do_not_run_and_news_of_them_is_taken_in() {
-    let mark = print("sign", b"x");
+    let mark = digest("sign", b"x");
     for (news, left) in [
-        (Some(Run::Done(vec![9].into())), Some(Run::Done(vec![9].into()))),
-        (Some(Run::Failed), Some(Run::Failed)),
+        (Some(RunState::Done(vec![9].into())), Some(RunState::Done(vec![9].into()))),
+        (Some(RunState::Failed), Some(RunState::Failed)),
         (None, None),
     ] {
-        let mut keys = Keys::new(100_000);
-        let other = |n| RequestId(ADOPTED.0 + n);
-        assert!(keys.adopt(&key(), mark, other(0), 50.0, Some(Run::Running)));
-        assert_eq!(keys.arrived(&key(), mark, RequestId(1), 1.0, |_| false), Ok(Some(other(0))));
+        let mut keys = KeyTable::new(100_000);
+        let other = |n| RequestId(FIRST_ADOPTED_ID.0 + n);
+        assert!(keys.adopt(&key(), mark, other(0), 50.0, Some(RunState::Running)));
+        assert_eq!(keys.register_try(&key(), mark, RequestId(1), 1.0, |_| false), Ok(Some(other(0))));
         assert!(keys.adopt(&key(), mark, other(1), 60.0, news));
-        assert_eq!(keys.run(&key()), left.as_ref());
+        assert_eq!(keys.run_state(&key()), left.as_ref());
         // Old news change nothing any more.
         keys.adopt(&key(), mark, other(2), 60.0, left.clone());
-        assert_eq!(keys.run(&key()), left.as_ref());
+        assert_eq!(keys.run_state(&key()), left.as_ref());
         keys.expire(61.0);
-        assert_eq!((keys.bytes(), keys.knows(&key())), (0, false));
+        assert_eq!((keys.bytes(), keys.contains(&key())), (0, false));
     }
 }
 
 #[test]
 fn keys_whose_other_process_is_gone_have_failed_and_stay_known() {
-    let mut keys = Keys::new(100_000);
-    keys.adopt(&key(), 7, ADOPTED, 50.0, Some(Run::Running));
-    assert_eq!(keys.fail_from(ADOPTED), [key()]);
-    assert_eq!(keys.run(&key()), Some(&Run::Failed));
-    assert!(keys.fail_from(ADOPTED).is_empty());
+    let mut keys = KeyTable::new(100_000);
+    keys.adopt(&key(), 7, FIRST_ADOPTED_ID, 50.0, Some(RunState::Running));
+    assert_eq!(keys.fail_runs_from(FIRST_ADOPTED_ID), [key()]);
+    assert_eq!(keys.run_state(&key()), Some(&RunState::Failed));
+    assert!(keys.fail_runs_from(FIRST_ADOPTED_ID).is_empty());
 }
 
 /// The other process may say twice that no try of a key ran there. By then one may run here, which stays known.
 #[test]
 fn old_news_of_a_key_do_not_undo_a_run_of_this_process() {
-    let mut keys = Keys::new(100_000);
-    keys.adopt(&key(), 7, ADOPTED, 50.0, Some(Run::Running));
-    assert!(keys.adopt(&key(), 7, RequestId(ADOPTED.0 + 1), 50.0, None));
-    assert_eq!(keys.arrived(&key(), 7, RequestId(1), 1.0, |_| false), Ok(None));
-    keys.started(&key(), RequestId(1), 61.0);
-    for news in [None, Some(Run::Failed), Some(Run::Running)] {
-        assert!(!keys.adopt(&key(), 7, RequestId(ADOPTED.0 + 2), 50.0, news));
-        assert_eq!(keys.run(&key()), Some(&Run::Running));
+    let mut keys = KeyTable::new(100_000);
+    keys.adopt(&key(), 7, FIRST_ADOPTED_ID, 50.0, Some(RunState::Running));
+    assert!(keys.adopt(&key(), 7, RequestId(FIRST_ADOPTED_ID.0 + 1), 50.0, None));
+    assert_eq!(keys.register_try(&key(), 7, RequestId(1), 1.0, |_| false), Ok(None));
+    keys.start_run(&key(), RequestId(1), 61.0);
+    for news in [None, Some(RunState::Failed), Some(RunState::Running)] {
+        assert!(!keys.adopt(&key(), 7, RequestId(FIRST_ADOPTED_ID.0 + 2), 50.0, news));
+        assert_eq!(keys.run_state(&key()), Some(&RunState::Running));
     }
-    assert_eq!(keys.arrived(&key(), 7, RequestId(2), 2.0, |_| false), Ok(Some(RequestId(1))));
+    assert_eq!(keys.register_try(&key(), 7, RequestId(2), 2.0, |_| false), Ok(Some(RequestId(1))));
 }
--- a/crates/work/src/own.rs
+++ b/crates/work/src/own.rs
@@ -253,7 +253,7 @@
         for Heard { key, print, end } in &seen.ended {
             // Guards against the outcome of an earlier use of the key, shown late.
             let waits = |ours: &Ours| {
-                let same = jaspershunt_keys::print(&ours.offer.class, &ours.offer.body) == *print;
+                let same = jaspershunt_keys::digest(&ours.offer.class, &ours.offer.body) == *print;
                 same && ours.step == Step::Waiting
             };
             if self.ours.get(key).is_none_or(waits) {
--- a/crates/work/src/sim.rs
+++ b/crates/work/src/sim.rs
@@ -454,7 +454,7 @@
             worth_milli: 1_000,
             effect,
         };
-        self.prints.insert(jaspershunt_keys::print(&offer.class, &offer.body), number);
+        self.prints.insert(jaspershunt_keys::digest(&offer.class, &offer.body), number);
         let begin = !self.tape.one_in(3);
         let process = &mut self.processes[at];
         if process.life != Life::Runs || process.leaves || process.clients.contains_key(key) {
--- a/crates/work/src/state.rs
+++ b/crates/work/src/state.rs
@@ -231,7 +231,7 @@
         now_ms: u64,
     ) -> Result<Outcome, Refusal> {
         offer.check()?;
-        let print = jaspershunt_keys::print(&offer.class, &offer.body);
+        let print = jaspershunt_keys::digest(&offer.class, &offer.body);
         if let Some(item) = self.items.get(&offer.key) {
             let known = &item.offer;
             // Guards against a stranger who is served the outcome of someone else's work.
