--- a/crates/dependencies/src/breaker.rs
+++ b/crates/dependencies/src/breaker.rs
@@ -1,61 +1,61 @@
-//! The circuit breaker: when a dependency is left alone, and how it is found out that it is well again.
+//! Circuit breaker of a dependency.
 //!
-//! Closed, it looks at the calls of a sliding window. When too many of them failed or were slow it opens, and nothing is
-//! called. After a wait it is half open: so many calls at once try whether the dependency is back. If as many go well it
-//! closes; one that does not opens it again, for twice as long and a random part more or less, so that many nodos do
-//! not come back at the same moment.
+//! While closed, it counts the calls of a sliding window. When too many of them failed or were slow, it
+//! opens and no calls are made. After a wait it is half open: up to `probes` calls at once test the
+//! dependency. If as many succeed it closes; a failed or slow probe reopens it and doubles the wait. Each
+//! wait is randomly lengthened or shortened, so that many nodos do not return at the same moment.
 
 use jaspershunt_operator::Breaker as Config;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Parts of the window; the oldest is forgotten as a whole.
+/// Buckets of the sliding window; the oldest is dropped as a whole.
 const BUCKETS: u32 = 10;
-/// A wait is longer or shorter by up to this share.
+/// Random share by which a wait is lengthened or shortened.
 const JITTER: f64 = 0.25;
-/// Doublings of the wait at most; far beyond any longest wait.
+/// Maximum number of doublings of the wait; beyond any configured maximum wait.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// How a call that was let through went.
+/// The result of an admitted call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// It was answered in good time.
+    /// It was answered in time.
     Success,
-    /// It was answered, late.
+    /// It was answered, but slowly.
     Slow,
     /// It failed.
     Failure,
 }
 
-/// Whether a call may be made. One that may takes the number of the period with it and brings it back with its end:
-/// what began before the breaker last turned says nothing of what comes after.
+/// Whether a call is admitted. An admitted call returns its generation with its result: results of calls
+/// that began before the last transition are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// The call can be made.
     Admitted {
-        /// The period.
+        /// The generation of the breaker at admission.
         generation: u64,
     },
-    /// It may not.
+    /// The call must not be made.
     Rejected,
 }
 
-/// Where the breaker stands.
+/// The state of a breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
     /// Calls are made.
     Closed,
-    /// None are.
+    /// No calls are made.
     Open {
-        /// Until then.
+        /// When it becomes half open.
         until: Duration,
     },
-    /// Some are, to try.
+    /// A limited number of probe calls is made.
     HalfOpen {
-        /// So many are on their way.
+        /// Probes in flight.
         #[serde(rename = "probing")]
         probes_in_flight: usize,
-        /// So many went well.
+        /// Probes that succeeded.
         #[serde(rename = "well")]
         succeeded: usize,
     },
@@ -77,7 +77,7 @@
     state: State,
     #[serde(rename = "period")]
     generation: u64,
-    /// Openings in a row, without a whole window between them in which it was closed.
+    /// Number of times it opened again without having been closed for a whole window.
     #[serde(rename = "openings")]
     reopenings: u32,
     closed_at: Option<Duration>,
@@ -90,7 +90,7 @@
 }
 
 impl Breaker {
-    /// A closed one; `seed` is what its random waits are made from.
+    /// Creates a closed breaker; `seed` seeds the random part of its waits.
     pub fn new(config: Config, seed: u64) -> Breaker {
         Breaker {
             config,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Goes by another configuration from now on. Where it stands stays.
+    /// Applies a new configuration. The state is unchanged.
     pub fn configure(&mut self, config: Config) {
         if config.window != self.config.window {
             self.buckets = Default::default();
@@ -112,18 +112,19 @@
         self.config = config;
     }
 
-    /// The nodo leaves: what is shut stays shut, since nobody would have anything of what a trial finds out, and the
-    /// requests that try it would be late.
+    /// Stops probing while the nodo drains: an open breaker stays open, since the result of a probe would be
+    /// of no use and the requests that make it would be late.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Where it stands.
+    /// Returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether a call would be let through now. Changes nothing but what time alone has changed.
+    /// Whether a call would be admitted now. Changes nothing except the transition to half open when its
+    /// time has come.
     pub fn allows(&mut self, now: Duration) -> bool {
         if let State::Open { until } = self.state
             && now >= until
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Lets a call through, or not.
+    /// Admits or rejects a call.
     pub fn admit(&mut self, now: Duration) -> Admission {
         if !self.allows(now) {
             return Admission::Rejected;
@@ -151,7 +152,7 @@
         Admission::Admitted { generation: self.generation }
     }
 
-    /// A call that was let through in that period went so.
+    /// Records the result of a call that was admitted in `generation`.
     pub fn record_result(&mut self, now: Duration, generation: u64, result: CallResult) {
         if generation != self.generation {
             return;
@@ -183,7 +184,7 @@
         }
     }
 
-    /// A call that was let through in that period ended without saying anything of the dependency.
+    /// Records that a call admitted in `generation` ended without a result for the dependency.
     pub fn record_no_result(&mut self, generation: u64) {
         if generation == self.generation
             && let State::HalfOpen { probes_in_flight, .. } = &mut self.state
@@ -205,7 +206,7 @@
         self.transition(State::Open { until: now + Duration::from_secs_f64(wait * jitter) });
     }
 
-    /// A number from 0 to under 1; SplitMix64 (Steele, Lea and Flood 2014).
+    /// Returns a random number in [0, 1); SplitMix64 (Steele, Lea and Flood 2014).
     fn next_random(&mut self) -> f64 {
         self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.rng_state;
@@ -237,7 +238,7 @@
             self.buckets.iter().filter(in_window).map(|bucket| f64::from(of(bucket))).sum()
         };
         let calls = sum(|bucket| bucket.calls);
-        // A call that failed was no faster than a slow one.
+        // A failed call also counts as a slow one.
         calls >= self.config.least as f64
             && (sum(|bucket| bucket.failed) >= calls * self.config.failures.0
                 || sum(|bucket| bucket.failed + bucket.slow) >= calls * self.config.slow_calls.0)
--- a/crates/dependencies/src/breaker/tests.rs
+++ b/crates/dependencies/src/breaker/tests.rs
@@ -1,4 +1,4 @@
-//! When a breaker turns, how long it waits, and what it learns from.
+//! Transitions of the breaker, its waits, and the results it counts.
 
 use super::*;
 use jaspershunt_operator::units::{Share, Span};
@@ -7,7 +7,8 @@
     Duration::from_millis(ms)
 }
 
-/// Four calls say something; half of them bad or four fifths slow open it, for 200 ms to 1 s, and two try.
+/// Opens with at least four calls of which half failed or four fifths were slow, for 200 ms to 1 s; two
+/// probes.
 fn config() -> Config {
     Config {
         window: Span::ms(1000),
@@ -22,18 +23,18 @@
 }
 
 #[test]
-fn a_breaker_opens_tries_with_few_and_closes_only_when_all_of_them_go_well() {
+fn an_open_breaker_closes_only_when_all_probes_succeed() {
     let mut breaker = Breaker::new(config(), 7);
     let mut at = ms(0);
     let one = |breaker: &mut Breaker, at, result| match breaker.admit(at) {
         Admission::Admitted { generation } => breaker.record_result(at, generation, result),
-        Admission::Rejected => panic!("shut"),
+        Admission::Rejected => panic!("rejected"),
     };
     for result in [CallResult::Success, CallResult::Failure, CallResult::Success] {
         one(&mut breaker, at, result);
     }
     assert_eq!(breaker.state(), State::Closed);
-    // From before it turned: says nothing any more.
+    // Admitted before the transition, so its result is ignored.
     let Admission::Admitted { generation: old } = breaker.admit(at) else { panic!() };
     one(&mut breaker, at, CallResult::Failure);
     let mut waits = Vec::new();
@@ -48,7 +49,7 @@
         assert_eq!(breaker.admit(at), Admission::Rejected);
         breaker.record_result(at, generation, CallResult::Failure);
     }
-    // 200 ms, doubled each time up to 1 s, a quarter more or less.
+    // 200 ms, doubled each time up to 1 s, plus or minus a quarter.
     for (wait, middle) in waits.iter().zip([200, 400, 800, 1000, 1000]) {
         assert!((middle * 3 / 4..=middle * 5 / 4).contains(wait), "{waits:?}");
     }
@@ -57,7 +58,7 @@
         one(&mut breaker, until, CallResult::Success);
     }
     assert_eq!(breaker.state(), State::Closed);
-    // Flapping: it opens again soon, and the wait goes on growing.
+    // Flapping: it opens again soon after it closed, and the wait keeps growing.
     for _ in 0..4 {
         one(&mut breaker, until, CallResult::Failure);
     }
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_breaker_lets_go_of_trials_that_say_nothing_and_tries_nothing_once_the_nodo_leaves() {
+fn probes_without_a_result_are_released_and_none_are_made_while_draining() {
     let mut breaker = Breaker::new(config(), 7);
     for _ in 0..4 {
         let Admission::Admitted { generation } = breaker.admit(ms(0)) else { panic!() };
@@ -74,7 +75,7 @@
         if let State::Open { until } = breaker.state() {
             for _ in 0..5 {
                 let Admission::Admitted { generation } = breaker.admit(until) else {
-                    panic!("a trial is lost")
+                    panic!("the probe was not released")
                 };
                 breaker.record_no_result(generation);
             }
@@ -89,13 +90,13 @@
 }
 
 #[test]
-fn slow_calls_open_a_breaker_as_failures_do_and_old_ones_are_forgotten() {
+fn slow_calls_open_a_breaker_and_leave_the_window() {
     let mut breaker = Breaker::new(config(), 7);
     for at in [0, 10, 20] {
         let Admission::Admitted { generation } = breaker.admit(ms(at)) else { panic!() };
         breaker.record_result(ms(at), generation, CallResult::Slow);
     }
-    // The window has passed over those three.
+    // The first three are no longer in the window.
     let Admission::Admitted { generation } = breaker.admit(ms(1100)) else { panic!() };
     breaker.record_result(ms(1100), generation, CallResult::Slow);
     assert_eq!(breaker.state(), State::Closed);
--- a/crates/dependencies/src/budget.rs
+++ b/crates/dependencies/src/budget.rs
@@ -1,5 +1,5 @@
-//! What a nodo has asked of one dependency and may still ask: calls in hand, calls that wait, bytes, calls a second, and
-//! the part of the nodo's parked runs and memory that wait for it.
+//! The state of one dependency: calls in flight, queued calls, bytes, call rate, and its share of the nodo's
+//! parked runs and memory.
 
 use crate::breaker::Breaker;
 use crate::limit::AdaptiveLimit;
@@ -11,77 +11,80 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An operator is told so seldom, for each dependency, that calls find no room.
+/// Minimum time between two log lines about refused calls to the same dependency.
 pub(crate) const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// So much of a second's calls may be begun at once.
+/// Size of the token bucket, in seconds of the configured rate.
 const BURST_SECONDS: f64 = 0.1;
 
-/// A dependency and all that is counted of it.
+/// One dependency with its configuration, limits and counters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Dependency {
     pub name: String,
     pub config: Config,
-    /// Not in the file any more: nothing new comes here, and the place is used again once it is empty.
+    /// The operator's file no longer names it: no new calls are accepted, and its slot in the list is reused
+    /// once it is empty.
     pub retired: bool,
     pub breaker: Breaker,
     #[serde(rename = "learned")]
     pub adaptive_limit: AdaptiveLimit,
-    /// Attempts that are on their way.
+    /// Attempts that have not ended yet.
     #[serde(rename = "on_their_way")]
     pub active: usize,
-    /// Those of them, and of the ones given up, that came from another dependency.
+    /// Attempts of fallback calls, active and lingering.
     #[serde(rename = "guests")]
     pub fallback_in_flight: usize,
-    /// Ends of those given up that may still go on below, and whether each was a guest.
+    /// Abandoned attempts that the dependency may still be executing: when each stops counting, and whether
+    /// it was a fallback call.
     pub lingering: VecDeque<(Duration, bool)>,
-    /// Calls that wait for room, the oldest first, with the time at which they stop.
+    /// Queued calls, oldest first, with the time at which each leaves the queue.
     #[serde(rename = "waiting")]
     pub queue: VecDeque<(Duration, CallId)>,
-    /// Bytes of calls that wait or are on their way.
+    /// Bytes of queued and active calls.
     pub bytes: usize,
-    /// Runs that are parked here, and their memory.
+    /// Runs parked at this dependency, and their memory.
     pub parked: usize,
     pub parked_kb: f64,
-    /// Calls that may be begun at once by the rate, at that time.
+    /// Token bucket of the configured rate, as of `tokens_at`.
     tokens: f64,
     tokens_at: Duration,
-    /// The address that is used next.
+    /// Index of the address in use.
     #[serde(rename = "turn")]
     address_index: usize,
     #[serde(rename = "told")]
     pub counts: Counts,
-    /// When the operator was last told of calls that found no room or no place.
+    /// When a refusal for lack of capacity was last logged.
     #[serde(rename = "said_full")]
     pub refusal_logged_at: Option<Duration>,
 }
 
-/// What became of calls at one dependency, since the start.
+/// Counters of one dependency since the nodo started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Attempts made.
     pub attempts: u64,
-    /// Those of them that came from another dependency.
+    /// Attempts that were made for fallback calls.
     #[serde(rename = "guests")]
     pub fallback_attempts: u64,
-    /// Attempts that ended well.
+    /// Attempts that succeeded.
     #[serde(rename = "well")]
     pub succeeded: u64,
-    /// Attempts that failed, broke, or could not connect.
+    /// Attempts that failed, lost their connection, or could not connect.
     pub failed: u64,
-    /// Attempts turned away below.
+    /// Attempts that the dependency turned away.
     pub turned_away: u64,
     /// Attempts given up.
     pub given_up: u64,
-    /// Calls not made as the breaker was open.
+    /// Calls refused because the circuit breaker was open.
     #[serde(rename = "shut_out")]
     pub breaker_open: u64,
-    /// Calls not made as too many were in hand and in line, or after waiting in line.
+    /// Calls refused because the concurrency limit and the queue were full, or that timed out in the queue.
     #[serde(rename = "no_room")]
     pub over_limit: u64,
-    /// Calls not made as the dependency's part of the parked runs, their memory or its bytes was taken.
+    /// Calls refused because the dependency's share of parked runs, of their memory, or its byte limit was
+    /// used up.
     #[serde(rename = "no_place")]
     pub over_share: u64,
-    /// The most that was in hand at once, those given up included.
+    /// Highest number of calls in flight, lingering ones included.
     #[serde(rename = "most_in_hand")]
     pub max_in_flight: usize,
 }
@@ -97,13 +100,13 @@
     }
 }
 
-/// Why a call cannot be made or wait here.
+/// Why a dependency does not accept a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     BreakerOpen,
     OverLimit,
     OverShare,
-    /// Attempts beyond the first are used up.
+    /// The retry budget is exhausted.
     NoRetryCredit,
 }
 
@@ -136,39 +139,39 @@
         self.breaker.configure(config.breaker.clone());
         if config.addresses != self.config.addresses {
             self.address_index = 0;
-            // Nothing is known of what is there now.
+            // Other servers may be behind the new addresses, so the limit is learned again.
             self.adaptive_limit.reset();
         }
         self.config = config.clone();
         self.retired = false;
     }
 
-    /// Calls below: those on their way, and those given up that may go on.
+    /// Active attempts, and abandoned ones that may still be executing.
     pub fn in_flight(&self) -> usize {
         self.active + self.lingering.len()
     }
 
-    /// What may be in hand at present.
+    /// The concurrency limit in force.
     pub fn limit(&self) -> usize {
         let max = max_in_flight(&self.config);
         if self.config.limit.learned { self.adaptive_limit.limit().min(max) } else { max }
     }
 
-    /// What may be in hand of calls that fell back on this one.
+    /// The concurrency limit for fallback calls.
     pub fn fallback_limit(&self) -> usize {
         (self.limit() as f64 * self.config.guests.0) as usize
     }
 
-    /// Runs that may be parked here, of all that the nodo may have parked.
+    /// The dependency's share of the nodo's parked runs.
     pub fn max_parked(&self, capacity: &ParkingCapacity) -> usize {
         ((capacity.runs as f64 * self.config.share.0) as usize).max(1)
     }
 
-    /// Whether one more run may be parked here, with a call of so many bytes.
+    /// Whether one more run can be parked here, with a call of `bytes`.
     pub fn may_park(&self, capacity: &ParkingCapacity, bytes: usize, kb: f64) -> bool {
         self.parked < self.max_parked(capacity)
             && self.bytes + bytes <= self.config.bytes.0 as usize
-            // One always fits: a run that is larger than the part could else never be served.
+            // One run is always accepted: one that is larger than the share could otherwise never be served.
             && (self.parked == 0 || self.parked_kb + kb <= capacity.memory_kb * self.config.share.0)
     }
 
@@ -184,7 +187,7 @@
         self.bytes -= bytes;
     }
 
-    /// Brings what time alone changes up to date.
+    /// Applies what changes with time alone: ends of lingering attempts and new tokens.
     pub fn advance(&mut self, now: Duration) {
         while let Some((_, is_fallback)) = self.lingering.front().copied().filter(|(until, _)| *until <= now)
         {
@@ -200,18 +203,18 @@
     }
 
     fn within_rate(&self) -> bool {
-        // A hair less, since a token that was waited for may lack what floating point lost.
+        // Slightly below 1, since the token that a call waited for may be short of it by a rounding error.
         self.config.rate.is_none() || self.tokens >= 1.0 - 1e-9
     }
 
-    /// Whether an attempt may begin now, as far as room goes.
+    /// Whether the concurrency limits and the rate allow an attempt now.
     pub fn has_capacity(&self, is_fallback: bool) -> bool {
         self.in_flight() < self.limit()
             && self.within_rate()
             && (!is_fallback || self.fallback_in_flight < self.fallback_limit())
     }
 
-    /// An attempt begins; returns the address for it.
+    /// Records the start of an attempt and returns its address.
     pub fn start_attempt(&mut self, is_fallback: bool) -> SocketAddr {
         self.active += 1;
         self.fallback_in_flight += usize::from(is_fallback);
@@ -224,11 +227,11 @@
         self.config.addresses[self.address_index % self.config.addresses.len()]
     }
 
-    /// An attempt is over; it may linger below.
+    /// Records the end of an attempt; with `lingers` the dependency may still be executing it.
     pub fn end_attempt(&mut self, now: Duration, is_fallback: bool, lingers: bool) {
         self.active -= 1;
         if lingers && !self.config.linger.0.is_zero() {
-            // Kept in order though the operator may have shortened the time meanwhile.
+            // The order stays ascending even if a reload has shortened the time.
             let until = self.lingering.back().map_or(Duration::ZERO, |(until, _)| *until);
             self.lingering.push_back((until.max(now + self.config.linger.0), is_fallback));
         } else {
@@ -236,15 +239,15 @@
         }
     }
 
-    /// The present address could not be reached.
+    /// Switches to the next address, as the current one could not be reached.
     pub fn next_address(&mut self) {
         self.address_index = (self.address_index + 1) % self.config.addresses.len();
     }
 
-    /// When something here may change by time alone that a waiting call waits for.
+    /// The next time at which a queued call can change its state without an input; `None` while none is
+    /// queued.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        // The queue is in the order of arrival, and each waits equally long: but for a changed configuration the first
-        // is the first to stop.
+        // A deadline or a reload can make a later entry of the queue time out first.
         let stops = self.queue.iter().map(|(until, _)| *until).min()?;
         let lingers = self.lingering.front().map(|(until, _)| *until);
         let token = (!self.within_rate()).then(|| {
@@ -255,7 +258,7 @@
     }
 }
 
-/// Calls in hand at most, whatever is learned: each has a connection of its own.
+/// The configured upper bound of the concurrency limit: each call in flight has a connection of its own.
 fn max_in_flight(config: &Config) -> usize {
     config.calls.min(config.connections)
 }
--- a/crates/dependencies/src/calls.rs
+++ b/crates/dependencies/src/calls.rs
@@ -1,5 +1,5 @@
-//! Takes each call from being wanted to its one end: to its dependency, into the line there, again or elsewhere, to a
-//! kept reply, or to nothing.
+//! The life of a call, from the request to its end: dispatch to a dependency, its queue, retries, fallbacks,
+//! and the cached reply.
 
 use crate::breaker::{Admission, CallResult, State};
 use crate::budget::{Dependency, REFUSAL_LOG_INTERVAL, Refusal};
@@ -14,18 +14,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Calls that may be under way at once, over all dependencies. Ours: more than any part of parked runs allows; whatever
-/// comes beyond is turned away.
+/// Maximum number of calls without an end, over all dependencies; more than any share of the parked runs
+/// allows. Calls beyond it are turned away.
 pub const MAX_ACTIVE_CALLS: usize = 4096;
-/// An attempt that has less time left than this is not begun.
+/// An attempt is not started with less time left than this.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum CallState {
-    /// In the line of its dependency.
+    /// In the queue of its dependency.
     #[serde(rename = "Waits")]
     Queued,
-    /// On its way.
+    /// An attempt is in flight.
     #[serde(rename = "Tried")]
     InFlight {
         attempt: AttemptId,
@@ -40,7 +40,7 @@
         #[serde(rename = "in_hand")]
         in_flight: usize,
     },
-    /// Between the two, while it is decided on.
+    /// Neither, while the next step is being decided.
     #[serde(rename = "Nowhere")]
     Unassigned,
 }
@@ -52,10 +52,10 @@
     #[serde(rename = "kb")]
     memory_kb: f64,
     route: Route,
-    /// The table's word on it, which stands over the file's.
+    /// The route of the shared table, which overrides the one of the operator's file.
     #[serde(rename = "by")]
     shared_route: Option<Rc<By>>,
-    /// The dependency that it is at.
+    /// Index of the dependency that has the call.
     #[serde(rename = "at")]
     dependency: usize,
     #[serde(rename = "place")]
@@ -65,15 +65,15 @@
     #[serde(rename = "until")]
     deadline: Duration,
     attempts: usize,
-    /// It was tried again at the dependency where it is.
+    /// Whether it was already retried at this dependency.
     #[serde(rename = "again")]
     retried: bool,
-    /// The end of the last attempt that may have had an effect, else of the last one at all.
+    /// The outcome of the last attempt that may have had an effect, or else of the last attempt.
     outcome: Option<Outcome>,
     may_have_run: bool,
 }
 
-/// The owner of all these decisions; see the crate's front page.
+/// The decisions on calls to dependencies; see the crate documentation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Dependencies {
     classes: Vec<String>,
@@ -99,7 +99,7 @@
 }
 
 impl By {
-    /// The dependency that stands in for one.
+    /// The fallback for a dependency of this route.
     fn fallback_after(&self, name: &str) -> Option<&str> {
         let mut way = std::iter::once(&self.to).chain(&self.then).skip_while(|to| *to != name).skip(1);
         way.next().map(String::as_str)
@@ -107,8 +107,8 @@
 }
 
 impl Dependencies {
-    /// Dependencies of which nothing is known yet. `classes` are the names of the settings, in order; `seed` is what
-    /// random waits are made from.
+    /// Creates the state for the dependencies of a file. `classes` are the names of the classes in the
+    /// settings, in order; `seed` seeds the random parts of waits.
     pub fn new<S: AsRef<str>>(
         file: &File,
         classes: &[S],
@@ -134,7 +134,8 @@
         dependencies
     }
 
-    /// Takes up another file. What was learned of a dependency stays with its name; calls under way end where they are.
+    /// Applies a new operator's file. Measurements stay with the name of a dependency, and active calls end
+    /// at the dependency that has them.
     pub fn reload(&mut self, now: Duration, file: &File, out: &mut Vec<Action>) {
         self.routes = Routes::new(file, &self.classes);
         self.retry_budget.configure(&file.retries);
@@ -158,7 +159,7 @@
             if self.draining {
                 new.breaker.drain();
             }
-            // The place of one that has gone is used again: reloads without end must not grow the list.
+            // Reuses the slot of a removed dependency, so that repeated reloads do not grow the list.
             match self.dependencies.iter().position(|d| d.retired && d.in_flight() == 0 && d.parked == 0) {
                 Some(index) => self.dependencies[index] = new,
                 None => self.dependencies.push(new),
@@ -169,31 +170,34 @@
         }
     }
 
-    /// The nodo leaves: breakers that are open stay so.
+    /// Prepares for the end of the nodo: breakers that are open stay open.
     pub fn drain(&mut self) {
         self.draining = true;
         self.dependencies.iter_mut().for_each(|d| d.breaker.drain());
     }
 
-    /// The name of the dependency that a call of this class and place goes to; `None` where the file has no route.
+    /// The name of the dependency for a call of this class and place; `None` if the file has no route for
+    /// it.
     pub fn dependency_of(&self, class: usize, place: usize) -> Option<&str> {
         self.routes.find(class, place).map(|route| route.dependency.as_str())
     }
 
-    /// A call is wanted.
+    /// Starts a call.
     pub fn start_call(&mut self, now: Duration, wanted: Wanted, out: &mut Vec<Action>) {
         let id = wanted.call;
         let no_reply =
             |outcome| Action::End { call: id, end: End::Nothing { outcome, took: Duration::ZERO } };
         let mut route = self.routes.find(wanted.class, wanted.place).cloned();
-        // A table may know dependencies that this nodo's file has no address for: the file's own route stands then.
+        // The shared table may name dependencies for which this nodo's file has no address; the file's own
+        // route is used then.
         let shared_route = wanted.by.filter(|by| self.index_of(&by.to).is_some());
         if let (Some(route), Some(by)) = (&mut route, &shared_route) {
             route.dependency.clone_from(&by.to);
         }
         let index = route.as_ref().and_then(|route| self.index_of(&route.dependency));
         let (Some(route), Some(index)) = (route, index) else {
-            // The checks of the file leave no class without a route; a class that should make no calls may lack one.
+            // The checks of the file ensure that classes with calls have routes; a class that should make no
+            // calls may have none.
             return out.push(no_reply(Outcome::Unreachable));
         };
         if self.calls.len() >= MAX_ACTIVE_CALLS || self.calls.contains_key(&id) {
@@ -222,7 +226,7 @@
         }
     }
 
-    /// An attempt ended. `body` is the reply of one that went well; `took` is the time from its beginning.
+    /// Handles the end of an attempt. `body` is the reply of a successful one; `took` is its duration.
     pub fn attempt_ended(
         &mut self,
         now: Duration,
@@ -232,7 +236,7 @@
         body: Vec<u8>,
         out: &mut Vec<Action>,
     ) {
-        // An attempt that was abandoned says nothing any more.
+        // Reports on abandoned attempts are ignored.
         let Some(id) = self.attempts.remove(&attempt) else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
         let CallState::InFlight { generation, timeout, is_fallback, in_flight, .. } = call.state else {
@@ -243,14 +247,14 @@
         let reply_time_to_live = call.route.max_reply_age;
         call.state = CallState::Unassigned;
         call.may_have_run |= !outcome.never_ran();
-        // What may have had its effect is not forgotten for what certainly had none.
+        // An outcome that may have had an effect is not replaced by one that certainly had none.
         if call.outcome.is_none_or(Outcome::never_ran) || !outcome.never_ran() {
             call.outcome = Some(outcome);
         }
         self.unpark(id);
         let dependency = &mut self.dependencies[index];
         dependency.advance(now);
-        // One that was given up, or whose connection broke, may go on below.
+        // The dependency may still be executing a call that was given up or lost its connection.
         dependency.end_attempt(now, is_fallback, matches!(outcome, Outcome::GivenUp | Outcome::Broken));
         let old_state = dependency.breaker.state();
         let slow = took >= dependency.config.breaker.slow.0;
@@ -264,9 +268,9 @@
         let result = match outcome {
             Outcome::Done if slow => Some(CallResult::Slow),
             Outcome::Done => Some(CallResult::Success),
-            // No run waits for the call: that says nothing of the dependency.
+            // No run waits for the call, so its end says nothing about the dependency.
             Outcome::NotStarted | Outcome::Stopped => None,
-            // The request had less time than the dependency may take.
+            // The deadline of the request was shorter than the dependency's timeout.
             Outcome::GivenUp if !slow && timeout < dependency.config.timeout.0 => None,
             _ => Some(CallResult::Failure),
         };
@@ -292,8 +296,8 @@
             self.calls.remove(&id);
             out.push(Action::End { call: id, end: End::Reply { body, took } });
         } else if outcome == Outcome::NotStarted || (at_most_once && !outcome.never_ran()) {
-            // Guards the rule that an effect happens once: such a call is never made again, here or elsewhere. And one
-            // for which no run waits is over everywhere.
+            // A call that must not be repeated and may have run is never retried, here or elsewhere, so that
+            // its effect happens at most once. A call without a waiting run is not retried either.
             self.end_without_reply(now, id, out);
         } else {
             let again = match outcome {
@@ -306,7 +310,7 @@
         self.serve_queue(now, index, out);
     }
 
-    /// Nobody waits for a call any more.
+    /// Cancels a call that is no longer needed.
     pub fn cancel_call(&mut self, now: Duration, id: CallId, out: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else { return };
         let index = call.dependency;
@@ -318,7 +322,8 @@
                 dependency.advance(now);
                 dependency.end_attempt(now, is_fallback, true);
                 let old_state = dependency.breaker.state();
-                // Guards against a dependency that hangs for longer than any caller waits: no attempt would ever end.
+                // Without this, a dependency that hangs for longer than any caller waits would never open
+                // its breaker, since no attempt would end.
                 if now.saturating_sub(started_at) >= dependency.config.breaker.slow.0 {
                     dependency.breaker.record_result(now, generation, CallResult::Failure);
                 } else {
@@ -334,7 +339,7 @@
         self.serve_queue(now, index, out);
     }
 
-    /// Time has passed.
+    /// Handles what changes with time alone: expired replies, timed-out queue entries and free capacity.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.reply_cache.expire(now);
         for index in 0..self.dependencies.len() {
@@ -342,12 +347,12 @@
         }
     }
 
-    /// When [`Dependencies::tick`] is due; `None` while nothing waits.
+    /// The time at which [`Dependencies::tick`] is due; `None` while nothing is queued.
     pub fn next_tick(&self, now: Duration) -> Option<Duration> {
         self.dependencies.iter().filter_map(|d| d.next_change(now)).min()
     }
 
-    /// A look at all dependencies.
+    /// The state of all dependencies.
     pub fn status(&self) -> Vec<Status> {
         let status_of = |d: &Dependency| Status {
             name: d.name.clone(),
@@ -361,17 +366,17 @@
         self.dependencies.iter().filter(|d| !d.retired).map(status_of).collect()
     }
 
-    /// First attempts so far, and attempts beyond the first.
+    /// The numbers of first attempts and of retries so far.
     pub fn attempts(&self) -> (u64, u64) {
         (self.retry_budget.first_attempts, self.retry_budget.retries)
     }
 
-    /// Calls that have no end yet.
+    /// The number of calls without an end.
     pub fn active_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Calls that a route of the table has at its own dependency.
+    /// The number of calls that a route of the shared table has at its own dependency.
     fn calls_by_route(&self, by: &By, index: usize) -> usize {
         let of = |call: &&Call| {
             call.dependency == index
@@ -384,7 +389,8 @@
         self.dependencies.iter().position(|d| !d.retired && d.name == name)
     }
 
-    /// Counts a call that was not made, and says seldom where there is no room: whoever set the budget should know.
+    /// Counts a refused call. A refusal for lack of capacity is also logged, at most once per interval, so
+    /// that an operator can see that a limit is too low.
     fn record_refusal(&mut self, now: Duration, index: usize, refusal: Refusal, out: &mut Vec<Action>) {
         let max_parked = self.dependencies[index].max_parked(&self.capacity);
         let dependency = &mut self.dependencies[index];
@@ -413,15 +419,15 @@
         }
     }
 
-    /// The call is not at its dependency any more, which has room for another run.
+    /// Releases what the call uses at its dependency.
     fn unpark(&mut self, id: CallId) {
         if let Some(call) = self.calls.get(&id) {
             self.dependencies[call.dependency].unpark(call.cache_key.body.len(), call.memory_kb);
         }
     }
 
-    /// Brings a call that is nowhere to a dependency: on its way, or into the line. Repeated attempts and calls from
-    /// elsewhere do not wait: those whose own dependency it is go first.
+    /// Starts an unassigned call at a dependency, or queues it there. Retries and fallback calls are not
+    /// queued: first attempts at their own dependency take precedence.
     fn dispatch(
         &mut self,
         now: Duration,
@@ -464,7 +470,7 @@
         Ok(())
     }
 
-    /// An attempt begins, at a dependency that has room and where the call is parked.
+    /// Starts an attempt at a dependency that has capacity and where the call is parked.
     fn start_attempt(
         &mut self,
         now: Duration,
@@ -501,7 +507,7 @@
         });
     }
 
-    /// After an attempt that failed: once more at the same dependency where that makes sense, else elsewhere.
+    /// Retries a call once at the same dependency if `again` is set, or else falls back.
     fn retry_or_fall_back(
         &mut self,
         now: Duration,
@@ -522,16 +528,17 @@
         self.fall_back_or_end(now, id, out);
     }
 
-    /// The call cannot be made where it is: on to the next dependency that takes it, else to a kept reply or nothing.
+    /// Moves a call to the next fallback that accepts it, or else ends it.
     fn fall_back_or_end(&mut self, now: Duration, id: CallId, out: &mut Vec<Action>) {
-        // A chain has no cycle when it is read; that a reload changes it on the way is why the steps are counted.
+        // A file is checked for cycles, but a reload can change the chain in between, so the steps are
+        // bounded.
         for _ in 0..self.dependencies.len() {
             let Some(call) = self.calls.get_mut(&id) else { return };
             let may_fall_back = call.route.may_fall_back
                 && call.attempts < self.max_attempts
                 && call.deadline > now + MIN_TIME_LEFT;
             let dependency = &self.dependencies[call.dependency];
-            // A request goes by one table to its end, also when another comes meanwhile.
+            // A request follows one table to its end, even if a newer one arrives meanwhile.
             let next = match &call.shared_route {
                 Some(by) => by.fallback_after(&dependency.name),
                 None => dependency.config.fall_back.as_deref(),
@@ -549,7 +556,7 @@
         self.end_without_reply(now, id, out);
     }
 
-    /// The call ends without a reply of its own. It is parked nowhere.
+    /// Ends a call that has no reply of its own and is not parked: with a cached reply if there is one.
     fn end_without_reply(&mut self, now: Duration, id: CallId, out: &mut Vec<Action>) {
         let Some(call) = self.calls.remove(&id) else { return };
         let max_age = call.route.max_reply_age.filter(|_| !call.route.at_most_once);
@@ -563,7 +570,8 @@
         out.push(Action::End { call: id, end });
     }
 
-    /// Those in line whose time is over go on elsewhere; of the others as many are begun as there is room for.
+    /// Removes timed-out entries from the queue, which then fall back, and starts as many others as there is
+    /// capacity for.
     fn serve_queue(&mut self, now: Duration, index: usize, out: &mut Vec<Action>) {
         self.dependencies[index].advance(now);
         let timed_out: Vec<CallId> = self.dependencies[index]
@@ -589,7 +597,7 @@
         }
     }
 
-    /// All in line go on elsewhere.
+    /// Empties the queue; its calls fall back.
     fn flush_queue(&mut self, now: Duration, index: usize, out: &mut Vec<Action>) {
         for (_, id) in std::mem::take(&mut self.dependencies[index].queue) {
             self.record_refusal(now, index, Refusal::BreakerOpen, out);
@@ -605,8 +613,8 @@
         self.fall_back_or_end(now, id, out);
     }
 
-    /// Says when a breaker has turned; what waits for one that has opened goes on elsewhere, and one that has closed
-    /// begins with few calls.
+    /// Logs a transition of a breaker. After it has opened, queued calls fall back; after it has closed, the
+    /// adaptive limit restarts.
     fn breaker_changed(&mut self, now: Duration, index: usize, old_state: State, out: &mut Vec<Action>) {
         let dependency = &mut self.dependencies[index];
         match (old_state, dependency.breaker.state()) {
@@ -626,7 +634,8 @@
         }
     }
 
-    /// The same with other bodies; `mask` keeps lengths, and what is equal. Nothing is decided by what a body says.
+    /// Returns a copy in which `mask` has replaced all bodies. `mask` must keep lengths and equality; no
+    /// decision depends on the content of a body.
     pub(crate) fn masked(&self, mask: impl Fn(&[u8]) -> Rc<[u8]>) -> Dependencies {
         let mut masked = self.clone();
         masked.calls.values_mut().for_each(|call| call.cache_key.body = mask(&call.cache_key.body));
@@ -634,26 +643,27 @@
         masked
     }
 
-    /// Checks what must always hold.
+    /// Checks the invariants of the state.
     ///
     /// # Errors
-    /// What does not.
+    ///
+    /// The first invariant that does not hold.
     pub fn check_invariants(&self) -> Result<(), String> {
         let wrong = |name: &str, what: String| Err(format!("{name}: {what}"));
         for (index, d) in self.dependencies.iter().enumerate() {
             let here: Vec<&Call> = self.calls.values().filter(|call| call.dependency == index).collect();
-            let tried = here.iter().filter(|call| matches!(call.state, CallState::InFlight { .. })).count();
+            let active = here.iter().filter(|call| matches!(call.state, CallState::InFlight { .. })).count();
             let fallbacks = here
                 .iter()
                 .filter(|call| matches!(call.state, CallState::InFlight { is_fallback: true, .. }))
                 .count();
             let bytes: usize = here.iter().map(|call| call.cache_key.body.len()).sum();
-            if tried != d.active {
-                return wrong(&d.name, format!("{tried} are on their way, {} counted", d.active));
+            if active != d.active {
+                return wrong(&d.name, format!("{active} active attempts, {} counted", d.active));
             }
-            if d.queue.len() + tried != here.len() || d.parked != here.len() {
-                let counted = (d.queue.len(), tried, d.parked);
-                return wrong(&d.name, format!("{} are here, counted {counted:?}", here.len()));
+            if d.queue.len() + active != here.len() || d.parked != here.len() {
+                let counted = (d.queue.len(), active, d.parked);
+                return wrong(&d.name, format!("{} calls, counted {counted:?}", here.len()));
             }
             if bytes != d.bytes {
                 return wrong(&d.name, format!("{bytes} bytes, {} counted", d.bytes));
@@ -662,24 +672,24 @@
             if fallbacks + lingering != d.fallback_in_flight {
                 return wrong(
                     &d.name,
-                    format!("{fallbacks} + {lingering} fallbacks, {} counted", d.fallback_in_flight),
+                    format!("{fallbacks} + {lingering} fallback calls, {} counted", d.fallback_in_flight),
                 );
             }
             if d.queue
                 .iter()
                 .any(|(_, id)| !matches!(self.calls.get(id), Some(c) if matches!(c.state, CallState::Queued)))
             {
-                return wrong(&d.name, "one in line does not wait".to_string());
+                return wrong(&d.name, "a queue entry is not a queued call".to_string());
             }
         }
         let unassigned = self.calls.iter().find(|(_, call)| matches!(call.state, CallState::Unassigned));
         if let Some((id, _)) = unassigned {
-            return wrong("calls", format!("{id:?} is nowhere"));
+            return wrong("calls", format!("{id:?} is unassigned"));
         }
-        let tried =
+        let active =
             self.calls.values().filter(|call| matches!(call.state, CallState::InFlight { .. })).count();
-        if tried != self.attempts.len() {
-            return wrong("calls", format!("{tried} are tried, {} counted", self.attempts.len()));
+        if active != self.attempts.len() {
+            return wrong("calls", format!("{active} calls in flight, {} counted", self.attempts.len()));
         }
         Ok(())
     }
--- a/crates/dependencies/src/journal.rs
+++ b/crates/dependencies/src/journal.rs
@@ -1,6 +1,7 @@
-//! The owner of the decisions with a tape: what it was told and what it asked for, so that a replay can tell it the same.
-//! What bodies say is not on it: each stands as bytes of the same length that are made of its print, since what decides is
-//! whether two are the same, and how long they are.
+//! [`Dependencies`] with a journal of its inputs and actions, for replays.
+//!
+//! The journal does not contain bodies: each is replaced by bytes of the same length derived from its
+//! digest, since the decisions depend only on the lengths of bodies and on which of them are equal.
 
 use crate::{Action, AttemptId, CallId, Dependencies, End, ParkingCapacity, Wanted};
 use jaspershunt::Outcome;
@@ -13,44 +14,44 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Something that was told.
+/// An input to [`Dependencies`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// A call is wanted.
+    /// A call was requested: [`Dependencies::start_call`].
     Wanted(Wanted),
-    /// An attempt ended.
+    /// An attempt ended: [`Dependencies::attempt_ended`].
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// Its outcome.
         outcome: Outcome,
-        /// After this time.
+        /// Its duration.
         took: Duration,
-        /// The reply.
+        /// The masked reply.
         body: Vec<u8>,
     },
-    /// Nobody waits for a call any more.
+    /// A call was cancelled: [`Dependencies::cancel_call`].
     Dropped(CallId),
-    /// Time has passed.
+    /// Time passed: [`Dependencies::tick`].
     Tick,
-    /// The nodo leaves.
+    /// The nodo began to drain: [`Dependencies::drain`].
     Leave,
-    /// Another file, as [`explain`](jaspershunt_operator::explain) writes it.
+    /// A new operator's file, in the form of [`explain`](jaspershunt_operator::explain).
     Reload(String),
 }
 
-/// One thing that was told, and what was asked for in turn.
+/// One input with the actions that it caused.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// The time.
+    /// The time of the input.
     pub now: Duration,
-    /// What was told.
+    /// The input.
     pub input: Input,
-    /// What was asked for.
+    /// The actions, in order.
     pub actions: Vec<Action>,
 }
 
-/// Bytes of the same length that say nothing but whether two bodies are the same.
+/// Replaces a body by bytes of the same length that depend on its digest alone.
 fn mask(body: &[u8]) -> Rc<[u8]> {
     let mut hasher = SipHasher13::new_with_keys(0, 0);
     hasher.write(body);
@@ -71,7 +72,7 @@
 }
 
 impl Input {
-    /// Tells the same; returns what is asked for.
+    /// Applies the input and returns the resulting actions.
     pub fn apply(&self, dependencies: &mut Dependencies, now: Duration) -> Vec<Action> {
         let mut out = Vec::new();
         match self {
@@ -82,7 +83,7 @@
             Input::Dropped(call) => dependencies.cancel_call(now, *call, &mut out),
             Input::Tick => dependencies.tick(now, &mut out),
             Input::Leave => dependencies.drain(),
-            // What was written out can be read again.
+            // The text is the output of `explain`, which can always be read back.
             Input::Reload(text) => {
                 if let Ok(file) = jaspershunt_operator::read("journal", text) {
                     dependencies.reload(now, &file, &mut out);
@@ -93,7 +94,7 @@
     }
 }
 
-/// The owner of the decisions, with a tape if it is asked for one.
+/// [`Dependencies`] with an optional journal.
 #[derive(Clone, Debug)]
 pub struct JournaledDependencies {
     dependencies: Dependencies,
@@ -108,7 +109,7 @@
 }
 
 impl JournaledDependencies {
-    /// [`Dependencies::new`]; `on` has it keep a tape.
+    /// Calls [`Dependencies::new`]; `enabled` turns the journal on.
     pub fn new<S: AsRef<str>>(
         file: &File,
         classes: &[S],
@@ -123,17 +124,17 @@
         }
     }
 
-    /// What was told since the last time.
+    /// Takes the steps recorded since the last call.
     pub fn take_steps(&mut self) -> Vec<Step> {
         self.journal.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// The state as it may be saved: with no body in it.
+    /// Returns the state without bodies, for a snapshot.
     pub fn masked(&self) -> Dependencies {
         self.dependencies.masked(mask)
     }
 
-    /// Has something told, and puts it on the tape with all that is asked for.
+    /// Applies an input and records it with its actions.
     fn record(
         &mut self,
         now: Duration,
@@ -147,14 +148,14 @@
         steps.push(Step { now, input, actions: out[from..].iter().map(masked).collect() });
     }
 
-    /// [`Dependencies::wanted`].
+    /// Records and calls [`Dependencies::start_call`].
     pub fn start_call(&mut self, now: Duration, wanted: Wanted, out: &mut Vec<Action>) {
         let recorded = wanted.clone();
         let input = || Input::Wanted(Wanted { body: mask(&recorded.body), ..recorded.clone() });
         self.record(now, input, out, |dependencies, out| dependencies.start_call(now, wanted, out));
     }
 
-    /// [`Dependencies::ended`].
+    /// Records and calls [`Dependencies::attempt_ended`].
     pub fn attempt_ended(
         &mut self,
         now: Duration,
@@ -171,7 +172,7 @@
         });
     }
 
-    /// [`Dependencies::dropped`].
+    /// Records and calls [`Dependencies::cancel_call`].
     pub fn cancel_call(&mut self, now: Duration, id: CallId, out: &mut Vec<Action>) {
         self.record(
             now,
@@ -181,17 +182,17 @@
         );
     }
 
-    /// [`Dependencies::tick`].
+    /// Records and calls [`Dependencies::tick`].
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.record(now, || Input::Tick, out, |dependencies, out| dependencies.tick(now, out));
     }
 
-    /// [`Dependencies::leave`].
+    /// Records and calls [`Dependencies::drain`].
     pub fn drain(&mut self, now: Duration) {
         self.record(now, || Input::Leave, &mut Vec::new(), |dependencies, _| dependencies.drain());
     }
 
-    /// [`Dependencies::reload`].
+    /// Records and calls [`Dependencies::reload`].
     pub fn reload(&mut self, now: Duration, file: &File, out: &mut Vec<Action>) {
         let input = || Input::Reload(explain(file));
         self.record(now, input, out, |dependencies, out| dependencies.reload(now, file, out));
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -1,16 +1,20 @@
-//! Decides what a nodo asks of each thing that lies below it, and what it does when that cannot be had.
+//! Decisions on the calls that a nodo makes to its dependencies: budgets, concurrency limits, circuit
+//! breakers, retries and fallbacks.
 //!
-//! One [`Dependencies`] is owned by the nodo's engine. It is told of each call that the decision module wants made, of
-//! how attempts end and of calls that nobody waits for any more, and asks for attempts to be made or abandoned, and for
-//! calls to end. For each call that it was told of there is exactly one [`Action::End`], unless the call was dropped. It
-//! has no clock, socket, timer or random source: `now` is passed in, from any beginning, and never goes back.
+//! The nodo's engine owns one [`Dependencies`]. It passes in each call that the decision module requests, the
+//! ends of attempts, and calls that are no longer needed; it carries out the [`Action`]s returned: attempts to
+//! make or abandon, and calls to end. Each call has exactly one [`Action::End`], unless it was cancelled. There
+//! is no clock, socket, timer or random source in here: `now` is passed in, counted from any origin, and never
+//! goes back.
 //!
-//! - [`budget`] counts what each dependency may hold: calls in hand, waiting, bytes, a second, runs parked.
-//! - [`limit`] learns how many calls a dependency can take below its ceiling.
-//! - [`breaker`] leaves a dependency alone that fails or is slow.
-//! - [`retries`] bounds attempts beyond the first over all dependencies.
-//! - [`kept`] keeps replies to fall back on.
+//! - [`budget`] counts what each dependency uses: calls in flight, queued calls, bytes, call rate, parked runs.
+//! - [`limit`] adapts the concurrency limit of a dependency to its latency.
+//! - [`breaker`] stops calls to a dependency that fails or is slow.
+//! - [`retries`] bounds retries over all dependencies.
+//! - [`reply_cache`] keeps replies as a fallback.
+//! - [`routes`] finds the dependency of a call in the operator's file.
 //! - [`calls`] takes a call through all of these, from one dependency to the next.
+//! - [`journal`] records inputs and actions for replays.
 //!
 //! ```
 //! use jaspershunt_dependencies::{Action, CallId, Dependencies, End, ParkingCapacity, Wanted};
@@ -56,134 +60,135 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A call that the module wants made. Never used twice.
+/// The id of a call that the decision module requests. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// One attempt at a call. Never used twice.
+/// The id of one attempt at a call. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId(pub u64);
 
-/// What the nodo has for runs that are parked at calls, at all dependencies together.
+/// The nodo's capacity for runs that are parked at calls, over all dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ParkingCapacity {
-    /// Runs.
+    /// Maximum number of runs.
     #[serde(rename = "places")]
     pub runs: usize,
     /// Their memory, in kilobytes.
     pub memory_kb: f64,
 }
 
-/// A call that is to be made.
+/// A request to make a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Wanted {
-    /// Its id.
+    /// The id of the call.
     pub call: CallId,
-    /// The class of its request, by place in the list of names given at the start.
+    /// The class of its request, as an index into the names given at the start.
     pub class: usize,
     /// Its place among the calls of the run, from 1.
     pub place: usize,
-    /// How long its request can still wait for it.
+    /// The time until the deadline of its request.
     pub left: Duration,
     /// Its body.
     pub body: Rc<[u8]>,
-    /// The memory of its run while it is parked, in kilobytes.
+    /// The memory of its run while parked, in kilobytes.
     pub kb: f64,
-    /// Where it goes by the table that its request began with; as the file says where it is left out.
+    /// Its route in the shared table that its request started with; `None` follows the operator's file.
     pub by: Option<Rc<By>>,
 }
 
-/// A route of a table that all nodos share.
+/// A route of the routing table that all nodos share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct By {
-    /// Its name.
+    /// The name of the route.
     pub route: String,
-    /// Calls at once by it at most, at the dependency that it leads to.
+    /// Maximum number of concurrent calls by this route at its own dependency.
     pub calls: usize,
     /// The name of that dependency.
     pub to: String,
-    /// Those that stand in for it, one after the other.
+    /// The fallback dependencies, in order.
     pub then: Vec<String>,
 }
 
-/// How a call ended.
+/// The end of a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum End {
-    /// With the reply of the dependency that it was to go to, or of one that stands in for it: it is complete.
+    /// A complete reply from the dependency or one of its fallbacks.
     Reply {
         /// The reply.
         body: Vec<u8>,
-        /// How long the attempt took that brought it.
+        /// The duration of the successful attempt.
         took: Duration,
     },
-    /// With a reply that was kept.
+    /// A cached reply.
     Kept {
         /// The reply.
         body: Rc<[u8]>,
-        /// When it came, on the clock of `now`.
+        /// When it was received, on the clock of `now`.
         since: Duration,
     },
-    /// Without any.
+    /// No reply.
     Nothing {
-        /// What became of it. Where no attempt was made, or all provably never ran, one that says so.
+        /// The outcome of the call. If no attempt was made, or all attempts provably never ran, it is one
+        /// for which `Outcome::never_ran` holds.
         outcome: Outcome,
-        /// The time since it was wanted.
+        /// The time since the call was requested.
         took: Duration,
     },
 }
 
-/// What is asked for. To be carried out in order.
+/// An action for the engine, to be carried out in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
     /// Make an attempt, and report its end with [`Dependencies::attempt_ended`].
     Attempt {
-        /// Its call.
+        /// The call.
         call: CallId,
-        /// Its id.
+        /// The attempt.
         attempt: AttemptId,
-        /// The place of the dependency; connections are kept apart by it.
+        /// The index of the dependency; each has its own connections.
         dependency: usize,
-        /// Where to.
+        /// The address to connect to.
         address: SocketAddr,
-        /// Connections to that dependency at most, idle ones included.
+        /// Maximum number of connections to the dependency, idle ones included.
         connections: usize,
-        /// Give it up after this time.
+        /// The timeout of the attempt.
         give_up_after: Duration,
-        /// Nothing may be left open as to whether it ran.
+        /// The engine must always be able to tell whether it ran.
         once: bool,
     },
-    /// Give an attempt up: nobody waits for it any more. Its end is not to be reported.
+    /// Abandon an attempt that is no longer needed. Its end is not to be reported.
     Abandon {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A call is over.
+    /// End a call.
     End {
         /// The call.
         call: CallId,
-        /// How.
+        /// The end.
         end: End,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Note(String),
 }
 
-/// A look at one dependency.
+/// The state of one dependency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
     /// Its name.
     pub name: String,
-    /// Calls in hand, those given up included that may go on.
+    /// Calls in flight, abandoned ones included that may still be executing.
     pub in_flight: usize,
-    /// Calls that wait.
+    /// Queued calls.
     pub queued: usize,
-    /// Runs parked.
+    /// Parked runs.
     pub parked: usize,
-    /// What may be in hand at present.
+    /// The concurrency limit in force.
     pub limit: usize,
-    /// Where its breaker stands.
+    /// The state of its circuit breaker.
     pub breaker: breaker::State,
-    /// What became of calls.
+    /// Counters since the start.
     pub counts: Counts,
 }
 
--- a/crates/dependencies/src/limit.rs
+++ b/crates/dependencies/src/limit.rs
@@ -1,37 +1,40 @@
-//! The learned limit: how many calls a dependency can have in hand before they only wait there.
+//! The adaptive concurrency limit: how many calls a dependency can process at once before further ones only
+//! queue there.
 //!
-//! It is TCP Vegas (Brakmo, O'Malley and Peterson 1994) on calls in place of segments: what a call takes beyond the
-//! least it ever took is time spent waiting, so `in hand × (1 − least / mean)` calls wait below. While few do, the limit
-//! grows; once more do than are needed to keep the dependency busy, it shrinks. A call that was turned away or given up
-//! cuts it at once, as a lost segment would. Two things differ: the thresholds are shares of the limit, since a
-//! dependency with 4 slots and one with 40 must both settle near their slots; and the least is measured anew every so
-//! many rounds, at half the limit, as BBR does (Cardwell and others 2016): a dependency that has become slower for good
-//! is not one that is crowded, and a least that was simply forgotten would be learned from a crowd.
+//! It applies TCP Vegas (Brakmo, O'Malley and Peterson 1994) to calls instead of segments: latency above the
+//! minimum is time spent queueing, so `in flight × (1 − minimum / mean)` calls are queued at the dependency.
+//! The limit grows while few are; it shrinks once more are queued than keep the dependency busy. A call that
+//! is turned away or given up reduces it at once, as a lost segment does. It differs from Vegas in two
+//! points. The thresholds are shares of the limit, since a dependency with 4 slots and one with 40 must both
+//! settle near their slots. And the minimum is measured again at regular intervals, at half the limit, as
+//! BBR does (Cardwell and others 2016): a dependency that has become slower for good is not overloaded, and
+//! a minimum that merely expired would be learned again under load.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Samples that a round has at least, so that its mean says something.
+/// Minimum samples of a round, so that its mean is meaningful.
 const MIN_ROUND_SAMPLES: usize = 16;
-/// The limit grows while fewer than this share of it wait below, and a third of a call. Ours: the mean of a round strays
-/// by a few hundredths, and more than that must not look like waiting.
+/// The limit grows while fewer calls than this share of it plus `GROW_BELOW_CALLS` are queued at the
+/// dependency. The mean of a round varies by a few hundredths, which must not be taken for queueing.
 const GROW_BELOW_SHARE: f64 = 0.05;
 const GROW_BELOW_CALLS: f64 = 0.3;
-/// It shrinks once more than this share of it wait below, and two thirds of a call.
+/// The limit shrinks once more calls than this share of it plus `SHRINK_ABOVE_CALLS` are queued.
 const SHRINK_ABOVE_SHARE: f64 = 0.15;
 const SHRINK_ABOVE_CALLS: f64 = 0.7;
-/// What is left of the limit by a call that was turned away or given up.
+/// Factor applied to the limit when a call is turned away or given up.
 const DROP_FACTOR: f64 = 0.7;
-/// Each round at the beginning, until the first sign of waiting, multiplies it by this.
+/// Factor applied in each round of slow start, until calls first queue.
 const SLOW_START_FACTOR: f64 = 1.5;
-/// Rounds after which the least is measured anew, and the share of the limit that one round has for it. Ours: with
-/// rounds of some 16 to 100 calls a matter of seconds to minutes, and less than a hundredth of the calls.
+/// Rounds between two measurements of the minimum, and the share of the limit in force during that round. A
+/// round has some 16 to 100 calls, so a measurement comes every few seconds to minutes and affects less than
+/// a hundredth of the calls.
 const PROBE_INTERVAL_ROUNDS: u32 = 64;
 const PROBE_LIMIT_SHARE: f64 = 0.5;
-/// Only a limit of which this share was used can be said to be too low.
+/// Share of the limit that must have been in use for it to grow.
 const MIN_UTILIZATION: f64 = 0.75;
 
-/// What a dependency can take, as it was learned so far.
+/// The adaptive limit of one dependency and the measurements behind it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AdaptiveLimit {
     start: f64,
@@ -40,29 +43,29 @@
     #[serde(rename = "most")]
     max: f64,
     limit: f64,
-    /// Nothing has shown yet that calls wait below.
+    /// Slow start: no queueing has been seen yet.
     #[serde(rename = "starting")]
     slow_start: bool,
-    /// The least mean of a round.
+    /// Lowest mean latency of a round.
     #[serde(rename = "base")]
     min_mean_seconds: Option<f64>,
     rounds: u32,
-    /// The limit to go back to, while the least is measured anew.
+    /// The limit to restore after the minimum has been measured.
     #[serde(rename = "probing")]
     limit_before_probe: Option<f64>,
-    /// The round: samples, their sum, the most in hand.
+    /// The current round: samples, the sum of their latencies, and the most calls in flight.
     samples: usize,
     #[serde(rename = "sum")]
     sum_seconds: f64,
     #[serde(rename = "in_hand")]
     max_in_flight: usize,
-    /// A cut was made in this round already.
+    /// The limit was already reduced for a drop in this round.
     #[serde(rename = "cut")]
     decreased: bool,
 }
 
 impl AdaptiveLimit {
-    /// A limit that begins at `start` and stays from `least` to `most`.
+    /// Creates a limit that begins at `start` and stays between `min` and `max`.
     pub fn new(start: usize, min: usize, max: usize) -> AdaptiveLimit {
         let (min, max) = (min.min(max) as f64, max as f64);
         let start = (start as f64).clamp(min, max);
@@ -82,12 +85,12 @@
         }
     }
 
-    /// Calls that may be in hand.
+    /// Returns the number of calls that may be in flight.
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
-    /// Moves the bounds; what was learned stays as far as it fits.
+    /// Changes the bounds; the current limit is clamped to them.
     pub fn set_bounds(&mut self, start: usize, min: usize, max: usize) {
         (self.min, self.max) = (min.min(max) as f64, max as f64);
         self.start = (start as f64).clamp(self.min, self.max);
@@ -95,17 +98,17 @@
         self.limit_before_probe = self.limit_before_probe.map(|limit| limit.clamp(self.min, self.max));
     }
 
-    /// Begins anew, as after an outage: what was in hand before it would come down on a dependency that has just got
-    /// up again. What calls take at the least stays known.
+    /// Restarts from the initial limit, as after an outage: the limit from before would overload a
+    /// dependency that has just recovered. The minimum latency is kept.
     pub fn reset(&mut self) {
         (self.limit, self.limit_before_probe) = (self.start, None);
         self.slow_start = true;
         self.begin_round();
     }
 
-    /// A call came back by itself, whatever with, after this time; so many were in hand when it was made.
+    /// Records a call that ended by itself after `took`; `in_flight` calls were in flight when it began.
     pub fn record_reply(&mut self, took: Duration, in_flight: usize) {
-        // What was made beside more than the round allows does not tell what a call takes alone.
+        // A call made beside more calls than this round allows does not measure the minimum latency.
         if self.limit_before_probe.is_some() && in_flight > self.limit() {
             return;
         }
@@ -117,7 +120,7 @@
         }
     }
 
-    /// A call was turned away or given up.
+    /// Records a call that was turned away or given up.
     pub fn record_drop(&mut self) {
         if !self.decreased {
             self.decreased = true;
@@ -125,7 +128,8 @@
             self.limit = self.limit_before_probe.take().unwrap_or(self.limit);
             self.limit = (self.limit * DROP_FACTOR).max(self.min);
         }
-        // Guards against a limit that stays cut off from its next round when nothing comes back by itself.
+        // Counts as a sample, or a round would never end while no call is answered, and the limit could not
+        // be reduced again.
         self.samples += 1;
         self.sum_seconds += self.min_mean_seconds.unwrap_or(0.0);
         if self.samples >= MIN_ROUND_SAMPLES.max(self.limit as usize) {
@@ -145,7 +149,8 @@
         let max_used = (self.max_in_flight as f64).min(self.limit);
         let queued = if mean > 0.0 { max_used * (1.0 - min_mean / mean) } else { 0.0 };
         if self.decreased {
-            // One cut a round is enough; what the round measured was measured before it in part.
+            // The limit is reduced at most once a round; part of this round was measured before the
+            // reduction.
         } else if queued > self.limit * SHRINK_ABOVE_SHARE + SHRINK_ABOVE_CALLS {
             self.slow_start = false;
             self.limit =
--- a/crates/dependencies/src/reply_cache.rs
+++ b/crates/dependencies/src/reply_cache.rs
@@ -1,15 +1,17 @@
-//! Replies kept to fall back on, bounded in age and bytes. A reply is known by the whole call that it answered (class,
-//! place in the run, body): with less, one subject could get what belongs to another.
+//! Cache of replies that can stand in for a failed call (`kept` in the operator's file), bounded in age and
+//! bytes. Entries are keyed by the whole call (class, place in the run, body): with less, one person could
+//! receive data that belongs to another.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What an entry takes beside its call and its reply: the entry, its places in both indexes, and their slack.
+/// Overhead of an entry beside its call and reply: the entry, its places in both indexes, and their spare
+/// capacity.
 const ENTRY_BYTES: usize = 200;
 
-/// What a reply answered.
+/// The call that a reply answered.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CacheKey {
     /// The class of the request.
@@ -27,12 +29,12 @@
     stored_at: Duration,
     #[serde(rename = "until")]
     expires_at: Duration,
-    /// When it was put, in order; of two that go at one time the first put goes first.
+    /// Order of insertion; of two entries that expire at the same time the older one is removed first.
     #[serde(rename = "turn")]
     sequence: u64,
 }
 
-/// The replies.
+/// A cache of replies.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ReplyCache {
     entries: BTreeMap<CacheKey, Entry>,
@@ -50,26 +52,27 @@
 }
 
 impl ReplyCache {
-    /// No replies, and so many bytes for them at most.
+    /// Creates an empty cache of at most `max_bytes`.
     pub fn new(max_bytes: usize) -> ReplyCache {
         ReplyCache { max_bytes, ..ReplyCache::default() }
     }
 
-    /// Moves the bound.
+    /// Changes the size limit and removes entries beyond it.
     pub fn set_max_bytes(&mut self, max_bytes: usize) {
         self.max_bytes = max_bytes;
         self.make_room(0);
     }
 
-    /// Bytes that the replies take.
+    /// Returns the bytes that the entries take.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Keeps a reply for so long, in the place of an older one to the same call. Those that are to go first make room.
+    /// Stores a reply for `time_to_live` and replaces an older one to the same call. Entries that expire
+    /// first are removed to make room.
     pub fn insert(&mut self, now: Duration, key: CacheKey, reply: Rc<[u8]>, time_to_live: Duration) {
         self.expire(now);
-        self.drop_entry(&key);
+        self.remove(&key);
         let bytes = entry_bytes(&key, &reply);
         if bytes > self.max_bytes {
             return;
@@ -83,7 +86,7 @@
         self.entries.insert(key, Entry { reply, stored_at: now, expires_at, sequence });
     }
 
-    /// The reply to a call that is no older than this, and when it came.
+    /// Returns the cached reply to a call and when it was stored, unless it is older than `max_age`.
     pub fn get(&mut self, now: Duration, key: &CacheKey, max_age: Duration) -> Option<(Rc<[u8]>, Duration)> {
         self.expire(now);
         let entry = self.entries.get(key)?;
@@ -91,17 +94,17 @@
         is_fresh.then(|| (entry.reply.clone(), entry.stored_at))
     }
 
-    /// Drops what is over.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: Duration) {
         while let Some((_, key)) =
             self.expirations.first_key_value().filter(|((expires_at, _), _)| *expires_at < now)
         {
             let key = key.clone();
-            self.drop_entry(&key);
+            self.remove(&key);
         }
     }
 
-    fn drop_entry(&mut self, key: &CacheKey) {
+    fn remove(&mut self, key: &CacheKey) {
         if let Some(entry) = self.entries.remove(key) {
             self.bytes -= entry_bytes(key, &entry.reply);
             self.expirations.remove(&(entry.expires_at, entry.sequence));
@@ -111,13 +114,13 @@
     fn make_room(&mut self, bytes: usize) {
         while self.bytes + bytes > self.max_bytes {
             let Some(key) = self.expirations.first_key_value().map(|(_, key)| key.clone()) else { return };
-            self.drop_entry(&key);
+            self.remove(&key);
         }
     }
 }
 
 impl ReplyCache {
-    /// The same with other bodies; `mask` keeps lengths, and what is equal.
+    /// Returns a copy in which `mask` has replaced all bodies. `mask` must keep lengths and equality.
     pub(crate) fn masked(&self, mask: impl Fn(&[u8]) -> Rc<[u8]>) -> ReplyCache {
         let masked_key = |key: &CacheKey| CacheKey { body: mask(&key.body), ..key.clone() };
         ReplyCache {
--- a/crates/dependencies/src/reply_cache/tests.rs
+++ b/crates/dependencies/src/reply_cache/tests.rs
@@ -1,4 +1,4 @@
-//! Bounds on kept replies, in age and bytes.
+//! Bounds of the reply cache, in age and bytes.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_reply_that_is_a_moment_too_old_is_not_used() {
+fn a_reply_older_than_its_maximum_age_is_not_used() {
     let mut cache = ReplyCache::new(10_000);
     let key = CacheKey { class: 0, place: 1, body: b"ana"[..].into() };
     cache.insert(ms(0), key.clone(), b"r"[..].into(), ms(2000));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn kept_replies_are_bounded_in_bytes_and_the_oldest_go_first() {
+fn cached_replies_are_bounded_in_bytes_and_the_oldest_are_removed_first() {
     let mut cache = ReplyCache::new(5_000);
     let key = |n: u8| CacheKey { class: 0, place: 1, body: vec![n; 100].into() };
     for n in 0..50 {
@@ -28,7 +28,7 @@
     assert!(cache.get(ms(50), &key(0), ms(60_000)).is_none());
     assert!(cache.get(ms(50), &key(49), ms(60_000)).is_some());
     cache.insert(ms(51), key(49), vec![1; 6_000].into(), ms(60_000));
-    // One that does not fit is not kept, nor is the one before, which is no longer the last.
+    // A reply that does not fit is not cached, and it invalidates the one before.
     assert!(cache.get(ms(51), &key(49), ms(60_000)).is_none());
     cache.set_max_bytes(900);
     assert!(cache.bytes() <= 900);
--- a/crates/dependencies/src/retries/tests.rs
+++ b/crates/dependencies/src/retries/tests.rs
@@ -1,9 +1,9 @@
-//! The bound on what is saved up. That the share holds at every moment is tested with the calls.
+//! The maximum credit of the retry budget. That retries stay within their share is tested with the calls.
 
 use super::*;
 
 #[test]
-fn saved_up_attempts_are_bounded() {
+fn saved_credit_is_bounded() {
     let mut budget = RetryBudget::new(&Config::default());
     (0..10_000).for_each(|_| budget.record_first_attempt());
     let mut retries = 0;
--- a/crates/dependencies/src/routes.rs
+++ b/crates/dependencies/src/routes.rs
@@ -1,4 +1,4 @@
-//! Where the calls of each class go.
+//! Routes of calls from the operator's file, by class of request.
 
 use jaspershunt_operator::check::{ANY, MAX_PLACE};
 use jaspershunt_operator::{File, Repeat};
@@ -6,29 +6,29 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Where a call goes first, and what may stand in for it.
+/// The dependency that a call goes to, and what may replace its reply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// The name of the dependency.
     #[serde(rename = "to")]
     pub dependency: String,
-    /// It may go on to those that the dependency falls back on.
+    /// Whether the call may use the fallbacks of the dependency.
     #[serde(rename = "elsewhere")]
     pub may_fall_back: bool,
-    /// A reply of this age may stand in.
+    /// The maximum age of a cached reply that may be used instead.
     #[serde(rename = "kept")]
     pub max_reply_age: Option<Duration>,
-    /// It must not be made again once it may have run.
+    /// Whether the call must not be retried once it may have run.
     #[serde(rename = "once")]
     pub at_most_once: bool,
 }
 
-/// The routes of all classes, by class and place; place 0 is any.
+/// The routes of all classes, by class and place in the run; place 0 stands for any place.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Routes(BTreeMap<(usize, usize), Route>);
 
 impl Routes {
-    /// The routes of a file, for classes of these names.
+    /// Builds the routes of a file; `classes` are the names of the classes in order.
     pub fn new(file: &File, classes: &[String]) -> Routes {
         let mut routes = BTreeMap::new();
         for (class, name) in classes.iter().enumerate() {
@@ -47,7 +47,7 @@
         Routes(routes)
     }
 
-    /// The route of a call.
+    /// Returns the route of a call; one for its place takes precedence over the general one.
     pub fn find(&self, class: usize, place: usize) -> Option<&Route> {
         self.0.get(&(class, place)).or_else(|| self.0.get(&(class, 0)))
     }
--- a/crates/dependencies/src/tests.rs
+++ b/crates/dependencies/src/tests.rs
@@ -1,5 +1,5 @@
-//! Calls from being wanted to their one end, and the whole under seeded random events with the rules checked after every
-//! step. Each part has tests of its own beside it.
+//! Tests of whole calls, and a property test that checks the invariants after each of a sequence of random
+//! events. Each module has its own tests beside it.
 
 use crate::breaker::State;
 use crate::*;
@@ -82,12 +82,12 @@
     Duration::from_millis(ms)
 }
 
-/// Dependencies with the test in the place of the sockets.
+/// Drives [`Dependencies`] in place of the engine and its sockets.
 struct Harness {
     dependencies: Dependencies,
     now: Duration,
     calls: u64,
-    tried: Vec<(CallId, AttemptId, u16, Duration)>,
+    attempts: Vec<(CallId, AttemptId, u16, Duration)>,
     abandoned: Vec<AttemptId>,
     ends: BTreeMap<CallId, End>,
     notes: usize,
@@ -97,15 +97,15 @@
     fn new(file: &File) -> Harness {
         let capacity = ParkingCapacity { runs: 20, memory_kb: 1000.0 };
         let dependencies = Dependencies::new(file, &CLASSES, capacity, 1, ms(0));
-        let (tried, abandoned) = (Vec::new(), Vec::new());
-        Harness { dependencies, now: ms(0), calls: 0, tried, abandoned, ends: BTreeMap::new(), notes: 0 }
+        let (attempts, abandoned) = (Vec::new(), Vec::new());
+        Harness { dependencies, now: ms(0), calls: 0, attempts, abandoned, ends: BTreeMap::new(), notes: 0 }
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
+    fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Attempt { call, attempt, address, give_up_after, .. } => {
-                    self.tried.push((call, attempt, address.port(), give_up_after));
+                    self.attempts.push((call, attempt, address.port(), give_up_after));
                 }
                 Action::Abandon { attempt } => self.abandoned.push(attempt),
                 Action::End { call, end } => {
@@ -117,31 +117,31 @@
         self.dependencies.check_invariants().unwrap();
     }
 
-    fn want(&mut self, class: usize, place: usize, body: &[u8]) -> CallId {
+    fn request(&mut self, class: usize, place: usize, body: &[u8]) -> CallId {
         self.calls += 1;
         let call = CallId(self.calls);
         let wanted = Wanted { call, class, place, left: ms(2000), body: body.into(), kb: 10.0, by: None };
         let mut out = Vec::new();
         self.dependencies.start_call(self.now, wanted, &mut out);
-        self.take(out);
+        self.carry_out(out);
         call
     }
 
-    /// A call that goes by a route of the table.
-    fn want_by(&mut self, by: &Rc<By>) -> CallId {
+    /// Starts a call by a route of the shared table.
+    fn request_by_route(&mut self, by: &Rc<By>) -> CallId {
         self.calls += 1;
         let (call, by) = (CallId(self.calls), Some(by.clone()));
         let wanted =
             Wanted { call, class: SIGN, place: 1, left: ms(2000), body: b"x"[..].into(), kb: 10.0, by };
         let mut out = Vec::new();
         self.dependencies.start_call(self.now, wanted, &mut out);
-        self.take(out);
+        self.carry_out(out);
         call
     }
 
     /// The last attempt at a call.
     fn attempt(&self, call: CallId) -> (AttemptId, u16) {
-        let at = self.tried.iter().rev().find(|(of, ..)| *of == call).expect("an attempt");
+        let at = self.attempts.iter().rev().find(|(of, ..)| *of == call).expect("an attempt");
         (at.1, at.2)
     }
 
@@ -150,45 +150,45 @@
         let body = if outcome == Outcome::Done { b"reply".to_vec() } else { Vec::new() };
         let mut out = Vec::new();
         self.dependencies.attempt_ended(self.now, attempt, outcome, ms(took), body, &mut out);
-        self.take(out);
+        self.carry_out(out);
     }
 
-    fn until(&mut self, at: u64) {
+    fn advance_to(&mut self, at: u64) {
         self.now = ms(at);
         let mut out = Vec::new();
         self.dependencies.tick(self.now, &mut out);
-        self.take(out);
+        self.carry_out(out);
     }
 
-    fn drop_call(&mut self, call: CallId) {
+    fn cancel(&mut self, call: CallId) {
         let mut out = Vec::new();
         self.dependencies.cancel_call(self.now, call, &mut out);
-        self.take(out);
+        self.carry_out(out);
     }
 
     fn reload(&mut self, file: &File) {
         let mut out = Vec::new();
         self.dependencies.reload(self.now, file, &mut out);
-        self.take(out);
+        self.carry_out(out);
     }
 
-    /// Earns the right to so many further attempts.
-    fn earn(&mut self, attempts: usize) {
-        for _ in 0..attempts * 10 {
-            let call = self.want(READ, 2, b"earn");
+    /// Earns credit for so many retries.
+    fn earn_retries(&mut self, retries: usize) {
+        for _ in 0..retries * 10 {
+            let call = self.request(READ, 2, b"earn");
             self.end(call, Outcome::Done, 1);
         }
     }
 
-    /// Has so many calls of the first dependency fail.
-    fn fail(&mut self, times: usize) {
+    /// Makes so many calls to the first dependency fail.
+    fn fail_calls(&mut self, times: usize) {
         for _ in 0..times {
-            let call = self.want(SIGN, 1, b"fail");
+            let call = self.request(SIGN, 1, b"fail");
             self.end(call, Outcome::Failed, 1);
         }
     }
 
-    fn state(&self, name: &str) -> Status {
+    fn status_of(&self, name: &str) -> Status {
         self.dependencies.status().into_iter().find(|status| status.name == name).unwrap()
     }
 
@@ -202,90 +202,94 @@
 }
 
 #[test]
-fn a_table_says_where_calls_go_how_many_and_what_stands_in() {
+fn the_shared_table_sets_route_limit_and_fallback() {
     let mut harness = Harness::new(&file(&[]));
     let by = |to: &str, calls, then: &[&str]| {
         let then = then.iter().map(|name| (*name).to_string()).collect();
         Rc::new(By { route: "r1".into(), calls, to: to.into(), then })
     };
-    // The file sends the class to "a", on to "b" and "c"; the table to "b", on to "a".
+    // The file routes the class to "a", then "b" and "c"; the table to "b", then "a".
     let (table, at_a) = (by("b", 1, &["a"]), |harness: &Harness, call| harness.attempt(call).1 <= 2);
-    let first = harness.want_by(&table);
+    let first = harness.request_by_route(&table);
     assert_eq!(harness.attempt(first).1, 3);
-    // The route has its one call at once: the next goes on to what stands in, also where "b" has room.
-    let second = harness.want_by(&table);
+    // The route allows one call at once: the next falls back, although "b" has capacity.
+    let second = harness.request_by_route(&table);
     assert!(at_a(&harness, second));
-    assert_eq!((harness.state("a").in_flight, harness.state("b").in_flight), (1, 1));
-    // What it took elsewhere does not count against the route.
+    assert_eq!((harness.status_of("a").in_flight, harness.status_of("b").in_flight), (1, 1));
+    // Its fallback call does not count against the route.
     harness.end(first, Outcome::Done, 1);
-    // "b" takes so many a second.
-    harness.until(100);
-    let third = harness.want_by(&table);
+    // Waits for a token of the rate of "b".
+    harness.advance_to(100);
+    let third = harness.request_by_route(&table);
     assert_eq!(harness.attempt(third).1, 3);
-    // A request goes by one table to its end, whatever the file falls back on by now.
+    // A request follows the table it started with, whatever the file says after a reload.
     harness.reload(&file(&[("  fall_back = \"c\"\n", "")]));
     harness.end(second, Outcome::Done, 1);
-    harness.earn(1);
+    harness.earn_retries(1);
     harness.end(third, Outcome::TurnedAway, 1);
-    assert!(at_a(&harness, third), "{:?}", harness.tried);
-    // A dependency without an address here: the file's own route stands.
-    let lost = harness.want_by(&by("lejos", 1, &[]));
+    assert!(at_a(&harness, third), "{:?}", harness.attempts);
+    // The table names a dependency without an address here: the file's own route is used.
+    let lost = harness.request_by_route(&by("lejos", 1, &[]));
     assert!(harness.attempt(lost).1 <= 2);
-    // None at all by the table, and nothing stands in.
-    let none = harness.want_by(&by("b", 0, &[]));
+    // The table allows no calls and names no fallback.
+    let none = harness.request_by_route(&by("b", 0, &[]));
     assert_eq!(harness.outcome(none), Some(Outcome::TurnedAway));
     harness.dependencies.check_invariants().unwrap();
 }
 
 #[test]
-fn a_dependency_that_hangs_holds_its_part_and_no_more() {
+fn a_hanging_dependency_uses_only_its_share() {
     let mut harness = Harness::new(&file(&[]));
-    let calls: Vec<CallId> = (0..12).map(|_| harness.want(SIGN, 1, b"x")).collect();
-    let a = harness.state("a");
-    // Four in hand, three in line; "sign" may go to "b" too, where guests have half of two.
+    let calls: Vec<CallId> = (0..12).map(|_| harness.request(SIGN, 1, b"x")).collect();
+    let a = harness.status_of("a");
+    // Four calls in flight and three queued; "sign" may fall back to "b", where fallback calls have half of
+    // a limit of two.
     assert_eq!((a.in_flight, a.queued, a.parked), (4, 3, 7));
-    assert_eq!(harness.state("b").in_flight, 1);
+    assert_eq!(harness.status_of("b").in_flight, 1);
     assert_eq!(calls.iter().filter(|c| harness.outcome(**c) == Some(Outcome::TurnedAway)).count(), 4);
-    // Those that need another one are none the worse.
-    let other = harness.want(READ, 2, b"x");
+    // Calls to other dependencies are not affected.
+    let other = harness.request(READ, 2, b"x");
     assert_eq!(harness.attempt(other).1, 4);
-    // What waits does so for its time and no longer.
-    harness.until(100);
-    assert_eq!(harness.state("a").queued, 0);
+    // Queued calls time out.
+    harness.advance_to(100);
+    assert_eq!(harness.status_of("a").queued, 0);
     assert_eq!(calls.iter().filter(|c| harness.outcome(**c) == Some(Outcome::TurnedAway)).count(), 7);
 }
 
 #[test]
-fn calls_given_up_count_until_they_are_surely_over() {
+fn abandoned_calls_count_as_in_flight_until_they_stop_lingering() {
     let mut harness = Harness::new(&file(&[]));
-    let calls: Vec<CallId> = (0..4).map(|_| harness.want(SIGN, 1, b"x")).collect();
-    harness.until(500);
+    let calls: Vec<CallId> = (0..4).map(|_| harness.request(SIGN, 1, b"x")).collect();
+    harness.advance_to(500);
     for call in &calls {
         harness.end(*call, Outcome::GivenUp, 500);
     }
-    assert_eq!(harness.state("a").in_flight, 4);
-    // The breaker has seen four that failed; but even with it out of the way nothing would go there yet.
-    assert!(matches!(harness.state("a").breaker, State::Open { .. }));
-    harness.until(699);
-    assert_eq!(harness.state("a").in_flight, 4);
-    harness.until(700);
-    assert_eq!(harness.state("a").in_flight, 0);
-    let dropped = harness.want(READ, 2, b"x");
-    harness.drop_call(dropped);
-    assert_eq!((harness.abandoned.len(), harness.state("c").in_flight, harness.state("c").parked), (1, 1, 0));
+    assert_eq!(harness.status_of("a").in_flight, 4);
+    // The breaker has opened after four failures; without it there would still be no capacity.
+    assert!(matches!(harness.status_of("a").breaker, State::Open { .. }));
+    harness.advance_to(699);
+    assert_eq!(harness.status_of("a").in_flight, 4);
+    harness.advance_to(700);
+    assert_eq!(harness.status_of("a").in_flight, 0);
+    let cancelled = harness.request(READ, 2, b"x");
+    harness.cancel(cancelled);
+    assert_eq!(
+        (harness.abandoned.len(), harness.status_of("c").in_flight, harness.status_of("c").parked),
+        (1, 1, 0)
+    );
 }
 
 #[test]
-fn a_call_that_may_have_had_its_effect_is_never_made_again_or_elsewhere() {
+fn a_keyed_call_that_may_have_run_is_never_retried() {
     for outcome in [Outcome::Failed, Outcome::GivenUp, Outcome::Broken] {
         let mut harness = Harness::new(&file(&[]));
-        harness.earn(5);
-        let call = harness.want(SIGN, 1, b"x");
-        let before = harness.tried.len();
+        harness.earn_retries(5);
+        let call = harness.request(SIGN, 1, b"x");
+        let before = harness.attempts.len();
         harness.end(call, outcome, 10);
-        assert_eq!((harness.outcome(call), harness.tried.len()), (Some(outcome), before));
-        // Of a class that is safe to repeat it is.
-        let call = harness.want(READ, 1, b"x");
+        assert_eq!((harness.outcome(call), harness.attempts.len()), (Some(outcome), before));
+        // A call of a class that is safe to repeat is retried.
+        let call = harness.request(READ, 1, b"x");
         harness.end(call, outcome, 10);
         assert_eq!(harness.outcome(call), None, "{outcome:?}");
         harness.end(call, Outcome::Done, 10);
@@ -294,28 +298,28 @@
 }
 
 #[test]
-fn one_that_provably_never_ran_goes_on_elsewhere_and_what_may_have_run_is_not_forgotten() {
+fn a_call_that_never_ran_falls_back_and_a_possible_run_is_remembered() {
     let mut harness = Harness::new(&file(&[]));
-    harness.earn(5);
-    let call = harness.want(SIGN, 1, b"x");
+    harness.earn_retries(5);
+    let call = harness.request(SIGN, 1, b"x");
     harness.end(call, Outcome::TurnedAway, 1);
     assert_eq!(harness.attempt(call).1, 3);
     harness.end(call, Outcome::Done, 1);
     assert_eq!(harness.outcome(call), Some(Outcome::Done));
-    // Unreachable at one address, it goes to the other first; and the other stays in use.
-    harness.until(40);
-    let call = harness.want(SIGN, 1, b"x");
+    // A call that finds one address unreachable goes to the other first, which then stays in use.
+    harness.advance_to(40);
+    let call = harness.request(SIGN, 1, b"x");
     harness.end(call, Outcome::Unreachable, 1);
     assert_eq!(harness.attempt(call).1, 2);
     harness.end(call, Outcome::TurnedAway, 1);
     assert_eq!(harness.attempt(call).1, 3);
     harness.end(call, Outcome::Failed, 1);
     assert_eq!(harness.outcome(call), Some(Outcome::Failed));
-    let next = harness.want(SIGN, 1, b"x");
+    let next = harness.request(SIGN, 1, b"x");
     assert_eq!(harness.attempt(next).1, 2);
-    // A safe call failed here and was turned away there: it may have run.
-    harness.until(80);
-    let call = harness.want(READ, 1, b"y");
+    // A safe call failed at one dependency and was turned away by the next: it may have run.
+    harness.advance_to(80);
+    let call = harness.request(READ, 1, b"y");
     harness.end(call, Outcome::Failed, 1);
     harness.end(call, Outcome::TurnedAway, 1);
     if harness.outcome(call).is_none() {
@@ -325,128 +329,127 @@
 }
 
 #[test]
-fn a_fall_back_that_is_shut_or_full_takes_nothing() {
+fn a_fallback_that_is_open_or_full_accepts_no_calls() {
     let mut harness = Harness::new(&file(&[]));
-    harness.earn(9);
-    harness.fail(4);
-    assert!(matches!(harness.state("a").breaker, State::Open { .. }));
-    // Shut out at "a", calls go to "b" as guests: half of its limit of two; then to "c" likewise.
-    let calls: Vec<CallId> = (0..4).map(|_| harness.want(SIGN, 1, b"x")).collect();
-    assert_eq!((harness.state("b").in_flight, harness.state("c").in_flight), (1, 0));
+    harness.earn_retries(9);
+    harness.fail_calls(4);
+    assert!(matches!(harness.status_of("a").breaker, State::Open { .. }));
+    // The breaker of "a" is open, so calls fall back to "b", where they have half of its limit of two; none
+    // gets to "c".
+    let calls: Vec<CallId> = (0..4).map(|_| harness.request(SIGN, 1, b"x")).collect();
+    assert_eq!((harness.status_of("b").in_flight, harness.status_of("c").in_flight), (1, 0));
     assert_eq!(calls.iter().filter(|call| harness.outcome(**call) == Some(Outcome::TurnedAway)).count(), 3);
-    // Its own calls have the other half.
-    harness.until(50);
-    let own = harness.want(READ, 3, b"x");
+    // The calls of "b" itself have the other half.
+    harness.advance_to(50);
+    let own = harness.request(READ, 3, b"x");
     assert_eq!(harness.attempt(own).1, 3);
-    assert_eq!(harness.state("b").in_flight, 2);
+    assert_eq!(harness.status_of("b").in_flight, 2);
 }
 
 #[test]
-fn repeated_attempts_stay_within_their_share_from_the_first_on() {
+fn retries_stay_within_their_share_from_the_start() {
     let mut harness = Harness::new(&file(&[("least = 4", "least = 1000")]));
     for _ in 0..200 {
-        let call = harness.want(READ, 1, b"x");
+        let call = harness.request(READ, 1, b"x");
         while harness.outcome(call).is_none() && !harness.ends.contains_key(&call) {
             harness.end(call, Outcome::Broken, 1);
         }
-        let (first, further) = harness.dependencies.attempts();
-        assert!(further as f64 <= first as f64 * 0.1, "{further} of {first}");
-        harness.until(harness.now.as_millis() as u64 + 150);
+        let (first, retries) = harness.dependencies.attempts();
+        assert!(retries as f64 <= first as f64 * 0.1, "{retries} retries of {first}");
+        harness.advance_to(harness.now.as_millis() as u64 + 150);
     }
     assert_eq!(harness.dependencies.attempts(), (200, 20));
 }
 
 #[test]
-fn a_kept_reply_stands_in_while_it_is_young_and_for_the_same_call_only() {
+fn a_cached_reply_is_used_while_fresh_and_for_the_same_call_only() {
     let mut harness = Harness::new(&file(&[]));
-    let call = harness.want(READ, 1, b"ana");
+    let call = harness.request(READ, 1, b"ana");
     harness.end(call, Outcome::Done, 5);
-    harness.fail(4);
-    // The chain behind "a" is full, so that nothing else can answer.
-    let hold: Vec<CallId> = (0..4).map(|_| harness.want(READ, 3, b"x")).collect();
-    harness.until(10);
-    let same = harness.want(READ, 1, b"ana");
+    harness.fail_calls(4);
+    // The fallbacks of "a" are full, so nothing else can answer.
+    let blockers: Vec<CallId> = (0..4).map(|_| harness.request(READ, 3, b"x")).collect();
+    harness.advance_to(10);
+    let same = harness.request(READ, 1, b"ana");
     assert_eq!(harness.ends[&same], End::Kept { body: b"reply"[..].into(), since: ms(0) });
-    let other = harness.want(READ, 1, b"eva");
+    let other = harness.request(READ, 1, b"eva");
     assert_eq!(harness.outcome(other), Some(Outcome::TurnedAway));
-    // Of a keyed class never, though the call is the same to the letter.
-    let keyed = harness.want(SIGN, 1, b"ana");
+    // A keyed class never gets a cached reply, even if the call is identical.
+    let keyed = harness.request(SIGN, 1, b"ana");
     assert_eq!(harness.outcome(keyed), Some(Outcome::TurnedAway));
-    assert_eq!(hold.len(), 4);
+    assert_eq!(blockers.len(), 4);
 }
 
 #[test]
-fn a_reload_moves_addresses_and_budgets_and_calls_under_way_end_where_they_are() {
+fn a_reload_changes_addresses_and_limits_without_moving_active_calls() {
     let mut harness = Harness::new(&file(&[]));
-    let old: Vec<CallId> = (0..4).map(|_| harness.want(SIGN, 1, b"x")).collect();
-    let waits = harness.want(SIGN, 1, b"x");
+    let old: Vec<CallId> = (0..4).map(|_| harness.request(SIGN, 1, b"x")).collect();
+    let queued = harness.request(SIGN, 1, b"x");
     harness.reload(&file(&[("127.0.0.1:1\"", "127.0.0.1:9\""), ("calls = 4", "calls = 2")]));
-    // Four in hand of two: nothing new until three are back.
+    // Four calls are in flight with a new limit of two: none starts until three have ended.
     for call in &old[..2] {
         harness.end(*call, Outcome::Done, 1);
     }
-    assert!(!harness.tried.iter().any(|(call, ..)| *call == waits));
+    assert!(!harness.attempts.iter().any(|(call, ..)| *call == queued));
     harness.end(old[2], Outcome::Done, 1);
-    assert_eq!(harness.attempt(waits).1, 9);
-    // "a" goes: what waits for it goes on, what is on its way ends well.
-    let more: Vec<CallId> = (0..2).map(|_| harness.want(SIGN, 1, b"x")).collect();
+    assert_eq!(harness.attempt(queued).1, 9);
+    // "a" is removed: queued calls fall back, active ones end normally.
+    let more: Vec<CallId> = (0..2).map(|_| harness.request(SIGN, 1, b"x")).collect();
     let without = FILE.split("dependency \"b\"").nth(1).unwrap().replace("to = \"a\"", "to = \"b\"");
     harness.reload(&read("t.hcl", &format!("dependency \"b\"{without}")).unwrap());
     assert!(more.iter().all(|call| harness.ends.contains_key(call) || harness.attempt(*call).1 == 3));
     harness.end(old[3], Outcome::Done, 1);
-    harness.end(waits, Outcome::Done, 1);
-    assert_eq!(harness.outcome(waits), Some(Outcome::Done));
-    // Its place is used again, however often that happens.
+    harness.end(queued, Outcome::Done, 1);
+    assert_eq!(harness.outcome(queued), Some(Outcome::Done));
+    // Its slot is reused, however often that happens.
     for _ in 0..100 {
         harness.reload(&file(&[]));
         harness.reload(&read("t.hcl", &format!("dependency \"b\"{without}")).unwrap());
     }
     assert_eq!(harness.dependencies.status().len(), 2);
-    harness.until(1000);
-    let call = harness.want(SIGN, 1, b"x");
+    harness.advance_to(1000);
+    let call = harness.request(SIGN, 1, b"x");
     assert_eq!(harness.attempt(call).1, 3);
 }
 
 #[test]
-fn what_can_wait_has_a_tick_and_what_has_nobody_waiting_has_none() {
+fn a_tick_is_due_only_while_calls_are_queued() {
     let mut harness = Harness::new(&file(&[]));
     assert_eq!(harness.dependencies.next_tick(harness.now), None);
-    // Fifty a second at "b", and one at the beginning.
+    // "b" allows 50 calls a second, and one at the start.
     for _ in 0..2 {
-        harness.want(READ, 3, b"x");
+        harness.request(READ, 3, b"x");
     }
-    assert_eq!((harness.tried.len(), harness.state("b").queued), (1, 1));
+    assert_eq!((harness.attempts.len(), harness.status_of("b").queued), (1, 1));
     let due = harness.dependencies.next_tick(harness.now).unwrap();
     assert!(due <= ms(20), "{due:?}");
     harness.now = due;
     let mut out = Vec::new();
     harness.dependencies.tick(due, &mut out);
-    harness.take(out);
-    assert_eq!((harness.tried.len(), harness.dependencies.next_tick(harness.now)), (2, None));
+    harness.carry_out(out);
+    assert_eq!((harness.attempts.len(), harness.dependencies.next_tick(harness.now)), (2, None));
 }
 
 #[test]
-fn a_hang_that_outlasts_every_caller_opens_the_breaker_all_the_same() {
+fn a_hang_longer_than_any_caller_waits_opens_the_breaker() {
     let mut harness = Harness::new(&file(&[]));
-    let calls: Vec<CallId> = (0..4).map(|_| harness.want(SIGN, 1, b"x")).collect();
-    harness.until(450);
+    let calls: Vec<CallId> = (0..4).map(|_| harness.request(SIGN, 1, b"x")).collect();
+    harness.advance_to(450);
     for call in calls {
-        harness.drop_call(call);
+        harness.cancel(call);
     }
-    assert!(matches!(harness.state("a").breaker, State::Open { .. }));
+    assert!(matches!(harness.status_of("a").breaker, State::Open { .. }));
     assert_eq!(harness.notes, 1);
 }
 
-// The whole under random events.
-
 #[derive(Clone, Debug)]
 enum Step {
-    Want { class: usize, place: usize, left: u64, bytes: usize },
+    Call { class: usize, place: usize, left: u64, bytes: usize },
     End { which: usize, outcome: Outcome },
-    Drop { which: usize },
-    Pass { ms: u64 },
+    Cancel { which: usize },
+    Wait { ms: u64 },
     Reload { variant: usize },
-    Leave,
+    Drain,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -461,12 +464,12 @@
     ];
     let step = prop_oneof![
         12 => (0..2usize, 1..4usize, 0..3000u64, 0..900usize)
-            .prop_map(|(class, place, left, bytes)| Step::Want { class, place, left, bytes }),
+            .prop_map(|(class, place, left, bytes)| Step::Call { class, place, left, bytes }),
         10 => (any::<usize>(), outcome).prop_map(|(which, outcome)| Step::End { which, outcome }),
-        2 => any::<usize>().prop_map(|which| Step::Drop { which }),
-        6 => (0..400u64).prop_map(|ms| Step::Pass { ms }),
+        2 => any::<usize>().prop_map(|which| Step::Cancel { which }),
+        6 => (0..400u64).prop_map(|ms| Step::Wait { ms }),
         1 => (0..4usize).prop_map(|variant| Step::Reload { variant }),
-        1 => Just(Step::Leave),
+        1 => Just(Step::Drain),
     ];
     proptest::collection::vec(step, 1..200)
 }
@@ -480,23 +483,23 @@
     ]
 }
 
-/// What the stand-in for the sockets knows of an attempt.
-struct Open {
+/// An open attempt, as the sockets would know it.
+struct OpenAttempt {
     call: CallId,
     dependency: usize,
-    began: Duration,
-    give_up: Duration,
+    started_at: Duration,
+    times_out_at: Duration,
 }
 
-/// Keeps its own count of all that is asked for, and holds it against the file.
+/// Counts all actions independently and compares them with the file.
 struct Model {
     dependencies: Dependencies,
     file: File,
     now: Duration,
-    open: BTreeMap<AttemptId, Open>,
+    open: BTreeMap<AttemptId, OpenAttempt>,
     lingering: Vec<(Duration, usize)>,
-    begun: BTreeMap<usize, VecDeque<Duration>>,
-    /// Calls without an end: class, when they are due, and whether they may have run.
+    started: BTreeMap<usize, VecDeque<Duration>>,
+    /// Calls without an end: class, deadline, whether they may have run, and attempts.
     calls: BTreeMap<CallId, (usize, Duration, bool, usize)>,
     ended: u64,
     names: BTreeMap<u16, &'static str>,
@@ -512,14 +515,14 @@
             now: ms(0),
             open: BTreeMap::new(),
             lingering: Vec::new(),
-            begun: BTreeMap::new(),
+            started: BTreeMap::new(),
             calls: BTreeMap::new(),
             ended: 0,
             names: [(1, "a"), (2, "a"), (3, "b"), (7, "b"), (4, "c")].into(),
         }
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
+    fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Attempt { call, attempt, dependency, address, give_up_after, once, connections } => {
@@ -528,33 +531,39 @@
                     self.lingering.retain(|(until, _)| *until > now);
                     let in_flight = self.open.values().filter(|o| o.dependency == dependency).count()
                         + self.lingering.iter().filter(|(_, at)| *at == dependency).count();
-                    assert!(in_flight < config.calls, "{in_flight} in hand of {}", config.calls);
+                    assert!(in_flight < config.calls, "{in_flight} in flight of {}", config.calls);
                     assert!(in_flight < connections);
                     let (class, until, may_have_run, attempts) = self.calls.get_mut(&call).expect("a call");
-                    assert!(!(once && *may_have_run), "made again though it may have run");
+                    assert!(!(once && *may_have_run), "retried though it may have run");
                     assert_eq!(once, *class == SIGN);
                     *attempts += 1;
                     assert!(*attempts <= self.file.retries.attempts);
-                    assert!(now + give_up_after <= (*until).max(now + ms(1)), "longer than the request has");
+                    assert!(now + give_up_after <= (*until).max(now + ms(1)), "timeout beyond the deadline");
                     assert!(give_up_after <= config.timeout.0);
                     if let Some(rate) = config.rate {
-                        let begun = self.begun.entry(dependency).or_default();
-                        begun.push_back(now);
-                        while begun.front().is_some_and(|at| now - *at >= ms(1000)) {
-                            begun.pop_front();
+                        let started = self.started.entry(dependency).or_default();
+                        started.push_back(now);
+                        while started.front().is_some_and(|at| now - *at >= ms(1000)) {
+                            started.pop_front();
                         }
-                        // A reload may have lowered the rate: the burst of the higher one may just be over.
-                        assert!(begun.len() as f64 <= rate.0.max(50.0) * 1.1 + 1.0, "{} begun", begun.len());
+                        // A reload may have lowered the rate while the burst of the higher one is still
+                        // within the second.
+                        assert!(
+                            started.len() as f64 <= rate.0.max(50.0) * 1.1 + 1.0,
+                            "{} started",
+                            started.len()
+                        );
                     }
-                    let give_up = now + give_up_after;
-                    self.open.insert(attempt, Open { call, dependency, began: now, give_up });
+                    let times_out_at = now + give_up_after;
+                    self.open
+                        .insert(attempt, OpenAttempt { call, dependency, started_at: now, times_out_at });
                 }
                 Action::Abandon { attempt } => {
-                    let open = self.open.remove(&attempt).expect("an attempt that is open");
+                    let open = self.open.remove(&attempt).expect("an open attempt");
                     self.lingering.push((self.now + ms(200), open.dependency));
                 }
                 Action::End { call, end } => {
-                    let (class, _, may_have_run, _) = self.calls.remove(&call).expect("ends once");
+                    let (class, _, may_have_run, _) = self.calls.remove(&call).expect("an open call");
                     self.ended += 1;
                     match end {
                         End::Reply { .. } => {}
@@ -565,7 +574,7 @@
                         End::Nothing { outcome, .. } => assert_eq!(
                             outcome.never_ran(),
                             !may_have_run,
-                            "{outcome:?} is said of what may have run: {may_have_run}"
+                            "{outcome:?} reported, may have run: {may_have_run}"
                         ),
                     }
                 }
@@ -576,14 +585,14 @@
 
     fn check(&self) {
         self.dependencies.check_invariants().unwrap();
-        let (first, further) = self.dependencies.attempts();
-        assert!(further * 10 <= first, "{further} beyond {first}");
+        let (first, retries) = self.dependencies.attempts();
+        assert!(retries * 10 <= first, "{retries} retries of {first}");
         assert_eq!(self.dependencies.active_calls(), self.calls.len());
         for status in self.dependencies.status() {
             let config = &self.file.dependency[&status.name];
-            let places = (20.0 * config.share.0) as usize;
-            // What came before the budget was lowered may still be there.
-            assert!(status.parked <= places, "{} parked of {places}", status.parked);
+            let max_parked = (20.0 * config.share.0) as usize;
+            // Calls from before the limit was lowered may still be there.
+            assert!(status.parked <= max_parked, "{} parked of {max_parked}", status.parked);
             assert!(status.queued <= 3);
         }
     }
@@ -597,13 +606,13 @@
             self.lingering.push((self.now + ms(200), open.dependency));
         }
         let mut out = Vec::new();
-        let took = self.now - open.began;
+        let took = self.now - open.started_at;
         self.dependencies.attempt_ended(self.now, attempt, outcome, took, b"reply".to_vec(), &mut out);
-        self.take(out);
+        self.carry_out(out);
     }
 
-    fn pass(&mut self, until: Duration) {
-        // Attempts whose time is over come first, as the sockets would report them.
+    fn advance_to(&mut self, until: Duration) {
+        // Timed-out attempts end first, as the sockets would report them.
         while let Some((attempt, at)) = self.next_due().filter(|(_, at)| *at <= until) {
             self.now = self.now.max(at);
             self.end(attempt, Outcome::GivenUp);
@@ -612,17 +621,17 @@
         self.now = until;
         let mut out = Vec::new();
         self.dependencies.tick(self.now, &mut out);
-        self.take(out);
+        self.carry_out(out);
     }
 
     fn next_due(&self) -> Option<(AttemptId, Duration)> {
-        self.open.iter().map(|(id, open)| (*id, open.give_up)).min_by_key(|(_, at)| *at)
+        self.open.iter().map(|(id, open)| (*id, open.times_out_at)).min_by_key(|(_, at)| *at)
     }
 
     fn step(&mut self, step: Step, number: u64) {
         let mut out = Vec::new();
         match step {
-            Step::Want { class, place, left, bytes } => {
+            Step::Call { class, place, left, bytes } => {
                 let call = CallId(number);
                 self.calls.insert(call, (class, self.now + ms(left), false, 0));
                 let body = vec![0; bytes].into();
@@ -633,20 +642,20 @@
                 let attempt = *self.open.keys().nth(which % self.open.len()).unwrap();
                 self.end(attempt, outcome);
             }
-            Step::Drop { which } if !self.calls.is_empty() => {
+            Step::Cancel { which } if !self.calls.is_empty() => {
                 let call = *self.calls.keys().nth(which % self.calls.len()).unwrap();
                 self.dependencies.cancel_call(self.now, call, &mut out);
                 self.calls.remove(&call);
             }
-            Step::End { .. } | Step::Drop { .. } => {}
-            Step::Pass { ms: time } => self.pass(self.now + ms(time)),
+            Step::End { .. } | Step::Cancel { .. } => {}
+            Step::Wait { ms: time } => self.advance_to(self.now + ms(time)),
             Step::Reload { variant } => {
                 self.file = variants().swap_remove(variant);
                 self.dependencies.reload(self.now, &self.file, &mut out);
             }
-            Step::Leave => self.dependencies.drain(),
+            Step::Drain => self.dependencies.drain(),
         }
-        self.take(out);
+        self.carry_out(out);
         self.check();
     }
 }
@@ -655,50 +664,51 @@
     #![proptest_config(ProptestConfig { cases: 250, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_happens_budgets_hold_and_each_call_has_one_end(steps in steps()) {
+    fn limits_are_kept_and_each_call_ends_once_under_random_events(steps in steps()) {
         let mut model = Model::new();
-        let wanted = steps.iter().filter(|step| matches!(step, Step::Want { .. })).count() as u64;
-        let mut dropped = 0;
+        let requested = steps.iter().filter(|step| matches!(step, Step::Call { .. })).count() as u64;
+        let mut cancelled = 0;
         for (number, step) in steps.into_iter().enumerate() {
-            dropped += u64::from(matches!(step, Step::Drop { .. }) && !model.calls.is_empty());
+            cancelled += u64::from(matches!(step, Step::Cancel { .. }) && !model.calls.is_empty());
             model.step(step, number as u64);
         }
         for _ in 0..20 {
-            model.pass(model.now + ms(1000));
+            model.advance_to(model.now + ms(1000));
             model.check();
         }
         prop_assert!(model.calls.is_empty() && model.open.is_empty());
-        prop_assert_eq!(model.ended + dropped, wanted);
+        prop_assert_eq!(model.ended + cancelled, requested);
         for status in model.dependencies.status() {
             prop_assert_eq!((status.in_flight, status.queued, status.parked), (0, 0, 0));
         }
     }
 }
 
-/// A part that is too small for a burst fails calls to a dependency that is well; whoever set it must be able to see it.
+/// A share too small for a burst fails calls to a healthy dependency; the operator must be able to see this.
 #[test]
-fn calls_that_find_no_place_are_counted_apart_and_told_seldom() {
+fn calls_over_the_share_are_counted_separately_and_logged_rarely() {
     let mut harness = Harness::new(&file(&[("waiting = 3", "waiting = 100"), ("fall_back = \"b\"", "")]));
     for _ in 0..20 {
-        harness.want(SIGN, 1, b"x");
+        harness.request(SIGN, 1, b"x");
     }
-    // Eight of twenty places, and four in hand.
-    let a = harness.state("a");
+    // Eight of the twenty parked runs, and four calls in flight.
+    let a = harness.status_of("a");
     assert_eq!((a.in_flight, a.queued, a.parked), (4, 4, 8));
     assert_eq!((a.counts.over_share, a.counts.over_limit, harness.notes), (12, 0, 1));
-    harness.until(100);
-    assert_eq!((harness.state("a").counts.over_limit, harness.notes), (4, 1));
-    harness.until(10_000);
+    harness.advance_to(100);
+    assert_eq!((harness.status_of("a").counts.over_limit, harness.notes), (4, 1));
+    harness.advance_to(10_000);
     for _ in 0..10 {
-        harness.want(SIGN, 1, b"x");
+        harness.request(SIGN, 1, b"x");
     }
     assert_eq!(harness.notes, 2);
 }
 
-/// A request that came with little time says nothing of the dependency when its call is given up: neither the breaker
-/// nor the limit may learn from it, or a few impatient callers would cut a healthy dependency off.
+/// A call that was given up because its request had little time left says nothing about the dependency.
+/// Neither the breaker nor the limit may learn from it, or a few impatient callers would cut off a healthy
+/// dependency.
 #[test]
-fn calls_given_up_for_want_of_the_requests_own_time_teach_nothing() {
+fn calls_given_up_at_the_request_deadline_change_neither_breaker_nor_limit() {
     let mut harness = Harness::new(&file(&[("learned = false", "start = 4")]));
     for n in 1..=20 {
         harness.calls += 1;
@@ -707,17 +717,17 @@
             Wanted { call, class: SIGN, place: 1, left: ms(20), body: b"x"[..].into(), kb: 10.0, by: None };
         let mut out = Vec::new();
         harness.dependencies.start_call(harness.now, wanted, &mut out);
-        harness.take(out);
-        harness.until(n * 300);
+        harness.carry_out(out);
+        harness.advance_to(n * 300);
         harness.end(call, Outcome::GivenUp, 20);
     }
-    assert_eq!((harness.state("a").breaker, harness.state("a").limit), (State::Closed, 4));
+    assert_eq!((harness.status_of("a").breaker, harness.status_of("a").limit), (State::Closed, 4));
     for n in 21..=40 {
-        let call = harness.want(SIGN, 1, b"x");
-        harness.until(n * 300);
+        let call = harness.request(SIGN, 1, b"x");
+        harness.advance_to(n * 300);
         if !harness.ends.contains_key(&call) {
             harness.end(call, Outcome::GivenUp, 500);
         }
     }
-    assert!(harness.state("a").limit < 4);
+    assert!(harness.status_of("a").limit < 4);
 }
--- a/crates/keys/src/journal.rs
+++ b/crates/keys/src/journal.rs
@@ -1,5 +1,5 @@
-//! The table with a tape: what was asked of it, so that a replay can ask the same. Keys are on it, results are not: their
-//! lengths are, since room depends on them.
+//! [`KeyTable`] with a journal of its operations, for replays. The journal contains keys but no results,
+//! only their lengths, on which the memory limit depends.
 
 use crate::{Key, KeyTable, RunState, TryRejected};
 use jaspershunt::RequestId;
@@ -7,83 +7,83 @@
 use std::ops::Deref;
 use std::rc::Rc;
 
-/// Something that was asked of the table and may have changed it.
+/// An operation that may have changed the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Operation {
-    /// A try was read.
+    /// A try was registered: [`KeyTable::register_try`].
     Arrived {
         /// Its key.
         key: Key,
-        /// Its print.
+        /// Its digest.
         print: u64,
         /// Its id.
         id: RequestId,
-        /// When it came.
+        /// When it arrived.
         now: f64,
-        /// The try that held the key before was still held, if that was asked.
+        /// Whether the pending try was still queued, if the table asked for it.
         held: bool,
     },
-    /// A try takes the place of an earlier one.
+    /// A try replaced the pending one: [`KeyTable::replace_pending`].
     Hold(Key, RequestId),
-    /// A try is over.
+    /// A try was released: [`KeyTable::release_try`].
     Forget(Key, RequestId),
-    /// A try is run, and remembered until then.
+    /// A try started to run; the time is the end of its window: [`KeyTable::start_run`].
     Started(Key, RequestId, f64),
-    /// The run of a try is over, with a result of so many bytes.
+    /// A run ended, with the length of its result: [`KeyTable::end_run`].
     Ended(Key, RequestId, Option<usize>),
-    /// A try that was started never ran.
+    /// A started try never ran: [`KeyTable::never_ran`].
     NeverRan(Key, RequestId),
-    /// Time has passed.
+    /// Windows passed: [`KeyTable::expire`].
     Expire(f64),
-    /// A key of another process.
+    /// A key of another process: [`KeyTable::adopt`].
     Adopt {
         /// The key.
         key: Key,
-        /// Its print.
+        /// Its digest.
         print: u64,
         /// The id that stands for its try.
         id: RequestId,
-        /// Until when it is remembered.
+        /// The end of its window.
         until: f64,
-        /// What became of it.
+        /// The state of its run.
         run: Option<AdoptedRun>,
     },
-    /// Runs of tries from this id on are over, and nobody knows how.
+    /// Unfinished runs of tries from this id on failed: [`KeyTable::fail_runs_from`].
     FailFrom(RequestId),
-    /// Windows are longer by so many seconds, and end at this time at the latest.
+    /// Windows were extended by so many seconds, up to this end: [`KeyTable::extend_windows`].
     Lengthen(f64, f64),
 }
 
-/// What became of a key of another process.
+/// The state of the run of an adopted key, with the length of the result in place of the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdoptedRun {
-    /// It is not over.
+    /// It has not ended.
     Running,
-    /// It ended with so many bytes.
+    /// It succeeded, with a result of this many bytes.
     Done(usize),
     /// It failed.
     Failed,
 }
 
-/// What came of an arrival.
+/// The result of [`KeyTable::register_try`].
 pub type TryResult = Result<Option<RequestId>, TryRejected>;
 
-/// One call, and what came of it where that is a decision.
+/// One operation, with its result if it is a decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// What was asked.
+    /// The operation.
     pub operation: Operation,
-    /// What came of an arrival.
+    /// The result of registering a try.
     pub result: Option<TryResult>,
 }
 
-/// A result of so many bytes, of which nothing else is known.
+/// A result of this length whose content is unknown.
 fn zeros(bytes: usize) -> Rc<[u8]> {
     vec![0; bytes].into()
 }
 
 impl Operation {
-    /// The key that it is about.
+    /// The key that the operation is about.
     pub fn key_mut(&mut self) -> Option<&mut Key> {
         match self {
             Operation::Arrived { key, .. }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Asks the same of a table.
+    /// Applies the operation to a table.
     pub fn apply(&self, keys: &mut KeyTable) -> Option<TryResult> {
         match self {
             Operation::Arrived { key, print: digest, id, now, held } => {
@@ -124,7 +124,7 @@
     }
 }
 
-/// A table that keeps a tape, if it is asked to.
+/// A [`KeyTable`] with an optional journal.
 #[derive(Debug)]
 pub struct JournaledKeyTable {
     keys: KeyTable,
@@ -139,12 +139,12 @@
 }
 
 impl JournaledKeyTable {
-    /// A table that may take so many bytes; `on` has it keep a tape.
+    /// Creates a table of at most `max_bytes`; `enabled` turns the journal on.
     pub fn new(max_bytes: usize, enabled: bool) -> JournaledKeyTable {
         JournaledKeyTable { keys: KeyTable::new(max_bytes), journal: enabled.then(Vec::new) }
     }
 
-    /// What was asked since the last time.
+    /// Takes the steps recorded since the last call.
     pub fn take_steps(&mut self) -> Vec<Step> {
         self.journal.as_mut().map(std::mem::take).unwrap_or_default()
     }
@@ -155,25 +155,26 @@
         }
     }
 
-    /// [`Keys::arrived`].
+    /// Records and calls [`KeyTable::register_try`].
     ///
     /// # Errors
-    /// Those of the table.
+    ///
+    /// The same as [`KeyTable::register_try`].
     pub fn register_try(
         &mut self,
         key: &Key,
         digest: u64,
         id: RequestId,
         arrived: f64,
-        held: impl Fn(RequestId) -> bool,
+        is_queued: impl Fn(RequestId) -> bool,
     ) -> TryResult {
-        let was_held = std::cell::Cell::new(false);
-        let asked = |id| {
-            was_held.set(held(id));
-            was_held.get()
+        let was_queued = std::cell::Cell::new(false);
+        let observe = |id| {
+            was_queued.set(is_queued(id));
+            was_queued.get()
         };
-        let result = self.keys.register_try(key, digest, id, arrived, asked);
-        let held = was_held.get();
+        let result = self.keys.register_try(key, digest, id, arrived, observe);
+        let held = was_queued.get();
         self.record(
             || Operation::Arrived { key: key.clone(), print: digest, id, now: arrived, held },
             Some(result),
@@ -181,38 +182,38 @@
         result
     }
 
-    /// [`Keys::hold`].
+    /// Records and calls [`KeyTable::replace_pending`].
     pub fn replace_pending(&mut self, key: &Key, id: RequestId) {
         self.record(|| Operation::Hold(key.clone(), id), None);
         self.keys.replace_pending(key, id);
     }
 
-    /// [`Keys::forget`].
+    /// Records and calls [`KeyTable::release_try`].
     pub fn release_try(&mut self, key: &Key, id: RequestId) {
         self.record(|| Operation::Forget(key.clone(), id), None);
         self.keys.release_try(key, id);
     }
 
-    /// [`Keys::started`].
+    /// Records and calls [`KeyTable::start_run`].
     pub fn start_run(&mut self, key: &Key, id: RequestId, until: f64) {
         self.record(|| Operation::Started(key.clone(), id, until), None);
         self.keys.start_run(key, id, until);
     }
 
-    /// [`Keys::ended`].
+    /// Records and calls [`KeyTable::end_run`].
     pub fn end_run(&mut self, key: &Key, id: RequestId, result: Option<Rc<[u8]>>) {
         let bytes = result.as_ref().map(|result| result.len());
         self.record(|| Operation::Ended(key.clone(), id, bytes), None);
         self.keys.end_run(key, id, result);
     }
 
-    /// [`Keys::never_ran`].
+    /// Records and calls [`KeyTable::never_ran`].
     pub fn never_ran(&mut self, key: &Key, id: RequestId) {
         self.record(|| Operation::NeverRan(key.clone(), id), None);
         self.keys.never_ran(key, id);
     }
 
-    /// [`Keys::expire`]; on the tape only where something is over.
+    /// Calls [`KeyTable::expire`], and records it only if a window has passed.
     pub fn expire(&mut self, now: f64) {
         if self.keys.has_expired(now) {
             self.record(|| Operation::Expire(now), None);
@@ -220,7 +221,7 @@
         }
     }
 
-    /// [`Keys::adopt`].
+    /// Records and calls [`KeyTable::adopt`].
     pub fn adopt(
         &mut self,
         key: &Key,
@@ -238,13 +239,13 @@
         self.keys.adopt(key, digest, id, until, run)
     }
 
-    /// [`Keys::lengthen`].
+    /// Records and calls [`KeyTable::extend_windows`].
     pub fn extend_windows(&mut self, by: f64, latest_end: f64) {
         self.record(|| Operation::Lengthen(by, latest_end), None);
         self.keys.extend_windows(by, latest_end);
     }
 
-    /// [`Keys::fail_from`].
+    /// Records and calls [`KeyTable::fail_runs_from`].
     pub fn fail_runs_from(&mut self, first: RequestId) -> Vec<Key> {
         self.record(|| Operation::FailFrom(first), None);
         self.keys.fail_runs_from(first)
--- a/crates/keys/src/journal/tests.rs
+++ b/crates/keys/src/journal/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::FIRST_ADOPTED_ID;
 
-/// Numbers from a seed (xorshift64*), the same everywhere.
+/// Seeded random numbers (xorshift64*), the same on every machine.
 struct Random(u64);
 
 impl Random {
-    fn below(&mut self, max: u64) -> u64 {
+    fn next(&mut self, max: u64) -> u64 {
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
         self.0 ^= self.0 >> 27;
@@ -13,10 +13,10 @@
     }
 }
 
-/// A table under all that can be asked of it, full of results: what is on the tape brings another to the same state and the
-/// same decisions, from the beginning and from any state on the way; and no result is in either.
+/// Applies random operations to a journaled table. Replaying the journal from the start, or from any saved
+/// state, must lead to the same results and the same final state, and neither may contain a result.
 #[test]
-fn what_is_on_the_tape_leads_to_the_same_table() {
+fn replaying_the_journal_leads_to_the_same_table() {
     for seed in 1..=20 {
         let mut random = Random(seed * 2 + 1);
         let mut table = JournaledKeyTable::new(20_000, true);
@@ -28,17 +28,17 @@
                 states.push((steps.len(), postcard::to_stdvec(&*table).unwrap()));
             }
             let (now, id) = (n as f64 / 10.0, RequestId(n));
-            let key: Key = format!("key-{}", random.below(40)).into();
-            let earlier = RequestId(n.saturating_sub(random.below(20)));
-            match random.below(9) {
-                0..=2 => drop(table.register_try(&key, random.below(2), id, now, |id| id.0 % 2 == 0)),
+            let key: Key = format!("key-{}", random.next(40)).into();
+            let earlier = RequestId(n.saturating_sub(random.next(20)));
+            match random.next(9) {
+                0..=2 => drop(table.register_try(&key, random.next(2), id, now, |id| id.0 % 2 == 0)),
                 3 => table.start_run(&key, earlier, now + 5.0),
-                4 => table.end_run(&key, earlier, (random.below(3) > 0).then(|| vec![0xab; 900].into())),
+                4 => table.end_run(&key, earlier, (random.next(3) > 0).then(|| vec![0xab; 900].into())),
                 5 => table.release_try(&key, earlier),
                 6 => table.never_ran(&key, earlier),
                 7 => table.expire(now),
-                8 if random.below(4) == 0 => table.extend_windows(2.0, now + 6.0),
-                _ => match random.below(4) {
+                8 if random.next(4) == 0 => table.extend_windows(2.0, now + 6.0),
+                _ => match random.next(4) {
                     0 => table.replace_pending(&key, id),
                     1 => drop(table.fail_runs_from(RequestId(n - n % 50))),
                     2 => drop(table.adopt(
@@ -55,7 +55,7 @@
         }
         steps.extend(table.take_steps());
         let last = postcard::to_stdvec(&*table).unwrap();
-        assert!(!last.windows(4).any(|bytes| bytes == [0xab; 4]), "a result is in the state");
+        assert!(!last.windows(4).any(|bytes| bytes == [0xab; 4]), "the state contains a result");
         for (from, state) in &states {
             let mut keys: KeyTable = postcard::from_bytes(state).unwrap();
             for step in &steps[*from..] {
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -1,8 +1,10 @@
-//! Operation keys: which tries of a keyed request are known, which of them ran, and what the run made. All tries of one
-//! request carry the same body; one that names a known key with another body is no try of it.
+//! Table of operation keys: which tries of a keyed request are known, which of them ran, and the result of
+//! the run. All tries of one request carry the same body; a try with a known key and another body does not
+//! belong to that request.
 //!
-//! A record of a run stays for the whole window of its key, whatever became of the run, so that no second try is run
-//! within it. Results are kept beside it as long as there is room; the oldest go first.
+//! The record of a run stays for the whole retention window of its key, whatever its result, so that no
+//! second try runs within it. Results are kept as long as there is memory for them; the oldest are removed
+//! first.
 
 pub mod journal;
 
@@ -13,38 +15,40 @@
 use std::hash::Hasher;
 use std::rc::Rc;
 
-/// What names all tries of one keyed request.
+/// The key that all tries of one request share.
 pub type Key = Rc<str>;
 
-/// Tries of another process have ids from this one on in the table, those of this process lower ones.
+/// First id of tries that were adopted from another process; tries of this process have lower ids.
 pub const FIRST_ADOPTED_ID: RequestId = RequestId(1 << 62);
 
-/// What a record takes beside its key and result: the record, its places in both indexes, and their slack.
+/// Overhead of a record beside its key and result: the record, its places in both indexes, and their spare
+/// capacity.
 const RECORD_BYTES: usize = 400;
 
-/// What became of the run of a key.
+/// The state of the run of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RunState {
-    /// It is not over.
+    /// The run has not ended.
     Running,
-    /// It ended well, with this result.
+    /// The run succeeded, with this result.
     Done(#[serde(serialize_with = "length", deserialize_with = "blank")] Rc<[u8]>),
-    /// It failed, was stopped, or its result is not kept any more.
+    /// The run failed or was stopped, or its result was removed.
     Failed,
 }
 
-/// A result is saved by its length alone: room depends on that, and what it says is nobody's business but its caller's.
+/// Serializes only the length of a result: the memory limit depends on it, and the content is private to its
+/// caller.
 fn length<S: Serializer>(result: &Rc<[u8]>, to: S) -> Result<S::Ok, S::Error> {
     (result.len() as u64).serialize(to)
 }
 
-/// The longest result that a saved table may claim to have: far beyond any that an interpreter can tell.
+/// Longest result that a saved table may contain; far beyond what the interpreter can return.
 const MAX_RESULT_BYTES: u64 = 1024 * 1024;
 
 fn blank<'de, D: Deserializer<'de>>(from: D) -> Result<Rc<[u8]>, D::Error> {
     let bytes = u64::deserialize(from)?;
     if bytes > MAX_RESULT_BYTES {
-        return Err(serde::de::Error::custom("a result is too long"));
+        return Err(serde::de::Error::custom("the result length exceeds the maximum"));
     }
     Ok(vec![0; bytes as usize].into())
 }
@@ -58,27 +62,27 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Record {
-    /// What stands for the class and body that all tries share.
+    /// Digest of the class and body that all tries share.
     digest: u64,
-    /// The newest try that may run, while none ran.
+    /// The newest try that may run, until one has run.
     pending_try: Option<RequestId>,
     run: Option<RunRecord>,
 }
 
-/// Why a try is not taken.
+/// Why a try is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TryRejected {
-    /// There is no room to remember another key; without its record the try must not run.
+    /// There is no memory for another key, and without a record the try must not run.
     Full,
-    /// The key is that of a request with another body.
+    /// The key belongs to a request with another body.
     OtherBody,
 }
 
-/// What stands for the body of a request and its class. Two bodies with the same print are taken for one; as the
-/// print has 64 bits, that happens to nobody who does not work for it.
+/// Digest of the class and body of a request. Two bodies with the same digest are taken for equal; with 64
+/// bits this does not happen by accident.
 ///
-/// The same in every build and version, as it crosses from one start of the program to the next; the class counts by its
-/// name, as its place may be another there.
+/// It is the same in every build and version, as it is passed to the next process in an upgrade. The class
+/// is hashed by name, since its index may differ there.
 pub fn digest(class: &str, body: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0, 0);
     hasher.write(&(class.len() as u64).to_le_bytes());
@@ -87,13 +91,13 @@
     hasher.finish()
 }
 
-/// The table of keys.
+/// A table of operation keys.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct KeyTable {
     records: BTreeMap<Key, Record>,
     /// Keys that ran, by the end of their window.
     expirations: BTreeSet<(u64, Key)>,
-    /// Those of them whose result is kept.
+    /// Keys whose result is kept, by the end of their window.
     results: BTreeSet<(u64, Key)>,
     bytes: usize,
     max_bytes: usize,
@@ -108,12 +112,12 @@
 }
 
 fn record_bytes(key: &Key) -> usize {
-    // Each of the three tables holds the key by reference.
+    // The three tables share the text of the key.
     RECORD_BYTES + key.len()
 }
 
 impl KeyTable {
-    /// An empty table that may take so many bytes.
+    /// Creates an empty table of at most `max_bytes`.
     pub fn new(max_bytes: usize) -> KeyTable {
         KeyTable {
             records: BTreeMap::new(),
@@ -124,25 +128,27 @@
         }
     }
 
-    /// Bytes that the table takes.
+    /// Returns the bytes that the table takes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// A try was read that came at `arrived`. Returns the earlier try that it repeats: one that ran and in whose window this
-    /// one came, or one that is still held, as `held` tells. If there is none, this try is what later ones repeat.
+    /// Registers a try that arrived at `arrived`. Returns the earlier try that it repeats: one that ran, and
+    /// within whose window this one arrived, or one that is still queued, as `is_queued` tells. Otherwise later
+    /// tries repeat this one.
     ///
     /// # Errors
-    /// There is no room for a new key, or the try is none of the request that the key is known for.
+    ///
+    /// There is no memory for a new key, or the key belongs to a request with another body.
     pub fn register_try(
         &mut self,
         key: &Key,
         digest: u64,
         id: RequestId,
         arrived: f64,
-        held: impl Fn(RequestId) -> bool,
+        is_queued: impl Fn(RequestId) -> bool,
     ) -> Result<Option<RequestId>, TryRejected> {
-        // Of this key alone: tries of others that came earlier may be read later.
+        // Only this key is checked: tries of other keys that arrived earlier may be read later.
         if let Some(run) = self.records.get(key).and_then(|record| record.run.as_ref())
             && run.expires_at < micros(arrived)
         {
@@ -158,7 +164,7 @@
             self.records.insert(key.clone(), Record { digest, pending_try: None, run: None });
         }
         let Some(record) = self.records.get_mut(key) else { return Err(TryRejected::Full) };
-        // Guards against a stranger to whom the result of someone else's request would be served, or who would have
+        // Without this check, another caller could receive the result of someone else's request, or have
         // that request turned away as the older of two tries.
         if record.digest != digest {
             return Err(TryRejected::OtherBody);
@@ -166,35 +172,35 @@
         if let Some(run) = &record.run {
             return Ok(Some(run.id));
         }
-        let earlier = record.pending_try.filter(|pending_try| held(*pending_try));
+        let earlier = record.pending_try.filter(|pending_try| is_queued(*pending_try));
         if earlier.is_none() {
             record.pending_try = Some(id);
         }
         Ok(earlier)
     }
 
-    /// This try takes the place of an earlier one.
+    /// Makes this try the pending one in place of an earlier one.
     pub fn replace_pending(&mut self, key: &Key, id: RequestId) {
         if let Some(record) = self.records.get_mut(key) {
             record.pending_try = Some(id);
         }
     }
 
-    /// This try is over, or not to be known any more. What ran stays known all the same.
+    /// Releases a try that has ended or is not to be known any more. A run stays recorded.
     pub fn release_try(&mut self, key: &Key, id: RequestId) {
         let Some(record) = self.records.get_mut(key) else { return };
         if record.pending_try == Some(id) {
             record.pending_try = None;
         }
-        self.drop_if_empty(key);
+        self.remove_if_empty(key);
     }
 
-    /// Whether anything is known of a key.
+    /// Whether the key is known.
     pub fn contains(&self, key: &Key) -> bool {
         self.records.contains_key(key)
     }
 
-    /// All keys with their prints, and for those that ran, what became of that and until when it is remembered.
+    /// All keys with their digests, and for those that ran the end of the window and the state of the run.
     pub fn entries(&self) -> impl Iterator<Item = (&Key, u64, Option<(f64, &RunState)>)> {
         let expires_at = |run: &'_ RunRecord| seconds(run.expires_at);
         self.records
@@ -202,7 +208,8 @@
             .map(move |(key, r)| (key, r.digest, r.run.as_ref().map(|run| (expires_at(run), &run.state))))
     }
 
-    /// The same table under other names. Those of the same length, in the same order, leave every decision as it is.
+    /// Returns the table with other keys. Keys of the same length and in the same order leave every decision
+    /// unchanged.
     pub fn with_renamed_keys(&self, name: impl Fn(&Key) -> Key) -> KeyTable {
         let all = |set: &BTreeSet<(u64, Key)>| set.iter().map(|(until, key)| (*until, name(key))).collect();
         KeyTable {
@@ -213,14 +220,15 @@
         }
     }
 
-    /// What [`Keys::entries`] has of one key that ran.
+    /// Returns the digest, the end of the window and the state of the run of a key that ran.
     pub fn run_entry(&self, key: &Key) -> Option<(u64, f64, &RunState)> {
         let record = self.records.get(key)?;
         record.run.as_ref().map(|run| (record.digest, seconds(run.expires_at), &run.state))
     }
 
-    /// Takes over a key from another process, or news of one that was taken over; `None` says that no try of it ran. Returns
-    /// whether it was news. Never left out for want of room, as the key would run twice then; but its result may be.
+    /// Adopts a key from another process, or an update on an adopted key; `None` means that no try of it
+    /// ran. Returns whether anything changed. A key is adopted even without memory for it, as it would
+    /// otherwise run twice, but its result may be dropped.
     pub fn adopt(
         &mut self,
         key: &Key,
@@ -230,8 +238,8 @@
         run: Option<RunState>,
     ) -> bool {
         if let Some(run) = self.records.get(key).and_then(|record| record.run.as_ref()) {
-            // What is known for certain does not change; and guards against old news of a key, said twice, that would have a
-            // run of this process forgotten, and its key run once more.
+            // A known outcome does not change. A run of this process is not replaced either: an outdated
+            // message about the key, sent twice, would otherwise remove it, and the key would run again.
             if run.state != RunState::Running || run.id < FIRST_ADOPTED_ID {
                 return false;
             }
@@ -241,7 +249,7 @@
             }
         }
         let Some(run) = run else {
-            self.drop_if_empty(key);
+            self.remove_if_empty(key);
             return true;
         };
         if !self.records.contains_key(key) {
@@ -261,7 +269,8 @@
         true
     }
 
-    /// The runs of all tries from this id on are over, and nobody knows how; returns their keys.
+    /// Marks the unfinished runs of all tries from `first` on as failed, since their outcome is unknown;
+    /// returns their keys.
     pub fn fail_runs_from(&mut self, first: RequestId) -> Vec<Key> {
         let mut failed = Vec::new();
         for (key, record) in &mut self.records {
@@ -275,12 +284,12 @@
         failed
     }
 
-    /// What became of the run of a key within its window; `None` if there was none.
+    /// Returns the state of the run of a key within its window; `None` if there was none.
     pub fn run_state(&self, key: &Key) -> Option<&RunState> {
         self.records.get(key)?.run.as_ref().map(|run| &run.state)
     }
 
-    /// This try is run now; its key is remembered until then.
+    /// Records the start of the run of this try; the key is retained until `until`.
     pub fn start_run(&mut self, key: &Key, id: RequestId, until: f64) {
         let Some(record) = self.records.get_mut(key) else { return };
         let expires_at = micros(until);
@@ -288,9 +297,10 @@
         self.expirations.insert((expires_at, key.clone()));
     }
 
-    /// The run of this try is over. A result for which there is no room is not kept: a repeat then fails.
+    /// Records the end of the run of this try. A result that does not fit in memory is not kept, and a
+    /// repeated try then fails.
     pub fn end_run(&mut self, key: &Key, id: RequestId, result: Option<Rc<[u8]>>) {
-        let room = result.as_ref().is_some_and(|result| {
+        let fits = result.as_ref().is_some_and(|result| {
             self.make_room(result.len());
             self.bytes + result.len() <= self.max_bytes
         });
@@ -301,7 +311,7 @@
             return;
         }
         run.state = match result {
-            Some(result) if room => {
+            Some(result) if fits => {
                 self.bytes += result.len();
                 self.results.insert((run.expires_at, key.clone()));
                 RunState::Done(result)
@@ -310,16 +320,16 @@
         };
     }
 
-    /// It is proven that this try, though started, never ran: it keeps no other from running.
+    /// Removes the run of a try that provably never ran, so that another try can run.
     pub fn never_ran(&mut self, key: &Key, id: RequestId) {
         let Some(record) = self.records.get_mut(key) else { return };
         if let Some(run) = record.run.take_if(|run| run.id == id && run.state == RunState::Running) {
             self.expirations.remove(&(run.expires_at, key.clone()));
         }
-        self.drop_if_empty(key);
+        self.remove_if_empty(key);
     }
 
-    /// Drops kept results, the oldest first, until there is room or none are left.
+    /// Removes results, oldest first, until there is room or none are left.
     fn make_room(&mut self, bytes: usize) {
         while self.bytes + bytes > self.max_bytes {
             let Some((_, key)) = self.results.pop_first() else { return };
@@ -332,12 +342,12 @@
         }
     }
 
-    /// Whether the window of some run has passed.
+    /// Whether the window of any run has passed.
     pub fn has_expired(&self, now: f64) -> bool {
         self.expirations.first().is_some_and(|(until, _)| *until < micros(now))
     }
 
-    /// Forgets the runs whose window has passed.
+    /// Removes the runs whose window has passed.
     pub fn expire(&mut self, now: f64) {
         while let Some((until, key)) =
             self.expirations.first().filter(|(until, _)| *until < micros(now)).cloned()
@@ -346,8 +356,7 @@
         }
     }
 
-    /// Windows are longer by so many seconds from now on, and with them those of the runs that are known. None of them has to
-    /// be remembered beyond `most`.
+    /// Extends the windows of the known runs by `by` seconds, but not beyond `latest_end`.
     pub fn extend_windows(&mut self, by: f64, latest_end: f64) {
         let longer = |until: u64| until.max(until.saturating_add(micros(by)).min(micros(latest_end)));
         for run in self.records.values_mut().filter_map(|record| record.run.as_mut()) {
@@ -367,10 +376,10 @@
             self.bytes -= result.len();
             self.results.remove(&(run.expires_at, key.clone()));
         }
-        self.drop_if_empty(key);
+        self.remove_if_empty(key);
     }
 
-    fn drop_if_empty(&mut self, key: &Key) {
+    fn remove_if_empty(&mut self, key: &Key) {
         if self.records.get(key).is_some_and(|r| r.pending_try.is_none() && r.run.is_none()) {
             self.records.remove(key);
             self.bytes -= record_bytes(key);
@@ -393,7 +402,7 @@
     }
 
     #[test]
-    fn a_run_is_known_for_its_window_whatever_became_of_it() {
+    fn a_run_is_remembered_for_its_window_whatever_its_result() {
         for made in [result(3), None] {
             let (mut keys, k) = (KeyTable::new(100_000), key("k"));
             assert_eq!(keys.register_try(&k, 7, RequestId(1), 1.0, |_| false), Ok(None));
@@ -408,7 +417,7 @@
     }
 
     #[test]
-    fn tries_that_did_not_run_are_known_while_they_are_held() {
+    fn tries_that_did_not_run_are_known_while_queued() {
         let (mut keys, k) = (KeyTable::new(100_000), key("k"));
         assert_eq!(keys.register_try(&k, 7, RequestId(1), 1.0, |_| true), Ok(None));
         assert_eq!(keys.register_try(&k, 7, RequestId(2), 1.0, |_| true), Ok(Some(RequestId(1))));
@@ -423,17 +432,17 @@
     }
 
     #[test]
-    fn a_try_with_another_body_is_none_of_the_request() {
+    fn a_try_with_another_body_is_rejected() {
         let (mut keys, k) = (KeyTable::new(100_000), key("k"));
         assert_ne!(digest("1", b"a"), digest("1", b"b"));
         assert_ne!(digest("1", b"a"), digest("2", b"a"));
         assert_ne!(digest("1", b"a"), digest("1a", b""));
-        assert_eq!(digest("sign", b"body"), DIGEST, "another version would not know it");
+        assert_eq!(digest("sign", b"body"), DIGEST, "the digest differs from that of other versions");
         assert_eq!(keys.register_try(&k, 7, RequestId(1), 1.0, |_| true), Ok(None));
         assert_eq!(keys.register_try(&k, 8, RequestId(2), 1.0, |_| true), Err(TryRejected::OtherBody));
         keys.start_run(&k, RequestId(1), 11.0);
         assert_eq!(keys.register_try(&k, 8, RequestId(3), 1.0, |_| true), Err(TryRejected::OtherBody));
-        // Proven never to have run, it makes way for whoever comes next.
+        // A run that provably never happened leaves the key free for another request.
         keys.never_ran(&k, RequestId(1));
         keys.release_try(&k, RequestId(1));
         assert_eq!((keys.bytes(), keys.expirations.len()), (0, 0));
@@ -441,7 +450,7 @@
     }
 
     #[test]
-    fn memory_is_bounded_and_given_back() {
+    fn memory_is_bounded_and_released() {
         let mut keys = KeyTable::new(10_000);
         let mut refused = 0;
         for n in 0..50 {
@@ -458,7 +467,7 @@
             assert!(keys.bytes() <= 10_000);
         }
         assert!(refused > 0);
-        // The oldest results went first, and their runs stay known.
+        // The oldest results were removed first, and their runs are still known.
         assert_eq!(keys.run_state(&key("00")), Some(&RunState::Failed));
         keys.expire(1000.0);
         assert_eq!(keys.bytes(), 0);
