--- a/crates/work/src/local.rs
+++ b/crates/work/src/local.rs
@@ -262,7 +262,7 @@
         for AwaitedEnd { key, digest, end } in &view.ended {
             // Ignores a late outcome of an earlier use of the key.
             let waits = |item: &LocalItem| {
-                let same = jaspershunt_keys::print(&item.offer.class, &item.offer.body) == *digest;
+                let same = jaspershunt_keys::digest(&item.offer.class, &item.offer.body) == *digest;
                 same && item.step == Step::Waiting
             };
             if self.items.get(key).is_none_or(waits) {
--- a/crates/work/src/sim.rs
+++ b/crates/work/src/sim.rs
@@ -464,7 +464,7 @@
             worth_milli: 1_000,
             effect,
         };
-        self.digests.insert(jaspershunt_keys::print(&offer.class, &offer.body), number);
+        self.digests.insert(jaspershunt_keys::digest(&offer.class, &offer.body), number);
         let begin = !self.choices.one_in(3);
         let process = &mut self.processes[at];
         if process.state != ProcessState::Running || process.leaving || process.clients.contains_key(key) {
--- a/crates/work/src/state.rs
+++ b/crates/work/src/state.rs
@@ -233,7 +233,7 @@
         now_ms: u64,
     ) -> Result<Outcome, Refusal> {
         offer.check()?;
-        let digest = jaspershunt_keys::print(&offer.class, &offer.body);
+        let digest = jaspershunt_keys::digest(&offer.class, &offer.body);
         if let Some(item) = self.items.get(&offer.key) {
             let known = &item.offer;
             // Prevents serving one client the outcome of another client's work.
