--- a/crates/work/src/sim.rs
+++ b/crates/work/src/sim.rs
@@ -58,7 +58,7 @@
 
 /// Counts of events, which show that the schedules reach the interesting cases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Totals {
+pub struct Tally {
     /// Accepted uses of a key. Each use stands for one request.
     pub accepted: u64,
     /// Effects at the resource.
@@ -69,20 +69,20 @@
     pub ends: [u64; 4],
     /// Answers to clients.
     pub answers: u64,
-    /// Clients that received no outcome.
-    pub unavailable: u64,
+    /// Clients to which no outcome could be reported.
+    pub no_answers: u64,
     /// Calls that the resource rejected for a stale token.
-    pub stale_tokens: u64,
+    pub turned_away: u64,
 }
 
-impl Totals {
-    fn add(&mut self, other: &Totals) {
+impl Tally {
+    fn add(&mut self, other: &Tally) {
         self.accepted += other.accepted;
         self.effects += other.effects;
         self.takeovers += other.takeovers;
         self.answers += other.answers;
-        self.unavailable += other.unavailable;
-        self.stale_tokens += other.stale_tokens;
+        self.no_answers += other.no_answers;
+        self.turned_away += other.turned_away;
         for (sum, one) in self.ends.iter_mut().zip(other.ends) {
             *sum += one;
         }
@@ -194,7 +194,7 @@
     violation: Option<String>,
     highest_token: u64,
     settling: bool,
-    totals: Totals,
+    totals: Tally,
 }
 
 fn use_of(body: &[u8]) -> u64 {
@@ -202,7 +202,7 @@
 }
 
 /// Runs one schedule. Returns the violated invariant if there is one.
-pub fn run_schedule(choices: Choices) -> Result<Totals, String> {
+pub fn run_schedule(choices: Choices) -> Result<Tally, String> {
     let mut simulation = Simulation {
         choices,
         fleet: Fleet::default(),
@@ -227,7 +227,7 @@
         violation: None,
         highest_token: 0,
         settling: false,
-        totals: Totals::default(),
+        totals: Tally::default(),
     };
     for member in 0..MEMBERS {
         simulation.start(member)?;
@@ -240,8 +240,8 @@
 }
 
 /// Runs `n` schedules from `seed` on. Returns the first seed that violates an invariant, with the violation.
-pub fn run_schedules(seed: u64, n: u64) -> Result<Totals, (u64, String)> {
-    let mut sum = Totals::default();
+pub fn run_schedules(seed: u64, n: u64) -> Result<Tally, (u64, String)> {
+    let mut sum = Tally::default();
     for seed in seed..seed.saturating_add(n) {
         // Decorrelates neighbouring seeds.
         let choices = Choices::Seed(seed.wrapping_mul(0xd134_2543_de82_ef95));
@@ -446,9 +446,9 @@
         let (present, window_ends_ms) = *self.uses.entry(key).or_insert((count, now_ms + WINDOW_MS));
         // A key gets a new use when its window ends, or just before.
         let again = window_ends_ms <= now_ms + 100;
-        let stranger = self.choices.one_in(12);
+        let other_request = self.choices.one_in(12);
         let (number, window_ends_ms) =
-            if again || stranger { (count, now_ms + WINDOW_MS) } else { (present, window_ends_ms) };
+            if again || other_request { (count, now_ms + WINDOW_MS) } else { (present, window_ends_ms) };
         self.use_count += 1;
         if again {
             self.uses.insert(key, (number, window_ends_ms));
@@ -564,7 +564,7 @@
                     }
                 }
                 Action::OutcomeUnavailable { key, .. } => {
-                    self.totals.unavailable += 1;
+                    self.totals.no_answers += 1;
                     self.processes[at].clients.remove(&key);
                 }
             }
@@ -671,13 +671,13 @@
 
     fn run(&mut self, token: u64, offer: &Offer) -> RunResult {
         let number = use_of(&offer.body);
-        let view = self.resource.tokens.entry(offer.key.clone()).or_default();
-        if offer.effect != Effect::Unknown && token < *view {
-            self.totals.stale_tokens += 1;
+        let highest = self.resource.tokens.entry(offer.key.clone()).or_default();
+        if offer.effect != Effect::Unknown && token < *highest {
+            self.totals.turned_away += 1;
             return RunResult::StaleToken;
         }
         if offer.effect == Effect::Fenced {
-            *view = token;
+            *highest = token;
             if self.resource.effects.contains_key(&number) {
                 return RunResult::Done(offer.body.clone());
             }
@@ -703,8 +703,8 @@
         if self.resource.effects.contains_key(&number) {
             return QueryResult::Done(offer.body.clone());
         }
-        let view = self.resource.tokens.entry(offer.key.clone()).or_default();
-        *view = token.max(*view);
+        let highest = self.resource.tokens.entry(offer.key.clone()).or_default();
+        *highest = token.max(*highest);
         QueryResult::NeverRan
     }
 }
--- a/crates/work/tests/sim.rs
+++ b/crates/work/tests/sim.rs
@@ -38,7 +38,7 @@
     println!("{schedules} schedules, {:.0} a second: {totals:?}", schedules as f64 / took);
     // The schedules must reach enough takeovers, rejections and outcomes to be a meaningful check.
     assert!(
-        totals.accepted > schedules && totals.takeovers > schedules / 2 && totals.stale_tokens > 0,
+        totals.accepted > schedules && totals.takeovers > schedules / 2 && totals.turned_away > 0,
         "{totals:?}"
     );
     assert!(totals.ends.iter().all(|ends| *ends > schedules / 100), "{totals:?}");
