--- a/crates/agreed/src/lib.rs
+++ b/crates/agreed/src/lib.rs
@@ -33,8 +33,8 @@
 
 use jaspershunt_fleet::parts::{Agreed, Part};
 use jaspershunt_routes::Routes;
-use jaspershunt_routes::stage::{Verdict, share};
-use jaspershunt_routes::table::WHOLE;
+use jaspershunt_routes::table::FULL_SHARE_PERMILLE;
+use jaspershunt_routes::trial::{Verdict, trial_permille};
 use jaspershunt_steering as steering;
 use jaspershunt_steering::{Group, Tables};
 use jaspershunt_work::{Entry, Orphan, Spread, Work, spread};
@@ -68,7 +68,7 @@
 /// while no work is in hand, no edit is taken and no edge measures. Two that lead may both do so: the token decides, and tidying or
 /// publishing twice is doing so once. A new table goes to all at once.
 pub fn lead(now_ms: u64, agreed: &Agreed) -> Vec<(String, Vec<u8>)> {
-    lead_by::<WHOLE>(now_ms, agreed)
+    lead_by::<FULL_SHARE_PERMILLE>(now_ms, agreed)
 }
 
 /// The same, where a new table goes to so many thousandths of the nodos first.
@@ -83,14 +83,18 @@
 /// A new table, once there are edits that are taken; and what becomes of one on trial, once that can be said.
 fn publish(now_ms: u64, agreed: &Agreed, permille: u32) -> Option<(String, Vec<u8>)> {
     let routes = routes(agreed)?;
-    let entry = match routes.on_trial() {
+    let entry = match routes.trial_status() {
         Some(trial) => {
             let judged = trial.verdict(now_ms) != Verdict::Wait;
-            judged.then_some(jaspershunt_routes::Entry::Step { revision: trial.revision, now_ms })?
+            judged.then_some(jaspershunt_routes::Entry::JudgeTrial { revision: trial.revision, now_ms })?
         }
-        None if routes.ready() => {
+        None if routes.can_publish() => {
             let members = agreed.fleet.members().map(|(name, _)| name);
-            let permille = if permille < WHOLE { share(members, permille) } else { WHOLE };
+            let permille = if permille < FULL_SHARE_PERMILLE {
+                trial_permille(members, permille)
+            } else {
+                FULL_SHARE_PERMILLE
+            };
             jaspershunt_routes::Entry::Publish { permille, now_ms: now_ms.max(routes.published_ms()) }
         }
         None => return None,
@@ -115,7 +119,7 @@
     let Some(part) = steering.as_any().downcast_ref::<steering::Part>() else { return Vec::new() };
     let present: BTreeSet<&str> = agreed.fleet.members().map(|(name, _)| name).collect();
     let allowed = |group: &Group| match (group, routes(agreed)) {
-        (Group::Field(tenant), Some(routes)) => routes.allows("", tenant),
+        (Group::Field(tenant), Some(routes)) => routes.allowed_regions("", tenant),
         _ => BTreeSet::new(),
     };
     let entries = part.ground().wants(now_ms, part.tables(), |name| present.contains(name), allowed);
@@ -125,7 +129,7 @@
 /// The regions that may have it, by the table of routes that all members have; none named where that bounds nothing.
 fn allowed(agreed: &Agreed, orphan: &Orphan) -> Option<BTreeSet<String>> {
     let tenant = orphan.tenant.as_deref().unwrap_or_default();
-    Some(routes(agreed).map(|routes| routes.allows(&orphan.class, tenant)).unwrap_or_default())
+    Some(routes(agreed).map(|routes| routes.allowed_regions(&orphan.class, tenant)).unwrap_or_default())
 }
 
 /// Who gets the work that has lost its owner: a start with room, in a region that `allowed` names (none named: all; `None`: it has no
--- a/crates/agreed/src/tests.rs
+++ b/crates/agreed/src/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use jaspershunt_fleet::{Entry as OfFleet, Holder, Outcome as OfAgreed};
-use jaspershunt_routes::stage::{Counts, LEAST_JUDGED, LONGEST_TRIAL_MS, SHORTEST_TRIAL_MS, in_stage, share};
+use jaspershunt_routes::trial::{
+    Counts, MAX_TRIAL_MS, MIN_REQUESTS_PER_SIDE, MIN_TRIAL_MS, in_trial, trial_permille,
+};
 use jaspershunt_steering::{Place, Row, Why};
 use jaspershunt_work::{Effect, Offer, Outcome};
 
@@ -147,20 +149,20 @@
     let (taken, heir) = tell(jaspershunt_routes::Entry::Edit(edit));
     assert_eq!(
         (taken, heir.as_str()),
-        (jaspershunt_routes::Outcome::Open(jaspershunt_routes::State::Taken), "n2")
+        (jaspershunt_routes::Outcome::Open(jaspershunt_routes::EditState::Accepted), "n2")
     );
-    let permille = share(["n2", "n3"], 500);
+    let permille = trial_permille(["n2", "n3"], 500);
     let (published, heir) = tell(jaspershunt_routes::Entry::Publish { permille, now_ms: 1 });
     assert_eq!((published, heir.as_str()), (jaspershunt_routes::Outcome::Published(1), "n2"));
     for name in ["n2", "n3"] {
-        let of = in_stage(name, permille);
-        let counts = Counts { requests: LEAST_JUDGED, failed: 5, slow: 5 };
+        let of = in_trial(name, permille);
+        let counts = Counts { requests: MIN_REQUESTS_PER_SIDE, failed: 5, slow: 5 };
         let (by, revision) = (Holder::new(name, if name == "n2" { 2 } else { 3 }), u64::from(of));
-        let told = jaspershunt_routes::Entry::Told { by, trial: 1, revision, counts };
+        let told = jaspershunt_routes::Entry::ReportCounts { by, trial: 1, revision, counts };
         assert_eq!(tell(told), (jaspershunt_routes::Outcome::Done, "n2".to_string()));
     }
-    let now_ms = 1 + SHORTEST_TRIAL_MS;
-    let (goes_on, heir) = tell(jaspershunt_routes::Entry::Step { revision: 1, now_ms });
+    let now_ms = 1 + MIN_TRIAL_MS;
+    let (goes_on, heir) = tell(jaspershunt_routes::Entry::JudgeTrial { revision: 1, now_ms });
     assert_eq!((goes_on, heir.as_str()), (jaspershunt_routes::Outcome::Published(1), "n3"));
 }
 
@@ -179,16 +181,16 @@
     for (part, bytes) in lead_by::<100>(100, &agreed) {
         apply(&mut agreed, &part, bytes);
     }
-    let permille = routes(&agreed).unwrap().on_trial().unwrap().permille;
-    let with = holders.iter().filter(|holder| in_stage(&holder.member, permille)).count();
+    let permille = routes(&agreed).unwrap().trial_status().unwrap().permille;
+    let with = holders.iter().filter(|holder| in_trial(&holder.member, permille)).count();
     assert!((1..3).contains(&with), "{with} at {permille}");
     // Nobody tells: nothing is proposed before the longest wait is over.
-    assert_eq!(lead(100 + LONGEST_TRIAL_MS - 1, &agreed), []);
+    assert_eq!(lead(100 + MAX_TRIAL_MS - 1, &agreed), []);
     for holder in &holders {
-        let of = in_stage(&holder.member, permille);
-        let failed = if of { LEAST_JUDGED / 2 } else { 0 };
-        let counts = Counts { requests: LEAST_JUDGED, failed, slow: 0 };
-        let told = OfRoutes::Told { by: holder.clone(), trial: 1, revision: u64::from(of), counts };
+        let of = in_trial(&holder.member, permille);
+        let failed = if of { MIN_REQUESTS_PER_SIDE / 2 } else { 0 };
+        let counts = Counts { requests: MIN_REQUESTS_PER_SIDE, failed, slow: 0 };
+        let told = OfRoutes::ReportCounts { by: holder.clone(), trial: 1, revision: u64::from(of), counts };
         apply(&mut agreed, "routes", told.to_bytes());
     }
     let step = lead(101, &agreed);
@@ -200,7 +202,7 @@
 
 #[test]
 fn what_is_taken_is_published_by_the_one_that_leads_and_once() {
-    use jaspershunt_routes::{End, Entry as OfRoutes, Outcome as OfTable, parse_edit};
+    use jaspershunt_routes::{Entry as OfRoutes, FinalState, Outcome as OfTable, parse_edit};
     let mut agreed = Agreed::new(parts());
     assert_eq!(lead(100, &agreed), []);
     let edit = r#"{ "id": { "team": "pagos", "number": 1 }, "base": 0, "reason": "a place",
@@ -217,7 +219,7 @@
     assert_eq!(outcomes[0], OfTable::Published(1));
     assert!(matches!(outcomes[1], OfTable::Refused(_)), "{outcomes:?}");
     let of = routes(&agreed).unwrap();
-    assert_eq!(of.state(&edit.key()), Some(OfTable::Ended(End::Taken(1))));
+    assert_eq!(of.outcome_of(&edit.key()), Some(OfTable::Ended(FinalState::Published(1))));
     // A clock that is behind takes back no time that was told.
     assert_eq!((of.published_ms(), lead(50, &agreed)), (100, Vec::new()));
 }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -11,7 +11,7 @@
 use crate::steering::Steering;
 use crate::{fleet, log};
 use fleet::routes::MAX_SAID;
-use jaspershunt_routes::stage::Tally;
+use jaspershunt_routes::trial::Tally;
 use line::{Answer, Call, MAX_LINE, NoCall, Routes};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -383,7 +383,7 @@
     let revision = shown["here"]["revision"].as_u64().unwrap_or(0);
     let snapshot = Snapshot::new(revision, shown["here"]["on_trial"] == true, 0, table);
     let age = shown["here"]["age_ms"].as_u64();
-    let mut text = snapshot.why(class, tenant, age.unwrap_or(0));
+    let mut text = snapshot.explain(class, tenant, age.unwrap_or(0));
     if age.is_none() {
         let from = text.find('\n').unwrap_or(0);
         text.replace_range(
@@ -391,7 +391,7 @@
             &format!("revision {revision}, and the fleet was not heard yet: this may be old"),
         );
     }
-    if snapshot.chooses(class, tenant, 1).is_none() {
+    if snapshot.choose(class, tenant, 1).is_none() {
         text.push_str("no route for its first call: that goes as this nodo's file says\n");
     }
     for name in list(&shown["here"]["not_here"]) {
--- a/crates/node/src/engine/arrivals.rs
+++ b/crates/node/src/engine/arrivals.rs
@@ -8,7 +8,7 @@
 use crate::request::{Answer, Label, Reply, ReplyTo, Work};
 use crate::upgrade::claims::{Claims, Goes};
 use jaspershunt::{Event, Outcome, Request, RequestId};
-use jaspershunt_routes::stage::Ended as Tried;
+use jaspershunt_routes::trial::RequestEnd as Tried;
 
 /// Whom the route table has no room for is told to stay away so long, in seconds. Ours: about what a request takes.
 const OVER_TABLE_FOR: f64 = 1.0;
@@ -28,7 +28,7 @@
             _ if self.is_over_table(&work) => {
                 if let Some(table) = &self.table {
                     // Guards against a table that turns all away and is judged by the few that it lets in.
-                    self.ways.desk.tally.borrow_mut().ended(table, Tried::Failed);
+                    self.ways.desk.tally.borrow_mut().record(table, Tried::Failed);
                 }
                 let stay_away = self.settings.max_stay_away.min(OVER_TABLE_FOR);
                 Err((reply, Answer::Refused { stay_away, last: false }))
@@ -49,14 +49,14 @@
         let Some(table) = &self.table else { return false };
         let here = |is: &dyn Fn(&Entry) -> bool| self.requests.values().filter(|entry| is(entry)).count();
         let class = &self.settings.classes[work.class].name;
-        let full = table.limit(class).is_some_and(|limit| {
+        let full = table.class_limit(class).is_some_and(|limit| {
             // Those that the fleet is asked to hold are not here yet; this one is counted with them.
             let open = self.ways.desk.counts.borrow().of(class).open().saturating_sub(1) as usize;
             open.max(here(&|entry| entry.class == work.class)) >= limit
         });
         let of = (f64::from(self.settings.cores) * self.settings.crowd_multiple).max(1.0) as usize;
         let tenant = work.tenant.and_then(|tenant| self.settings.tenants.get(tenant));
-        let places = tenant.and_then(|tenant| table.places(&tenant.name, of));
+        let places = tenant.and_then(|tenant| table.tenant_slots(&tenant.name, of));
         full || places.is_some_and(|places| here(&|entry| entry.tenant == work.tenant) >= places)
     }
 
@@ -195,7 +195,7 @@
                 Answer::Bad => None,
                 _ => Some(Tried::Failed),
             };
-            how.into_iter().for_each(|how| self.ways.desk.tally.borrow_mut().ended(table, how));
+            how.into_iter().for_each(|how| self.ways.desk.tally.borrow_mut().record(table, how));
         }
         self.count_end(class, (!left).then_some(&answer));
         reply.send(Reply { answer, say: self.says(), label });
--- a/crates/node/src/engine/below.rs
+++ b/crates/node/src/engine/below.rs
@@ -12,7 +12,7 @@
 use jaspershunt_dependencies::{Action, AttemptId, By, CallId, End, Room, Wanted};
 use jaspershunt_operator::File;
 use jaspershunt_routes::Snapshot;
-use jaspershunt_routes::below::overlaid;
+use jaspershunt_routes::overlay::overlay;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -110,9 +110,9 @@
         let class = &self.settings.classes[entry.class].name;
         let tenant = entry.tenant.and_then(|tenant| self.settings.tenants.get(tenant));
         let place = u32::try_from(entry.calls).unwrap_or(u32::MAX);
-        let chosen = table.chooses(class, tenant.map_or("", |tenant| &tenant.name), place)?;
+        let chosen = table.choose(class, tenant.map_or("", |tenant| &tenant.name), place)?;
         let here = |name: &String| several.file.dependency.contains_key(name);
-        let then = chosen.then.into_iter().filter(here).collect();
+        let then = chosen.fallbacks.into_iter().filter(here).collect();
         let by = By { route: chosen.route, calls: chosen.calls as usize, to: chosen.to, then };
         here(&by.to).then(|| Rc::new(by))
     }
@@ -130,7 +130,7 @@
         }
         let trial = if table.on_trial { ", on trial here" } else { "" };
         log!("routes: revision {} is in use{trial}", table.revision);
-        let over = self.several.as_ref().map(|several| overlaid(&several.file, table.table()));
+        let over = self.several.as_ref().map(|several| overlay(&several.file, table.table()));
         self.table = Some(table);
         if let Some(over) = over {
             self.decide(|several, now, out| several.decisions.reload(now, &over, out));
@@ -187,7 +187,7 @@
             );
         }
         // What the fleet's table says of dependencies stands over each file.
-        let over = self.table.as_ref().map(|table| overlaid(&file, table.table()));
+        let over = self.table.as_ref().map(|table| overlay(&file, table.table()));
         self.decide(|several, now, out| {
             several.decisions.reload(now, over.as_ref().unwrap_or(&file), out);
             several.file = file;
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -620,12 +620,12 @@
             }
             other => other,
         };
-        rig.engine.round([Input::Table(table(1, 1, 1000).during(Some(1)))]);
+        rig.engine.round([Input::Table(table(1, 1, 1000).with_trial(Some(1)))]);
         let round = [of(&rig, 1, 0, None), of(&rig, 2, 0, None), of(&rig, 3, 1, None)];
         rig.engine.round(round);
         let refused = |id| (id, Answer::Refused { stay_away: 1.0, last: false });
         assert_eq!(rig.answers(), [refused(2)]);
-        let counts = rig.engine.ways.desk.tally.borrow().of(1).map(|(_, counts)| counts);
+        let counts = rig.engine.ways.desk.tally.borrow().counts_for(1).map(|(_, counts)| counts);
         assert_eq!(counts.map(|counts| (counts.requests, counts.failed)), Some((1, 1)));
         let value = rig.value(1, RunEnd::Done(vec![7]));
         rig.engine.round([value]);
@@ -649,7 +649,7 @@
         rig.engine.round([Input::Table(table(4, "b", 2))]);
         let first = rig.work(1, 0, 0.0);
         rig.engine.round([first]);
-        rig.engine.round([Input::Table(table(4, "b", 2).during(Some(5)))]);
+        rig.engine.round([Input::Table(table(4, "b", 2).with_trial(Some(5)))]);
         let (second, third) = (rig.work(2, 0, 0.0), rig.work(3, 0, 0.0));
         rig.engine.round([second, third]);
         let ends = [(1, RunEnd::Done(vec![7])), (2, RunEnd::Done(vec![7])), (3, RunEnd::Failed)];
@@ -658,8 +658,8 @@
             rig.engine.round([value]);
         }
         assert_eq!(rig.answers().len(), 3);
-        let counts = rig.engine.ways.desk.tally.borrow().of(5);
-        let seen = jaspershunt_routes::stage::Counts { requests: 2, failed: 1, slow: 0 };
+        let counts = rig.engine.ways.desk.tally.borrow().counts_for(5);
+        let seen = jaspershunt_routes::trial::Counts { requests: 2, failed: 1, slow: 0 };
         assert_eq!(counts, Some((4, seen)));
     });
 }
--- a/crates/node/src/fleet/held.rs
+++ b/crates/node/src/fleet/held.rs
@@ -2,7 +2,7 @@
 //! what becomes of them. An edit that is sent twice is one.
 
 use crate::log;
-use jaspershunt_routes::{Edit, Key, parse_edit};
+use jaspershunt_routes::{Edit, EditKey, parse_edit};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -28,14 +28,14 @@
     folder: PathBuf,
     /// Whoever has this reads or writes the folder. Guards against a disk that stalls: no more than one thread waits for it.
     disk: Arc<Mutex<()>>,
-    edits: RefCell<BTreeMap<Key, Edit>>,
-    refused: RefCell<VecDeque<(Key, String)>>,
+    edits: RefCell<BTreeMap<EditKey, Edit>>,
+    refused: RefCell<VecDeque<(EditKey, String)>>,
 }
 
 /// The right to read or write the folder, for one at a time.
 pub type Turn = OwnedMutexGuard<()>;
 
-fn name(key: &Key) -> String {
+fn name(key: &EditKey) -> String {
     format!("{}-{}-{:016x}.json", key.id.team, key.id.number, key.digest)
 }
 
@@ -92,18 +92,18 @@
     }
 
     /// The first of what is held.
-    pub fn first(&self) -> Option<(Key, Edit)> {
+    pub fn first(&self) -> Option<(EditKey, Edit)> {
         self.edits.borrow().iter().next().map(|(key, edit)| (key.clone(), edit.clone()))
     }
 
     /// The edits of this team and number that are held.
-    pub fn called(&self, team: &str, number: u64) -> Vec<Key> {
+    pub fn called(&self, team: &str, number: u64) -> Vec<EditKey> {
         let edits = self.edits.borrow();
         edits.keys().filter(|key| key.id.team == team && key.id.number == number).cloned().collect()
     }
 
     /// The fleet has it, or it is taken back: it is held no more. One whose file stays is sent again by a later start, and is the same edit.
-    pub async fn let_go(&self, key: &Key) {
+    pub async fn let_go(&self, key: &EditKey) {
         self.edits.borrow_mut().remove(key);
         let name = name(key);
         let turn = self.turn().await;
@@ -111,7 +111,7 @@
     }
 
     /// The fleet will not have it.
-    pub async fn refuse(&self, key: &Key, why: String) {
+    pub async fn refuse(&self, key: &EditKey, why: String) {
         log!(WARN, "routes: edit {key}, which was held here, is refused: {why}");
         {
             let mut refused = self.refused.borrow_mut();
@@ -125,7 +125,7 @@
 
     /// What is held, and what of it was refused.
     pub fn shown(&self) -> (Vec<Value>, Vec<Value>) {
-        let named = |key: &Key| format!("{}/{}", key.id.team, key.id.number);
+        let named = |key: &EditKey| format!("{}/{}", key.id.team, key.id.number);
         let held = self
             .edits
             .borrow()
@@ -138,7 +138,7 @@
     }
 }
 
-fn read(folder: &Path) -> BTreeMap<Key, Edit> {
+fn read(folder: &Path) -> BTreeMap<EditKey, Edit> {
     let mut edits = BTreeMap::new();
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
     let whole = files.filter(|file| file.path().extension().is_some_and(|ext| ext == "json"));
--- a/crates/node/src/fleet/routes.rs
+++ b/crates/node/src/fleet/routes.rs
@@ -13,11 +13,12 @@
 use jaspershunt_member::driver::{Newest, Order, Settled, now};
 use jaspershunt_member::frame::Shown;
 use jaspershunt_operator::{CutOff, File};
-use jaspershunt_routes::below::not_here;
-use jaspershunt_routes::part::{NAME, OnTrial, Seen};
-use jaspershunt_routes::stage::{Counts, Tally};
+use jaspershunt_routes::overlay::without_address;
+use jaspershunt_routes::part::{MemberView, NAME, TrialStatus};
+use jaspershunt_routes::trial::{Counts, Tally};
 use jaspershunt_routes::{
-    Change, Conflict, ConflictId, Edit, EditId, End, Entry, Key, Outcome, Refusal, Routes, Snapshot, State,
+    Change, Conflict, ConflictId, Edit, EditId, EditKey, EditState, Entry, FinalState, Outcome, Refusal,
+    Routes, Snapshot,
 };
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -74,7 +75,7 @@
             let newest = self.seen.borrow_and_update().get(NAME).cloned();
             let Some((epoch, bytes)) = newest.filter(|(epoch, _)| *epoch > told) else { continue };
             told = epoch;
-            let Some(seen) = Seen::from_bytes(&bytes) else { continue };
+            let Some(seen) = MemberView::from_bytes(&bytes) else { continue };
             // Most of what is shown is news of conflicts, and not of the table.
             let same = |was: &Snapshot| {
                 (was.revision, was.on_trial, was.trial) == (seen.revision, seen.on_trial, seen.trial)
@@ -151,12 +152,12 @@
 }
 
 impl Named {
-    fn is(&self, key: &Key) -> bool {
+    fn is(&self, key: &EditKey) -> bool {
         let digest = self.digest.as_ref().is_none_or(|digest| *digest == format!("{:016x}", key.digest));
         key.id.team == self.team && key.id.number == self.number && digest
     }
 
-    fn among(&self, keys: impl IntoIterator<Item = Key>) -> Result<Key, String> {
+    fn among(&self, keys: impl IntoIterator<Item = EditKey>) -> Result<EditKey, String> {
         let mut keys = keys.into_iter().filter(|key| self.is(key));
         match (keys.next(), keys.next()) {
             (Some(key), None) => Ok(key),
@@ -226,11 +227,11 @@
     /// Tells the fleet what was seen of the present trial since it began, if that is news. What is lost is told again with the next.
     async fn tell(&self, way: &Way, told: &mut Option<(u64, Counts)>) {
         let Some(trial) = self.table.borrow().as_ref().and_then(|table| table.trial) else { return };
-        let seen = self.tally.borrow().of(trial);
+        let seen = self.tally.borrow().counts_for(trial);
         let Some((revision, counts)) = seen.filter(|(_, counts)| *told != Some((trial, *counts))) else {
             return;
         };
-        let entry = Entry::Told { by: way.me.clone(), trial, revision, counts };
+        let entry = Entry::ReportCounts { by: way.me.clone(), trial, revision, counts };
         if agree(way, &entry, AGREED_WITHIN).await == Some(Outcome::Done) {
             *told = Some((trial, counts));
         }
@@ -241,7 +242,7 @@
         let Some((key, edit)) = self.held.first() else { return false };
         match propose(way, &edit).await {
             // What makes room for it may come.
-            None | Some(Outcome::Refused(Refusal::Full(_) | Refusal::Crowded(..))) => false,
+            None | Some(Outcome::Refused(Refusal::Full(_) | Refusal::TooManyOnField(..))) => false,
             Some(Outcome::Refused(why)) => {
                 self.held.refuse(&key, why.to_string()).await;
                 true
@@ -272,7 +273,7 @@
         let (held, not_taken) = self.held.shown();
         let file = self.file.clone();
         let not_here: Vec<String> =
-            here.iter().flat_map(|here| not_here(&file, here.table())).map(String::from).collect();
+            here.iter().flat_map(|here| without_address(&file, here.table())).map(String::from).collect();
         let text = spawn_blocking(move || {
             let here = here.unwrap_or_default();
             let fleet = shown.and_then(|shown| agreed_of(&shown).map(|routes| fleet(&shown, &routes)));
@@ -299,7 +300,7 @@
             },
             Said::Withdraw { edit } => self.withdraw(way, edit).await,
             Said::Word { edit, by, yes } => match open(way, edit).await {
-                Ok(edit) => entry(way, &Entry::Word { by, edit, yes }).await,
+                Ok(edit) => entry(way, &Entry::Consent { by, edit, granted: yes }).await,
                 Err(why) => Err(why),
             },
             Said::Settle { conflict, by, keep } => match settlement(way, conflict, by, keep).await {
@@ -370,7 +371,7 @@
                 Change::Add { fields, .. } => fields.clone(),
                 _ => Default::default(),
             };
-            jaspershunt_routes::Table::parts(change.thing(), &fields)
+            jaspershunt_routes::Table::affected_things(change.thing(), &fields)
         });
         for thing in touched.map(|thing| thing.to_string()) {
             let owner = self.file.team.iter().find(|(_, of)| of.owns.contains(&thing)).map(|(name, _)| name);
@@ -411,7 +412,7 @@
 const LATE: &str = "the fleet does not answer in time; say it again";
 
 /// An edit in the words of operators.
-fn name(key: &Key) -> String {
+fn name(key: &EditKey) -> String {
     format!("{}/{}", key.id.team, key.id.number)
 }
 
@@ -462,9 +463,9 @@
     looked.ok().flatten().ok_or_else(|| "the fleet has no route table".to_string())
 }
 
-async fn open(way: Option<&Way>, edit: Named) -> Result<Key, String> {
+async fn open(way: Option<&Way>, edit: Named) -> Result<EditKey, String> {
     look(way, move |routes| {
-        edit.among(routes.called(&EditId { team: edit.team.clone(), number: edit.number }))
+        edit.among(routes.open_keys(&EditId { team: edit.team.clone(), number: edit.number }))
     })
     .await?
 }
@@ -500,15 +501,15 @@
 /// The edit that undoes something.
 async fn undone(way: Option<&Way>, what: What, id: EditId, reason: String) -> Result<Edit, String> {
     look(way, move |routes| {
-        let is = |line: &&jaspershunt_routes::part::Line| match &what {
+        let is = |line: &&jaspershunt_routes::part::PublishedEdit| match &what {
             What::Revision(revision) => line.revision == *revision,
             What::Edit(edit) => edit.is(&line.edit),
         };
-        let lines: Vec<_> = routes.log().filter(is).collect();
+        let lines: Vec<_> = routes.published_edits().filter(is).collect();
         let Some(last) = lines.last() else {
             return Err("the log has no such line, or no longer".to_string());
         };
-        if lines.iter().any(|line| line.back) {
+        if lines.iter().any(|line| line.reverted) {
             return Err(format!("revision {} was taken back already", last.revision));
         }
         // What was published together commutes, and so does what undoes it.
@@ -525,11 +526,12 @@
 async fn merge(way: Option<&Way>, edits: Vec<Edit>) -> Result<Value, String> {
     look(way, move |routes| {
         let mut tried = routes.clone();
-        let keys: Vec<Key> = edits.iter().map(Edit::key).collect();
-        let first: Vec<Outcome> = edits.into_iter().map(|edit| tried.take(Entry::Edit(edit))).collect();
+        let keys: Vec<EditKey> = edits.iter().map(Edit::key).collect();
+        let first: Vec<Outcome> =
+            edits.into_iter().map(|edit| tried.apply_entry(Entry::Edit(edit))).collect();
         // Those that come later may have changed what becomes of one.
         let became = keys.iter().zip(first).map(|(key, first)| {
-            let outcome = tried.state(key).unwrap_or(first);
+            let outcome = tried.outcome_of(key).unwrap_or(first);
             json!({"edit": name(key), "state": state(&outcome), "words": outcome.to_string()})
         });
         let became: Vec<Value> = became.collect();
@@ -544,24 +546,26 @@
 /// What an outcome is, in one word.
 fn state(outcome: &Outcome) -> &'static str {
     match outcome {
-        Outcome::Open(State::Taken) => "taken",
-        Outcome::Open(State::InConflict(_)) => "in conflict",
-        Outcome::Open(State::Waits(_)) => "waits",
-        Outcome::Open(State::Withdrawn(_)) | Outcome::Ended(End::Withdrawn(_)) => "withdrawn",
-        Outcome::Open(State::Refused(_)) | Outcome::Ended(End::Refused(_)) | Outcome::Refused(_) => "refused",
-        Outcome::Ended(End::Taken(_)) | Outcome::Published(_) => "in force",
+        Outcome::Open(EditState::Accepted) => "taken",
+        Outcome::Open(EditState::InConflict(_)) => "in conflict",
+        Outcome::Open(EditState::AwaitsConsent(_)) => "waits",
+        Outcome::Open(EditState::Withdrawn(_)) | Outcome::Ended(FinalState::Withdrawn(_)) => "withdrawn",
+        Outcome::Open(EditState::Refused(_))
+        | Outcome::Ended(FinalState::Refused(_))
+        | Outcome::Refused(_) => "refused",
+        Outcome::Ended(FinalState::Published(_)) | Outcome::Published(_) => "in force",
         Outcome::Done => "done",
     }
 }
 
-fn told(key: &Key, outcome: &Outcome) -> Result<Value, String> {
+fn told(key: &EditKey, outcome: &Outcome) -> Result<Value, String> {
     let conflicts: Vec<String> = match outcome {
         Outcome::Refused(why) => return Err(why.to_string()),
-        Outcome::Open(State::InConflict(ids)) => ids.iter().map(ConflictId::to_string).collect(),
+        Outcome::Open(EditState::InConflict(ids)) => ids.iter().map(ConflictId::to_string).collect(),
         _ => Vec::new(),
     };
     let revision = match outcome {
-        Outcome::Ended(End::Taken(revision)) => Some(*revision),
+        Outcome::Ended(FinalState::Published(revision)) => Some(*revision),
         _ => None,
     };
     Ok(json!({"edit": name(key), "state": state(outcome), "words": outcome.to_string(), "revision": revision,
@@ -569,12 +573,12 @@
 }
 
 fn conflict((id, conflict): (&ConflictId, &Conflict)) -> Value {
-    let names = |keys: &BTreeSet<Key>| keys.iter().map(name).collect::<Vec<_>>();
+    let names = |keys: &BTreeSet<EditKey>| keys.iter().map(name).collect::<Vec<_>>();
     json!({"id": id.to_string(), "edits": names(&conflict.members), "in_force": names(&conflict.in_force),
         "teams": conflict.teams, "words": conflict.to_string()})
 }
 
-fn trial(of: OnTrial) -> Value {
+fn trial(of: TrialStatus) -> Value {
     json!({"revision": of.revision, "permille": of.permille, "since_ms": of.since_ms, "with": of.with, "without": of.without,
         "words": format!("revision {} is on trial at {} thousandths of the nodos; with it {}, without it {}",
             of.revision, of.permille, of.with, of.without)})
@@ -583,7 +587,7 @@
 /// The table as it is agreed.
 fn fleet(shown: &Shown, routes: &Routes) -> Value {
     let open = routes.open().map(|(key, edit)| {
-        let outcome = routes.state(key);
+        let outcome = routes.outcome_of(key);
         json!({"edit": name(key), "digest": format!("{:016x}", key.digest), "base": edit.base, "reason": edit.reason,
             "changes": edit.changes, "state": outcome.as_ref().map(state),
             "words": outcome.as_ref().map(ToString::to_string)})
@@ -593,10 +597,10 @@
         .ended(ENDED_SHOWN)
         .map(|(id, end)| (format!("{}/{}", id.team, id.number), end.to_string()))
         .collect();
-    let line = |line: &jaspershunt_routes::part::Line| json!({"revision": line.revision, "edit": name(&line.edit), "reason": line.reason, "back": line.back});
-    let log: Vec<Value> = routes.log().map(line).collect();
+    let line = |line: &jaspershunt_routes::part::PublishedEdit| json!({"revision": line.revision, "edit": name(&line.edit), "reason": line.reason, "back": line.reverted});
+    let log: Vec<Value> = routes.published_edits().map(line).collect();
     let conflicts: Vec<Value> = routes.merged().conflicts.iter().map(conflict).collect();
     json!({"by": shown.by, "leader": shown.leader, "age_ms": shown.age_ms, "revision": routes.revision(),
-        "published_ms": routes.published_ms(), "trial": routes.on_trial().map(trial), "table": routes.table(), "open": open,
+        "published_ms": routes.published_ms(), "trial": routes.trial_status().map(trial), "table": routes.table(), "open": open,
         "ended": ended, "conflicts": conflicts, "log": log})
 }
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -138,10 +138,10 @@
 
 /// What is written of what came of an edit. One that is open may still come to anything, and one whose revision was taken back was in it.
 fn heard_of_edit(came: Option<&OfEdit>) -> format::Came {
-    use jaspershunt_routes::{End, merge::Reason};
+    use jaspershunt_routes::{FinalState, merge::RefusalReason};
     match came {
-        Some(OfEdit::Ended(End::Taken(revision))) => format::Came::Ok(Told::Revision(*revision)),
-        Some(OfEdit::Ended(End::Refused(Reason::TakenBack { .. }))) => format::Came::Unknown,
+        Some(OfEdit::Ended(FinalState::Published(revision))) => format::Came::Ok(Told::Revision(*revision)),
+        Some(OfEdit::Ended(FinalState::Refused(RefusalReason::RolledBack { .. }))) => format::Came::Unknown,
         Some(OfEdit::Ended(_) | OfEdit::Refused(_)) => format::Came::Failed,
         _ => format::Came::Unknown,
     }
@@ -214,7 +214,9 @@
             match part.as_str() {
                 jaspershunt_work::part::NAME => self.work(bytes, history),
                 jaspershunt_routes::part::NAME => {
-                    let Some(seen) = jaspershunt_routes::part::Seen::from_bytes(bytes) else { continue };
+                    let Some(seen) = jaspershunt_routes::part::MemberView::from_bytes(bytes) else {
+                        continue;
+                    };
                     // As operators are shown it.
                     let content = Value::of(serde_json::json!(seen.table).to_string());
                     let table = Table { revision: seen.revision, content, edits: Vec::new() };
--- a/crates/node/src/history/tests.rs
+++ b/crates/node/src/history/tests.rs
@@ -157,19 +157,20 @@
 /// Guards against an edit that is said never to have been in a table while it was on trial, or is still open.
 #[tokio::test]
 async fn edits_are_written_with_what_is_known_of_them_and_tables_as_operators_see_them() {
-    use jaspershunt_routes::merge::Reason;
-    use jaspershunt_routes::stage::{Counts, Why};
-    use jaspershunt_routes::{End as OfEnd, Outcome as OfEdit, Refusal as Not, Routes, State};
+    use jaspershunt_routes::merge::RefusalReason;
+    use jaspershunt_routes::trial::{Counts, RollbackReason};
+    use jaspershunt_routes::{EditState, FinalState as OfEnd, Outcome as OfEdit, Refusal as Not, Routes};
     let folder = folder("edits");
     let history = History::start(&wanted(&folder), "n1", 7).unwrap();
     let counts = Counts::default();
-    let back = Reason::TakenBack { revision: 4, why: Why::TooFew, without: counts, with: counts };
+    let back =
+        RefusalReason::RolledBack { revision: 4, why: RollbackReason::TooFew, without: counts, with: counts };
     let came = [
-        (Some(OfEdit::Ended(OfEnd::Taken(3))), format::Came::Ok(Told::Revision(3))),
+        (Some(OfEdit::Ended(OfEnd::Published(3))), format::Came::Ok(Told::Revision(3))),
         (Some(OfEdit::Ended(OfEnd::Refused(back))), format::Came::Unknown),
         (Some(OfEdit::Ended(OfEnd::Withdrawn("brio".into()))), format::Came::Failed),
-        (Some(OfEdit::Refused(Not::NotYours)), format::Came::Failed),
-        (Some(OfEdit::Open(State::Taken)), format::Came::Unknown),
+        (Some(OfEdit::Refused(Not::NotAuthorized)), format::Came::Failed),
+        (Some(OfEdit::Open(EditState::Accepted)), format::Came::Unknown),
         (None, format::Came::Unknown),
     ];
     for (n, (came, _)) in came.iter().enumerate() {
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -3,7 +3,7 @@
 
 use jaspershunt_histories::check_folder;
 use jaspershunt_histories::format::{Came, FILE_BYTES, Op, Table, Told, Value as Of, Who, Writer};
-use jaspershunt_routes::stage::{LEAST_JUDGED, in_stage, share};
+use jaspershunt_routes::trial::{MIN_REQUESTS_PER_SIDE, in_trial, trial_permille};
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::fleet::Fleet;
 use jaspershunt_stand_ins::link::Fault;
@@ -418,8 +418,8 @@
         let region = edit("brio", 1, 0, json!([{"add": {"thing": "region/sur"}}]));
         assert_eq!(rig.say(3, &json!({"edit": region})).await.unwrap()["state"], "taken");
         let names: Vec<String> = (0..NODOS).map(|n| format!("n{n}")).collect();
-        let permille = share(names.iter().map(String::as_str), 500);
-        let with = |n: usize| in_stage(&names[n], permille);
+        let permille = trial_permille(names.iter().map(String::as_str), 500);
+        let with = |n: usize| in_trial(&names[n], permille);
         let tried = (0..NODOS).filter(|n| with(*n)).count() as u64;
         assert!(tried > 0 && tried < NODOS as u64, "{tried} at {permille}");
         let sides = rig.all_know_the_trial().await;
@@ -478,7 +478,8 @@
             edit("brio", 1, 0, json!([{"add": {"thing": "class/read", "fields": {"limit": {"number": 0}}}}]));
         rig.say(3, &json!({"edit": none})).await.unwrap();
         let (with, without) = rig.all_know_the_trial().await;
-        let each = |of: &[usize]| LEAST_JUDGED.next_multiple_of(LANES * NODOS as u64) / of.len() as u64;
+        let each =
+            |of: &[usize]| MIN_REQUESTS_PER_SIDE.next_multiple_of(LANES * NODOS as u64) / of.len() as u64;
         for (side, share) in [(&without, each(&without)), (&with, each(&with))] {
             for n in side {
                 let served = rig.requests(*n, "read", share).await;
--- /dev/null
+++ b/crates/routes/src/access.rs
@@ -0,0 +1,297 @@
+//! What an edit reads and writes, and whether two of them commute.
+
+use crate::base::{Base, EditContext};
+use crate::edit::{Change, Edit, EditKey};
+use crate::mutants::{Mutant, is_active};
+use crate::rules::{self, Sum, TableFault};
+use crate::table::{Field, Fields, Thing, Value};
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
+
+/// ConflictReason edits cannot be taken together.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum ConflictReason {
+    /// One field, two values.
+    SameField(Thing, Field),
+    /// Two things, or one under two new names, that take or leave one name.
+    SameName(Thing),
+    /// One removes what the other changes, names or renames.
+    Removed(Thing),
+    /// One renames what the other changes or names.
+    Renamed(Thing, String),
+    /// One gives to another team what the other changes.
+    OwnerChanged(Thing, String),
+    /// Two edits under one number of a team.
+    SameNumber,
+    /// Together they make the table wrong, with what each adds to a sum.
+    InvalidTable(TableFault, Vec<(EditKey, i64)>),
+    /// More edits take part in one sum or circle than sets of them can be told: all of them are held.
+    TooManySets(usize),
+}
+
+impl fmt::Display for ConflictReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ConflictReason::SameField(thing, field) => {
+                write!(f, "they set {field:?} of {thing} to different values")
+            }
+            ConflictReason::SameName(thing) => write!(f, "they disagree on what is called {thing}"),
+            ConflictReason::Removed(thing) => write!(f, "one removes {thing}, which the other needs"),
+            ConflictReason::Renamed(thing, to) => {
+                write!(f, "one renames {thing} to {to}, which the other goes by its old name")
+            }
+            ConflictReason::OwnerChanged(thing, team) => {
+                write!(f, "one gives {thing} to {team}, whose word the other, which touches it, has not got")
+            }
+            ConflictReason::SameNumber => f.write_str("they are different and have one number"),
+            ConflictReason::InvalidTable(wrong, parts) => {
+                write!(f, "{wrong}")?;
+                for (at, (key, add)) in parts.iter().enumerate() {
+                    let before = if at == 0 { " (" } else { ", " };
+                    write!(f, "{before}{key} {add:+}")?;
+                }
+                if parts.is_empty() { Ok(()) } else { f.write_str(")") }
+            }
+            ConflictReason::TooManySets(count) => {
+                write!(f, "{count} edits are together more than can be told one by one")
+            }
+        }
+    }
+}
+
+/// What an edit reads and writes, with names as it reads them.
+#[derive(Clone, Debug, Default)]
+pub struct AccessSet {
+    /// Whose it is.
+    pub team: String,
+    /// How it is read.
+    pub context: EditContext,
+    /// Fields that it sets.
+    pub sets: BTreeMap<(Thing, Field), Value>,
+    /// Things that it adds.
+    pub adds: BTreeMap<Thing, Fields>,
+    /// Things that it removes.
+    pub removes: BTreeSet<Thing>,
+    /// Things that it renames.
+    pub renames: BTreeMap<Thing, String>,
+    /// Things that it names in fields.
+    pub references: BTreeSet<Thing>,
+    /// Parts that it touches, each with the things by which it does.
+    pub affected: BTreeMap<Thing, BTreeSet<Thing>>,
+    /// What it adds to sums, by the field that does it.
+    pub sum_changes: BTreeMap<Sum, BTreeMap<(Thing, Option<Field>), i64>>,
+}
+
+impl AccessSet {
+    /// The access of an edit on a table.
+    pub fn new(base: &Base, edit: &Edit, context: EditContext) -> AccessSet {
+        let mut access = AccessSet { team: edit.id.team.clone(), ..AccessSet::default() };
+        for change in &edit.changes {
+            let thing = base.resolve_name(change.thing(), &context);
+            for part in base.affected_things(change, &context) {
+                access.affected.entry(part).or_default().insert(thing.clone());
+            }
+            for (field, value) in change.written_fields() {
+                access.references.extend(field.references(&base.resolve_value(field, value, &context)));
+            }
+            match change {
+                Change::Add { fields, .. } => {
+                    let fields: Fields = fields
+                        .iter()
+                        .map(|(field, value)| (*field, base.resolve_value(*field, value, &context)))
+                        .collect();
+                    if !base.table.things.contains_key(&thing) {
+                        for (field, sum, add) in rules::thing_contributions(&thing, &fields) {
+                            access.add_to_sum(sum, &thing, field, add);
+                        }
+                    }
+                    access.adds.insert(thing, fields);
+                }
+                Change::Set { field, value, .. } => {
+                    let value = base.resolve_value(*field, value, &context);
+                    let old = base.table.value(&thing, *field);
+                    for (sum, add) in rules::contributions(&thing, Some(*field), old) {
+                        access.add_to_sum(sum, &thing, Some(*field), -add);
+                    }
+                    for (sum, add) in rules::contributions(&thing, Some(*field), &value) {
+                        access.add_to_sum(sum, &thing, Some(*field), add);
+                    }
+                    access.sets.insert((thing, *field), value);
+                }
+                Change::Remove { .. } => {
+                    for (field, sum, add) in base
+                        .table
+                        .things
+                        .get(&thing)
+                        .map(|of| rules::thing_contributions(&thing, of))
+                        .unwrap_or_default()
+                    {
+                        access.add_to_sum(sum, &thing, field, -add);
+                    }
+                    access.removes.insert(thing);
+                }
+                Change::Rename { to, .. } => {
+                    access.renames.insert(thing, to.clone());
+                }
+            }
+        }
+        access.context = context;
+        access
+    }
+
+    fn add_to_sum(&mut self, sum: Sum, thing: &Thing, field: Option<Field>, add: i64) {
+        *self.sum_changes.entry(sum).or_default().entry((thing.clone(), field)).or_insert(0) += add;
+    }
+
+    /// The names that it takes.
+    pub fn claimed_names(&self) -> impl Iterator<Item = Thing> {
+        self.adds.keys().cloned().chain(self.renames.iter().map(|(thing, to)| thing.named(to)))
+    }
+
+    /// Whether it changes or names a thing.
+    fn changes_or_references(&self, thing: &Thing) -> bool {
+        self.references.contains(thing) || self.sets.keys().any(|(set, _)| set == thing)
+    }
+
+    /// Whether it may touch the parts of a team.
+    pub fn has_consent_of(&self, team: &str) -> bool {
+        self.team == team || self.context.consents.contains(team)
+    }
+
+    /// ConflictReason this edit cannot be taken together with one that was made without knowing of it.
+    pub fn conflicts_with(&self, key: &EditKey, other: &AccessSet, others: &EditKey) -> Vec<ConflictReason> {
+        let mut why = Vec::new();
+        if key.id == others.id {
+            why.push(ConflictReason::SameNumber);
+        }
+        for ((thing, field), value) in &self.sets {
+            let differs = other.sets.get(&(thing.clone(), *field)).is_some_and(|set| set != value);
+            if differs && !is_active(Mutant::LastWriterWins) {
+                why.push(ConflictReason::SameField(thing.clone(), *field));
+            }
+        }
+        let taken: BTreeSet<Thing> = other.claimed_names().collect();
+        for name in self.claimed_names().filter(|name| taken.contains(name)) {
+            let both_add = self.adds.get(&name).is_some_and(|fields| other.adds.get(&name) == Some(fields));
+            let both_rename = self
+                .renames
+                .iter()
+                .any(|(thing, to)| thing.named(to) == name && other.renames.get(thing) == Some(to));
+            if !both_add && !both_rename {
+                why.push(ConflictReason::SameName(name));
+            }
+        }
+        for (thing, to) in &self.renames {
+            if other.renames.get(thing).is_some_and(|others| others != to) {
+                why.push(ConflictReason::SameName(thing.clone()));
+            }
+        }
+        self.one_way_conflicts(key, other, &mut why);
+        other.one_way_conflicts(others, self, &mut why);
+        why
+    }
+
+    fn one_way_conflicts(&self, key: &EditKey, other: &AccessSet, why: &mut Vec<ConflictReason>) {
+        for thing in &self.removes {
+            if other.renames.contains_key(thing) || other.changes_or_references(thing) {
+                why.push(ConflictReason::Removed(thing.clone()));
+            }
+        }
+        for (thing, to) in &self.renames {
+            if other.changes_or_references(thing) && !other.context.follows.contains(key) {
+                why.push(ConflictReason::Renamed(thing.clone(), to.clone()));
+            }
+        }
+        // What both remove or rename alike is there to be touched by the first of them only.
+        let alike = |thing: &Thing| {
+            let renamed = self.renames.get(thing).is_some_and(|to| other.renames.get(thing) == Some(to));
+            renamed || (self.removes.contains(thing) && other.removes.contains(thing))
+        };
+        for ((thing, field), value) in &self.sets {
+            if let (Field::Owner, Value::Name(team)) = (field, value)
+                && other.affected.get(thing).is_some_and(|by| !by.iter().all(alike))
+                && !other.has_consent_of(team)
+                && !is_active(Mutant::LossNotSeen)
+            {
+                why.push(ConflictReason::OwnerChanged(thing.clone(), team.clone()));
+            }
+        }
+    }
+
+    /// What in the table was made after the revision that it was made on, and cannot stand beside it; with whose edit it was.
+    pub fn conflicts_with_base(&self, base: &Base) -> Vec<(EditKey, ConflictReason)> {
+        let mut found = Vec::new();
+        let from = self.context.base;
+        let follows = |by: &EditKey| self.context.follows.contains(by);
+        let gone = |thing: &Thing| {
+            let gone = base.retired_since(thing, from).filter(|_| !base.table.things.contains_key(thing))?;
+            let why = match &gone.to {
+                Some(to) => ConflictReason::Renamed(thing.clone(), to.clone()),
+                None => ConflictReason::Removed(thing.clone()),
+            };
+            Some((gone.stamp.by.clone(), why))
+        };
+        for ((thing, field), value) in &self.sets {
+            found.extend(gone(thing));
+            if let Some(stamp) = base.written_since(thing, None, from).filter(|stamp| !follows(&stamp.by)) {
+                found.push((stamp.by.clone(), ConflictReason::Removed(thing.clone())));
+            }
+            if let Some(stamp) = base.written_since(thing, Some(*field), from)
+                && base.table.value(thing, *field) != value
+            {
+                found.push((stamp.by.clone(), ConflictReason::SameField(thing.clone(), *field)));
+            }
+        }
+        found.extend(self.references.iter().filter_map(&gone));
+        for thing in &self.removes {
+            found.extend(gone(thing).filter(|(_, why)| !matches!(why, ConflictReason::Removed(_))));
+            found.extend(
+                writers_since(base, thing, from).map(|by| (by, ConflictReason::Removed(thing.clone()))),
+            );
+        }
+        for (thing, to) in &self.renames {
+            found.extend(
+                gone(thing).filter(|(_, why)| *why != ConflictReason::Renamed(thing.clone(), to.clone())),
+            );
+            found.extend(
+                writers_since(base, thing, from)
+                    .map(|by| (by, ConflictReason::Renamed(thing.clone(), to.clone()))),
+            );
+        }
+        for name in self.claimed_names() {
+            let alike = match self.adds.get(&name) {
+                Some(fields) => base.table.things.get(&name) == Some(fields),
+                None => self.renames.iter().any(|(thing, to)| {
+                    let same = |gone: &crate::base::RetiredName| gone.to.as_ref() == Some(to);
+                    thing.named(to) == name && base.retired_since(thing, from).is_some_and(same)
+                }),
+            };
+            if let Some(stamp) = base.written_since(&name, None, from).filter(|_| !alike) {
+                found.push((stamp.by.clone(), ConflictReason::SameName(name)));
+            }
+        }
+        for part in self.affected.keys() {
+            if let Some(stamp) = base.written_since(part, Some(Field::Owner), from)
+                && let Some(team) = base.table.owner(part).filter(|team| !self.has_consent_of(team))
+            {
+                found.push((stamp.by.clone(), ConflictReason::OwnerChanged(part.clone(), team.to_string())));
+            }
+        }
+        found.retain(|(by, _)| !self.context.overrides.contains(by));
+        found
+    }
+}
+
+/// Whose edits have changed or named a thing since.
+fn writers_since(base: &Base, thing: &Thing, from: u64) -> impl Iterator<Item = EditKey> {
+    let own = base.stamps.get(thing).into_iter().flatten().map(|(field, _)| (thing.clone(), *field));
+    let named =
+        base.referenced_by.get(thing).into_iter().flatten().map(|(by, field)| (by.clone(), Some(*field)));
+    let cells: BTreeSet<(Thing, Option<Field>)> = own.chain(named).collect();
+    let by: BTreeSet<EditKey> = cells
+        .into_iter()
+        .filter_map(|(thing, field)| base.written_since(&thing, field, from).map(|stamp| stamp.by.clone()))
+        .collect();
+    by.into_iter()
+}
--- a/crates/routes/src/base.rs
+++ b/crates/routes/src/base.rs
@@ -1,7 +1,7 @@
 //! The table that all edits rest on, with what is remembered of those that made it; and how an edit changes it.
 
-use crate::edit::{Change, Edit, Key};
-use crate::mutants::{Mutant, left_out};
+use crate::edit::{Change, Edit, EditKey};
+use crate::mutants::{Mutant, is_active};
 use crate::rules;
 use crate::table::{Field, Fields, Kind, Table, Thing, Value};
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 
 /// Things of which it is remembered who removed or renamed them. The oldest go; an edit on an older revision then hears that the
 /// thing is not there.
-pub const MAX_GONE: usize = 1024;
+pub const MAX_RETIRED_NAMES: usize = 1024;
 
 /// Which edit did it, and the revision that it was first part of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,12 +17,12 @@
     /// The revision.
     pub revision: u64,
     /// The edit.
-    pub by: Key,
+    pub by: EditKey,
 }
 
 /// A thing that is no longer there under this name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Gone {
+pub struct RetiredName {
     /// What it is called now; `None` if it was removed.
     pub to: Option<String>,
     /// Who did it.
@@ -39,36 +39,36 @@
     /// Who wrote what; under `None` who added the thing.
     pub stamps: BTreeMap<Thing, BTreeMap<Option<Field>, Stamp>>,
     /// What was there.
-    pub gone: BTreeMap<Thing, Gone>,
+    pub retired: BTreeMap<Thing, RetiredName>,
     /// Where each thing is named; found again from the table.
     #[serde(skip)]
-    pub named: BTreeMap<Thing, BTreeSet<(Thing, Field)>>,
+    pub referenced_by: BTreeMap<Thing, BTreeSet<(Thing, Field)>>,
     /// What each sum is over its room by; found again from the table.
     #[serde(skip)]
-    pub sums: BTreeMap<rules::Sum, i64>,
+    pub sum_excess: BTreeMap<rules::Sum, i64>,
     /// Routes for any class, and for any tenant; found again from the table.
     #[serde(skip)]
-    pub wide: [BTreeSet<Thing>; 2],
+    pub unrestricted_routes: [BTreeSet<Thing>; 2],
 }
 
 /// What an edit may do beyond its own team's parts, and how it reads names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct EditContext {
     /// Teams whose parts it may touch.
-    pub teams: BTreeSet<String>,
+    pub consents: BTreeSet<String>,
     /// Edits whose renames it follows.
-    pub follows: BTreeSet<Key>,
+    pub follows: BTreeSet<EditKey>,
     /// Edits in force that it was settled to stand over.
-    pub over: BTreeSet<Key>,
+    pub overrides: BTreeSet<EditKey>,
     /// The revision that it was made on.
     pub base: u64,
 }
 
 /// Why an edit cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Unfit {
+pub enum ApplyError {
     /// What it is about is not there.
-    NotThere(Thing),
+    NotFound(Thing),
     /// The name that it takes is taken.
     Exists(Thing),
     /// A part belongs to another team, which has not given its word.
@@ -79,48 +79,48 @@
     /// A table to begin with, by no edit.
     pub fn new(table: Table) -> Base {
         let mut base = Base { table, ..Base::default() };
-        base.find();
+        base.rebuild_indexes();
         base
     }
 
     /// Finds again what is not kept with it.
-    pub fn find(&mut self) {
-        self.named.clear();
-        self.wide = Default::default();
+    pub fn rebuild_indexes(&mut self) {
+        self.referenced_by.clear();
+        self.unrestricted_routes = Default::default();
         for (thing, fields) in &self.table.things {
             for (field, value) in fields {
-                for to in field.names(value) {
-                    self.named.entry(to).or_default().insert((thing.clone(), *field));
+                for to in field.references(value) {
+                    self.referenced_by.entry(to).or_default().insert((thing.clone(), *field));
                 }
             }
             for (at, field) in [Field::Class, Field::Tenant].into_iter().enumerate() {
                 if thing.kind == Kind::Route && !fields.contains_key(&field) {
-                    self.wide[at].insert(thing.clone());
+                    self.unrestricted_routes[at].insert(thing.clone());
                 }
             }
         }
-        self.sums = rules::sums(&self.table);
+        self.sum_excess = rules::sum_excess(&self.table);
     }
 
     /// Who wrote a field, or added the thing, after the revision that an edit was made on.
-    pub fn since(&self, thing: &Thing, field: Option<Field>, base: u64) -> Option<&Stamp> {
+    pub fn written_since(&self, thing: &Thing, field: Option<Field>, base: u64) -> Option<&Stamp> {
         let stamp = self.stamps.get(thing)?.get(&field)?;
-        (stamp.revision > base && !left_out(Mutant::BaseIgnored)).then_some(stamp)
+        (stamp.revision > base && !is_active(Mutant::BaseIgnored)).then_some(stamp)
     }
 
     /// Who took a name out of the table after the revision that an edit was made on.
-    pub fn gone_since(&self, thing: &Thing, base: u64) -> Option<&Gone> {
-        self.gone.get(thing).filter(|gone| gone.stamp.revision > base)
+    pub fn retired_since(&self, thing: &Thing, base: u64) -> Option<&RetiredName> {
+        self.retired.get(thing).filter(|gone| gone.stamp.revision > base)
     }
 
     /// What a thing is called for an edit that follows renames.
-    pub fn called(&self, thing: &Thing, terms: &Terms) -> Thing {
+    pub fn resolve_name(&self, thing: &Thing, terms: &EditContext) -> Thing {
         let mut at = thing.clone();
         // Each rename is followed once, so this ends.
         for _ in 0..terms.follows.len() {
-            match self.gone.get(&at) {
-                Some(Gone { to: Some(to), stamp })
-                    if terms.follows.contains(&stamp.by) && !left_out(Mutant::RenameNotFollowed) =>
+            match self.retired.get(&at) {
+                Some(RetiredName { to: Some(to), stamp })
+                    if terms.follows.contains(&stamp.by) && !is_active(Mutant::RenameNotFollowed) =>
                 {
                     at = at.named(to);
                 }
@@ -131,24 +131,24 @@
     }
 
     /// The same value as it reads for an edit that follows renames.
-    pub fn reads(&self, field: Field, value: &Value, terms: &Terms) -> Value {
-        field.names(value).iter().fold(value.clone(), |value, thing| {
-            let called = self.called(thing, terms);
-            if called == *thing { value } else { field.renamed(&value, thing, &called.name) }
+    pub fn resolve_value(&self, field: Field, value: &Value, terms: &EditContext) -> Value {
+        field.references(value).iter().fold(value.clone(), |value, thing| {
+            let called = self.resolve_name(thing, terms);
+            if called == *thing { value } else { field.with_reference_renamed(&value, thing, &called.name) }
         })
     }
 
     /// The teams that an edit needs the word of, with one of the parts of each.
-    pub fn needs(&self, edit: &Edit, terms: &Terms) -> BTreeMap<String, Thing> {
+    pub fn missing_consents(&self, edit: &Edit, terms: &EditContext) -> BTreeMap<String, Thing> {
         let mut needs = BTreeMap::new();
-        if left_out(Mutant::WordNotAsked) {
+        if is_active(Mutant::WordNotAsked) {
             return needs;
         }
         for change in &edit.changes {
-            for part in self.touches(change, terms) {
+            for part in self.affected_things(change, terms) {
                 if let Some(owner) = self.table.owner(&part)
                     && owner != edit.id.team
-                    && !terms.teams.contains(owner)
+                    && !terms.consents.contains(owner)
                 {
                     needs.entry(owner.to_string()).or_insert(part);
                 }
@@ -158,14 +158,19 @@
     }
 
     /// The parts that a change touches.
-    pub fn touches(&self, change: &Change, terms: &Terms) -> Vec<Thing> {
-        let thing = self.called(change.thing(), terms);
+    pub fn affected_things(&self, change: &Change, terms: &EditContext) -> Vec<Thing> {
+        let thing = self.resolve_name(change.thing(), terms);
         match change {
             Change::Add { fields, .. } => {
-                let parts = Table::parts(&thing, fields);
-                parts.into_iter().skip(1).map(|part| self.called(&part, terms)).collect()
+                let parts = Table::affected_things(&thing, fields);
+                parts.into_iter().skip(1).map(|part| self.resolve_name(&part, terms)).collect()
             }
-            _ => self.table.things.get(&thing).map(|fields| Table::parts(&thing, fields)).unwrap_or_default(),
+            _ => self
+                .table
+                .things
+                .get(&thing)
+                .map(|fields| Table::affected_things(&thing, fields))
+                .unwrap_or_default(),
         }
     }
 
@@ -174,9 +179,9 @@
     ///
     /// # Errors
     /// Why it cannot be, the base is then of no use.
-    pub fn apply(&mut self, edit: &Edit, terms: &Terms, revision: u64) -> Result<(), Unfit> {
-        if let Some((team, part)) = self.needs(edit, terms).into_iter().next() {
-            return Err(Unfit::Rights(part, team));
+    pub fn apply(&mut self, edit: &Edit, terms: &EditContext, revision: u64) -> Result<(), ApplyError> {
+        if let Some((team, part)) = self.missing_consents(edit, terms).into_iter().next() {
+            return Err(ApplyError::Rights(part, team));
         }
         let stamp = Stamp { revision, by: edit.key() };
         // Renames first, so that what the edit adds and sets goes by the new names; the edit's order means nothing.
@@ -189,32 +194,39 @@
         let mut changes: Vec<&Change> = edit.changes.iter().collect();
         changes.sort_by_key(order);
         for change in changes {
-            self.change(change, terms, &stamp)?;
+            self.apply_change(change, terms, &stamp)?;
         }
         Ok(())
     }
 
-    fn change(&mut self, change: &Change, terms: &Terms, stamp: &Stamp) -> Result<(), Unfit> {
-        let thing = self.called(change.thing(), terms);
+    fn apply_change(
+        &mut self,
+        change: &Change,
+        terms: &EditContext,
+        stamp: &Stamp,
+    ) -> Result<(), ApplyError> {
+        let thing = self.resolve_name(change.thing(), terms);
         let there = self.table.things.contains_key(&thing);
         match change {
             Change::Add { fields, .. } => {
-                let fields: Fields =
-                    fields.iter().map(|(field, value)| (*field, self.reads(*field, value, terms))).collect();
+                let fields: Fields = fields
+                    .iter()
+                    .map(|(field, value)| (*field, self.resolve_value(*field, value, terms)))
+                    .collect();
                 if there {
                     let alike = self.table.things.get(&thing) == Some(&fields);
-                    let meanwhile = self.since(&thing, None, terms.base).is_some();
-                    return if alike && meanwhile { Ok(()) } else { Err(Unfit::Exists(thing)) };
+                    let meanwhile = self.written_since(&thing, None, terms.base).is_some();
+                    return if alike && meanwhile { Ok(()) } else { Err(ApplyError::Exists(thing)) };
                 }
                 let stamps = fields.keys().map(|field| Some(*field)).chain([None]);
                 self.stamps.insert(thing.clone(), stamps.map(|field| (field, stamp.clone())).collect());
-                self.gone.remove(&thing);
+                self.retired.remove(&thing);
                 self.table.things.insert(thing, fields);
             }
             Change::Set { field, value, .. } => {
-                let value = self.reads(*field, value, terms);
+                let value = self.resolve_value(*field, value, terms);
                 let Some(fields) = self.table.things.get_mut(&thing) else {
-                    return Err(Unfit::NotThere(thing));
+                    return Err(ApplyError::NotFound(thing));
                 };
                 match value {
                     Value::Nothing => fields.remove(field),
@@ -224,22 +236,23 @@
             }
             Change::Remove { .. } => {
                 if !there {
-                    let same = self.gone_since(&thing, terms.base).is_some_and(|gone| gone.to.is_none());
-                    return if same { Ok(()) } else { Err(Unfit::NotThere(thing)) };
+                    let same = self.retired_since(&thing, terms.base).is_some_and(|gone| gone.to.is_none());
+                    return if same { Ok(()) } else { Err(ApplyError::NotFound(thing)) };
                 }
                 self.table.things.remove(&thing);
                 self.stamps.remove(&thing);
-                self.gone.insert(thing, Gone { to: None, stamp: stamp.clone() });
+                self.retired.insert(thing, RetiredName { to: None, stamp: stamp.clone() });
             }
             Change::Rename { to, .. } => {
                 let new = thing.named(to);
                 if !there {
-                    let same =
-                        self.gone_since(&thing, terms.base).is_some_and(|gone| gone.to.as_ref() == Some(to));
-                    return if same { Ok(()) } else { Err(Unfit::NotThere(thing)) };
+                    let same = self
+                        .retired_since(&thing, terms.base)
+                        .is_some_and(|gone| gone.to.as_ref() == Some(to));
+                    return if same { Ok(()) } else { Err(ApplyError::NotFound(thing)) };
                 }
                 if self.table.things.contains_key(&new) {
-                    return Err(Unfit::Exists(new));
+                    return Err(ApplyError::Exists(new));
                 }
                 self.rename(&thing, &new, stamp);
             }
@@ -254,21 +267,24 @@
         let mut stamps = self.stamps.remove(old).unwrap_or_default();
         stamps.insert(None, stamp.clone());
         self.stamps.insert(new.clone(), stamps);
-        self.gone.remove(new);
-        self.gone.insert(old.clone(), Gone { to: Some(new.name.clone()), stamp: stamp.clone() });
+        self.retired.remove(new);
+        self.retired.insert(old.clone(), RetiredName { to: Some(new.name.clone()), stamp: stamp.clone() });
         for fields in self.table.things.values_mut() {
             for (field, value) in fields.iter_mut() {
-                *value = field.renamed(value, old, &new.name);
+                *value = field.with_reference_renamed(value, old, &new.name);
             }
         }
     }
 
     /// Forgets the oldest of what is gone, down to the bound.
-    pub fn forget(&mut self) {
-        while self.gone.len() > MAX_GONE {
-            let oldest =
-                self.gone.iter().min_by_key(|(_, gone)| gone.stamp.revision).map(|(thing, _)| thing.clone());
-            oldest.map(|thing| self.gone.remove(&thing));
+    pub fn trim_retired(&mut self) {
+        while self.retired.len() > MAX_RETIRED_NAMES {
+            let oldest = self
+                .retired
+                .iter()
+                .min_by_key(|(_, gone)| gone.stamp.revision)
+                .map(|(thing, _)| thing.clone());
+            oldest.map(|thing| self.retired.remove(&thing));
         }
     }
 }
--- a/crates/routes/src/edit.rs
+++ b/crates/routes/src/edit.rs
@@ -1,6 +1,6 @@
 //! An edit: typed changes of one team, that are taken together or not at all.
 
-use crate::table::{Field, Fields, MAX_NAME, Thing, Value, good_name};
+use crate::table::{Field, Fields, MAX_NAME_BYTES, Thing, Value, is_valid_name};
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::collections::BTreeSet;
@@ -10,9 +10,9 @@
 /// Changes of one edit.
 pub const MAX_CHANGES: usize = 64;
 /// Bytes of the reason: a sentence or two.
-pub const MAX_REASON: usize = 256;
+pub const MAX_REASON_BYTES: usize = 256;
 /// Bytes of an edit; with what is around it, it stays below what one entry of the log may have.
-pub const MAX_EDIT: usize = 7 * 1024;
+pub const MAX_EDIT_BYTES: usize = 7 * 1024;
 
 /// Who made an edit and which of theirs it is: the same on both sides of a cut.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -25,14 +25,14 @@
 
 /// An edit as it was sent: two edits under one number are two.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
+pub struct EditKey {
     /// Who made it, and which of theirs it is.
     pub id: EditId,
     /// What stands in it, in short.
     pub digest: u64,
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for EditKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}#{}", self.id.team, self.id.number)
     }
@@ -91,35 +91,37 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Malformed {
     /// It is no edit at all; with what the reader said.
-    NotRead(String),
+    Unreadable(String),
     /// A name cannot stand.
-    Name(String),
+    InvalidName(String),
     /// No changes, or too many.
-    Changes(usize),
+    ChangeCount(usize),
     /// The reason is missing or too long.
-    Reason(usize),
+    ReasonLength(usize),
     /// The whole is too long.
-    Bytes(usize),
+    TooLarge(usize),
     /// A thing has no such field, or it holds no such value.
-    Field(Thing, Field),
+    InvalidField(Thing, Field),
     /// Two changes are about the same.
-    Twice(Thing),
+    Duplicate(Thing),
 }
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Malformed::NotRead(what) => write!(f, "cannot be read: {what}"),
-            Malformed::Name(name) => {
-                write!(f, "{name:?} must hold 1 to {MAX_NAME} letters, digits, '-', '.' or '_'")
+            Malformed::Unreadable(what) => write!(f, "cannot be read: {what}"),
+            Malformed::InvalidName(name) => {
+                write!(f, "{name:?} must hold 1 to {MAX_NAME_BYTES} letters, digits, '-', '.' or '_'")
             }
-            Malformed::Changes(count) => write!(f, "has {count} changes: 1 to {MAX_CHANGES}"),
-            Malformed::Reason(bytes) => write!(f, "has a reason of {bytes} bytes: 1 to {MAX_REASON}"),
-            Malformed::Bytes(bytes) => write!(f, "has {bytes} bytes: at most {MAX_EDIT}"),
-            Malformed::Field(thing, field) => {
+            Malformed::ChangeCount(count) => write!(f, "has {count} changes: 1 to {MAX_CHANGES}"),
+            Malformed::ReasonLength(bytes) => {
+                write!(f, "has a reason of {bytes} bytes: 1 to {MAX_REASON_BYTES}")
+            }
+            Malformed::TooLarge(bytes) => write!(f, "has {bytes} bytes: at most {MAX_EDIT_BYTES}"),
+            Malformed::InvalidField(thing, field) => {
                 write!(f, "{thing} has no {field:?}, or it cannot hold that")
             }
-            Malformed::Twice(thing) => write!(f, "says two things about {thing}"),
+            Malformed::Duplicate(thing) => write!(f, "says two things about {thing}"),
         }
     }
 }
@@ -129,16 +131,16 @@
 /// # Errors
 /// What is wrong with it.
 pub fn parse_edit(json: &str) -> Result<Edit, Malformed> {
-    let edit: Edit = serde_json::from_str(json).map_err(|e| Malformed::NotRead(e.to_string()))?;
+    let edit: Edit = serde_json::from_str(json).map_err(|e| Malformed::Unreadable(e.to_string()))?;
     edit.check().map(|()| edit)
 }
 
 impl Edit {
     /// What stands for it, wherever it is sent from.
-    pub fn key(&self) -> Key {
+    pub fn key(&self) -> EditKey {
         let mut hash = SipHasher24::new();
         hash.write(&postcard::to_stdvec(self).unwrap_or_default());
-        Key { id: self.id.clone(), digest: hash.finish128().h1 }
+        EditKey { id: self.id.clone(), digest: hash.finish128().h1 }
     }
 
     /// Whether it can be an edit, whatever the table.
@@ -146,25 +148,25 @@
     /// # Errors
     /// What is wrong with it.
     pub fn check(&self) -> Result<(), Malformed> {
-        if !good_name(&self.id.team) {
-            return Err(Malformed::Name(self.id.team.clone()));
+        if !is_valid_name(&self.id.team) {
+            return Err(Malformed::InvalidName(self.id.team.clone()));
         }
         if !(1..=MAX_CHANGES).contains(&self.changes.len()) {
-            return Err(Malformed::Changes(self.changes.len()));
+            return Err(Malformed::ChangeCount(self.changes.len()));
         }
-        if !(1..=MAX_REASON).contains(&self.reason.len()) {
-            return Err(Malformed::Reason(self.reason.len()));
+        if !(1..=MAX_REASON_BYTES).contains(&self.reason.len()) {
+            return Err(Malformed::ReasonLength(self.reason.len()));
         }
         let bytes = postcard::to_stdvec(self).map_or(usize::MAX, |bytes| bytes.len());
-        if bytes > MAX_EDIT {
-            return Err(Malformed::Bytes(bytes));
+        if bytes > MAX_EDIT_BYTES {
+            return Err(Malformed::TooLarge(bytes));
         }
         // What an edit says about one thing is either its being there or distinct fields: the order of changes means nothing.
         let (mut whole, mut fields) = (BTreeSet::new(), BTreeSet::new());
         for change in &self.changes {
-            for name in [Some(change.thing()), change.claims().as_ref()].into_iter().flatten() {
-                if !good_name(&name.name) {
-                    return Err(Malformed::Name(name.name.clone()));
+            for name in [Some(change.thing()), change.claimed_name().as_ref()].into_iter().flatten() {
+                if !is_valid_name(&name.name) {
+                    return Err(Malformed::InvalidName(name.name.clone()));
                 }
             }
             change.check()?;
@@ -177,11 +179,11 @@
                 Change::Add { thing, .. } | Change::Remove { thing } => whole.insert(thing.clone()),
             };
             if !fresh {
-                return Err(Malformed::Twice(change.thing().clone()));
+                return Err(Malformed::Duplicate(change.thing().clone()));
             }
         }
         match fields.into_iter().find(|(thing, _)| whole.contains(thing)) {
-            Some((thing, _)) => Err(Malformed::Twice(thing)),
+            Some((thing, _)) => Err(Malformed::Duplicate(thing)),
             None => Ok(()),
         }
     }
@@ -199,7 +201,7 @@
     }
 
     /// The name that it takes.
-    pub fn claims(&self) -> Option<Thing> {
+    pub fn claimed_name(&self) -> Option<Thing> {
         match self {
             Change::Add { thing, .. } => Some(thing.clone()),
             Change::Rename { thing, to } => Some(thing.named(to)),
@@ -208,7 +210,7 @@
     }
 
     /// The fields that it writes.
-    pub fn writes(&self) -> Vec<(Field, &Value)> {
+    pub fn written_fields(&self) -> Vec<(Field, &Value)> {
         match self {
             Change::Add { fields, .. } => fields.iter().map(|(field, value)| (*field, value)).collect(),
             Change::Set { field, value, .. } => vec![(*field, value)],
@@ -218,12 +220,12 @@
 
     fn check(&self) -> Result<(), Malformed> {
         let thing = self.thing();
-        let wrong = |field: Field| Err(Malformed::Field(thing.clone(), field));
-        for (field, value) in self.writes() {
+        let wrong = |field: Field| Err(Malformed::InvalidField(thing.clone(), field));
+        for (field, value) in self.written_fields() {
             let set = matches!(self, Change::Set { .. });
             // An added thing leaves out what it does not have: one way to say it.
-            if !field.takes(thing.kind, value)
-                || (set && field.is_fixed())
+            if !field.accepts(thing.kind, value)
+                || (set && field.is_immutable())
                 || (!set && *value == Value::Nothing)
             {
                 return wrong(field);
@@ -231,7 +233,7 @@
         }
         if let Change::Add { fields, .. } = self {
             for field in [Field::Budget, Field::Call] {
-                if field.needed_by(thing.kind) && !fields.contains_key(&field) {
+                if field.is_required_for(thing.kind) && !fields.contains_key(&field) {
                     return wrong(field);
                 }
             }
--- a/crates/routes/src/from_file.rs
+++ b/crates/routes/src/from_file.rs
@@ -4,7 +4,7 @@
 //! part. What it says of this nodo alone (addresses, timeouts, breakers, kept replies) is no matter of the table.
 
 use crate::edit::Change;
-use crate::table::{Field, Fields, Kind, Table, Thing, Value, WHOLE};
+use crate::table::{FULL_SHARE_PERMILLE, Field, Fields, Kind, Table, Thing, Value};
 use jaspershunt_operator::File;
 use jaspershunt_operator::check::ANY;
 use std::collections::BTreeMap;
@@ -12,18 +12,18 @@
 
 /// Why a file cannot be an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NoEdit {
+pub enum FileEditError {
     /// It says nothing that the table does not say already.
     NothingNew,
     /// So many routes go into a dependency of fewer calls at once: each needs one at least.
-    TooFew(String, usize, usize),
+    NotEnoughCalls(String, usize, usize),
 }
 
-impl fmt::Display for NoEdit {
+impl fmt::Display for FileEditError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NoEdit::NothingNew => f.write_str("the table says all of this already"),
-            NoEdit::TooFew(name, routes, calls) => {
+            FileEditError::NothingNew => f.write_str("the table says all of this already"),
+            FileEditError::NotEnoughCalls(name, routes, calls) => {
                 write!(
                     f,
                     "{routes} routes go into dependency {name:?}, which has {calls} calls at once for them"
@@ -40,11 +40,13 @@
 ///
 /// # Errors
 /// Why there are no such changes.
-pub fn changes(file: &File, table: &Table, team: &str) -> Result<Vec<Change>, NoEdit> {
+pub fn changes(file: &File, table: &Table, team: &str) -> Result<Vec<Change>, FileEditError> {
     let mut wanted: BTreeMap<Thing, Fields> = BTreeMap::new();
     for (name, below) in &file.dependency {
         let number = |number: usize| Value::Number(u32::try_from(number).unwrap_or(u32::MAX));
-        let share = (below.share.0 * f64::from(WHOLE)).round().clamp(0.0, f64::from(WHOLE)) as u32;
+        let share = (below.share.0 * f64::from(FULL_SHARE_PERMILLE))
+            .round()
+            .clamp(0.0, f64::from(FULL_SHARE_PERMILLE)) as u32;
         let mut fields =
             Fields::from([(Field::Budget, number(below.calls)), (Field::Share, Value::Number(share))]);
         if let Some(next) = &below.fall_back {
@@ -74,13 +76,18 @@
             Value::Call { to: now, calls } if now == to => Some(*calls as usize),
             _ => None,
         };
-        let of_others = table.of(Kind::Route).filter(|(thing, _)| !into.iter().any(|(own, _)| own == *thing));
+        let of_others =
+            table.of_kind(Kind::Route).filter(|(thing, _)| !into.iter().any(|(own, _)| own == *thing));
         let taken: usize = of_others.filter_map(|(thing, _)| has(thing)).sum();
         let kept: usize = into.iter().filter_map(|(thing, _)| has(thing)).sum();
         let new = into.iter().filter(|(thing, _)| has(thing).is_none()).count();
         let left = budget.saturating_sub(taken + kept);
         if new > left {
-            return Err(NoEdit::TooFew(to.to_string(), into.len(), budget.saturating_sub(taken)));
+            return Err(FileEditError::NotEnoughCalls(
+                to.to_string(),
+                into.len(),
+                budget.saturating_sub(taken),
+            ));
         }
         for (thing, mut fields) in into {
             let calls = has(&thing).unwrap_or(left / new.max(1));
@@ -90,12 +97,12 @@
         }
     }
     let changes: Vec<Change> =
-        wanted.into_iter().flat_map(|(thing, fields)| against(table, thing, fields, team)).collect();
-    if changes.is_empty() { Err(NoEdit::NothingNew) } else { Ok(changes) }
+        wanted.into_iter().flat_map(|(thing, fields)| changes_to(table, thing, fields, team)).collect();
+    if changes.is_empty() { Err(FileEditError::NothingNew) } else { Ok(changes) }
 }
 
 /// What makes a thing of the table hold these fields.
-fn against(table: &Table, thing: Thing, mut fields: Fields, team: &str) -> Vec<Change> {
+fn changes_to(table: &Table, thing: Thing, mut fields: Fields, team: &str) -> Vec<Change> {
     if !table.things.contains_key(&thing) {
         fields.insert(Field::Owner, Value::Name(team.to_string()));
         return vec![Change::Add { thing, fields }];
@@ -103,7 +110,8 @@
     if thing.kind == Kind::Dependency {
         fields.entry(Field::Fallback).or_insert(Value::Nothing);
     }
-    let differs = |(field, value): &(Field, Value)| !field.is_fixed() && table.value(&thing, *field) != value;
+    let differs =
+        |(field, value): &(Field, Value)| !field.is_immutable() && table.value(&thing, *field) != value;
     let set = |(field, value)| Change::Set { thing: thing.clone(), field, value };
     fields.into_iter().filter(differs).map(set).collect()
 }
@@ -113,7 +121,7 @@
     use super::*;
     use crate::edit::{Edit, EditId};
     use crate::part::{Entry, Outcome, Routes};
-    use crate::{End, Snapshot};
+    use crate::{FinalState, Snapshot};
 
     const SITE: &str = r#"
         dependency "padron" {
@@ -134,9 +142,9 @@
         let id = EditId { team: "pagos".into(), number };
         let edit = Edit { id, base: routes.revision(), reason: "by file".into(), changes };
         edit.check().unwrap();
-        routes.take(Entry::Edit(edit.clone()));
-        routes.take(Entry::Publish { permille: WHOLE, now_ms: 0 });
-        routes.state(&edit.key()).unwrap()
+        routes.apply_entry(Entry::Edit(edit.clone()));
+        routes.apply_entry(Entry::Publish { permille: FULL_SHARE_PERMILLE, now_ms: 0 });
+        routes.outcome_of(&edit.key()).unwrap()
     }
 
     #[test]
@@ -144,18 +152,17 @@
         let file = jaspershunt_operator::read("site", SITE).unwrap();
         let mut routes = Routes::default();
         let all = changes(&file, routes.table(), "pagos").unwrap();
-        assert_eq!(taken(&mut routes, 1, all), Outcome::Ended(End::Taken(1)));
-        assert_eq!(changes(&file, routes.table(), "pagos"), Err(NoEdit::NothingNew));
+        assert_eq!(taken(&mut routes, 1, all), Outcome::Ended(FinalState::Published(1)));
+        assert_eq!(changes(&file, routes.table(), "pagos"), Err(FileEditError::NothingNew));
         assert_eq!(routes.table().owner(&Thing::new(Kind::Class, "alta")), Some("pagos"));
         let snapshot = Snapshot::new(1, false, 0, routes.table().clone());
-        let (first, any) =
-            (snapshot.chooses("alta", "", 1).unwrap(), snapshot.chooses("alta", "", 2).unwrap());
+        let (first, any) = (snapshot.choose("alta", "", 1).unwrap(), snapshot.choose("alta", "", 2).unwrap());
         assert_eq!(
-            (first.route.as_str(), first.calls, first.then),
+            (first.route.as_str(), first.calls, first.fallbacks),
             ("alta-1", 4, vec!["replica".to_string()])
         );
         assert_eq!((any.route.as_str(), any.to.as_str()), ("alta-any", "padron"));
-        assert_eq!(crate::below::overlaid(&file, routes.table()), file);
+        assert_eq!(crate::overlay::overlay(&file, routes.table()), file);
         // Changed by a person, it is the changed fields alone.
         let text = SITE.replace("calls = 9", "calls = 20").replace("fall_back = \"replica\"", "");
         let file = jaspershunt_operator::read("site", &text).unwrap();
@@ -163,7 +170,7 @@
         let padron = Thing::new(Kind::Dependency, "padron");
         let set = |field, value| Change::Set { thing: padron.clone(), field, value };
         assert_eq!(some, [set(Field::Budget, Value::Number(20)), set(Field::Fallback, Value::Nothing)]);
-        assert_eq!(taken(&mut routes, 2, some), Outcome::Ended(End::Taken(2)));
+        assert_eq!(taken(&mut routes, 2, some), Outcome::Ended(FinalState::Published(2)));
     }
 
     #[test]
--- a/crates/routes/src/merge.rs
+++ b/crates/routes/src/merge.rs
@@ -1,14 +1,14 @@
 //! The merge: what becomes of each edit, as a function of the table and of the set of all that was said. Nothing depends on the order
 //! in which it came, on repetition, or on who merges.
 
-use crate::base::{Base, Terms, Unfit};
-use crate::edit::{Change, Edit, Key};
-use crate::mutants::{Mutant, left_out};
-use crate::print::{Print, Why};
-use crate::rules::Wrong;
-use crate::search::{Part, wrong_sets};
-use crate::stage::{self, Counts};
+use crate::access::{AccessSet, ConflictReason};
+use crate::base::{ApplyError, Base, EditContext};
+use crate::edit::{Change, Edit, EditKey};
+use crate::mutants::{Mutant, is_active};
+use crate::rules::TableFault;
+use crate::search::{Candidate, find_invalid_sets};
 use crate::table::{Field, Thing};
+use crate::trial::{self, Counts};
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,7 +30,7 @@
 
 impl ConflictId {
     /// The number of a conflict of these edits.
-    pub fn of(members: &BTreeSet<Key>) -> ConflictId {
+    pub fn of(members: &BTreeSet<EditKey>) -> ConflictId {
         let mut hash = SipHasher24::new();
         hash.write(&postcard::to_stdvec(members).unwrap_or_default());
         ConflictId(hash.finish128().h1)
@@ -41,27 +41,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
     /// Its edits.
-    pub members: BTreeSet<Key>,
+    pub members: BTreeSet<EditKey>,
     /// Those of them that are part of the table already.
-    pub in_force: BTreeSet<Key>,
-    /// Why.
-    pub why: BTreeSet<Why>,
+    pub in_force: BTreeSet<EditKey>,
+    /// ConflictReason.
+    pub reasons: BTreeSet<ConflictReason>,
     /// The teams that may settle it: whose edits they are, and whose parts they touch.
     pub teams: BTreeSet<String>,
 }
 
 impl Conflict {
     /// Whether all may be kept: one then follows the other's rename.
-    pub fn may_follow(&self) -> bool {
-        self.members.len() == 2 && self.why.iter().all(|why| matches!(why, Why::Renamed(..)))
+    pub fn can_keep_all(&self) -> bool {
+        self.members.len() == 2 && self.reasons.iter().all(|why| matches!(why, ConflictReason::Renamed(..)))
     }
 }
 
 impl fmt::Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let list = |keys: &BTreeSet<Key>| keys.iter().map(Key::to_string).collect::<Vec<_>>().join(", ");
+        let list =
+            |keys: &BTreeSet<EditKey>| keys.iter().map(EditKey::to_string).collect::<Vec<_>>().join(", ");
         write!(f, "{} cannot be taken together: ", list(&self.members))?;
-        let why: Vec<String> = self.why.iter().map(Why::to_string).collect();
+        let why: Vec<String> = self.reasons.iter().map(ConflictReason::to_string).collect();
         f.write_str(&why.join("; "))?;
         if !self.in_force.is_empty() {
             write!(f, "; {} is in force", list(&self.in_force))?;
@@ -74,35 +75,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Settlement {
     /// The edits in conflict.
-    pub members: BTreeSet<Key>,
+    pub members: BTreeSet<EditKey>,
     /// Those that are kept; the others are withdrawn.
-    pub keep: BTreeSet<Key>,
+    pub keep: BTreeSet<EditKey>,
     /// The team that said so.
     pub by: String,
     /// Those that were part of the table. What is kept while one of these is not, is kept over it.
-    pub in_force: BTreeSet<Key>,
+    pub in_force: BTreeSet<EditKey>,
 }
 
 /// All that was said and has not ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Facts {
+pub struct MergeInput {
     /// Edits.
-    pub edits: BTreeMap<Key, Edit>,
+    pub edits: BTreeMap<EditKey, Edit>,
     /// What teams said to edits that touch their parts; no stands over yes.
-    pub words: BTreeMap<Key, BTreeMap<String, bool>>,
+    pub consents: BTreeMap<EditKey, BTreeMap<String, bool>>,
     /// Edits that their teams took back.
-    pub withdrawn: BTreeSet<Key>,
+    pub withdrawn: BTreeSet<EditKey>,
     /// Conflicts that were settled.
     pub settled: BTreeMap<ConflictId, Settlement>,
 }
 
-impl Facts {
+impl MergeInput {
     /// What is known on both sides.
     #[must_use]
-    pub fn union(mut self, other: &Facts) -> Facts {
+    pub fn union(mut self, other: &MergeInput) -> MergeInput {
         self.edits.extend(other.edits.iter().map(|(key, edit)| (key.clone(), edit.clone())));
-        for (key, words) in &other.words {
-            let own = self.words.entry(key.clone()).or_default();
+        for (key, words) in &other.consents {
+            let own = self.consents.entry(key.clone()).or_default();
             for (team, yes) in words {
                 own.entry(team.clone()).and_modify(|said| *said &= yes).or_insert(*yes);
             }
@@ -118,41 +119,41 @@
         self
     }
 
-    /// How edits are to be read, by what was said of them.
-    fn read(&self) -> Read<'_> {
-        let mut settled: BTreeMap<&Key, Vec<&Settlement>> = BTreeMap::new();
+    /// How edits are to be index, by what was said of them.
+    fn index(&self) -> InputIndex<'_> {
+        let mut settled: BTreeMap<&EditKey, Vec<&Settlement>> = BTreeMap::new();
         for settlement in self.settled.values() {
             for key in &settlement.members {
                 settled.entry(key).or_default().push(settlement);
             }
         }
-        Read { facts: self, settled }
+        InputIndex { input: self, settled }
     }
 }
 
-struct Read<'a> {
-    facts: &'a Facts,
-    settled: BTreeMap<&'a Key, Vec<&'a Settlement>>,
+struct InputIndex<'a> {
+    input: &'a MergeInput,
+    settled: BTreeMap<&'a EditKey, Vec<&'a Settlement>>,
 }
 
-impl Read<'_> {
-    fn terms(&self, key: &Key, edit: &Edit) -> Terms {
-        let said = self.facts.words.get(key).into_iter().flatten();
-        let teams = said.filter(|(_, yes)| **yes).map(|(team, _)| team.clone()).collect();
-        let mut terms = Terms { teams, base: edit.base, ..Terms::default() };
+impl InputIndex<'_> {
+    fn context(&self, key: &EditKey, edit: &Edit) -> EditContext {
+        let said = self.input.consents.get(key).into_iter().flatten();
+        let consents = said.filter(|(_, yes)| **yes).map(|(team, _)| team.clone()).collect();
+        let mut context = EditContext { consents, base: edit.base, ..EditContext::default() };
         for settlement in self.settled.get(key).into_iter().flatten().filter(|of| of.keep.contains(key)) {
             if settlement.keep == settlement.members {
-                terms.follows.extend(settlement.members.iter().filter(|other| *other != key).cloned());
+                context.follows.extend(settlement.members.iter().filter(|other| *other != key).cloned());
             } else {
-                terms.over.extend(settlement.in_force.difference(&settlement.keep).cloned());
+                context.overrides.extend(settlement.in_force.difference(&settlement.keep).cloned());
             }
         }
-        terms
+        context
     }
 
     /// Who has withdrawn an edit.
-    fn withdrawn_by(&self, key: &Key) -> Option<String> {
-        if self.facts.withdrawn.contains(key) {
+    fn withdrawn_by(&self, key: &EditKey) -> Option<String> {
+        if self.input.withdrawn.contains(key) {
             return Some(key.id.team.clone());
         }
         let lost = |of: &&&Settlement| !of.keep.contains(key);
@@ -160,25 +161,25 @@
     }
 }
 
-/// Why an edit is refused.
+/// ConflictReason an edit is refused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Reason {
+pub enum RefusalReason {
     /// It cannot be applied.
-    Unfit(Unfit),
+    NotApplicable(ApplyError),
     /// It names what is not there.
-    Names(Thing),
+    DanglingReference(Thing),
     /// What it removes or renames is still named by another thing.
-    StillNamed(Thing, Thing),
+    StillReferenced(Thing, Thing),
     /// It makes the table wrong by itself.
-    Wrong(Wrong),
+    InvalidTable(TableFault),
     /// A team whose part it touches said no.
     Denied(String),
     /// The revision was on trial and was taken back.
-    TakenBack {
+    RolledBack {
         /// Which.
         revision: u64,
-        /// Why.
-        why: stage::Why,
+        /// ConflictReason.
+        why: trial::RollbackReason,
         /// What nodos without it had seen by then.
         without: Counts,
         /// And those with it.
@@ -186,17 +187,21 @@
     },
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Unfit(Unfit::NotThere(thing)) => write!(f, "there is no {thing}"),
-            Reason::Unfit(Unfit::Exists(thing)) => write!(f, "there is a {thing} already"),
-            Reason::Unfit(Unfit::Rights(thing, team)) => write!(f, "{thing} belongs to {team}"),
-            Reason::Names(thing) => write!(f, "it names {thing}, which is not there"),
-            Reason::StillNamed(thing, by) => write!(f, "it removes {thing}, which {by} names"),
-            Reason::Wrong(wrong) => write!(f, "{wrong}"),
-            Reason::Denied(team) => write!(f, "{team}, whose part it touches, said no"),
-            Reason::TakenBack { revision, why, without, with } => {
+            RefusalReason::NotApplicable(ApplyError::NotFound(thing)) => write!(f, "there is no {thing}"),
+            RefusalReason::NotApplicable(ApplyError::Exists(thing)) => {
+                write!(f, "there is a {thing} already")
+            }
+            RefusalReason::NotApplicable(ApplyError::Rights(thing, team)) => {
+                write!(f, "{thing} belongs to {team}")
+            }
+            RefusalReason::DanglingReference(thing) => write!(f, "it names {thing}, which is not there"),
+            RefusalReason::StillReferenced(thing, by) => write!(f, "it removes {thing}, which {by} names"),
+            RefusalReason::InvalidTable(wrong) => write!(f, "{wrong}"),
+            RefusalReason::Denied(team) => write!(f, "{team}, whose part it touches, said no"),
+            RefusalReason::RolledBack { revision, why, without, with } => {
                 write!(f, "revision {revision} was taken back: {why} ({with}; without it {without})")
             }
         }
@@ -205,100 +210,107 @@
 
 /// What has become of an edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum EditState {
     /// It is part of the next table.
-    Taken,
+    Accepted,
     /// It is in these conflicts; none if they are beyond what is told.
     InConflict(BTreeSet<ConflictId>),
     /// It needs the word of these teams.
-    Waits(BTreeSet<String>),
+    AwaitsConsent(BTreeSet<String>),
     /// This team took it back or settled against it.
     Withdrawn(String),
     /// It cannot be taken.
-    Refused(Reason),
+    Refused(RefusalReason),
 }
 
-impl fmt::Display for State {
+impl fmt::Display for EditState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            State::Taken => f.write_str("taken, part of the next table"),
-            State::InConflict(ids) if ids.is_empty() => {
+            EditState::Accepted => f.write_str("taken, part of the next table"),
+            EditState::InConflict(ids) if ids.is_empty() => {
                 f.write_str("in conflict, in one that is told once others are settled")
             }
-            State::InConflict(ids) => {
+            EditState::InConflict(ids) => {
                 let ids: Vec<String> = ids.iter().map(ConflictId::to_string).collect();
                 write!(f, "in conflict {}", ids.join(", "))
             }
-            State::Waits(teams) => {
+            EditState::AwaitsConsent(teams) => {
                 let teams: Vec<&str> = teams.iter().map(String::as_str).collect();
                 write!(f, "waits for the word of {}", teams.join(", "))
             }
-            State::Withdrawn(by) => write!(f, "withdrawn by {by}"),
-            State::Refused(why) => write!(f, "refused: {why}"),
+            EditState::Withdrawn(by) => write!(f, "withdrawn by {by}"),
+            EditState::Refused(why) => write!(f, "refused: {why}"),
         }
     }
 }
 
 /// What all that was said comes to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Merged {
+pub struct MergeResult {
     /// Of each edit.
-    pub states: BTreeMap<Key, State>,
+    pub states: BTreeMap<EditKey, EditState>,
     /// The conflicts that are told.
     pub conflicts: BTreeMap<ConflictId, Conflict>,
 }
 
 /// Merges what was said into what is there.
-pub fn merge(base: &Base, facts: &Facts) -> Merged {
-    let mut merged = Merged::default();
-    let (mut keys, mut prints, mut stale) = (Vec::new(), Vec::new(), Vec::new());
-    let read = facts.read();
-    for (key, edit) in &facts.edits {
-        if let Some(team) = read.withdrawn_by(key) {
-            merged.states.insert(key.clone(), State::Withdrawn(team));
+pub fn merge(base: &Base, input: &MergeInput) -> MergeResult {
+    let mut merged = MergeResult::default();
+    let (mut keys, mut accesses, mut stale) = (Vec::new(), Vec::new(), Vec::new());
+    let index = input.index();
+    for (key, edit) in &input.edits {
+        if let Some(team) = index.withdrawn_by(key) {
+            merged.states.insert(key.clone(), EditState::Withdrawn(team));
             continue;
         }
-        let print = Print::new(base, edit, read.terms(key, edit));
-        let old = print.against_base(base);
-        let verdict = if old.is_empty() { alone(base, facts, key, edit, &print) } else { None };
+        let access = AccessSet::new(base, edit, index.context(key, edit));
+        let old = access.conflicts_with_base(base);
+        let verdict = if old.is_empty() { check_alone(base, input, key, edit, &access) } else { None };
         if let Some(state) = verdict {
             merged.states.insert(key.clone(), state);
             continue;
         }
         stale.push(old);
         keys.push(key);
-        prints.push(print);
+        accesses.push(access);
     }
-    let mut bad = pairs(&keys, &prints);
-    let clashes: BTreeSet<(usize, usize)> = bad.iter().map(|(set, _)| ends(set)).collect();
+    let mut bad = conflicting_pairs(&keys, &accesses);
+    let clashes: BTreeSet<(usize, usize)> = bad.iter().map(|(set, _)| first_and_last(set)).collect();
     // Those that cannot be applied as they are take no part in what the whole table comes to.
     let fit: Vec<usize> = (0..keys.len()).filter(|at| stale[*at].is_empty()).collect();
-    let parts: Vec<Part<'_>> = fit.iter().map(|at| Part { key: keys[*at], print: &prints[*at] }).collect();
+    let parts: Vec<Candidate<'_>> =
+        fit.iter().map(|at| Candidate { key: keys[*at], access: &accesses[*at] }).collect();
     let clash = |one: usize, other: usize| {
         let (one, other) = (fit[one], fit[other]);
         clashes.contains(&(one.min(other), one.max(other)))
     };
-    for (set, why) in wrong_sets(base, &parts, &clash) {
+    for (set, why) in find_invalid_sets(base, &parts, &clash) {
         bad.push((set.into_iter().map(|at| fit[at]).collect(), why));
     }
-    merged.hold(base, facts, &keys, &prints, smallest(bad), stale);
+    merged.add_conflicts(base, input, &keys, &accesses, minimal_sets(bad), stale);
     for key in keys {
-        merged.states.entry(key.clone()).or_insert(State::Taken);
+        merged.states.entry(key.clone()).or_insert(EditState::Accepted);
     }
     merged
 }
 
-fn ends(set: &BTreeSet<usize>) -> (usize, usize) {
+fn first_and_last(set: &BTreeSet<usize>) -> (usize, usize) {
     (set.first().copied().unwrap_or(0), set.last().copied().unwrap_or(0))
 }
 
 /// What comes of an edit by itself; nothing, if it could be taken.
-fn alone(base: &Base, facts: &Facts, key: &Key, edit: &Edit, print: &Print) -> Option<State> {
+fn check_alone(
+    base: &Base,
+    input: &MergeInput,
+    key: &EditKey,
+    edit: &Edit,
+    access: &AccessSet,
+) -> Option<EditState> {
     let there = |thing: &Thing| base.table.things.contains_key(thing);
-    let refused = |reason| Some(State::Refused(reason));
+    let refused = |reason| Some(EditState::Refused(reason));
     for change in &edit.changes {
-        let thing = base.called(change.thing(), &print.terms);
-        let gone = base.gone_since(&thing, print.terms.base).map(|gone| gone.to.as_ref());
+        let thing = base.resolve_name(change.thing(), &access.context);
+        let gone = base.retired_since(&thing, access.context.base).map(|gone| gone.to.as_ref());
         let said = match change {
             Change::Add { .. } => None,
             Change::Set { .. } => (!there(&thing)).then(|| thing.clone()),
@@ -306,50 +318,53 @@
             Change::Rename { to, .. } => (!there(&thing) && gone != Some(Some(to))).then(|| thing.clone()),
         };
         if let Some(thing) = said {
-            return refused(Reason::Unfit(Unfit::NotThere(thing)));
+            return refused(RefusalReason::NotApplicable(ApplyError::NotFound(thing)));
         }
     }
-    let claims: BTreeSet<Thing> = print.claims().collect();
+    let claims: BTreeSet<Thing> = access.claimed_names().collect();
     // What was added or renamed alike by another since its base is there by its own word as well.
-    let before = |name: &&Thing| there(name) && base.since(name, None, print.terms.base).is_none();
+    let before = |name: &&Thing| there(name) && base.written_since(name, None, access.context.base).is_none();
     if let Some(name) = claims.iter().find(before) {
-        return refused(Reason::Unfit(Unfit::Exists(name.clone())));
+        return refused(RefusalReason::NotApplicable(ApplyError::Exists(name.clone())));
     }
-    let leaves = |thing: &Thing| print.removes.contains(thing) || print.renames.contains_key(thing);
+    let leaves = |thing: &Thing| access.removes.contains(thing) || access.renames.contains_key(thing);
     if let Some(name) =
-        print.names.iter().find(|name| !claims.contains(name) && (!there(name) || leaves(name)))
+        access.references.iter().find(|name| !claims.contains(name) && (!there(name) || leaves(name)))
     {
-        return refused(Reason::Names(name.clone()));
+        return refused(RefusalReason::DanglingReference(name.clone()));
     }
-    for thing in &print.removes {
-        for (by, field) in base.named.get(thing).into_iter().flatten() {
-            if !print.removes.contains(by) && !print.sets.contains_key(&(by.clone(), *field)) {
-                return refused(Reason::StillNamed(thing.clone(), by.clone()));
+    for thing in &access.removes {
+        for (by, field) in base.referenced_by.get(thing).into_iter().flatten() {
+            if !access.removes.contains(by) && !access.sets.contains_key(&(by.clone(), *field)) {
+                return refused(RefusalReason::StillReferenced(thing.clone(), by.clone()));
             }
         }
     }
-    let needs = base.needs(edit, &print.terms);
-    let no = |team: &&String| facts.words.get(key).is_some_and(|said| said.get(*team) == Some(&false));
+    let needs = base.missing_consents(edit, &access.context);
+    let no = |team: &&String| input.consents.get(key).is_some_and(|said| said.get(*team) == Some(&false));
     if let Some(team) = needs.keys().find(no) {
-        return refused(Reason::Denied(team.clone()));
+        return refused(RefusalReason::Denied(team.clone()));
     }
-    (!needs.is_empty()).then(|| State::Waits(needs.into_keys().collect()))
+    (!needs.is_empty()).then(|| EditState::AwaitsConsent(needs.into_keys().collect()))
 }
 
 /// The pairs that do not commute. Only edits that have a thing in common can be.
-fn pairs(keys: &[&Key], prints: &[Print]) -> Vec<(BTreeSet<usize>, Why)> {
+fn conflicting_pairs(keys: &[&EditKey], accesses: &[AccessSet]) -> Vec<(BTreeSet<usize>, ConflictReason)> {
     let mut of: BTreeMap<Thing, BTreeSet<usize>> = BTreeMap::new();
     let mut together: BTreeSet<(usize, usize)> = BTreeSet::new();
-    for (at, print) in prints.iter().enumerate() {
-        let sets = print.sets.keys().map(|(thing, _)| thing.clone());
-        let whole = print.claims().chain(print.removes.iter().cloned()).chain(print.renames.keys().cloned());
-        for thing in whole.chain(sets).chain(print.names.iter().cloned()) {
+    for (at, access) in accesses.iter().enumerate() {
+        let sets = access.sets.keys().map(|(thing, _)| thing.clone());
+        let whole = access
+            .claimed_names()
+            .chain(access.removes.iter().cloned())
+            .chain(access.renames.keys().cloned());
+        for thing in whole.chain(sets).chain(access.references.iter().cloned()) {
             of.entry(thing).or_default().insert(at);
         }
         // Two that are under parts alike meet only where one gives the part away.
-        for (thing, field) in print.sets.keys() {
+        for (thing, field) in access.sets.keys() {
             if *field == Field::Owner {
-                let touch = (0..prints.len()).filter(|other| prints[*other].parts.contains_key(thing));
+                let touch = (0..accesses.len()).filter(|other| accesses[*other].affected.contains_key(thing));
                 together
                     .extend(touch.filter(|other| *other != at).map(|other| (at.min(other), at.max(other))));
             }
@@ -367,7 +382,7 @@
     }
     let mut bad = Vec::new();
     for (one, other) in together {
-        for why in prints[one].against(keys[one], &prints[other], keys[other]) {
+        for why in accesses[one].conflicts_with(keys[one], &accesses[other], keys[other]) {
             bad.push((BTreeSet::from([one, other]), why));
         }
     }
@@ -375,17 +390,19 @@
 }
 
 /// The sets of which no other is a part, with all that is wrong with each.
-fn smallest(bad: Vec<(BTreeSet<usize>, Why)>) -> Vec<(BTreeSet<usize>, BTreeSet<Why>)> {
-    let mut by_set: BTreeMap<(usize, BTreeSet<usize>), BTreeSet<Why>> = BTreeMap::new();
+fn minimal_sets(
+    bad: Vec<(BTreeSet<usize>, ConflictReason)>,
+) -> Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)> {
+    let mut by_set: BTreeMap<(usize, BTreeSet<usize>), BTreeSet<ConflictReason>> = BTreeMap::new();
     for (set, why) in bad {
         by_set.entry((set.len(), set)).or_default().insert(why);
     }
-    let mut kept: Vec<(BTreeSet<usize>, BTreeSet<Why>)> = Vec::new();
+    let mut kept: Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)> = Vec::new();
     let mut with: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
     for ((_, set), why) in by_set {
         let within = |at: &usize| kept[*at].0.is_subset(&set);
         // Where not all sets were looked at, a smaller one that was found says nothing of the others.
-        let crowded = why.iter().any(|why| matches!(why, Why::Crowded(_)));
+        let crowded = why.iter().any(|why| matches!(why, ConflictReason::TooManySets(_)));
         if crowded || !set.iter().any(|one| with.get(one).is_some_and(|sets| sets.iter().any(within))) {
             // One of its edits is enough to find it by: a set that holds it holds that one.
             if let Some(one) = set.first() {
@@ -397,33 +414,39 @@
     kept
 }
 
-impl Merged {
-    fn hold(
+impl MergeResult {
+    fn add_conflicts(
         &mut self,
         base: &Base,
-        facts: &Facts,
-        keys: &[&Key],
-        prints: &[Print],
-        bad: Vec<(BTreeSet<usize>, BTreeSet<Why>)>,
-        stale: Vec<Vec<(Key, Why)>>,
+        input: &MergeInput,
+        keys: &[&EditKey],
+        accesses: &[AccessSet],
+        bad: Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)>,
+        stale: Vec<Vec<(EditKey, ConflictReason)>>,
     ) {
         let teams = |at: usize| {
-            let owners = prints[at].parts.keys().filter_map(|part| base.table.owner(part));
+            let owners = accesses[at].affected.keys().filter_map(|part| base.table.owner(part));
             owners.map(str::to_string).chain([keys[at].id.team.clone()]).collect::<BTreeSet<String>>()
         };
-        let mut held: BTreeMap<BTreeSet<Key>, Conflict> = BTreeMap::new();
+        let mut held: BTreeMap<BTreeSet<EditKey>, Conflict> = BTreeMap::new();
         for (set, why) in bad {
             if set.len() == 1 {
                 for (at, why) in set.iter().zip(why) {
-                    if let Why::Wrong(wrong, _) = why {
-                        self.states.insert(keys[*at].clone(), State::Refused(Reason::Wrong(wrong)));
+                    if let ConflictReason::InvalidTable(wrong, _) = why {
+                        self.states.insert(
+                            keys[*at].clone(),
+                            EditState::Refused(RefusalReason::InvalidTable(wrong)),
+                        );
                     }
                 }
                 continue;
             }
-            let members: BTreeSet<Key> = set.iter().map(|at| keys[*at].clone()).collect();
+            let members: BTreeSet<EditKey> = set.iter().map(|at| keys[*at].clone()).collect();
             let teams = set.iter().flat_map(|at| teams(*at)).collect();
-            held.insert(members.clone(), Conflict { members, in_force: BTreeSet::new(), why, teams });
+            held.insert(
+                members.clone(),
+                Conflict { members, in_force: BTreeSet::new(), reasons: why, teams },
+            );
         }
         for (at, old) in stale.into_iter().enumerate() {
             for (by, why) in old {
@@ -431,23 +454,23 @@
                 let conflict = held.entry(members.clone()).or_insert_with(|| Conflict {
                     members,
                     in_force: BTreeSet::from([by.clone()]),
-                    why: BTreeSet::new(),
+                    reasons: BTreeSet::new(),
                     teams: teams(at).into_iter().chain([by.id.team.clone()]).collect(),
                 });
-                conflict.why.insert(why);
+                conflict.reasons.insert(why);
             }
         }
         for (place, (members, conflict)) in held.into_iter().enumerate() {
-            let id = if left_out(Mutant::NumberedByPlace) {
+            let id = if is_active(Mutant::NumberedByPlace) {
                 ConflictId(place as u64 + 1)
             } else {
                 ConflictId::of(&members)
             };
             let told = self.conflicts.len() < MAX_CONFLICTS;
-            for key in members.iter().filter(|key| facts.edits.contains_key(key)) {
+            for key in members.iter().filter(|key| input.edits.contains_key(key)) {
                 let state =
-                    self.states.entry(key.clone()).or_insert_with(|| State::InConflict(BTreeSet::new()));
-                if let (State::InConflict(ids), true) = (state, told) {
+                    self.states.entry(key.clone()).or_insert_with(|| EditState::InConflict(BTreeSet::new()));
+                if let (EditState::InConflict(ids), true) = (state, told) {
                     ids.insert(id);
                 }
             }
@@ -458,24 +481,25 @@
     }
 
     /// The edits that are part of the next table.
-    pub fn taken(&self) -> impl Iterator<Item = &Key> {
-        self.states.iter().filter(|(_, state)| **state == State::Taken).map(|(key, _)| key)
+    pub fn accepted(&self) -> impl Iterator<Item = &EditKey> {
+        self.states.iter().filter(|(_, state)| **state == EditState::Accepted).map(|(key, _)| key)
     }
 
     /// The next table: the present one with all that is taken.
     ///
     /// # Errors
     /// An edit that could not be applied, which would be a fault of the merge.
-    pub fn next(&self, base: &Base, facts: &Facts) -> Result<Base, (Key, Unfit)> {
-        let (mut next, read) = (base.clone(), facts.read());
-        for key in self.taken() {
-            if let Some(edit) = facts.edits.get(key) {
-                next.apply(edit, &read.terms(key, edit), base.revision + 1).map_err(|e| (key.clone(), e))?;
+    pub fn next_base(&self, base: &Base, input: &MergeInput) -> Result<Base, (EditKey, ApplyError)> {
+        let (mut next, index) = (base.clone(), input.index());
+        for key in self.accepted() {
+            if let Some(edit) = input.edits.get(key) {
+                next.apply(edit, &index.context(key, edit), base.revision + 1)
+                    .map_err(|e| (key.clone(), e))?;
             }
         }
         next.revision += 1;
-        next.forget();
-        next.find();
+        next.trim_retired();
+        next.rebuild_indexes();
         Ok(next)
     }
 }
--- a/crates/routes/src/below.rs
+++ b/crates/routes/src/overlay.rs
@@ -1,17 +1,17 @@
 //! The operator's file of a nodo with the table over it. The file says how a dependency is reached, the table what it may be asked.
 
-use crate::table::{Field, Kind, Table, Thing, Value, WHOLE};
+use crate::table::{FULL_SHARE_PERMILLE, Field, Kind, Table, Thing, Value};
 use jaspershunt_operator::File;
 use jaspershunt_operator::units::Share;
 
 /// Calls at once that a nodo's file may allow one dependency, and so the most that a table does.
 pub const MAX_CALLS: u32 = 1024;
 /// The least share that a dependency is left with: a file knows none of nothing.
-const LEAST_SHARE: f64 = 0.001;
+const MIN_SHARE: f64 = 0.001;
 
 /// The file, with what the table says of the dependencies that it names: calls at once, shares, fall-backs. What the table does not
 /// name stays as it stands in the file; a dependency without an address here is not made up.
-pub fn overlaid(file: &File, table: &Table) -> File {
+pub fn overlay(file: &File, table: &Table) -> File {
     let mut file = file.clone();
     let names: Vec<String> = file.dependency.keys().cloned().collect();
     let (mut told, mut rest) = (0.0, 0.0);
@@ -26,7 +26,7 @@
             below.limit.least = below.limit.least.min(below.calls);
         }
         if let Value::Number(share) = table.value(&thing, Field::Share) {
-            below.share = Share((f64::from(*share) / f64::from(WHOLE)).max(LEAST_SHARE));
+            below.share = Share((f64::from(*share) / f64::from(FULL_SHARE_PERMILLE)).max(MIN_SHARE));
         }
         below.fall_back = match table.value(&thing, Field::Fallback) {
             Value::Name(next) => Some(next.clone()).filter(|next| names.contains(next)),
@@ -39,15 +39,15 @@
         let part = ((1.0 - told) / rest).max(0.0);
         let of_file = |name: &String| !table.things.contains_key(&Thing::new(Kind::Dependency, name));
         for (_, below) in file.dependency.iter_mut().filter(|(name, _)| of_file(name)) {
-            below.share = Share((below.share.0 * part).max(LEAST_SHARE));
+            below.share = Share((below.share.0 * part).max(MIN_SHARE));
         }
     }
     file
 }
 
 /// The dependencies of the table that this file has no address for: routes into them are not followed here.
-pub fn not_here<'a>(file: &File, table: &'a Table) -> Vec<&'a str> {
-    let names = table.of(Kind::Dependency).map(|(thing, _)| thing.name.as_str());
+pub fn without_address<'a>(file: &File, table: &'a Table) -> Vec<&'a str> {
+    let names = table.of_kind(Kind::Dependency).map(|(thing, _)| thing.name.as_str());
     names.filter(|name| !file.dependency.contains_key(*name)).collect()
 }
 
@@ -91,15 +91,15 @@
             ("lejos", &[(Field::Budget, Value::Number(5))]),
             ("replica", &[(Field::Budget, Value::Number(0)), (Field::Fallback, Value::Name("lejos".into()))]),
         ]);
-        let over = overlaid(&file, &table);
+        let over = overlay(&file, &table);
         let padron = &over.dependency["padron"];
         assert_eq!((padron.calls, padron.share, padron.fall_back.as_deref()), (3, Share(0.9), None));
         assert_eq!(padron.addresses, file.dependency["padron"].addresses);
         // A budget of nothing is the least that can be carried out, and nobody falls back on what has no address here.
         assert_eq!((over.dependency["replica"].calls, &over.dependency["replica"].fall_back), (1, &None));
-        assert_eq!(not_here(&file, &table), ["lejos"]);
+        assert_eq!(without_address(&file, &table), ["lejos"]);
         // 90 % and 30 % by the table leave the file's 20 % next to nothing.
-        assert_eq!(over.dependency["sello"].share, Share(LEAST_SHARE));
+        assert_eq!(over.dependency["sello"].share, Share(MIN_SHARE));
         assert_eq!(over.dependency["sello"].calls, file.dependency["sello"].calls);
         assert_eq!(over.route, file.route);
     }
@@ -107,6 +107,6 @@
     #[test]
     fn an_empty_table_changes_nothing() {
         let file = jaspershunt_operator::read("site", SITE).unwrap();
-        assert_eq!(overlaid(&file, &Table::default()), file);
+        assert_eq!(overlay(&file, &Table::default()), file);
     }
 }
--- a/crates/routes/src/search.rs
+++ b/crates/routes/src/search.rs
@@ -1,63 +1,67 @@
-//! The smallest sets of edits that make the table wrong together: sums, overlaps, regions and circles, found without making the tables.
+//! The smallest sets of edits that make the table wrong together: sums, overlaps, regions and cycles, found without making the tables.
 //!
 //! A set is bad if some of it makes a wrong table; what is looked for are bad sets of which each part is good. So no table on the way to
 //! the one with all taken edits is wrong, in whichever order they come.
 
+use crate::access::{AccessSet, ConflictReason};
 use crate::base::Base;
-use crate::edit::Key;
-use crate::mutants::{Mutant, left_out};
-use crate::print::{Print, Why};
-use crate::rules::{self, Sum, Wrong};
+use crate::edit::EditKey;
+use crate::mutants::{Mutant, is_active};
+use crate::rules::{self, Sum, TableFault};
 use crate::table::{Field, Fields, Kind, Thing, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Sets that are looked at for one rule. Ours: all sets of up to three of twenty edits; where there are more, all that take part are held.
-pub const MAX_STEPS: usize = 2_000;
+pub const MAX_SEARCH_STEPS: usize = 2_000;
 
 /// An edit that takes part.
 #[derive(Clone, Copy, Debug)]
-pub struct Part<'a> {
+pub struct Candidate<'a> {
     /// What stands for it.
-    pub key: &'a Key,
+    pub key: &'a EditKey,
     /// What it reads and writes.
-    pub print: &'a Print,
+    pub access: &'a AccessSet,
 }
 
 /// A set of edits, by place, and what is wrong with it.
-pub type Found = (BTreeSet<usize>, Why);
+pub type InvalidSet = (BTreeSet<usize>, ConflictReason);
 
 /// Looks through all rules.
-pub fn wrong_sets(base: &Base, parts: &[Part<'_>], clash: &dyn Fn(usize, usize) -> bool) -> Vec<Found> {
+pub fn find_invalid_sets(
+    base: &Base,
+    parts: &[Candidate<'_>],
+    clash: &dyn Fn(usize, usize) -> bool,
+) -> Vec<InvalidSet> {
     let search = Search { base, parts, clash };
     let mut found = Vec::new();
     search.sums(&mut found);
     search.routes(&mut found);
-    search.circles(&mut found);
+    search.cycles(&mut found);
     found
 }
 
 struct Search<'a> {
     base: &'a Base,
-    parts: &'a [Part<'a>],
+    parts: &'a [Candidate<'a>],
     clash: &'a dyn Fn(usize, usize) -> bool,
 }
 
 /// Goes through sets of edits, each once, and not beyond a bad one.
-struct Walk<'a> {
+struct SetSearch<'a> {
     among: &'a [usize],
     clash: &'a dyn Fn(usize, usize) -> bool,
-    bad: &'a dyn Fn(&[usize]) -> Option<Why>,
-    hopeless: &'a dyn Fn(&[usize], &[usize]) -> bool,
+    bad: &'a dyn Fn(&[usize]) -> Option<ConflictReason>,
+    cannot_fail: &'a dyn Fn(&[usize], &[usize]) -> bool,
     steps: usize,
-    longest: usize,
-    found: Vec<Found>,
+    max_len: usize,
+    found: Vec<InvalidSet>,
 }
 
-impl Walk<'_> {
+impl SetSearch<'_> {
     fn from(&mut self, at: usize, chosen: &mut Vec<usize>) {
         for next in at..self.among.len() {
             let one = self.among[next];
-            if self.steps >= MAX_STEPS {
+            if self.steps >= MAX_SEARCH_STEPS {
                 return;
             }
             if chosen.iter().any(|other| (self.clash)(*other, one)) {
@@ -67,7 +71,7 @@
             chosen.push(one);
             if let Some(why) = (self.bad)(chosen) {
                 self.found.push((chosen.iter().copied().collect(), why));
-            } else if chosen.len() < self.longest && !(self.hopeless)(chosen, &self.among[next + 1..]) {
+            } else if chosen.len() < self.max_len && !(self.cannot_fail)(chosen, &self.among[next + 1..]) {
                 self.from(next + 1, chosen);
             }
             chosen.pop();
@@ -79,23 +83,24 @@
     fn walk(
         &self,
         among: &[usize],
-        longest: usize,
-        bad: &dyn Fn(&[usize]) -> Option<Why>,
-        hopeless: &dyn Fn(&[usize], &[usize]) -> bool,
-        found: &mut Vec<Found>,
+        max_len: usize,
+        bad: &dyn Fn(&[usize]) -> Option<ConflictReason>,
+        cannot_fail: &dyn Fn(&[usize], &[usize]) -> bool,
+        found: &mut Vec<InvalidSet>,
     ) {
-        let mut walk = Walk { among, clash: self.clash, bad, hopeless, steps: 0, longest, found: Vec::new() };
+        let mut walk =
+            SetSearch { among, clash: self.clash, bad, cannot_fail, steps: 0, max_len, found: Vec::new() };
         walk.from(0, &mut Vec::new());
         found.append(&mut walk.found);
-        if walk.steps >= MAX_STEPS {
-            found.push((among.iter().copied().collect(), Why::Crowded(among.len())));
+        if walk.steps >= MAX_SEARCH_STEPS {
+            found.push((among.iter().copied().collect(), ConflictReason::TooManySets(among.len())));
         }
     }
 
-    fn sums(&self, found: &mut Vec<Found>) {
+    fn sums(&self, found: &mut Vec<InvalidSet>) {
         let mut takers: BTreeMap<&Sum, Vec<usize>> = BTreeMap::new();
         for (at, part) in self.parts.iter().enumerate() {
-            for (sum, cells) in &part.print.sums {
+            for (sum, cells) in &part.access.sum_changes {
                 // A bad set without one that takes is bad without one that gives.
                 if cells.values().any(|add| *add > 0) {
                     takers.entry(sum).or_default().push(at);
@@ -103,8 +108,8 @@
             }
         }
         for (sum, among) in takers {
-            let before = self.base.sums.get(sum).copied().unwrap_or(0);
-            let cells = |at: usize| self.parts[at].print.sums.get(sum);
+            let before = self.base.sum_excess.get(sum).copied().unwrap_or(0);
+            let cells = |at: usize| self.parts[at].access.sum_changes.get(sum);
             let most = |at: usize| cells(at).into_iter().flatten().map(|(_, add)| (*add).max(0)).sum::<i64>();
             let beyond = |chosen: &[usize]| {
                 // What two of them say alike counts once.
@@ -125,34 +130,34 @@
                     let add = cells(*at).into_iter().flatten().map(|(_, add)| *add).sum();
                     (self.parts[*at].key.clone(), add)
                 };
-                let told = || rules::over(sum, by, self.budget(sum, chosen));
-                (by > 0).then(|| Why::Wrong(told(), chosen.iter().map(figures).collect()))
+                let told = || rules::over_limit(sum, by, self.budget(sum, chosen));
+                (by > 0).then(|| ConflictReason::InvalidTable(told(), chosen.iter().map(figures).collect()))
             };
-            let hopeless = |chosen: &[usize], rest: &[usize]| {
+            let cannot_fail = |chosen: &[usize], rest: &[usize]| {
                 beyond(chosen) + rest.iter().map(|at| most(*at)).sum::<i64>() <= 0
             };
-            let longest = if left_out(Mutant::SumByPairs) { 2 } else { usize::MAX };
-            self.walk(&among, longest, &bad, &hopeless, found);
+            let max_len = if is_active(Mutant::SumByPairs) { 2 } else { usize::MAX };
+            self.walk(&among, max_len, &bad, &cannot_fail, found);
         }
     }
 
     fn budget(&self, sum: &Sum, chosen: &[usize]) -> i64 {
         let Sum::Budget(name) = sum else { return 0 };
         let thing = Thing::new(Kind::Dependency, name);
-        let value = self.view(&thing, chosen).and_then(|fields| fields.get(&Field::Budget).cloned());
+        let value = self.thing_with(&thing, chosen).and_then(|fields| fields.get(&Field::Budget).cloned());
         if let Some(Value::Number(budget)) = value { i64::from(budget) } else { 0 }
     }
 
     /// A thing, as it is with these edits.
-    fn view(&self, thing: &Thing, chosen: &[usize]) -> Option<Fields> {
-        let prints = || chosen.iter().map(|at| self.parts[*at].print);
-        let added = || prints().find_map(|print| print.adds.get(thing));
-        if prints().any(|print| print.removes.contains(thing)) {
+    fn thing_with(&self, thing: &Thing, chosen: &[usize]) -> Option<Fields> {
+        let accesses = || chosen.iter().map(|at| self.parts[*at].access);
+        let added = || accesses().find_map(|access| access.adds.get(thing));
+        if accesses().any(|access| access.removes.contains(thing)) {
             return None;
         }
         let mut fields = self.base.table.things.get(thing).or_else(added)?.clone();
-        for print in prints() {
-            for ((_, field), value) in print.sets.iter().filter(|((set, _), _)| set == thing) {
+        for access in accesses() {
+            for ((_, field), value) in access.sets.iter().filter(|((set, _), _)| set == thing) {
                 match value {
                     Value::Nothing => fields.remove(field),
                     value => fields.insert(*field, value.clone()),
@@ -167,8 +172,8 @@
         let mut touched: BTreeMap<Thing, BTreeSet<usize>> = BTreeMap::new();
         for (at, part) in self.parts.iter().enumerate() {
             let set =
-                part.print.sets.keys().filter(|(_, field)| fields.contains(field)).map(|(thing, _)| thing);
-            for thing in set.chain(part.print.adds.keys()).filter(|thing| thing.kind == kind) {
+                part.access.sets.keys().filter(|(_, field)| fields.contains(field)).map(|(thing, _)| thing);
+            for thing in set.chain(part.access.adds.keys()).filter(|thing| thing.kind == kind) {
                 touched.entry(thing.clone()).or_default().insert(at);
             }
         }
@@ -177,11 +182,11 @@
 
     /// What edits have made of a route's fixed fields: as it is, or as each that adds it has it.
     fn variants<'a>(&'a self, route: &'a Thing, by: &'a BTreeSet<usize>) -> impl Iterator<Item = &'a Fields> {
-        let added = by.iter().filter_map(move |at| self.parts[*at].print.adds.get(route));
+        let added = by.iter().filter_map(move |at| self.parts[*at].access.adds.get(route));
         self.base.table.things.get(route).into_iter().chain(added)
     }
 
-    fn routes(&self, found: &mut Vec<Found>) {
+    fn routes(&self, found: &mut Vec<InvalidSet>) {
         let nobody = BTreeSet::new();
         let routes = self.touched(Kind::Route, &[Field::Call, Field::Regions, Field::Order]);
         let tenants = self.touched(Kind::Tenant, &[Field::Regions]);
@@ -193,30 +198,31 @@
             }
         }
         for (one, by) in &routes {
-            let orders = self.orders(one, by);
-            for other in self.beside(one, by, &of_class) {
+            let orders = self.possible_orders(one, by);
+            for other in self.routes_of_same_class(one, by, &of_class) {
                 let other = other.clone();
                 let theirs = routes.get(&other).unwrap_or(&nobody);
                 // Most are in order whatever is taken, which is cheaply seen.
-                if self.orders(&other, theirs).is_disjoint(&orders) {
+                if self.possible_orders(&other, theirs).is_disjoint(&orders) {
                     continue;
                 }
                 // Where both are touched, they are compared once.
                 if other == *one
                     || (!theirs.is_empty() && other < *one)
-                    || left_out(Mutant::OverlapNotCompared)
+                    || is_active(Mutant::OverlapNotCompared)
                 {
                     continue;
                 }
-                let meet = self
-                    .variants(one, by)
-                    .any(|one| self.variants(&other, theirs).any(|other| rules::same_requests(one, other)));
+                let meet = self.variants(one, by).any(|one| {
+                    self.variants(&other, theirs).any(|other| rules::may_match_same_request(one, other))
+                });
                 if meet {
                     let among: Vec<usize> = by.union(theirs).copied().collect();
                     let bad = |chosen: &[usize]| {
-                        let (a, b) = (self.view(one, chosen)?, self.view(&other, chosen)?);
-                        let wrong = || Wrong::Overlap(one.name.clone(), other.name.clone());
-                        rules::overlap(&a, &b).then(|| Why::Wrong(wrong(), Vec::new()))
+                        let (a, b) = (self.thing_with(one, chosen)?, self.thing_with(&other, chosen)?);
+                        let wrong = || TableFault::OverlappingRoutes(one.name.clone(), other.name.clone());
+                        rules::routes_overlap(&a, &b)
+                            .then(|| ConflictReason::InvalidTable(wrong(), Vec::new()))
                     };
                     self.walk(&among, usize::MAX, &bad, &never, found);
                 }
@@ -225,8 +231,8 @@
         // Pairs of a route and a tenant of which one at least is touched.
         let mut pairs: BTreeSet<(Thing, Thing)> = BTreeSet::new();
         let all: BTreeSet<&Thing> =
-            self.base.table.of(Kind::Tenant).map(|(of, _)| of).chain(tenants.keys()).collect();
-        for (route, by) in routes.iter().filter(|(route, by)| self.regional(route, by)) {
+            self.base.table.of_kind(Kind::Tenant).map(|(of, _)| of).chain(tenants.keys()).collect();
+        for (route, by) in routes.iter().filter(|(route, by)| self.may_restrict_regions(route, by)) {
             for fields in self.variants(route, by) {
                 match fields.get(&Field::Tenant) {
                     Some(Value::Name(name)) => {
@@ -237,40 +243,45 @@
             }
         }
         for tenant in tenants.keys() {
-            let named = self.base.named.get(tenant).into_iter().flatten().map(|(by, _)| by);
-            let for_it = named.chain(&self.base.wide[1]).filter(|by| by.kind == Kind::Route);
+            let named = self.base.referenced_by.get(tenant).into_iter().flatten().map(|(by, _)| by);
+            let for_it = named.chain(&self.base.unrestricted_routes[1]).filter(|by| by.kind == Kind::Route);
             pairs.extend(for_it.map(|route| (route.clone(), tenant.clone())));
         }
         for (route, tenant) in pairs {
             let by = routes.get(&route).unwrap_or(&nobody);
             let among: Vec<usize> = by.union(tenants.get(&tenant).unwrap_or(&nobody)).copied().collect();
             let bad = |chosen: &[usize]| {
-                let (a, b) = (self.view(&route, chosen)?, self.view(&tenant, chosen)?);
-                let wrong = || Wrong::NoRegion(route.name.clone(), tenant.name.clone());
-                rules::no_region(&a, &tenant, &b).then(|| Why::Wrong(wrong(), Vec::new()))
+                let (a, b) = (self.thing_with(&route, chosen)?, self.thing_with(&tenant, chosen)?);
+                let wrong = || TableFault::NoCommonRegion(route.name.clone(), tenant.name.clone());
+                rules::lacks_common_region(&a, &tenant, &b)
+                    .then(|| ConflictReason::InvalidTable(wrong(), Vec::new()))
             };
             self.walk(&among, usize::MAX, &bad, &never, found);
         }
     }
 
-    fn regional(&self, route: &Thing, by: &BTreeSet<usize>) -> bool {
+    fn may_restrict_regions(&self, route: &Thing, by: &BTreeSet<usize>) -> bool {
         let set = |at: &usize| {
             let key = (route.clone(), Field::Regions);
-            self.parts[*at].print.sets.get(&key).is_some_and(|value| *value != Value::Nothing)
+            self.parts[*at].access.sets.get(&key).is_some_and(|value| *value != Value::Nothing)
         };
         by.iter().any(set) || self.variants(route, by).any(|fields| fields.contains_key(&Field::Regions))
     }
 
     /// The orders that a route may come to have.
-    fn orders<'a>(&'a self, route: &'a Thing, by: &'a BTreeSet<usize>) -> BTreeSet<Option<&'a Value>> {
+    fn possible_orders<'a>(
+        &'a self,
+        route: &'a Thing,
+        by: &'a BTreeSet<usize>,
+    ) -> BTreeSet<Option<&'a Value>> {
         let key = (route.clone(), Field::Order);
-        let set = by.iter().filter_map(|at| self.parts[*at].print.sets.get(&key));
+        let set = by.iter().filter_map(|at| self.parts[*at].access.sets.get(&key));
         let set = set.map(|value| Some(value).filter(|value| **value != Value::Nothing));
         set.chain(self.variants(route, by).map(|fields| fields.get(&Field::Order))).collect()
     }
 
     /// The routes that may be for the same class as one.
-    fn beside<'a>(
+    fn routes_of_same_class<'a>(
         &'a self,
         one: &'a Thing,
         by: &'a BTreeSet<usize>,
@@ -279,72 +290,72 @@
         let mut beside = BTreeSet::new();
         for fields in self.variants(one, by) {
             let Some(class) = fields.get(&Field::Class) else {
-                beside.extend(self.base.table.of(Kind::Route).map(|(thing, _)| thing));
+                beside.extend(self.base.table.of_kind(Kind::Route).map(|(thing, _)| thing));
                 beside.extend(touched.values().flatten());
                 continue;
             };
-            for of in Field::Class.names(class) {
-                let named = self.base.named.get(&of).into_iter().flatten();
+            for of in Field::Class.references(class) {
+                let named = self.base.referenced_by.get(&of).into_iter().flatten();
                 beside.extend(named.map(|(by, _)| by).filter(|by| by.kind == Kind::Route));
             }
-            beside.extend(&self.base.wide[0]);
+            beside.extend(&self.base.unrestricted_routes[0]);
             beside.extend([Some(class), None].iter().filter_map(|class| touched.get(class)).flatten());
         }
         beside
     }
 
-    fn circles(&self, found: &mut Vec<Found>) {
-        if left_out(Mutant::CircleNotLookedFor) {
+    fn cycles(&self, found: &mut Vec<InvalidSet>) {
+        if is_active(Mutant::CircleNotLookedFor) {
             return;
         }
-        let mut ways: BTreeMap<String, Vec<(usize, String)>> = BTreeMap::new();
+        let mut edges: BTreeMap<String, Vec<(usize, String)>> = BTreeMap::new();
         let mut writers: BTreeMap<String, BTreeMap<usize, Option<String>>> = BTreeMap::new();
         let name = |value: &Value| if let Value::Name(name) = value { Some(name.clone()) } else { None };
         for (at, part) in self.parts.iter().enumerate() {
-            let set = part.print.sets.iter().filter(|((_, field), _)| *field == Field::Fallback);
+            let set = part.access.sets.iter().filter(|((_, field), _)| *field == Field::Fallback);
             let set = set.map(|((thing, _), value)| (thing, name(value)));
             let added =
-                part.print.adds.iter().filter_map(|(thing, fields)| {
+                part.access.adds.iter().filter_map(|(thing, fields)| {
                     fields.get(&Field::Fallback).map(|value| (thing, name(value)))
                 });
             for (thing, to) in set.chain(added) {
                 writers.entry(thing.name.clone()).or_default().insert(at, to.clone());
                 if let Some(to) = to {
-                    ways.entry(thing.name.clone()).or_default().push((at, to));
+                    edges.entry(thing.name.clone()).or_default().push((at, to));
                 }
             }
         }
         let mut round =
-            Round { search: self, ways: &ways, writers: &writers, steps: 0, found: BTreeMap::new() };
-        for start in ways.keys() {
-            for (at, to) in &ways[start] {
+            CycleSearch { search: self, edges: &edges, writers: &writers, steps: 0, found: BTreeMap::new() };
+        for start in edges.keys() {
+            for (at, to) in &edges[start] {
                 round.go(&mut vec![(start.clone(), Some(*at))], to);
             }
         }
-        let crowded = round.steps >= MAX_STEPS;
+        let crowded = round.steps >= MAX_SEARCH_STEPS;
         for (set, way) in round.found {
-            found.push((set, Why::Wrong(Wrong::Circle(way), Vec::new())));
+            found.push((set, ConflictReason::InvalidTable(TableFault::FallbackCycle(way), Vec::new())));
         }
         if crowded {
-            let all: BTreeSet<usize> = ways.values().flatten().map(|(at, _)| *at).collect();
+            let all: BTreeSet<usize> = edges.values().flatten().map(|(at, _)| *at).collect();
             let count = all.len();
-            found.push((all, Why::Crowded(count)));
+            found.push((all, ConflictReason::TooManySets(count)));
         }
     }
 }
 
 /// Goes along fall-backs, of the table and of edits.
-struct Round<'a> {
+struct CycleSearch<'a> {
     search: &'a Search<'a>,
-    ways: &'a BTreeMap<String, Vec<(usize, String)>>,
+    edges: &'a BTreeMap<String, Vec<(usize, String)>>,
     writers: &'a BTreeMap<String, BTreeMap<usize, Option<String>>>,
     steps: usize,
     found: BTreeMap<BTreeSet<usize>, Vec<String>>,
 }
 
-impl Round<'_> {
+impl CycleSearch<'_> {
     fn go(&mut self, way: &mut Vec<(String, Option<usize>)>, at: &str) {
-        if self.steps >= MAX_STEPS {
+        if self.steps >= MAX_SEARCH_STEPS {
             return;
         }
         self.steps += 1;
@@ -361,7 +372,7 @@
             self.go(way, to);
             way.pop();
         }
-        for (by, to) in self.ways.get(at).into_iter().flatten() {
+        for (by, to) in self.edges.get(at).into_iter().flatten() {
             if way.iter().any(|(_, other)| other.is_some_and(|other| (self.search.clash)(other, *by))) {
                 continue;
             }
--- a/crates/routes/src/snapshot.rs
+++ b/crates/routes/src/snapshot.rs
@@ -1,12 +1,12 @@
 //! A table as requests use it: it does not change, and a request keeps the one that it began with.
 
-use crate::table::{Field, Fields, Kind, Table, Thing, Value, WHOLE};
+use crate::table::{FULL_SHARE_PERMILLE, Field, Fields, Kind, Table, Thing, Value};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::sync::Arc;
 
 /// Dependencies that are tried one after the other for one call.
-pub const MAX_STAND_INS: usize = 8;
+pub const MAX_FALLBACKS: usize = 8;
 
 /// A table of one revision. To clone it is to count it.
 #[derive(Clone, Debug, Default)]
@@ -18,13 +18,13 @@
     /// The revision that is on trial, here or elsewhere in the fleet.
     pub trial: Option<u64>,
     /// When this process last heard that it is the present one, in the caller's milliseconds.
-    pub heard_ms: u64,
+    pub confirmed_ms: u64,
     table: Arc<Table>,
 }
 
 /// Where one call of a request goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct RouteChoice {
     /// By which route.
     pub route: String,
     /// The dependency.
@@ -32,33 +32,33 @@
     /// Calls at once at most.
     pub calls: u32,
     /// Those that stand in, one for the other.
-    pub then: Vec<String>,
+    pub fallbacks: Vec<String>,
 }
 
 impl Snapshot {
     /// A snapshot of a table.
-    pub fn new(revision: u64, on_trial: bool, heard_ms: u64, table: Table) -> Snapshot {
+    pub fn new(revision: u64, on_trial: bool, confirmed_ms: u64, table: Table) -> Snapshot {
         let trial = on_trial.then_some(revision);
-        Snapshot { revision, on_trial, trial, heard_ms, table: Arc::new(table) }
+        Snapshot { revision, on_trial, trial, confirmed_ms, table: Arc::new(table) }
     }
 
     /// The same table while this revision is on trial, here or elsewhere.
     #[must_use]
-    pub fn during(mut self, trial: Option<u64>) -> Snapshot {
+    pub fn with_trial(mut self, trial: Option<u64>) -> Snapshot {
         self.trial = trial;
         self
     }
 
     /// The same table, heard of again.
     #[must_use]
-    pub fn heard(mut self, now_ms: u64) -> Snapshot {
-        self.heard_ms = self.heard_ms.max(now_ms);
+    pub fn confirmed(mut self, now_ms: u64) -> Snapshot {
+        self.confirmed_ms = self.confirmed_ms.max(now_ms);
         self
     }
 
     /// How long ago this process heard that it is the present one. One that is cut off goes on with what it has, and says this.
     pub fn age_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.heard_ms)
+        now_ms.saturating_sub(self.confirmed_ms)
     }
 
     /// The table.
@@ -75,7 +75,7 @@
         let fit = |(_, fields): &(&Thing, &Fields)| {
             is_for(fields, Field::Class, class) && is_for(fields, Field::Tenant, tenant)
         };
-        let mut routes: Vec<_> = self.table.of(Kind::Route).filter(fit).collect();
+        let mut routes: Vec<_> = self.table.of_kind(Kind::Route).filter(fit).collect();
         // Stable: those that are in no order lead to the same, or the table would not be valid.
         routes.sort_by_key(|(_, fields)| match fields.get(&Field::Order) {
             Some(Value::Number(order)) => u64::from(*order),
@@ -85,13 +85,13 @@
     }
 
     /// Where a call of a request goes, by its place in the run from 1.
-    pub fn chooses(&self, class: &str, tenant: &str, place: u32) -> Option<Chosen> {
+    pub fn choose(&self, class: &str, tenant: &str, place: u32) -> Option<RouteChoice> {
         let fit = |(thing, fields): (&Thing, &Fields)| {
             let here = fields.get(&Field::Place).is_none_or(|of| *of == Value::Number(place));
             match fields.get(&Field::Call) {
                 Some(Value::Call { to, calls }) if here => {
-                    let then = self.stand_in_for(to);
-                    Some(Chosen { route: thing.name.clone(), to: to.clone(), calls: *calls, then })
+                    let fallbacks = self.fallbacks_of(to);
+                    Some(RouteChoice { route: thing.name.clone(), to: to.clone(), calls: *calls, fallbacks })
                 }
                 _ => None,
             }
@@ -100,25 +100,25 @@
     }
 
     /// The dependencies that stand in for one, the first first: a valid table has no circle of them.
-    fn stand_in_for(&self, to: &str) -> Vec<String> {
+    fn fallbacks_of(&self, to: &str) -> Vec<String> {
         let next =
             |name: &String| match self.table.value(&Thing::new(Kind::Dependency, name), Field::Fallback) {
                 Value::Name(next) => Some(next.clone()),
                 _ => None,
             };
-        std::iter::successors(next(&to.to_string()), next).take(MAX_STAND_INS).collect()
+        std::iter::successors(next(&to.to_string()), next).take(MAX_FALLBACKS).collect()
     }
 
     /// Requests of a class that a nodo may have in hand at once, if that is bounded.
-    pub fn limit(&self, class: &str) -> Option<usize> {
+    pub fn class_limit(&self, class: &str) -> Option<usize> {
         self.number(Kind::Class, class, Field::Limit)
     }
 
     /// Of so many places of a nodo, those that a tenant's requests may take at once, if that is bounded. A share that is not nothing is
     /// one place at least.
-    pub fn places(&self, tenant: &str, of: usize) -> Option<usize> {
+    pub fn tenant_slots(&self, tenant: &str, of: usize) -> Option<usize> {
         let share = self.number(Kind::Tenant, tenant, Field::Share)?;
-        Some(share.saturating_mul(of).div_ceil(WHOLE as usize))
+        Some(share.saturating_mul(of).div_ceil(FULL_SHARE_PERMILLE as usize))
     }
 
     fn number(&self, kind: Kind, name: &str, field: Field) -> Option<usize> {
@@ -130,7 +130,7 @@
 
     /// The regions that may serve a request; empty if all may. The first route in order that names regions says which, and of these the
     /// ones that its tenant may be served in. A valid table leaves at least one.
-    pub fn allows(&self, class: &str, tenant: &str) -> BTreeSet<String> {
+    pub fn allowed_regions(&self, class: &str, tenant: &str) -> BTreeSet<String> {
         let regions = |fields: &Fields| match fields.get(&Field::Regions) {
             Some(Value::Names(names)) => Some(names.clone()),
             _ => None,
@@ -144,7 +144,7 @@
     }
 
     /// Why requests of a class and tenant go where they go, in words.
-    pub fn why(&self, class: &str, tenant: &str, now_ms: u64) -> String {
+    pub fn explain(&self, class: &str, tenant: &str, now_ms: u64) -> String {
         let mut words = format!("revision {}", self.revision);
         if self.on_trial {
             words.push_str(", on trial here");
@@ -174,7 +174,7 @@
         {
             let _ = writeln!(words, "{of} is served in {} only", self.table.value(&of, Field::Regions));
         }
-        let allows = self.allows(class, tenant);
+        let allows = self.allowed_regions(class, tenant);
         let all = allows.is_empty();
         let allows = if all { "all regions".to_string() } else { Value::Names(allows).to_string() };
         let _ = writeln!(words, "allowed: {allows}");
--- a/crates/routes/src/soak.rs
+++ b/crates/routes/src/soak.rs
@@ -1,23 +1,23 @@
 //! The merge against brute force: small tables and edits by a seed, and each order of each set of edits tried out.
 //!
-//! The other side knows nothing of what an edit reads and writes, nor of sums, circles and overlaps: it applies edits one after the
+//! The other side knows nothing of what an edit reads and writes, nor of sums, cycles and overlaps: it applies edits one after the
 //! other and checks whole tables.
 
-use crate::base::{Base, Terms};
-use crate::edit::{Change, Edit, EditId, Key};
-use crate::merge::{Facts, Merged, State, merge};
+use crate::base::{Base, EditContext};
+use crate::edit::{Change, Edit, EditId, EditKey};
+use crate::merge::{EditState, MergeInput, MergeResult, merge};
 use crate::rules;
 use crate::table::{Field, Fields, Kind, Table, Thing, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Numbers by a seed.
 #[derive(Clone, Debug)]
-pub struct Dice(u64);
+pub struct SeededRng(u64);
 
-impl Dice {
+impl SeededRng {
     /// From a seed.
-    pub fn new(seed: u64) -> Dice {
-        Dice(seed)
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng(seed)
     }
 
     /// A number below another.
@@ -30,7 +30,7 @@
         (z ^ (z >> 31)) % end.max(1)
     }
 
-    fn one<'a>(&mut self, of: &[&'a str]) -> &'a str {
+    fn pick<'a>(&mut self, of: &[&'a str]) -> &'a str {
         of[self.below(of.len() as u64) as usize]
     }
 }
@@ -38,33 +38,33 @@
 const KINDS: [Kind; 5] = [Kind::Region, Kind::Dependency, Kind::Class, Kind::Tenant, Kind::Route];
 const TEAMS: [&str; 3] = ["ares", "brio", "casa"];
 
-fn name(dice: &mut Dice, kind: Kind) -> &'static str {
+fn name(rng: &mut SeededRng, kind: Kind) -> &'static str {
     match kind {
-        Kind::Region => dice.one(&["norte", "sur"]),
-        Kind::Dependency => dice.one(&["padron", "firma", "archivo", "correo"]),
-        Kind::Class => dice.one(&["alta", "baja"]),
-        Kind::Tenant => dice.one(&["uno", "dos"]),
-        Kind::Route => dice.one(&["r1", "r2", "r3", "r4"]),
+        Kind::Region => rng.pick(&["norte", "sur"]),
+        Kind::Dependency => rng.pick(&["padron", "firma", "archivo", "correo"]),
+        Kind::Class => rng.pick(&["alta", "baja"]),
+        Kind::Tenant => rng.pick(&["uno", "dos"]),
+        Kind::Route => rng.pick(&["r1", "r2", "r3", "r4"]),
     }
 }
 
-fn value(dice: &mut Dice, kind: Kind, field: Field) -> Value {
-    let sometimes = field != Field::Owner && !field.needed_by(kind) && !field.is_fixed();
-    if sometimes && dice.below(6) == 0 {
+fn value(rng: &mut SeededRng, kind: Kind, field: Field) -> Value {
+    let sometimes = field != Field::Owner && !field.is_required_for(kind) && !field.is_immutable();
+    if sometimes && rng.below(6) == 0 {
         return Value::Nothing;
     }
     match field {
-        Field::Owner => Value::Name(dice.one(&TEAMS).into()),
-        Field::Budget => Value::Number(4 + dice.below(8) as u32),
-        Field::Share => Value::Number(100 * dice.below(6) as u32),
-        Field::Limit => Value::Number(dice.below(3) as u32),
-        Field::Order => Value::Number(dice.below(4) as u32),
-        Field::Place => Value::Number(1 + dice.below(2) as u32),
-        Field::Fallback => Value::Name(name(dice, Kind::Dependency).into()),
-        Field::Class => Value::Name(name(dice, Kind::Class).into()),
-        Field::Tenant => Value::Name(name(dice, Kind::Tenant).into()),
-        Field::Regions => Value::Names((0..2).map(|_| name(dice, Kind::Region).to_string()).collect()),
-        Field::Call => Value::Call { to: name(dice, Kind::Dependency).into(), calls: dice.below(6) as u32 },
+        Field::Owner => Value::Name(rng.pick(&TEAMS).into()),
+        Field::Budget => Value::Number(4 + rng.below(8) as u32),
+        Field::Share => Value::Number(100 * rng.below(6) as u32),
+        Field::Limit => Value::Number(rng.below(3) as u32),
+        Field::Order => Value::Number(rng.below(4) as u32),
+        Field::Place => Value::Number(1 + rng.below(2) as u32),
+        Field::Fallback => Value::Name(name(rng, Kind::Dependency).into()),
+        Field::Class => Value::Name(name(rng, Kind::Class).into()),
+        Field::Tenant => Value::Name(name(rng, Kind::Tenant).into()),
+        Field::Regions => Value::Names((0..2).map(|_| name(rng, Kind::Region).to_string()).collect()),
+        Field::Call => Value::Call { to: name(rng, Kind::Dependency).into(), calls: rng.below(6) as u32 },
     }
 }
 
@@ -86,12 +86,12 @@
     }
 }
 
-fn fields(dice: &mut Dice, kind: Kind) -> Fields {
+fn fields(rng: &mut SeededRng, kind: Kind) -> Fields {
     let mut fields = Fields::new();
     for field in fields_of(kind) {
-        if field.needed_by(kind) || dice.below(2) == 0 {
-            let value = value(dice, kind, *field);
-            if value != Value::Nothing && (*field != Field::Owner || dice.below(3) == 0) {
+        if field.is_required_for(kind) || rng.below(2) == 0 {
+            let value = value(rng, kind, *field);
+            if value != Value::Nothing && (*field != Field::Owner || rng.below(3) == 0) {
                 fields.insert(*field, value);
             }
         }
@@ -100,13 +100,13 @@
 }
 
 /// A valid table of a dozen things at most.
-pub fn table(dice: &mut Dice) -> Table {
+pub fn random_table(rng: &mut SeededRng) -> Table {
     let mut table = Table::default();
     for kind in KINDS {
         for _ in 0..4 {
             let mut next = table.clone();
-            let thing = Thing::new(kind, name(dice, kind));
-            next.things.entry(thing).or_insert_with(|| fields(dice, kind));
+            let thing = Thing::new(kind, name(rng, kind));
+            next.things.entry(thing).or_insert_with(|| fields(rng, kind));
             if rules::check(&next).is_empty() {
                 table = next;
             }
@@ -115,38 +115,38 @@
     table
 }
 
-fn change(dice: &mut Dice, table: &Table) -> Change {
-    let kind = KINDS[[1, 1, 1, 2, 3, 3, 4, 4, 4, 4, 0][dice.below(11) as usize]];
-    let there: Vec<&Thing> = table.of(kind).map(|(thing, _)| thing).collect();
-    let known = |dice: &mut Dice| match there.is_empty() {
-        true => Thing::new(kind, name(dice, kind)),
-        false => there[dice.below(there.len() as u64) as usize].clone(),
+fn random_change(rng: &mut SeededRng, table: &Table) -> Change {
+    let kind = KINDS[[1, 1, 1, 2, 3, 3, 4, 4, 4, 4, 0][rng.below(11) as usize]];
+    let there: Vec<&Thing> = table.of_kind(kind).map(|(thing, _)| thing).collect();
+    let known = |rng: &mut SeededRng| match there.is_empty() {
+        true => Thing::new(kind, name(rng, kind)),
+        false => there[rng.below(there.len() as u64) as usize].clone(),
     };
-    match dice.below(12) {
+    match rng.below(12) {
         0 | 1 => {
-            let thing = Thing::new(kind, name(dice, kind));
-            Change::Add { thing, fields: fields(dice, kind) }
+            let thing = Thing::new(kind, name(rng, kind));
+            Change::Add { thing, fields: fields(rng, kind) }
         }
-        2 => Change::Remove { thing: known(dice) },
-        3 => Change::Rename { thing: known(dice), to: format!("{}x", name(dice, kind)) },
+        2 => Change::Remove { thing: known(rng) },
+        3 => Change::Rename { thing: known(rng), to: format!("{}x", name(rng, kind)) },
         _ => {
-            let thing = known(dice);
-            let of: Vec<&Field> = fields_of(kind).iter().filter(|field| !field.is_fixed()).collect();
-            let field = *of[dice.below(of.len() as u64) as usize];
-            Change::Set { thing, field, value: value(dice, kind, field) }
+            let thing = known(rng);
+            let of: Vec<&Field> = fields_of(kind).iter().filter(|field| !field.is_immutable()).collect();
+            let field = *of[rng.below(of.len() as u64) as usize];
+            Change::Set { thing, field, value: value(rng, kind, field) }
         }
     }
 }
 
 /// An edit that can be one.
-pub fn edit(dice: &mut Dice, base: &Base, number: u64) -> Edit {
+pub fn random_edit(rng: &mut SeededRng, base: &Base, number: u64) -> Edit {
     loop {
-        let count = 1 + dice.below(3) * dice.below(2);
+        let count = 1 + rng.below(3) * rng.below(2);
         let edit = Edit {
-            id: EditId { team: dice.one(&TEAMS).into(), number },
+            id: EditId { team: rng.pick(&TEAMS).into(), number },
             base: base.revision,
             reason: "a try".into(),
-            changes: (0..count).map(|_| change(dice, &base.table)).collect(),
+            changes: (0..count).map(|_| random_change(rng, &base.table)).collect(),
         };
         if edit.check().is_ok() {
             return edit;
@@ -155,14 +155,14 @@
 }
 
 /// A table in which much hangs together, and with little room.
-fn close_table(dice: &mut Dice) -> Table {
+fn tight_table(rng: &mut SeededRng) -> Table {
     let mut table = Table::default();
     for name in ["norte", "sur"] {
         table.things.insert(Thing::new(Kind::Region, name), Fields::new());
     }
     for name in ["padron", "firma", "archivo", "correo"] {
-        let budget = Value::Number(10 + dice.below(4) as u32);
-        let share = Value::Number(100 + 50 * dice.below(3) as u32);
+        let budget = Value::Number(10 + rng.below(4) as u32);
+        let share = Value::Number(100 + 50 * rng.below(3) as u32);
         let fields = [(Field::Budget, budget), (Field::Share, share)];
         table.things.insert(Thing::new(Kind::Dependency, name), fields.into());
     }
@@ -170,7 +170,7 @@
         table.things.insert(Thing::new(Kind::Tenant, name), Fields::new());
     }
     for (at, name) in ["r1", "r2", "r3", "r4"].into_iter().enumerate() {
-        let call = Value::Call { to: dice.one(&["padron", "firma"]).into(), calls: 1 + dice.below(2) as u32 };
+        let call = Value::Call { to: rng.pick(&["padron", "firma"]).into(), calls: 1 + rng.below(2) as u32 };
         let fields = [(Field::Call, call), (Field::Order, Value::Number(10 + at as u32))];
         table.things.insert(Thing::new(Kind::Route, name), fields.into());
     }
@@ -178,32 +178,32 @@
 }
 
 /// An edit of one kind of field only, so that sets of several come to something.
-fn close_edit(dice: &mut Dice, base: &Base, number: u64, theme: u64) -> Edit {
+fn related_edit(rng: &mut SeededRng, base: &Base, number: u64, theme: u64) -> Edit {
     let mut edit = Edit {
-        id: EditId { team: dice.one(&TEAMS).into(), number },
+        id: EditId { team: rng.pick(&TEAMS).into(), number },
         base: base.revision,
         reason: "a try".into(),
         changes: Vec::new(),
     };
-    for _ in 0..1 + dice.below(2) * dice.below(2) {
+    for _ in 0..1 + rng.below(2) * rng.below(2) {
         let (kind, field, value) = match theme {
             0 => {
-                let to = dice.one(&["padron", "padron", "firma"]).into();
-                (Kind::Route, Field::Call, Value::Call { to, calls: 2 + dice.below(4) as u32 })
+                let to = rng.pick(&["padron", "padron", "firma"]).into();
+                (Kind::Route, Field::Call, Value::Call { to, calls: 2 + rng.below(4) as u32 })
             }
-            1 => (Kind::Dependency, Field::Share, Value::Number(200 + 50 * dice.below(6) as u32)),
+            1 => (Kind::Dependency, Field::Share, Value::Number(200 + 50 * rng.below(6) as u32)),
             2 => {
-                let to = name(dice, Kind::Dependency).to_string();
+                let to = name(rng, Kind::Dependency).to_string();
                 (Kind::Dependency, Field::Fallback, Value::Name(to))
             }
-            _ if dice.below(2) == 0 => (Kind::Route, Field::Order, Value::Number(10 + dice.below(5) as u32)),
-            _ if dice.below(2) == 0 => {
-                (Kind::Tenant, Field::Regions, value(dice, Kind::Tenant, Field::Regions))
+            _ if rng.below(2) == 0 => (Kind::Route, Field::Order, Value::Number(10 + rng.below(5) as u32)),
+            _ if rng.below(2) == 0 => {
+                (Kind::Tenant, Field::Regions, value(rng, Kind::Tenant, Field::Regions))
             }
-            _ => (Kind::Route, Field::Regions, value(dice, Kind::Route, Field::Regions)),
+            _ => (Kind::Route, Field::Regions, value(rng, Kind::Route, Field::Regions)),
         };
-        let fixed = Change::Set { thing: Thing::new(kind, name(dice, kind)), field, value };
-        let change = if dice.below(12) == 0 { change(dice, &base.table) } else { fixed };
+        let fixed = Change::Set { thing: Thing::new(kind, name(rng, kind)), field, value };
+        let change = if rng.below(12) == 0 { random_change(rng, &base.table) } else { fixed };
         edit.changes.push(change);
     }
     if edit.check().is_err() {
@@ -213,42 +213,42 @@
 }
 
 /// A table and edits on it. Most edits could be taken by themselves; every other case has edits that hang together.
-pub fn case(seed: u64) -> (Base, Facts) {
-    let mut dice = Dice::new(seed);
-    let theme = dice.below(8);
+pub fn random_case(seed: u64) -> (Base, MergeInput) {
+    let mut rng = SeededRng::new(seed);
+    let theme = rng.below(8);
     let close = theme < 4;
-    let base = Base::new(if close { close_table(&mut dice) } else { table(&mut dice) });
-    let count = 2 + dice.below(4);
-    let mut facts = Facts::default();
+    let base = Base::new(if close { tight_table(&mut rng) } else { random_table(&mut rng) });
+    let count = 2 + rng.below(4);
+    let mut input = MergeInput::default();
     for number in 1..=count {
         for _ in 0..8 {
             let edit = match close {
-                true => close_edit(&mut dice, &base, number, theme),
-                false => edit(&mut dice, &base, number),
+                true => related_edit(&mut rng, &base, number, theme),
+                false => random_edit(&mut rng, &base, number),
             };
             if edit.check().is_err() {
                 continue;
             }
-            if dice.below(12) == 0 || fits(&base, &edit, &Terms::default()).is_some() {
-                facts.edits.insert(edit.key(), edit);
+            if rng.below(12) == 0 || fits(&base, &edit, &EditContext::default()).is_some() {
+                input.edits.insert(edit.key(), edit);
                 break;
             }
         }
     }
-    (base, facts)
+    (base, input)
 }
 
 /// The table with this edit, if that is valid.
-fn fits(base: &Base, edit: &Edit, terms: &Terms) -> Option<Base> {
+fn fits(base: &Base, edit: &Edit, terms: &EditContext) -> Option<Base> {
     let mut next = base.clone();
     next.apply(edit, terms, base.revision + 1).ok()?;
     rules::check(&next.table).is_empty().then_some(next)
 }
 
 /// What brute force says: the edits that cannot be taken by themselves, and the smallest sets that cannot be taken together.
-pub fn brute_force(base: &Base, facts: &Facts) -> (BTreeSet<Key>, BTreeSet<BTreeSet<Key>>) {
-    let edits: Vec<(&Key, &Edit)> = facts.edits.iter().collect();
-    let terms = Terms { base: base.revision, ..Terms::default() };
+pub fn brute_force(base: &Base, input: &MergeInput) -> (BTreeSet<EditKey>, BTreeSet<BTreeSet<EditKey>>) {
+    let edits: Vec<(&EditKey, &Edit)> = input.edits.iter().collect();
+    let terms = EditContext { base: base.revision, ..EditContext::default() };
     // For each set of edits the one table that all orders lead to, through valid tables only; `None` if there is no such.
     let mut tables: Vec<Option<Base>> = vec![Some(base.clone())];
     let (mut alone, mut sets) = (BTreeSet::new(), BTreeSet::new());
@@ -274,7 +274,7 @@
         }
         let end = ends.flatten();
         if end.is_none() {
-            let keys: BTreeSet<Key> = members.iter().map(|at| edits[*at].0.clone()).collect();
+            let keys: BTreeSet<EditKey> = members.iter().map(|at| edits[*at].0.clone()).collect();
             match keys.len() {
                 1 => alone.extend(keys),
                 _ => {
@@ -305,14 +305,14 @@
 }
 
 /// One case; what is wrong in it.
-pub fn one(seed: u64, soaked: &mut Soaked) -> Option<String> {
-    let (base, facts) = case(seed);
-    let merged = merge(&base, &facts);
-    let (alone, sets) = brute_force(&base, &facts);
-    let told: BTreeSet<BTreeSet<Key>> =
+pub fn check_seed(seed: u64, soaked: &mut Soaked) -> Option<String> {
+    let (base, input) = random_case(seed);
+    let merged = merge(&base, &input);
+    let (alone, sets) = brute_force(&base, &input);
+    let told: BTreeSet<BTreeSet<EditKey>> =
         merged.conflicts.values().map(|conflict| conflict.members.clone()).collect();
     soaked.cases += 1;
-    soaked.edits += facts.edits.len();
+    soaked.edits += input.edits.len();
     soaked.false_ones += told.difference(&sets).count();
     soaked.missed += sets.difference(&told).count();
     for set in sets.intersection(&told) {
@@ -321,25 +321,26 @@
     if told != sets {
         return Some(format!("told {told:?}, brute force {sets:?}"));
     }
-    let by_itself: BTreeSet<Key> = facts.edits.keys().filter(|key| is_alone(&merged, key)).cloned().collect();
+    let by_itself: BTreeSet<EditKey> =
+        input.edits.keys().filter(|key| is_alone(&merged, key)).cloned().collect();
     if by_itself != alone {
         return Some(format!("refused {by_itself:?}, brute force {alone:?}"));
     }
-    match merged.next(&base, &facts) {
+    match merged.next_base(&base, &input) {
         Err(e) => Some(format!("taken and cannot be applied: {e:?}")),
         Ok(next) => rules::check(&next.table).first().map(|wrong| format!("the next table: {wrong}")),
     }
 }
 
-fn is_alone(merged: &Merged, key: &Key) -> bool {
-    matches!(merged.states.get(key), Some(State::Refused(_) | State::Waits(_)))
+fn is_alone(merged: &MergeResult, key: &EditKey) -> bool {
+    matches!(merged.states.get(key), Some(EditState::Refused(_) | EditState::AwaitsConsent(_)))
 }
 
 /// Goes through cases from a seed on.
-pub fn soak(seed: u64, cases: usize) -> Soaked {
+pub fn check_seeds(seed: u64, cases: usize) -> Soaked {
     let mut soaked = Soaked::default();
     for seed in (seed..).take(cases) {
-        if let Some(wrong) = one(seed, &mut soaked)
+        if let Some(wrong) = check_seed(seed, &mut soaked)
             && soaked.first.is_none()
         {
             soaked.first = Some(format!("seed {seed}: {wrong}"));
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -5,13 +5,13 @@
 use std::fmt;
 
 /// Bytes of a name: it stands in lines of operators and in headers as it is.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Names that one field may hold: as many regions as anybody has.
-pub const MAX_NAMES: usize = 64;
+pub const MAX_NAMES_PER_FIELD: usize = 64;
 /// Bytes of a table, each name counted as if it were as long as a name can be, so that a rename changes nothing.
-pub const MAX_TABLE: u32 = 1024 * 1024;
+pub const MAX_TABLE_BYTES: u32 = 1024 * 1024;
 /// All of a share, in thousandths.
-pub const WHOLE: u32 = 1000;
+pub const FULL_SHARE_PERMILLE: u32 = 1000;
 
 /// What a thing is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -152,7 +152,7 @@
 
 impl Field {
     /// Whether a thing of this kind has the field, and the value is of its type.
-    pub fn takes(self, kind: Kind, value: &Value) -> bool {
+    pub fn accepts(self, kind: Kind, value: &Value) -> bool {
         use Kind::{Class, Dependency, Route, Tenant};
         let has = match self {
             Field::Owner => true,
@@ -163,44 +163,45 @@
             Field::Class | Field::Tenant | Field::Place | Field::Call | Field::Order => kind == Route,
         };
         let fits = match (self, value) {
-            (_, Value::Nothing) => !self.needed_by(kind),
-            (Field::Share, Value::Number(share)) => *share <= WHOLE,
+            (_, Value::Nothing) => !self.is_required_for(kind),
+            (Field::Share, Value::Number(share)) => *share <= FULL_SHARE_PERMILLE,
             (Field::Budget | Field::Limit | Field::Place | Field::Order, Value::Number(_)) => true,
             (Field::Owner | Field::Fallback | Field::Class | Field::Tenant, Value::Name(name)) => {
-                good_name(name)
+                is_valid_name(name)
             }
             (Field::Regions, Value::Names(names)) => {
-                (1..=MAX_NAMES).contains(&names.len()) && names.iter().all(|name| good_name(name))
+                (1..=MAX_NAMES_PER_FIELD).contains(&names.len())
+                    && names.iter().all(|name| is_valid_name(name))
             }
-            (Field::Call, Value::Call { to, .. }) => good_name(to),
+            (Field::Call, Value::Call { to, .. }) => is_valid_name(to),
             _ => false,
         };
         has && fits
     }
 
     /// Whether a thing of this kind cannot be without it.
-    pub fn needed_by(self, kind: Kind) -> bool {
+    pub fn is_required_for(self, kind: Kind) -> bool {
         matches!((self, kind), (Field::Budget, Kind::Dependency) | (Field::Call, Kind::Route))
     }
 
     /// Whether it is what a route is for, and stays as it was added.
-    pub fn is_fixed(self) -> bool {
+    pub fn is_immutable(self) -> bool {
         matches!(self, Field::Class | Field::Tenant | Field::Place)
     }
 
-    /// What it counts for in [`MAX_TABLE`].
-    pub fn size(value: &Value) -> i64 {
+    /// What it counts for in [`MAX_TABLE_BYTES`].
+    pub fn accounted_bytes(value: &Value) -> i64 {
         let names = match value {
             Value::Nothing => return 0,
             Value::Number(_) => 0,
             Value::Name(_) | Value::Call { .. } => 1,
             Value::Names(names) => names.len(),
         };
-        i64::try_from(8 + names * (MAX_NAME + 2)).unwrap_or(i64::MAX)
+        i64::try_from(8 + names * (MAX_NAME_BYTES + 2)).unwrap_or(i64::MAX)
     }
 
     /// The things that a value of this field names.
-    pub fn names(self, value: &Value) -> Vec<Thing> {
+    pub fn references(self, value: &Value) -> Vec<Thing> {
         match (self, value) {
             (Field::Fallback, Value::Name(name)) => vec![Thing::new(Kind::Dependency, name)],
             (Field::Class, Value::Name(name)) => vec![Thing::new(Kind::Class, name)],
@@ -214,8 +215,8 @@
     }
 
     /// The value with one thing called something else.
-    pub fn renamed(self, value: &Value, from: &Thing, to: &str) -> Value {
-        if !self.names(value).contains(from) {
+    pub fn with_reference_renamed(self, value: &Value, from: &Thing, to: &str) -> Value {
+        if !self.references(value).contains(from) {
             return value.clone();
         }
         match value {
@@ -233,8 +234,8 @@
 }
 
 /// Names stand in lines of operators as they are.
-pub fn good_name(name: &str) -> bool {
-    (1..=MAX_NAME).contains(&name.len())
+pub fn is_valid_name(name: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&name.len())
         && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._".contains(&b))
 }
 
@@ -262,14 +263,14 @@
     }
 
     /// The things of one kind.
-    pub fn of(&self, kind: Kind) -> impl Iterator<Item = (&Thing, &Fields)> {
+    pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = (&Thing, &Fields)> {
         self.things.iter().filter(move |(thing, _)| thing.kind == kind)
     }
 
     /// The parts that are touched when this thing is: itself, and what a route is for.
-    pub fn parts(thing: &Thing, fields: &Fields) -> Vec<Thing> {
+    pub fn affected_things(thing: &Thing, fields: &Fields) -> Vec<Thing> {
         let fixed = [Field::Class, Field::Tenant];
-        let of = fixed.iter().filter_map(|field| fields.get(field).map(|value| field.names(value)));
+        let of = fixed.iter().filter_map(|field| fields.get(field).map(|value| field.references(value)));
         std::iter::once(thing.clone()).chain(of.flatten()).collect()
     }
 }
--- a/crates/routes/src/tests.rs
+++ b/crates/routes/src/tests.rs
@@ -1,16 +1,17 @@
 //! The part by its entries: how edits end, bounds, trial, undo.
 
-use crate::base::{Base, MAX_GONE, Terms};
-use crate::edit::{Change, Edit, EditId, Key, MAX_CHANGES, Malformed, parse_edit};
-use crate::merge::{ConflictId, Facts, MAX_CONFLICTS, Reason, State, merge};
+use crate::base::{Base, EditContext, MAX_RETIRED_NAMES};
+use crate::edit::{Change, Edit, EditId, EditKey, MAX_CHANGES, Malformed, parse_edit};
+use crate::merge::{ConflictId, EditState, MAX_CONFLICTS, MergeInput, RefusalReason, merge};
 use crate::part::{
-    End, Entry, MAX_ENDED, MAX_ENTRY, MAX_LOG, MAX_ON_FIELD, MAX_OPEN, MAX_SHOWN, MAX_TEAMS, Outcome,
-    Refusal, Routes, Seen,
+    Entry, FinalState, MAX_ENDED_PER_TEAM, MAX_ENTRY_BYTES, MAX_OPEN, MAX_OPEN_PER_FIELD,
+    MAX_PUBLISHED_EDITS, MAX_SHOWN_CONFLICTS, MAX_TEAMS, MemberView, Outcome, Refusal, Routes,
 };
-use crate::stage::{
-    Counts, LEAST_JUDGED, LONGEST_TRIAL_MS, MAX_REQUESTS, SHORTEST_TRIAL_MS, Verdict, Why, in_stage, judge,
+use crate::table::{FULL_SHARE_PERMILLE, Field, Kind, Table, Thing, Value};
+use crate::trial::{
+    Counts, MAX_REPORTED_REQUESTS, MAX_TRIAL_MS, MIN_REQUESTS_PER_SIDE, MIN_TRIAL_MS, RollbackReason,
+    Verdict, in_trial, judge,
 };
-use crate::table::{Field, Kind, Table, Thing, Value, WHOLE};
 use jaspershunt_fleet::parts::Part;
 use jaspershunt_fleet::{Fleet, Holder};
 
@@ -45,11 +46,11 @@
 }
 
 fn send(routes: &mut Routes, edit: &Edit) -> Outcome {
-    routes.take(Entry::Edit(edit.clone()))
+    routes.apply_entry(Entry::Edit(edit.clone()))
 }
 
 fn publish(routes: &mut Routes, permille: u32) -> Outcome {
-    routes.take(Entry::Publish { permille, now_ms: 1 })
+    routes.apply_entry(Entry::Publish { permille, now_ms: 1 })
 }
 
 fn only_conflict(routes: &Routes) -> ConflictId {
@@ -59,17 +60,21 @@
 
 fn settle(routes: &mut Routes, by: &str, keep: &[&Edit]) -> Outcome {
     let conflict = only_conflict(routes);
-    routes.take(Entry::Settle { by: by.into(), conflict, keep: keep.iter().map(|edit| edit.key()).collect() })
+    routes.apply_entry(Entry::Settle {
+        by: by.into(),
+        conflict,
+        keep: keep.iter().map(|edit| edit.key()).collect(),
+    })
 }
 
 #[test]
 fn an_edit_sent_on_both_sides_of_a_cut_is_one_also_when_it_has_ended() {
     let mut routes = routes();
     let one = edit("brio", 1, 0, vec![budget("padron", 12)]);
-    assert_eq!(send(&mut routes, &one), Outcome::Open(State::Taken));
-    assert_eq!(send(&mut routes, &one), Outcome::Open(State::Taken));
-    assert_eq!(publish(&mut routes, WHOLE), Outcome::Published(1));
-    assert_eq!(send(&mut routes, &one), Outcome::Ended(End::Taken(1)));
+    assert_eq!(send(&mut routes, &one), Outcome::Open(EditState::Accepted));
+    assert_eq!(send(&mut routes, &one), Outcome::Open(EditState::Accepted));
+    assert_eq!(publish(&mut routes, FULL_SHARE_PERMILLE), Outcome::Published(1));
+    assert_eq!(send(&mut routes, &one), Outcome::Ended(FinalState::Published(1)));
     // Another under the same number is told so.
     let other = edit("brio", 1, 1, vec![budget("padron", 13)]);
     assert_eq!(send(&mut routes, &other), Outcome::Refused(Refusal::NumberTaken(one.id)));
@@ -83,7 +88,7 @@
     send(&mut open, &one);
     send(&mut open, &other);
     send(&mut late, &one);
-    publish(&mut late, WHOLE);
+    publish(&mut late, FULL_SHARE_PERMILLE);
     // Its base has been compacted away meanwhile.
     send(&mut late, &other);
     assert_eq!(only_conflict(&open), only_conflict(&late));
@@ -95,9 +100,9 @@
     );
     // Whatever is kept, both end, and as many times as it is said.
     assert_eq!(settle(&mut late, "casa", &[&other]), Outcome::Done);
-    assert_eq!(late.state(&other.key()), Some(Outcome::Open(State::Taken)));
-    publish(&mut late, WHOLE);
-    assert_eq!(late.table_of("n1").0.table.value(&dependency("padron"), Field::Budget), &Value::Number(13));
+    assert_eq!(late.outcome_of(&other.key()), Some(Outcome::Open(EditState::Accepted)));
+    publish(&mut late, FULL_SHARE_PERMILLE);
+    assert_eq!(late.table_for("n1").0.table.value(&dependency("padron"), Field::Budget), &Value::Number(13));
 }
 
 #[test]
@@ -119,26 +124,30 @@
         })
         .into();
     for edit in &edits[..2] {
-        assert_eq!(send(&mut routes, edit), Outcome::Open(State::Taken));
+        assert_eq!(send(&mut routes, edit), Outcome::Open(EditState::Accepted));
     }
-    assert!(matches!(send(&mut routes, &edits[2]), Outcome::Open(State::InConflict(_))));
+    assert!(matches!(send(&mut routes, &edits[2]), Outcome::Open(EditState::InConflict(_))));
     let id = only_conflict(&routes);
     assert_eq!(
         routes.merged().conflicts[&id].to_string(),
         "brio#1, casa#1, dado#1 cannot be taken together: routes into dependency/padron take 11 calls of a budget of 10 \
          (brio#1 +3, casa#1 +2, dado#1 +2)"
     );
-    let stranger = routes.take(Entry::Settle { by: "eco".into(), conflict: id, keep: Default::default() });
-    assert_eq!(stranger, Outcome::Refused(Refusal::NotYours));
+    let stranger =
+        routes.apply_entry(Entry::Settle { by: "eco".into(), conflict: id, keep: Default::default() });
+    assert_eq!(stranger, Outcome::Refused(Refusal::NotAuthorized));
     let all = settle(&mut routes, "dado", &[&edits[0], &edits[1], &edits[2]]);
-    assert_eq!(all, Outcome::Refused(Refusal::NotToKeep));
+    assert_eq!(all, Outcome::Refused(Refusal::InvalidKeep));
     assert_eq!(settle(&mut routes, "dado", &[&edits[0], &edits[2]]), Outcome::Done);
     // Once for all: another team that has not heard of it changes nothing.
     let again = Entry::Settle { by: "casa".into(), conflict: id, keep: [edits[1].key()].into() };
-    assert_eq!(routes.take(again), Outcome::Refused(Refusal::Settled("dado".into())));
-    assert_eq!(routes.state(&edits[0].key()), Some(Outcome::Open(State::Taken)));
-    assert_eq!(routes.state(&edits[1].key()), Some(Outcome::Ended(End::Withdrawn("dado".into()))));
-    assert_eq!(routes.state(&edits[2].key()), Some(Outcome::Open(State::Taken)));
+    assert_eq!(routes.apply_entry(again), Outcome::Refused(Refusal::AlreadySettled("dado".into())));
+    assert_eq!(routes.outcome_of(&edits[0].key()), Some(Outcome::Open(EditState::Accepted)));
+    assert_eq!(
+        routes.outcome_of(&edits[1].key()),
+        Some(Outcome::Ended(FinalState::Withdrawn("dado".into())))
+    );
+    assert_eq!(routes.outcome_of(&edits[2].key()), Some(Outcome::Open(EditState::Accepted)));
 }
 
 #[test]
@@ -149,12 +158,12 @@
         let mut routes = routes();
         send(&mut routes, &rename);
         if publish_first {
-            publish(&mut routes, WHOLE);
+            publish(&mut routes, FULL_SHARE_PERMILLE);
         }
-        assert!(matches!(send(&mut routes, &other), Outcome::Open(State::InConflict(_))));
+        assert!(matches!(send(&mut routes, &other), Outcome::Open(EditState::InConflict(_))));
         assert_eq!(settle(&mut routes, "casa", &[&rename, &other]), Outcome::Done);
-        publish(&mut routes, WHOLE);
-        let (base, _) = routes.table_of("n1");
+        publish(&mut routes, FULL_SHARE_PERMILLE);
+        let (base, _) = routes.table_for("n1");
         assert_eq!(base.table.value(&dependency("censo"), Field::Budget), &Value::Number(12));
         assert!(!base.table.things.contains_key(&dependency("padron")));
     }
@@ -164,15 +173,15 @@
 fn anothers_part_is_touched_only_with_its_word() {
     let mut routes = routes();
     let one = edit("brio", 1, 0, vec![budget("firma", 12)]);
-    let waits = Outcome::Open(State::Waits(["ares".to_string()].into()));
+    let waits = Outcome::Open(EditState::AwaitsConsent(["ares".to_string()].into()));
     assert_eq!(send(&mut routes, &one), waits);
-    assert_eq!(publish(&mut routes, WHOLE), Outcome::Refused(Refusal::NothingNew));
-    let word = |by: &str, yes| Entry::Word { by: by.into(), edit: one.key(), yes };
-    assert_eq!(routes.take(word("casa", true)), Outcome::Refused(Refusal::NotYours));
-    assert_eq!(routes.take(word("ares", true)), Outcome::Open(State::Taken));
+    assert_eq!(publish(&mut routes, FULL_SHARE_PERMILLE), Outcome::Refused(Refusal::NothingToPublish));
+    let word = |by: &str, yes| Entry::Consent { by: by.into(), edit: one.key(), granted: yes };
+    assert_eq!(routes.apply_entry(word("casa", true)), Outcome::Refused(Refusal::NotAuthorized));
+    assert_eq!(routes.apply_entry(word("ares", true)), Outcome::Open(EditState::Accepted));
     // No stands over yes, whichever came first.
-    let denied = Outcome::Ended(End::Refused(Reason::Denied("ares".into())));
-    assert_eq!(routes.take(word("ares", false)), denied);
+    let denied = Outcome::Ended(FinalState::Refused(RefusalReason::Denied("ares".into())));
+    assert_eq!(routes.apply_entry(word("ares", false)), denied);
 }
 
 #[test]
@@ -181,95 +190,95 @@
     send(&mut on, &one);
     publish(&mut on, 300);
     let names: Vec<String> = (0..300).map(|n| format!("nodo-{n}")).collect();
-    let first: Vec<&String> = names.iter().filter(|name| on.table_of(name).1).collect();
+    let first: Vec<&String> = names.iter().filter(|name| on.table_for(name).1).collect();
     assert!((60..120).contains(&first.len()), "{}", first.len());
-    assert!(first.iter().all(|name| in_stage(name, 300) && in_stage(name, 600)));
+    assert!(first.iter().all(|name| in_trial(name, 300) && in_trial(name, 600)));
     let other = edit("casa", 1, 1, vec![budget("firma", 9)]);
-    assert_eq!(publish(&mut on, 300), Outcome::Refused(Refusal::OnTrial(1)));
+    assert_eq!(publish(&mut on, 300), Outcome::Refused(Refusal::TrialRunning(1)));
     send(&mut on, &other);
     let mut back = on.clone();
     // Ten of each side tell: as many failures as elsewhere, or thrice as many.
     let told = |routes: &mut Routes, with: bool, failed: u64| {
-        for name in names.iter().filter(|name| in_stage(name, 300) == with).take(10) {
+        for name in names.iter().filter(|name| in_trial(name, 300) == with).take(10) {
             let counts = Counts { requests: 1_000, failed, slow: 10 };
             let (by, revision) = (Holder::new(name, 1), u64::from(with));
-            let told = Entry::Told { by, trial: 1, revision, counts };
-            assert_eq!(routes.take(told), Outcome::Done);
+            let told = Entry::ReportCounts { by, trial: 1, revision, counts };
+            assert_eq!(routes.apply_entry(told), Outcome::Done);
         }
     };
-    let step = |now_ms: u64| Entry::Step { revision: 1, now_ms };
+    let step = |now_ms: u64| Entry::JudgeTrial { revision: 1, now_ms };
     told(&mut on, false, 10);
     told(&mut back, false, 10);
-    assert_eq!(on.take(step(1 + SHORTEST_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
+    assert_eq!(on.apply_entry(step(1 + MIN_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
     told(&mut on, true, 10);
     told(&mut back, true, 30);
-    assert_eq!(on.take(step(SHORTEST_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
+    assert_eq!(on.apply_entry(step(MIN_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
     // A clock that has gone back, and one that has not.
-    assert_eq!(on.take(step(0)), Outcome::Refused(Refusal::TooEarly));
-    assert_eq!(on.take(step(1 + SHORTEST_TRIAL_MS)), Outcome::Published(1));
-    assert!(names.iter().all(|name| on.table_of(name).0.revision == 1));
-    assert_eq!(back.take(step(2)), Outcome::Published(2));
-    assert!(names.iter().all(|name| back.table_of(name).0.table == routes().kept_table()));
-    let Some(Outcome::Ended(End::Refused(why))) = back.state(&one.key()) else {
-        panic!("{:?}", back.state(&one.key()))
+    assert_eq!(on.apply_entry(step(0)), Outcome::Refused(Refusal::TooEarly));
+    assert_eq!(on.apply_entry(step(1 + MIN_TRIAL_MS)), Outcome::Published(1));
+    assert!(names.iter().all(|name| on.table_for(name).0.revision == 1));
+    assert_eq!(back.apply_entry(step(2)), Outcome::Published(2));
+    assert!(names.iter().all(|name| back.table_for(name).0.table == routes().kept_table()));
+    let Some(Outcome::Ended(FinalState::Refused(why))) = back.outcome_of(&one.key()) else {
+        panic!("{:?}", back.outcome_of(&one.key()))
     };
     assert_eq!(
         why.to_string(),
         "revision 1 was taken back: more requests failed with it (10000 requests, 300 failed, 100 late; without it \
          10000 requests, 100 failed, 100 late)"
     );
-    assert_eq!(back.take(step(2)), Outcome::Refused(Refusal::NotOnTrial));
+    assert_eq!(back.apply_entry(step(2)), Outcome::Refused(Refusal::NoSuchTrial));
     // What was open meanwhile stands over the old table.
-    assert!(matches!(back.state(&other.key()), Some(Outcome::Open(State::Waits(_)))));
+    assert!(matches!(back.outcome_of(&other.key()), Some(Outcome::Open(EditState::AwaitsConsent(_)))));
 }
 
 #[test]
 fn what_cannot_be_the_counts_of_a_start_is_refused() {
     let (mut routes, n1) = (routes(), Holder::new("n1", 1));
-    let told = |revision, trial, counts| Entry::Told { by: n1.clone(), trial, revision, counts };
+    let told = |revision, trial, counts| Entry::ReportCounts { by: n1.clone(), trial, revision, counts };
     let good = Counts { requests: 10, failed: 1, slow: 2 };
-    assert_eq!(routes.take(told(0, 1, good)), Outcome::Refused(Refusal::NotOnTrial));
+    assert_eq!(routes.apply_entry(told(0, 1, good)), Outcome::Refused(Refusal::NoSuchTrial));
     send(&mut routes, &edit("brio", 1, 0, vec![budget("padron", 12)]));
     publish(&mut routes, 999);
-    assert!(in_stage("n1", 999));
-    assert_eq!(routes.take(told(1, 0, good)), Outcome::Refused(Refusal::NotOnTrial));
-    assert_eq!(routes.take(told(0, 1, good)), Outcome::Refused(Refusal::NotCounts));
-    for (requests, failed, slow) in [(10, 6, 5), (MAX_REQUESTS + 1, 0, 0), (0, u64::MAX, u64::MAX)] {
+    assert!(in_trial("n1", 999));
+    assert_eq!(routes.apply_entry(told(1, 0, good)), Outcome::Refused(Refusal::NoSuchTrial));
+    assert_eq!(routes.apply_entry(told(0, 1, good)), Outcome::Refused(Refusal::InvalidCounts));
+    for (requests, failed, slow) in [(10, 6, 5), (MAX_REPORTED_REQUESTS + 1, 0, 0), (0, u64::MAX, u64::MAX)] {
         let counts = Counts { requests, failed, slow };
-        assert_eq!(routes.take(told(1, 1, counts)), Outcome::Refused(Refusal::NotCounts));
+        assert_eq!(routes.apply_entry(told(1, 1, counts)), Outcome::Refused(Refusal::InvalidCounts));
     }
     // Of one that is not in the fleet nothing is taken, and of one that goes nothing stays.
     let said = |routes: &mut Routes, fleet: &Fleet| {
         Outcome::from_bytes(&routes.apply(fleet, &told(1, 1, good).to_bytes()))
     };
     let mut fleet = Fleet::default();
-    assert_eq!(said(&mut routes, &fleet), Some(Outcome::Refused(Refusal::Gone)));
+    assert_eq!(said(&mut routes, &fleet), Some(Outcome::Refused(Refusal::NotInFleet)));
     fleet.apply(&jaspershunt_fleet::Entry::Enrol { holder: n1.clone() });
     assert_eq!(said(&mut routes, &fleet), Some(Outcome::Done));
-    assert_eq!(routes.on_trial().map(|of| of.with), Some(good));
+    assert_eq!(routes.trial_status().map(|of| of.with), Some(good));
     fleet.apply(&jaspershunt_fleet::Entry::Gone { holder: n1.clone() });
     routes.members_changed(&fleet);
-    assert_eq!(routes.on_trial().map(|of| of.with), Some(Counts::default()));
+    assert_eq!(routes.trial_status().map(|of| of.with), Some(Counts::default()));
 }
 
 #[test]
 fn a_table_is_judged_by_failures_and_slow_answers_beyond_chance() {
     let counts = |requests, failed, slow| Counts { requests, failed, slow };
-    let (good, long) = (counts(10_000, 100, 50), SHORTEST_TRIAL_MS);
-    assert_eq!(judge(&good, &counts(10_000, 105, 50), long), Verdict::GoesOn);
+    let (good, long) = (counts(10_000, 100, 50), MIN_TRIAL_MS);
+    assert_eq!(judge(&good, &counts(10_000, 105, 50), long), Verdict::Adopt);
     assert_eq!(judge(&good, &counts(10_000, 105, 50), long - 1), Verdict::Wait);
-    assert_eq!(judge(&good, &counts(10_000, 200, 50), 0), Verdict::GoesBack(Why::Failures));
-    assert_eq!(judge(&good, &counts(10_000, 100, 150), 0), Verdict::GoesBack(Why::Slow));
+    assert_eq!(judge(&good, &counts(10_000, 200, 50), 0), Verdict::RollBack(RollbackReason::Failures));
+    assert_eq!(judge(&good, &counts(10_000, 100, 150), 0), Verdict::RollBack(RollbackReason::Slow));
     // More than is let pass and maybe chance.
-    assert_eq!(judge(&good, &counts(LEAST_JUDGED, 8, 2), long), Verdict::Wait);
-    assert_eq!(judge(&good, &counts(LEAST_JUDGED - 1, 400, 2), long), Verdict::Wait);
+    assert_eq!(judge(&good, &counts(MIN_REQUESTS_PER_SIDE, 8, 2), long), Verdict::Wait);
+    assert_eq!(judge(&good, &counts(MIN_REQUESTS_PER_SIDE - 1, 400, 2), long), Verdict::Wait);
     // However long, too few never say that it does no worse.
-    let few = counts(LEAST_JUDGED - 1, 0, 0);
-    assert_eq!(judge(&good, &few, LONGEST_TRIAL_MS - 1), Verdict::Wait);
-    assert_eq!(judge(&good, &few, LONGEST_TRIAL_MS), Verdict::GoesBack(Why::TooFew));
-    assert_eq!(judge(&few, &good, LONGEST_TRIAL_MS), Verdict::GoesBack(Why::TooFew));
+    let few = counts(MIN_REQUESTS_PER_SIDE - 1, 0, 0);
+    assert_eq!(judge(&good, &few, MAX_TRIAL_MS - 1), Verdict::Wait);
+    assert_eq!(judge(&good, &few, MAX_TRIAL_MS), Verdict::RollBack(RollbackReason::TooFew));
+    assert_eq!(judge(&few, &good, MAX_TRIAL_MS), Verdict::RollBack(RollbackReason::TooFew));
     // What stays in doubt to the end is too small to be seen.
-    assert_eq!(judge(&good, &counts(LEAST_JUDGED, 8, 2), LONGEST_TRIAL_MS), Verdict::GoesOn);
+    assert_eq!(judge(&good, &counts(MIN_REQUESTS_PER_SIDE, 8, 2), MAX_TRIAL_MS), Verdict::Adopt);
 }
 
 #[test]
@@ -283,12 +292,12 @@
     let before = routes.kept_table();
     let one = edit("brio", 1, 0, swap);
     send(&mut routes, &one);
-    publish(&mut routes, WHOLE);
+    publish(&mut routes, FULL_SHARE_PERMILLE);
     let undo = routes
         .undo(&one.key(), EditId { team: "brio".into(), number: 2 }, "did not help")
         .expect("in the log");
-    assert_eq!(send(&mut routes, &undo), Outcome::Open(State::Taken));
-    publish(&mut routes, WHOLE);
+    assert_eq!(send(&mut routes, &undo), Outcome::Open(EditState::Accepted));
+    publish(&mut routes, FULL_SHARE_PERMILLE);
     assert_eq!((routes.kept_table(), routes.revision()), (before, 2));
 }
 
@@ -296,7 +305,7 @@
 fn what_is_wrong_by_itself_is_refused_with_its_figures() {
     let mut routes = routes();
     let mut refused = |changes| match send(&mut routes, &edit("brio", 1, 0, changes)) {
-        Outcome::Ended(End::Refused(reason)) => {
+        Outcome::Ended(FinalState::Refused(reason)) => {
             // Each under a number of its own would do as well.
             routes = self::routes();
             reason.to_string()
@@ -333,38 +342,38 @@
         send(&mut routes, &edit("brio", number, 0, vec![budget("padron", 10 + number as u32)]));
     }
     assert_eq!(routes.merged().conflicts.len(), MAX_CONFLICTS);
-    assert!(routes.merged().states.values().all(|state| matches!(state, State::InConflict(_))));
-    let seen = Seen::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("its own bytes");
-    assert_eq!(seen.conflicts.len(), MAX_SHOWN);
+    assert!(routes.merged().states.values().all(|state| matches!(state, EditState::InConflict(_))));
+    let seen = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("its own bytes");
+    assert_eq!(seen.conflicts.len(), MAX_SHOWN_CONFLICTS);
 
     let mut routes = self::routes();
     let mut number = 0;
     // An edit that is refused ends at once, and its number is known for as long as the bound says.
-    for _ in 0..=MAX_ENDED {
+    for _ in 0..=MAX_ENDED_PER_TEAM {
         number += 1;
         send(&mut routes, &edit("brio", number, 0, vec![budget("correo", 9)]));
     }
     let first = edit("brio", 1, 0, vec![budget("padron", 20)]);
-    assert_eq!(send(&mut routes, &first), Outcome::Refused(Refusal::NumberOld(1)));
+    assert_eq!(send(&mut routes, &first), Outcome::Refused(Refusal::NumberTooOld(1)));
     for team in 0..MAX_TEAMS {
         send(&mut routes, &edit(&format!("t{team}"), 1, 0, vec![budget("correo", 9)]));
     }
     assert_eq!(send(&mut routes, &edit("zeta", 1, 0, vec![budget("padron", 9)])), full("MAX_TEAMS"));
-    for _ in 0..=MAX_LOG {
+    for _ in 0..=MAX_PUBLISHED_EDITS {
         number += 1;
         let base = routes.revision();
         send(&mut routes, &edit("brio", number, base, vec![budget("padron", 10 + (number % 7) as u32)]));
-        publish(&mut routes, WHOLE);
+        publish(&mut routes, FULL_SHARE_PERMILLE);
     }
-    assert_eq!(routes.log().count(), MAX_LOG);
+    assert_eq!(routes.published_edits().count(), MAX_PUBLISHED_EDITS);
 
     let many = edit("brio", 1, 0, vec![budget("padron", 9); MAX_CHANGES + 1]);
-    assert_eq!(many.check(), Err(Malformed::Changes(MAX_CHANGES + 1)));
+    assert_eq!(many.check(), Err(Malformed::ChangeCount(MAX_CHANGES + 1)));
     let long = Edit { reason: "x".repeat(257), ..first.clone() };
-    assert_eq!(long.check(), Err(Malformed::Reason(257)));
-    assert!(matches!(parse_edit("{}"), Err(Malformed::NotRead(_))));
-    let nothing = Outcome::from_bytes(&routes.apply(&Fleet::default(), &vec![0; MAX_ENTRY + 1]));
-    assert_eq!(nothing, Some(Outcome::Refused(Refusal::NotRead)));
+    assert_eq!(long.check(), Err(Malformed::ReasonLength(257)));
+    assert!(matches!(parse_edit("{}"), Err(Malformed::Unreadable(_))));
+    let nothing = Outcome::from_bytes(&routes.apply(&Fleet::default(), &vec![0; MAX_ENTRY_BYTES + 1]));
+    assert_eq!(nothing, Some(Outcome::Refused(Refusal::Unreadable)));
 }
 
 #[test]
@@ -377,7 +386,7 @@
     assert!(other.load(&routes.save()));
     assert_eq!(other, routes);
     assert!(!other.load(&[7; 3]));
-    let entry = Entry::Step { revision: 1, now_ms: 1 + LONGEST_TRIAL_MS }.to_bytes();
+    let entry = Entry::JudgeTrial { revision: 1, now_ms: 1 + MAX_TRIAL_MS }.to_bytes();
     let (fleet, n1) = (Fleet::default(), Holder::new("n1", 1));
     let before = routes.epoch(&n1);
     assert_eq!(routes.apply(&fleet, &entry), other.apply(&fleet, &entry));
@@ -395,8 +404,8 @@
         table.things.insert(Thing::new(Kind::Tenant, name), number(Field::Share, share));
     }
     let snapshot = crate::Snapshot::new(1, false, 0, table);
-    assert_eq!(["alta", "baja", "otra"].map(|class| snapshot.limit(class)), [Some(3), None, None]);
-    let places = ["uno", "dos", "tres", "otro"].map(|tenant| snapshot.places(tenant, 20));
+    assert_eq!(["alta", "baja", "otra"].map(|class| snapshot.class_limit(class)), [Some(3), None, None]);
+    let places = ["uno", "dos", "tres", "otro"].map(|tenant| snapshot.tenant_slots(tenant, 20));
     assert_eq!(places, [Some(6), Some(1), Some(0), None]);
 }
 
@@ -405,62 +414,62 @@
     let mut routes = routes();
     let norte = Value::Names(["norte".to_string()].into());
     send(&mut routes, &edit("brio", 1, 0, vec![set(Thing::new(Kind::Route, "r1"), Field::Regions, norte)]));
-    publish(&mut routes, WHOLE);
-    let seen = Seen::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("its own bytes");
+    publish(&mut routes, FULL_SHARE_PERMILLE);
+    let seen = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("its own bytes");
     let snapshot = seen.snapshot(1000);
-    assert_eq!(snapshot.allows("alta", "uno"), ["norte".to_string()].into());
-    assert_eq!(snapshot.allows("baja", "uno"), Default::default());
-    assert_eq!(snapshot.chooses("alta", "uno", 2).expect("a route").to, "padron");
-    assert_eq!(snapshot.chooses("baja", "uno", 2), None);
+    assert_eq!(snapshot.allowed_regions("alta", "uno"), ["norte".to_string()].into());
+    assert_eq!(snapshot.allowed_regions("baja", "uno"), Default::default());
+    assert_eq!(snapshot.choose("alta", "uno", 2).expect("a route").to, "padron");
+    assert_eq!(snapshot.choose("baja", "uno", 2), None);
     let why = "revision 1, heard 500 ms ago\n\
                first route/r1 (order last, of nobody): call any to padron with 4 calls, regions norte\n  \
                dependency/padron: budget 10, falls back on nothing\nallowed: norte\n";
-    assert_eq!(snapshot.why("alta", "uno", 1500), why);
+    assert_eq!(snapshot.explain("alta", "uno", 1500), why);
 }
 
 #[test]
 fn a_sum_with_more_sets_than_can_be_looked_at_holds_all_that_take_part() {
-    let mut facts = Facts::default();
+    let mut input = MergeInput::default();
     for number in 0..40 {
         let call = Value::Call { to: "padron".into(), calls: 1 };
         // In an order, so that only the sum is in question; six of forty fit.
         let fields = [(Field::Call, call), (Field::Order, Value::Number(number))];
         let thing = Thing::new(Kind::Route, &format!("x{number}"));
         let one = edit("brio", u64::from(number), 0, vec![Change::Add { thing, fields: fields.into() }]);
-        facts.edits.insert(one.key(), one);
+        input.edits.insert(one.key(), one);
     }
     let beside = edit("casa", 1, 0, vec![budget("firma", 9)]);
-    facts.words.insert(beside.key(), [("ares".to_string(), true)].into());
-    facts.edits.insert(beside.key(), beside.clone());
+    input.consents.insert(beside.key(), [("ares".to_string(), true)].into());
+    input.edits.insert(beside.key(), beside.clone());
     let routes = routes();
-    let merged = merge(routes.table_of("n1").0, &facts);
-    assert_eq!(merged.taken().collect::<Vec<_>>(), [&beside.key()]);
-    assert!(merged.states.values().filter(|state| matches!(state, State::InConflict(_))).count() == 40);
+    let merged = merge(routes.table_for("n1").0, &input);
+    assert_eq!(merged.accepted().collect::<Vec<_>>(), [&beside.key()]);
+    assert!(merged.states.values().filter(|state| matches!(state, EditState::InConflict(_))).count() == 40);
 }
 
 #[test]
 fn what_is_gone_is_remembered_within_its_bound() {
     let mut base = Base::new(Table::default());
-    for number in 0..=MAX_GONE as u64 {
+    for number in 0..=MAX_RETIRED_NAMES as u64 {
         let thing = Thing::new(Kind::Region, &format!("r{number}"));
         base.table.things.insert(thing.clone(), Default::default());
         let one = edit("brio", number, number, vec![Change::Remove { thing }]);
-        base.apply(&one, &Terms::default(), number + 1).expect("there");
-        base.forget();
+        base.apply(&one, &EditContext::default(), number + 1).expect("there");
+        base.trim_retired();
     }
-    assert_eq!(base.gone.len(), MAX_GONE);
-    assert!(!base.gone.contains_key(&Thing::new(Kind::Region, "r0")));
+    assert_eq!(base.retired.len(), MAX_RETIRED_NAMES);
+    assert!(!base.retired.contains_key(&Thing::new(Kind::Region, "r0")));
 }
 
 impl Routes {
     fn kept_table(&self) -> Table {
-        self.table_of("n1").0.table.clone()
+        self.table_for("n1").0.table.clone()
     }
 }
 
 #[test]
 fn a_key_tells_edits_of_one_number_apart() {
-    let key = |calls| -> Key { edit("brio", 1, 0, vec![budget("padron", calls)]).key() };
+    let key = |calls| -> EditKey { edit("brio", 1, 0, vec![budget("padron", calls)]).key() };
     assert!(key(1) == key(1) && key(1) != key(2));
 }
 
@@ -471,35 +480,38 @@
     let padron = Thing::new(Kind::Dependency, "padron");
     let send = |routes: &mut Routes, number: usize, changes: Vec<Change>| {
         let id = EditId { team: format!("t{number}"), number: 1 };
-        routes.take(Entry::Edit(Edit { id, base: routes.revision(), reason: "more".into(), changes }))
+        routes.apply_entry(Entry::Edit(Edit { id, base: routes.revision(), reason: "more".into(), changes }))
     };
     let fields = [(Field::Budget, Value::Number(1))].into();
     send(&mut routes, 1000, vec![Change::Add { thing: padron.clone(), fields }]);
-    assert_eq!(routes.take(Entry::Publish { permille: WHOLE, now_ms: 0 }), Outcome::Published(1));
+    assert_eq!(
+        routes.apply_entry(Entry::Publish { permille: FULL_SHARE_PERMILLE, now_ms: 0 }),
+        Outcome::Published(1)
+    );
     let budget = |number: usize| {
         let value = Value::Number(u32::try_from(number).unwrap() + 10);
         vec![Change::Set { thing: padron.clone(), field: Field::Budget, value }]
     };
-    for number in 0..MAX_ON_FIELD {
+    for number in 0..MAX_OPEN_PER_FIELD {
         let outcome = send(&mut routes, number, budget(number));
         assert!(matches!(outcome, Outcome::Open(_)), "{number}: {outcome:?}");
     }
-    let outcome = send(&mut routes, MAX_ON_FIELD, budget(MAX_ON_FIELD));
+    let outcome = send(&mut routes, MAX_OPEN_PER_FIELD, budget(MAX_OPEN_PER_FIELD));
     let words = "refused: 64 open edits say what becomes of Budget of dependency/padron: settle or withdraw some first";
     assert_eq!(outcome.to_string(), words);
     // One that came before is known still, and another field is free.
     assert!(matches!(send(&mut routes, 3, budget(3)), Outcome::Open(_)));
     let share = vec![Change::Set { thing: padron.clone(), field: Field::Share, value: Value::Number(5) }];
-    assert!(matches!(send(&mut routes, MAX_ON_FIELD + 1, share), Outcome::Open(State::Taken)));
+    assert!(matches!(send(&mut routes, MAX_OPEN_PER_FIELD + 1, share), Outcome::Open(EditState::Accepted)));
     // And so does room that is made.
     let gone = routes.open().find(|(key, _)| key.id.team == "t7").unwrap().0.clone();
-    routes.take(Entry::Withdraw { by: "t7".into(), edit: gone });
-    assert!(matches!(send(&mut routes, MAX_ON_FIELD, budget(MAX_ON_FIELD)), Outcome::Open(_)));
+    routes.apply_entry(Entry::Withdraw { by: "t7".into(), edit: gone });
+    assert!(matches!(send(&mut routes, MAX_OPEN_PER_FIELD, budget(MAX_OPEN_PER_FIELD)), Outcome::Open(_)));
     // Removals and renames of one thing are bounded alike.
     let mut last = None;
-    for number in 0..=MAX_ON_FIELD {
+    for number in 0..=MAX_OPEN_PER_FIELD {
         let to = format!("p{number}");
         last = Some(send(&mut routes, 2000 + number, vec![Change::Rename { thing: padron.clone(), to }]));
     }
-    assert_eq!(last, Some(Outcome::Refused(Refusal::Crowded(padron, None))));
+    assert_eq!(last, Some(Outcome::Refused(Refusal::TooManyOnField(padron, None))));
 }
