--- a/crates/routes/tests/laws.rs
+++ b/crates/routes/tests/laws.rs
@@ -1,21 +1,21 @@
 //! The laws of the merge, and that nothing is lost.
 
-use jaspershunt_routes::base::{Base, Terms};
-use jaspershunt_routes::merge::{Facts, merge};
+use jaspershunt_routes::base::{Base, EditContext};
+use jaspershunt_routes::merge::{MergeInput, merge};
 use jaspershunt_routes::rules;
-use jaspershunt_routes::soak::{Dice, case};
+use jaspershunt_routes::soak::{SeededRng, random_case};
 use proptest::prelude::*;
 
 /// Three sides of a cut, each with some of the edits.
-fn sides(facts: &Facts, dice: &mut Dice) -> [Facts; 3] {
-    let mut sides: [Facts; 3] = Default::default();
-    for (key, edit) in &facts.edits {
+fn sides(input: &MergeInput, rng: &mut SeededRng) -> [MergeInput; 3] {
+    let mut sides: [MergeInput; 3] = Default::default();
+    for (key, edit) in &input.edits {
         // On one side at least; the same on two or three is one.
-        let first = dice.below(3);
+        let first = rng.below(3);
         for (at, side) in sides.iter_mut().enumerate() {
-            if at as u64 == first || dice.below(3) == 0 {
+            if at as u64 == first || rng.below(3) == 0 {
                 side.edits.insert(key.clone(), edit.clone());
-                side.words.entry(key.clone()).or_default().insert("ares".into(), dice.below(2) == 0);
+                side.consents.entry(key.clone()).or_default().insert("ares".into(), rng.below(2) == 0);
             }
         }
     }
@@ -27,8 +27,8 @@
 
     #[test]
     fn who_merges_and_in_which_order_does_not_matter(seed in any::<u64>()) {
-        let (base, facts) = case(seed);
-        let [a, b, c] = sides(&facts, &mut Dice::new(seed ^ 1));
+        let (base, input) = random_case(seed);
+        let [a, b, c] = sides(&input, &mut SeededRng::new(seed ^ 1));
         let left = a.clone().union(&b).union(&c);
         let right = a.clone().union(&b.clone().union(&c));
         prop_assert_eq!(&left, &right);
@@ -37,23 +37,23 @@
         prop_assert_eq!(merge(&base, &left), merge(&base, &right));
         // Nothing is lost.
         let merged = merge(&base, &left);
-        prop_assert!(facts.edits.keys().all(|key| merged.states.contains_key(key)));
+        prop_assert!(input.edits.keys().all(|key| merged.states.contains_key(key)));
     }
 
     #[test]
     fn what_is_taken_is_the_same_in_any_serial_order_through_valid_tables(seed in any::<u64>()) {
-        let (base, facts) = case(seed);
-        let merged = merge(&base, &facts);
-        let next = merged.next(&base, &facts).expect("what is taken can be applied");
-        let mut dice = Dice::new(seed ^ 2);
-        let mut order: Vec<_> = merged.taken().collect();
+        let (base, input) = random_case(seed);
+        let merged = merge(&base, &input);
+        let next = merged.next_base(&base, &input).expect("what is taken can be applied");
+        let mut rng = SeededRng::new(seed ^ 2);
+        let mut order: Vec<_> = merged.accepted().collect();
         for at in (1..order.len()).rev() {
-            order.swap(at, dice.below(at as u64 + 1) as usize);
+            order.swap(at, rng.below(at as u64 + 1) as usize);
         }
         let mut serial: Base = base.clone();
         for key in order {
-            let terms = Terms { base: base.revision, ..Terms::default() };
-            serial.apply(&facts.edits[key], &terms, base.revision + 1).expect("in any order");
+            let terms = EditContext { base: base.revision, ..EditContext::default() };
+            serial.apply(&input.edits[key], &terms, base.revision + 1).expect("in any order");
             prop_assert_eq!(rules::check(&serial.table), vec![]);
         }
         prop_assert_eq!(serial.table, next.table);
--- a/crates/routes/tests/mutants.rs
+++ b/crates/routes/tests/mutants.rs
@@ -1,13 +1,13 @@
 //! The checks are worth what they can refute: with any one rule left out, the check that is there for it fails. One test alone in
 //! this process, as what is left out is left out in all of it.
 
-use jaspershunt_routes::merge::{Facts, merge};
-use jaspershunt_routes::mutants::{ALL, Mutant, leave_out};
-use jaspershunt_routes::soak::{Soaked, case, one};
-use jaspershunt_routes::table::WHOLE;
-use jaspershunt_routes::trials::{self, Tried};
+use jaspershunt_routes::merge::{MergeInput, merge};
+use jaspershunt_routes::mutants::{ALL, Mutant, activate};
+use jaspershunt_routes::soak::{Soaked, check_seed, random_case};
+use jaspershunt_routes::table::FULL_SHARE_PERMILLE;
+use jaspershunt_routes::trial_sim::{self, Tried};
 use jaspershunt_routes::{
-    Change, Edit, EditId, Entry, Field, Kind, Outcome, Routes, State, Table, Thing, Value,
+    Change, Edit, EditId, EditState, Entry, Field, Kind, Outcome, Routes, Table, Thing, Value,
 };
 
 /// Brute force is given so many seeds.
@@ -33,7 +33,7 @@
 }
 
 fn publish(routes: &mut Routes, permille: u32) {
-    routes.take(Entry::Publish { permille, now_ms: 1 });
+    routes.apply_entry(Entry::Publish { permille, now_ms: 1 });
 }
 
 /// A check, by what it says if it fails.
@@ -44,64 +44,64 @@
         | Mutant::CircleNotLookedFor
         | Mutant::LossNotSeen
         | Mutant::OverlapNotCompared => {
-            let found =
-                (1..SEEDS).find_map(|seed| one(seed, &mut Soaked::default()).map(|_| format!("seed {seed}")));
+            let found = (1..SEEDS)
+                .find_map(|seed| check_seed(seed, &mut Soaked::default()).map(|_| format!("seed {seed}")));
             ("brute force", found)
         }
         Mutant::FewDecide | Mutant::GoneCount | Mutant::ToldTwice | Mutant::AnySideCounts => {
             let found = (1..SEEDS).find_map(|seed| {
-                trials::one(seed, &mut Tried::default()).map(|what| format!("seed {seed}: {what}"))
+                trial_sim::run_seed(seed, &mut Tried::default()).map(|what| format!("seed {seed}: {what}"))
             });
             ("trials by a seed", found)
         }
         Mutant::NumberedByPlace => ("numbers stay as edits come", (1..SEEDS).find_map(numbers_differ)),
         Mutant::ShownBeforeAgreed => ("trial", {
             let mut routes = routes(None);
-            routes.take(Entry::Edit(budget("brio", 12)));
+            routes.apply_entry(Entry::Edit(budget("brio", 12)));
             publish(&mut routes, 100);
-            let with = (0..300).filter(|n| routes.table_of(&format!("nodo-{n}")).1).count();
+            let with = (0..300).filter(|n| routes.table_for(&format!("nodo-{n}")).1).count();
             (with > 60).then(|| format!("{with} of 300 have it"))
         }),
         Mutant::RenameNotFollowed => ("rename", {
             let mut routes = routes(None);
             let rename = edit("brio", 1, Change::Rename { thing: padron(), to: "censo".into() });
-            routes.take(Entry::Edit(rename.clone()));
-            routes.take(Entry::Edit(budget("casa", 12)));
+            routes.apply_entry(Entry::Edit(rename.clone()));
+            routes.apply_entry(Entry::Edit(budget("casa", 12)));
             let conflict = *routes.merged().conflicts.keys().next().expect("a conflict");
             let keep = [rename.key(), budget("casa", 12).key()].into();
-            routes.take(Entry::Settle { by: "casa".into(), conflict, keep });
-            publish(&mut routes, WHOLE);
-            let held = routes.table_of("n1").0.table.value(&padron().named("censo"), Field::Budget).clone();
+            routes.apply_entry(Entry::Settle { by: "casa".into(), conflict, keep });
+            publish(&mut routes, FULL_SHARE_PERMILLE);
+            let held = routes.table_for("n1").0.table.value(&padron().named("censo"), Field::Budget).clone();
             (held != Value::Number(12)).then(|| format!("{held}"))
         }),
         Mutant::WordNotAsked => ("word", {
-            let said = routes(Some("ares")).take(Entry::Edit(budget("brio", 12)));
-            (said == Outcome::Open(State::Taken)).then(|| format!("{said:?}"))
+            let said = routes(Some("ares")).apply_entry(Entry::Edit(budget("brio", 12)));
+            (said == Outcome::Open(EditState::Accepted)).then(|| format!("{said:?}"))
         }),
         Mutant::SettledTwice => ("settled once", {
             let mut routes = routes(None);
             let (one, other) = (budget("brio", 12), budget("casa", 13));
-            routes.take(Entry::Edit(one.clone()));
-            routes.take(Entry::Edit(other.clone()));
+            routes.apply_entry(Entry::Edit(one.clone()));
+            routes.apply_entry(Entry::Edit(other.clone()));
             let conflict = *routes.merged().conflicts.keys().next().expect("a conflict");
             for (by, keep) in [("brio", &one), ("casa", &other)] {
-                routes.take(Entry::Settle { by: by.into(), conflict, keep: [keep.key()].into() });
+                routes.apply_entry(Entry::Settle { by: by.into(), conflict, keep: [keep.key()].into() });
             }
-            let said = routes.state(&one.key());
-            (said != Some(Outcome::Open(State::Taken))).then(|| format!("{said:?}"))
+            let said = routes.outcome_of(&one.key());
+            (said != Some(Outcome::Open(EditState::Accepted))).then(|| format!("{said:?}"))
         }),
         Mutant::BaseIgnored => ("late edit", {
             let mut routes = routes(None);
-            routes.take(Entry::Edit(budget("brio", 12)));
-            publish(&mut routes, WHOLE);
-            let said = routes.take(Entry::Edit(budget("casa", 13)));
-            (!matches!(said, Outcome::Open(State::InConflict(_)))).then(|| format!("{said:?}"))
+            routes.apply_entry(Entry::Edit(budget("brio", 12)));
+            publish(&mut routes, FULL_SHARE_PERMILLE);
+            let said = routes.apply_entry(Entry::Edit(budget("casa", 13)));
+            (!matches!(said, Outcome::Open(EditState::InConflict(_)))).then(|| format!("{said:?}"))
         }),
         Mutant::EndForgotten => ("sent twice", {
             let mut routes = routes(None);
-            routes.take(Entry::Edit(budget("brio", 12)));
-            publish(&mut routes, WHOLE);
-            let said = routes.take(Entry::Edit(budget("brio", 12)));
+            routes.apply_entry(Entry::Edit(budget("brio", 12)));
+            publish(&mut routes, FULL_SHARE_PERMILLE);
+            let said = routes.apply_entry(Entry::Edit(budget("brio", 12)));
             (!matches!(said, Outcome::Ended(_))).then(|| format!("{said:?}"))
         }),
     }
@@ -109,16 +109,16 @@
 
 /// A conflict of some edits is the same conflict when more are known.
 fn numbers_differ(seed: u64) -> Option<String> {
-    let (base, facts) = case(seed);
-    let all = merge(&base, &facts);
+    let (base, input) = random_case(seed);
+    let all = merge(&base, &input);
     let pair =
-        all.conflicts.values().next_back().filter(|conflict| conflict.members.len() < facts.edits.len())?;
-    let mut few = Facts::default();
+        all.conflicts.values().next_back().filter(|conflict| conflict.members.len() < input.edits.len())?;
+    let mut few = MergeInput::default();
     for key in &pair.members {
-        few.edits.insert(key.clone(), facts.edits[key].clone());
+        few.edits.insert(key.clone(), input.edits[key].clone());
     }
     let alone = merge(&base, &few);
-    let number = |merged: &jaspershunt_routes::merge::Merged| {
+    let number = |merged: &jaspershunt_routes::merge::MergeResult| {
         merged.conflicts.iter().find(|(_, of)| of.members == pair.members).map(|(id, _)| *id)
     };
     (number(&alone) != number(&all)).then(|| format!("seed {seed}"))
@@ -127,11 +127,11 @@
 #[test]
 fn every_rule_left_out_is_found() {
     for mutant in ALL {
-        leave_out(None);
+        activate(None);
         assert_eq!(checked(mutant).1, None, "{mutant:?}: the check fails with all rules");
-        leave_out(Some(mutant));
+        activate(Some(mutant));
         let (check, found) = checked(mutant);
-        leave_out(None);
+        activate(None);
         let Some(found) = found else { panic!("{mutant:?} lives") };
         println!("| {mutant:?} | {check} | {found} |");
     }
--- a/crates/routes/tests/soak.rs
+++ b/crates/routes/tests/soak.rs
@@ -1,12 +1,12 @@
 //! The merge against brute force.
 
-use jaspershunt_routes::soak::{Soaked, one, soak};
+use jaspershunt_routes::soak::{Soaked, check_seed, check_seeds};
 
 /// A fixed set for every run; `ROUTES_CASES` asks for more.
 #[test]
 fn the_merge_finds_what_brute_force_finds_and_nothing_else() {
     let cases = std::env::var("ROUTES_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(2000);
-    let soaked = soak(1, cases);
+    let soaked = check_seeds(1, cases);
     println!("{soaked:?}");
     assert_eq!(soaked.first, None);
     assert_eq!((soaked.false_ones, soaked.missed), (0, 0));
@@ -17,5 +17,5 @@
 /// Two that remove one route alike, of which one gives the route's tenant away as well.
 #[test]
 fn a_seed_that_failed_stays() {
-    assert_eq!(one(3211, &mut Soaked::default()), None);
+    assert_eq!(check_seed(3211, &mut Soaked::default()), None);
 }
--- a/crates/routes/tests/speed.rs
+++ b/crates/routes/tests/speed.rs
@@ -1,8 +1,8 @@
 //! How many edits a second are merged. Told, and held to the least that is asked for by far less than a busy machine could miss.
 
-use jaspershunt_routes::table::WHOLE;
+use jaspershunt_routes::table::FULL_SHARE_PERMILLE;
 use jaspershunt_routes::{
-    Change, Edit, EditId, Entry, Field, Kind, Outcome, Routes, State, Table, Thing, Value,
+    Change, Edit, EditId, EditState, Entry, Field, Kind, Outcome, Routes, Table, Thing, Value,
 };
 use std::time::Instant;
 
@@ -42,17 +42,18 @@
             reason: "measured".into(),
             changes: vec![Change::Set { thing, field: Field::Call, value }],
         };
-        let outcome = routes.take(Entry::Edit(edit));
-        conflicts += usize::from(matches!(outcome, Outcome::Open(State::InConflict(_))));
+        let outcome = routes.apply_entry(Entry::Edit(edit));
+        conflicts += usize::from(matches!(outcome, Outcome::Open(EditState::InConflict(_))));
         if number % 100 == 0 {
-            let published = routes.take(Entry::Publish { permille: WHOLE, now_ms: number });
+            let published =
+                routes.apply_entry(Entry::Publish { permille: FULL_SHARE_PERMILLE, now_ms: number });
             assert!(matches!(published, Outcome::Published(_)), "{published:?}");
             let open: Vec<_> = routes.merged().conflicts.iter().map(|(id, of)| (*id, of.clone())).collect();
             for (conflict, of) in open {
                 // The first in each is kept, unless another settlement has ended it.
                 let keep = of.members.iter().take(1).cloned().collect();
                 let by = of.teams.first().cloned().unwrap_or_default();
-                routes.take(Entry::Settle { by, conflict, keep });
+                routes.apply_entry(Entry::Settle { by, conflict, keep });
             }
         }
     }
