--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -428,7 +428,7 @@
     fn the_table_is_shown_with_its_age_and_a_route_is_explained() {
         let here =
             json!({"revision": 7, "on_trial": false, "age_ms": 40, "table": table(), "not_here": ["lejos"]});
-        let open = json!([{"edit": "brio/2", "reason": "more", "words": "waits for the word of casa"}]);
+        let open = json!([{"edit": "brio/2", "reason": "more", "words": "waits for the consent of casa"}]);
         let shown =
             json!({"member": "n1", "here": here, "held": [{"edit": "casa/9"}], "fleet": {"open": open}});
         let text = show(&shown);
@@ -437,7 +437,7 @@
             text.contains("route/r1           call padron with 4 calls, class alta, owner brio\n"),
             "{text}"
         );
-        assert!(text.contains("brio/2  more    waits for the word of casa\n"), "{text}");
+        assert!(text.contains("brio/2  more    waits for the consent of casa\n"), "{text}");
         assert!(
             text.contains("casa/9 is held on this nodo's disk")
                 && text.contains("dependency/lejos has no address")
--- a/crates/routes/src/access.rs
+++ b/crates/routes/src/access.rs
@@ -1,4 +1,4 @@
-//! What an edit reads and writes, and whether two of them commute.
+//! What an edit reads and writes, and whether two edits commute.
 
 use crate::base::{Base, EditContext};
 use crate::edit::{Change, Edit, EditKey};
@@ -9,24 +9,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// ConflictReason edits cannot be taken together.
+/// Why edits cannot be accepted together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ConflictReason {
-    /// One field, two values.
+    /// They set one field to different values.
     SameField(Thing, Field),
-    /// Two things, or one under two new names, that take or leave one name.
+    /// They give one name to different things, or one thing different names.
     SameName(Thing),
-    /// One removes what the other changes, names or renames.
+    /// One removes a thing that the other changes, refers to or renames.
     Removed(Thing),
-    /// One renames what the other changes or names.
+    /// One renames a thing that the other changes or refers to.
     Renamed(Thing, String),
-    /// One gives to another team what the other changes.
+    /// One gives a thing to another team, and the other affects it without that team's consent.
     OwnerChanged(Thing, String),
-    /// Two edits under one number of a team.
+    /// They are different edits with the same team and number.
     SameNumber,
-    /// Together they make the table wrong, with what each adds to a sum.
+    /// Together they make the table invalid; with what each adds to a sum.
     InvalidTable(TableFault, Vec<(EditKey, i64)>),
-    /// More edits take part in one sum or circle than sets of them can be told: all of them are held.
+    /// The search was cut short: more edits take part in a sum or cycle than can be examined in
+    /// combination. None of them is accepted.
     TooManySets(usize),
 }
 
@@ -36,15 +37,18 @@
             ConflictReason::SameField(thing, field) => {
                 write!(f, "they set {field:?} of {thing} to different values")
             }
-            ConflictReason::SameName(thing) => write!(f, "they disagree on what is called {thing}"),
+            ConflictReason::SameName(thing) => write!(f, "they disagree on the name {thing}"),
             ConflictReason::Removed(thing) => write!(f, "one removes {thing}, which the other needs"),
             ConflictReason::Renamed(thing, to) => {
-                write!(f, "one renames {thing} to {to}, which the other goes by its old name")
+                write!(f, "one renames {thing} to {to}, which the other uses by its old name")
             }
             ConflictReason::OwnerChanged(thing, team) => {
-                write!(f, "one gives {thing} to {team}, whose word the other, which touches it, has not got")
+                write!(
+                    f,
+                    "one gives {thing} to {team}, and the other affects it without the consent of that team"
+                )
             }
-            ConflictReason::SameNumber => f.write_str("they are different and have one number"),
+            ConflictReason::SameNumber => f.write_str("they are different edits with the same number"),
             ConflictReason::InvalidTable(wrong, parts) => {
                 write!(f, "{wrong}")?;
                 for (at, (key, add)) in parts.iter().enumerate() {
@@ -54,37 +58,37 @@
                 if parts.is_empty() { Ok(()) } else { f.write_str(")") }
             }
             ConflictReason::TooManySets(count) => {
-                write!(f, "{count} edits are together more than can be told one by one")
+                write!(f, "{count} edits are involved, too many to examine each combination")
             }
         }
     }
 }
 
-/// What an edit reads and writes, with names as it reads them.
+/// What an edit reads and writes. Names are those it resolves to.
 #[derive(Clone, Debug, Default)]
 pub struct AccessSet {
-    /// Whose it is.
+    /// The team of the edit.
     pub team: String,
-    /// How it is read.
+    /// How the edit is applied.
     pub context: EditContext,
-    /// Fields that it sets.
+    /// The fields that it sets.
     pub sets: BTreeMap<(Thing, Field), Value>,
-    /// Things that it adds.
+    /// The things that it adds.
     pub adds: BTreeMap<Thing, Fields>,
-    /// Things that it removes.
+    /// The things that it removes.
     pub removes: BTreeSet<Thing>,
-    /// Things that it renames.
+    /// The things that it renames.
     pub renames: BTreeMap<Thing, String>,
-    /// Things that it names in fields.
+    /// The things that its fields refer to.
     pub references: BTreeSet<Thing>,
-    /// Parts that it touches, each with the things by which it does.
+    /// The things whose owners are concerned, each with the changed things that concern them.
     pub affected: BTreeMap<Thing, BTreeSet<Thing>>,
-    /// What it adds to sums, by the field that does it.
+    /// What it adds to sums, by the field that adds it.
     pub sum_changes: BTreeMap<Sum, BTreeMap<(Thing, Option<Field>), i64>>,
 }
 
 impl AccessSet {
-    /// The access of an edit on a table.
+    /// Computes what an edit reads and writes in a table.
     pub fn new(base: &Base, edit: &Edit, context: EditContext) -> AccessSet {
         let mut access = AccessSet { team: edit.id.team.clone(), ..AccessSet::default() };
         for change in &edit.changes {
@@ -144,22 +148,22 @@
         *self.sum_changes.entry(sum).or_default().entry((thing.clone(), field)).or_insert(0) += add;
     }
 
-    /// The names that it takes.
+    /// Returns the names that the edit takes.
     pub fn claimed_names(&self) -> impl Iterator<Item = Thing> {
         self.adds.keys().cloned().chain(self.renames.iter().map(|(thing, to)| thing.named(to)))
     }
 
-    /// Whether it changes or names a thing.
+    /// Whether the edit changes or refers to a thing.
     fn changes_or_references(&self, thing: &Thing) -> bool {
         self.references.contains(thing) || self.sets.keys().any(|(set, _)| set == thing)
     }
 
-    /// Whether it may touch the parts of a team.
+    /// Whether the edit may affect things of a team.
     pub fn has_consent_of(&self, team: &str) -> bool {
         self.team == team || self.context.consents.contains(team)
     }
 
-    /// ConflictReason this edit cannot be taken together with one that was made without knowing of it.
+    /// Returns why this edit and one made independently of it cannot be accepted together.
     pub fn conflicts_with(&self, key: &EditKey, other: &AccessSet, others: &EditKey) -> Vec<ConflictReason> {
         let mut why = Vec::new();
         if key.id == others.id {
@@ -203,7 +207,7 @@
                 why.push(ConflictReason::Renamed(thing.clone(), to.clone()));
             }
         }
-        // What both remove or rename alike is there to be touched by the first of them only.
+        // If both remove or rename a thing alike, only the first to be applied affects it.
         let alike = |thing: &Thing| {
             let renamed = self.renames.get(thing).is_some_and(|to| other.renames.get(thing) == Some(to));
             renamed || (self.removes.contains(thing) && other.removes.contains(thing))
@@ -219,7 +223,8 @@
         }
     }
 
-    /// What in the table was made after the revision that it was made on, and cannot stand beside it; with whose edit it was.
+    /// Returns the changes made after the base revision of this edit that it conflicts with, with the edits
+    /// that made them.
     pub fn conflicts_with_base(&self, base: &Base) -> Vec<(EditKey, ConflictReason)> {
         let mut found = Vec::new();
         let from = self.context.base;
@@ -283,7 +288,7 @@
     }
 }
 
-/// Whose edits have changed or named a thing since.
+/// Returns the edits that have changed a thing, or fields that refer to it, after revision `from`.
 fn writers_since(base: &Base, thing: &Thing, from: u64) -> impl Iterator<Item = EditKey> {
     let own = base.stamps.get(thing).into_iter().flatten().map(|(field, _)| (thing.clone(), *field));
     let named =
--- a/crates/routes/src/base.rs
+++ b/crates/routes/src/base.rs
@@ -1,4 +1,4 @@
-//! The table that all edits rest on, with what is remembered of those that made it; and how an edit changes it.
+//! The table that edits are based on, with the edits that wrote it, and how an edit changes it.
 
 use crate::edit::{Change, Edit, EditKey};
 use crate::mutants::{Mutant, is_active};
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Things of which it is remembered who removed or renamed them. The oldest go; an edit on an older revision then hears that the
-/// thing is not there.
+/// Removed and renamed names on record. The oldest are dropped; an edit based on an older revision is then
+/// refused because the thing does not exist.
 pub const MAX_RETIRED_NAMES: usize = 1024;
 
-/// Which edit did it, and the revision that it was first part of.
+/// The edit that made a change, and the first revision with it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
     /// The revision.
@@ -20,70 +20,70 @@
     pub by: EditKey,
 }
 
-/// A thing that is no longer there under this name.
+/// A name that was removed from the table or renamed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetiredName {
-    /// What it is called now; `None` if it was removed.
+    /// The new name; `None` if the thing was removed.
     pub to: Option<String>,
-    /// Who did it.
+    /// The edit that removed or renamed it.
     pub stamp: Stamp,
 }
 
-/// A table with its revision.
+/// A revision of the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Base {
-    /// Grows with each table.
+    /// Grows with each published table.
     pub revision: u64,
-    /// The table, valid.
+    /// The table, which is valid.
     pub table: Table,
-    /// Who wrote what; under `None` who added the thing.
+    /// The edits that wrote each field; under `None` the edit that added the thing.
     pub stamps: BTreeMap<Thing, BTreeMap<Option<Field>, Stamp>>,
-    /// What was there.
+    /// Names that are no longer in the table.
     pub retired: BTreeMap<Thing, RetiredName>,
-    /// Where each thing is named; found again from the table.
+    /// The fields that refer to each thing; not stored but computed.
     #[serde(skip)]
     pub referenced_by: BTreeMap<Thing, BTreeSet<(Thing, Field)>>,
-    /// What each sum is over its room by; found again from the table.
+    /// By how much each sum exceeds its limit; not stored but computed.
     #[serde(skip)]
     pub sum_excess: BTreeMap<rules::Sum, i64>,
-    /// Routes for any class, and for any tenant; found again from the table.
+    /// Routes for any class, and routes for any tenant; not stored but computed.
     #[serde(skip)]
     pub unrestricted_routes: [BTreeSet<Thing>; 2],
 }
 
-/// What an edit may do beyond its own team's parts, and how it reads names.
+/// How an edit is to be applied, by consents and settlements.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EditContext {
-    /// Teams whose parts it may touch.
+    /// Teams that have consented to changes of their things.
     pub consents: BTreeSet<String>,
     /// Edits whose renames it follows.
     pub follows: BTreeSet<EditKey>,
-    /// Edits in force that it was settled to stand over.
+    /// Published edits that it overrides by a settlement.
     pub overrides: BTreeSet<EditKey>,
-    /// The revision that it was made on.
+    /// The revision that the edit is based on.
     pub base: u64,
 }
 
 /// Why an edit cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ApplyError {
-    /// What it is about is not there.
+    /// The changed thing does not exist.
     NotFound(Thing),
-    /// The name that it takes is taken.
+    /// The name is in use already.
     Exists(Thing),
-    /// A part belongs to another team, which has not given its word.
+    /// The thing belongs to this other team, which has not consented.
     Rights(Thing, String),
 }
 
 impl Base {
-    /// A table to begin with, by no edit.
+    /// Creates the first revision, written by no edit.
     pub fn new(table: Table) -> Base {
         let mut base = Base { table, ..Base::default() };
         base.rebuild_indexes();
         base
     }
 
-    /// Finds again what is not kept with it.
+    /// Computes the fields that are not stored.
     pub fn rebuild_indexes(&mut self) {
         self.referenced_by.clear();
         self.unrestricted_routes = Default::default();
@@ -102,21 +102,21 @@
         self.sum_excess = rules::sum_excess(&self.table);
     }
 
-    /// Who wrote a field, or added the thing, after the revision that an edit was made on.
+    /// Returns which edit wrote a field, or added the thing, after revision `base`.
     pub fn written_since(&self, thing: &Thing, field: Option<Field>, base: u64) -> Option<&Stamp> {
         let stamp = self.stamps.get(thing)?.get(&field)?;
         (stamp.revision > base && !is_active(Mutant::BaseIgnored)).then_some(stamp)
     }
 
-    /// Who took a name out of the table after the revision that an edit was made on.
+    /// Returns what became of a name that was removed or renamed after revision `base`.
     pub fn retired_since(&self, thing: &Thing, base: u64) -> Option<&RetiredName> {
         self.retired.get(thing).filter(|gone| gone.stamp.revision > base)
     }
 
-    /// What a thing is called for an edit that follows renames.
+    /// Returns the present name of a thing for an edit that follows renames.
     pub fn resolve_name(&self, thing: &Thing, terms: &EditContext) -> Thing {
         let mut at = thing.clone();
-        // Each rename is followed once, so this ends.
+        // Each rename is followed at most once, so that the loop ends.
         for _ in 0..terms.follows.len() {
             match self.retired.get(&at) {
                 Some(RetiredName { to: Some(to), stamp })
@@ -130,7 +130,7 @@
         at
     }
 
-    /// The same value as it reads for an edit that follows renames.
+    /// Returns a value with its references renamed for an edit that follows renames.
     pub fn resolve_value(&self, field: Field, value: &Value, terms: &EditContext) -> Value {
         field.references(value).iter().fold(value.clone(), |value, thing| {
             let called = self.resolve_name(thing, terms);
@@ -138,7 +138,7 @@
         })
     }
 
-    /// The teams that an edit needs the word of, with one of the parts of each.
+    /// Returns the teams whose consent is missing, each with one of its things that the edit affects.
     pub fn missing_consents(&self, edit: &Edit, terms: &EditContext) -> BTreeMap<String, Thing> {
         let mut needs = BTreeMap::new();
         if is_active(Mutant::WordNotAsked) {
@@ -157,7 +157,7 @@
         needs
     }
 
-    /// The parts that a change touches.
+    /// Returns the things whose owners are concerned by a change.
     pub fn affected_things(&self, change: &Change, terms: &EditContext) -> Vec<Thing> {
         let thing = self.resolve_name(change.thing(), terms);
         match change {
@@ -174,17 +174,17 @@
         }
     }
 
-    /// Applies an edit as part of this revision. Says the same twice without harm: what another edit has already removed, renamed
-    /// or added in just this way.
-    ///
+    /// Applies an edit as part of a revision. A change that another edit has made in the same way already
+    /// has no further effect.
     /// # Errors
-    /// Why it cannot be, the base is then of no use.
+    /// Returns why the edit cannot be applied; the table is then partly changed and must be discarded.
     pub fn apply(&mut self, edit: &Edit, terms: &EditContext, revision: u64) -> Result<(), ApplyError> {
         if let Some((team, part)) = self.missing_consents(edit, terms).into_iter().next() {
             return Err(ApplyError::Rights(part, team));
         }
         let stamp = Stamp { revision, by: edit.key() };
-        // Renames first, so that what the edit adds and sets goes by the new names; the edit's order means nothing.
+        // The order of changes within an edit has no meaning. Renames are applied first, so that the other
+        // changes use the new names.
         let order = |change: &&Change| match change {
             Change::Rename { .. } => 0,
             Change::Set { .. } => 1,
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Forgets the oldest of what is gone, down to the bound.
+    /// Drops the oldest retired names down to the bound.
     pub fn trim_retired(&mut self) {
         while self.retired.len() > MAX_RETIRED_NAMES {
             let oldest = self
--- a/crates/routes/src/edit.rs
+++ b/crates/routes/src/edit.rs
@@ -1,4 +1,4 @@
-//! An edit: typed changes of one team, that are taken together or not at all.
+//! An edit: typed changes of one team that are accepted or refused as a whole.
 
 use crate::table::{Field, Fields, MAX_NAME_BYTES, Thing, Value, is_valid_name};
 use serde::{Deserialize, Serialize};
@@ -7,28 +7,28 @@
 use std::fmt;
 use std::hash::Hasher;
 
-/// Changes of one edit.
+/// Maximum number of changes in one edit.
 pub const MAX_CHANGES: usize = 64;
-/// Bytes of the reason: a sentence or two.
+/// Maximum length of the reason, in bytes: one or two sentences.
 pub const MAX_REASON_BYTES: usize = 256;
-/// Bytes of an edit; with what is around it, it stays below what one entry of the log may have.
+/// Maximum size of an edit, in bytes. With its envelope it fits into one log entry.
 pub const MAX_EDIT_BYTES: usize = 7 * 1024;
 
-/// Who made an edit and which of theirs it is: the same on both sides of a cut.
+/// The team and number of an edit: the same on both sides of a network partition.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EditId {
     /// The team.
     pub team: String,
-    /// The team's own count.
+    /// The number, assigned by the team.
     pub number: u64,
 }
 
-/// An edit as it was sent: two edits under one number are two.
+/// Identifies an edit by its content: two different edits with the same id have different keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EditKey {
-    /// Who made it, and which of theirs it is.
+    /// The team and number.
     pub id: EditId,
-    /// What stands in it, in short.
+    /// A hash of the edit's content.
     pub digest: u64,
 }
 
@@ -38,71 +38,71 @@
     }
 }
 
-/// One change.
+/// A change of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// A thing that is new.
+    /// Adds a thing.
     Add {
         /// The thing.
         thing: Thing,
-        /// What it begins with.
+        /// Its initial fields.
         #[serde(default)]
         fields: Fields,
     },
-    /// One field gets another value; the owner is one.
+    /// Sets a field, such as the owner.
     Set {
         /// The thing.
         thing: Thing,
         /// The field.
         field: Field,
-        /// What it is to hold.
+        /// The new value.
         value: Value,
     },
-    /// A thing goes.
+    /// Removes a thing.
     Remove {
         /// The thing.
         thing: Thing,
     },
-    /// A thing gets another name, wherever it is named.
+    /// Renames a thing, with all references to it.
     Rename {
         /// The thing.
         thing: Thing,
-        /// What it is called from now on.
+        /// The new name.
         to: String,
     },
 }
 
-/// A set of changes with what it rests on.
+/// Changes of one team, with the revision they are based on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// Who made it, and which of theirs it is.
+    /// The team and number.
     pub id: EditId,
     /// The revision that its author saw.
     pub base: u64,
-    /// Why, in the team's words.
+    /// The reason the team gives.
     pub reason: String,
-    /// What it changes.
+    /// The changes.
     pub changes: Vec<Change>,
 }
 
-/// What is wrong with an edit in itself.
+/// Why an edit is malformed, whatever the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Malformed {
-    /// It is no edit at all; with what the reader said.
+    /// The JSON is not an edit, for this reason.
     Unreadable(String),
-    /// A name cannot stand.
+    /// A name is not allowed.
     InvalidName(String),
-    /// No changes, or too many.
+    /// There are no changes, or too many.
     ChangeCount(usize),
     /// The reason is missing or too long.
     ReasonLength(usize),
-    /// The whole is too long.
+    /// The edit is too large.
     TooLarge(usize),
-    /// A thing has no such field, or it holds no such value.
+    /// The thing does not have the field, lacks a required one, or the value is not allowed.
     InvalidField(Thing, Field),
-    /// Two changes are about the same.
+    /// Two changes write the same thing or field.
     Duplicate(Thing),
 }
 
@@ -111,42 +111,45 @@
         match self {
             Malformed::Unreadable(what) => write!(f, "cannot be read: {what}"),
             Malformed::InvalidName(name) => {
-                write!(f, "{name:?} must hold 1 to {MAX_NAME_BYTES} letters, digits, '-', '.' or '_'")
+                write!(
+                    f,
+                    "has the name {name:?}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '.' or '_' are allowed"
+                )
             }
-            Malformed::ChangeCount(count) => write!(f, "has {count} changes: 1 to {MAX_CHANGES}"),
+            Malformed::ChangeCount(count) => write!(f, "has {count} changes: 1 to {MAX_CHANGES} are allowed"),
             Malformed::ReasonLength(bytes) => {
-                write!(f, "has a reason of {bytes} bytes: 1 to {MAX_REASON_BYTES}")
+                write!(f, "has a reason of {bytes} bytes: 1 to {MAX_REASON_BYTES} are allowed")
+            }
+            Malformed::TooLarge(bytes) => {
+                write!(f, "has {bytes} bytes: at most {MAX_EDIT_BYTES} are allowed")
             }
-            Malformed::TooLarge(bytes) => write!(f, "has {bytes} bytes: at most {MAX_EDIT_BYTES}"),
             Malformed::InvalidField(thing, field) => {
-                write!(f, "{thing} has no {field:?}, or it cannot hold that")
+                write!(f, "has a missing or invalid {field:?} for {thing}")
             }
-            Malformed::Duplicate(thing) => write!(f, "says two things about {thing}"),
+            Malformed::Duplicate(thing) => write!(f, "changes {thing} more than once"),
         }
     }
 }
 
-/// Reads an edit from JSON, and checks it in itself.
-///
+/// Parses an edit from JSON and checks it on its own.
 /// # Errors
-/// What is wrong with it.
+/// Returns why the edit is malformed.
 pub fn parse_edit(json: &str) -> Result<Edit, Malformed> {
     let edit: Edit = serde_json::from_str(json).map_err(|e| Malformed::Unreadable(e.to_string()))?;
     edit.check().map(|()| edit)
 }
 
 impl Edit {
-    /// What stands for it, wherever it is sent from.
+    /// Returns the key, which is the same wherever the edit is sent from.
     pub fn key(&self) -> EditKey {
         let mut hash = SipHasher24::new();
         hash.write(&postcard::to_stdvec(self).unwrap_or_default());
         EditKey { id: self.id.clone(), digest: hash.finish128().h1 }
     }
 
-    /// Whether it can be an edit, whatever the table.
-    ///
+    /// Checks the edit on its own, whatever the table.
     /// # Errors
-    /// What is wrong with it.
+    /// Returns why the edit is malformed.
     pub fn check(&self) -> Result<(), Malformed> {
         if !is_valid_name(&self.id.team) {
             return Err(Malformed::InvalidName(self.id.team.clone()));
@@ -161,7 +164,8 @@
         if bytes > MAX_EDIT_BYTES {
             return Err(Malformed::TooLarge(bytes));
         }
-        // What an edit says about one thing is either its being there or distinct fields: the order of changes means nothing.
+        // An edit may add, remove or rename a thing once, or set distinct fields of it, so that the order
+        // of its changes does not matter.
         let (mut whole, mut fields) = (BTreeSet::new(), BTreeSet::new());
         for change in &self.changes {
             for name in [Some(change.thing()), change.claimed_name().as_ref()].into_iter().flatten() {
@@ -190,7 +194,7 @@
 }
 
 impl Change {
-    /// The thing that it is about.
+    /// Returns the thing that is changed.
     pub fn thing(&self) -> &Thing {
         match self {
             Change::Add { thing, .. }
@@ -200,7 +204,7 @@
         }
     }
 
-    /// The name that it takes.
+    /// Returns the name that the change takes.
     pub fn claimed_name(&self) -> Option<Thing> {
         match self {
             Change::Add { thing, .. } => Some(thing.clone()),
@@ -209,7 +213,7 @@
         }
     }
 
-    /// The fields that it writes.
+    /// Returns the fields that the change writes.
     pub fn written_fields(&self) -> Vec<(Field, &Value)> {
         match self {
             Change::Add { fields, .. } => fields.iter().map(|(field, value)| (*field, value)).collect(),
@@ -223,7 +227,8 @@
         let wrong = |field: Field| Err(Malformed::InvalidField(thing.clone(), field));
         for (field, value) in self.written_fields() {
             let set = matches!(self, Change::Set { .. });
-            // An added thing leaves out what it does not have: one way to say it.
+            // An added thing omits fields it does not have instead of setting them to nothing, so that
+            // equal things have equal edits.
             if !field.accepts(thing.kind, value)
                 || (set && field.is_immutable())
                 || (!set && *value == Value::Nothing)
--- a/crates/routes/src/from_file.rs
+++ b/crates/routes/src/from_file.rs
@@ -1,7 +1,7 @@
-//! An operator's file as an edit: its dependencies and routes as they stand, as changes of the table.
-//!
-//! What the file names is added, or set where the table says something else. What it does not name stays: a team's file is about its
-//! part. What it says of this nodo alone (addresses, timeouts, breakers, kept replies) is no matter of the table.
+//! Turns an operator file into an edit that gives the table the file's dependencies and routes.
+//! Things of the file are added, or set where the table differs. Other things stay, as a team's file covers
+//! only its own. Settings of this nodo alone (addresses, timeouts, breakers, kept replies) do not go into
+//! the table.
 
 use crate::edit::Change;
 use crate::table::{FULL_SHARE_PERMILLE, Field, Fields, Kind, Table, Thing, Value};
@@ -10,36 +10,34 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Why a file cannot be an edit.
+/// Why a file cannot become an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileEditError {
-    /// It says nothing that the table does not say already.
+    /// The table has everything in the file already.
     NothingNew,
-    /// So many routes go into a dependency of fewer calls at once: each needs one at least.
+    /// This many routes use a dependency with fewer concurrent calls; each route needs at least one.
     NotEnoughCalls(String, usize, usize),
 }
 
 impl fmt::Display for FileEditError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FileEditError::NothingNew => f.write_str("the table says all of this already"),
+            FileEditError::NothingNew => f.write_str("the table matches the file already"),
             FileEditError::NotEnoughCalls(name, routes, calls) => {
                 write!(
                     f,
-                    "{routes} routes go into dependency {name:?}, which has {calls} calls at once for them"
+                    "{routes} routes use dependency {name:?}, which has only {calls} concurrent calls for them"
                 )
             }
         }
     }
 }
 
-/// What a file asks for beyond a table, by a team, which owns what is new.
-///
-/// The table has calls for each route, the file only for all together: a route that the table has keeps its calls, and what is left of a
-/// dependency's goes to its new ones in equal parts.
-///
+/// Returns the changes that bring a table in line with a file. The team owns what is new.
+/// The table limits the calls of each route, the file only those of each dependency. A route in the table
+/// keeps its limit; new routes of a dependency share the remaining calls equally.
 /// # Errors
-/// Why there are no such changes.
+/// Returns why there are no such changes.
 pub fn changes(file: &File, table: &Table, team: &str) -> Result<Vec<Change>, FileEditError> {
     let mut wanted: BTreeMap<Thing, Fields> = BTreeMap::new();
     for (name, below) in &file.dependency {
@@ -60,7 +58,7 @@
         for (place, call) in &route.call {
             let thing = Thing::new(Kind::Route, &format!("{class}-{place}"));
             let mut fields = Fields::from([(Field::Class, Value::Name(class.clone()))]);
-            // What is for one place goes before what is for any: so does the file.
+            // As in the file, a route for one position takes precedence over one for any.
             let mut order = 1000;
             if let Some(number) = place.parse().ok().filter(|_| place != ANY) {
                 fields.insert(Field::Place, Value::Number(number));
@@ -101,7 +99,7 @@
     if changes.is_empty() { Err(FileEditError::NothingNew) } else { Ok(changes) }
 }
 
-/// What makes a thing of the table hold these fields.
+/// Returns the changes that give a thing these fields.
 fn changes_to(table: &Table, thing: Thing, mut fields: Fields, team: &str) -> Vec<Change> {
     if !table.things.contains_key(&thing) {
         fields.insert(Field::Owner, Value::Name(team.to_string()));
@@ -163,7 +161,7 @@
         );
         assert_eq!((any.route.as_str(), any.to.as_str()), ("alta-any", "padron"));
         assert_eq!(crate::overlay::overlay(&file, routes.table()), file);
-        // Changed by a person, it is the changed fields alone.
+        // After a person has changed the file, only the changed fields are set.
         let text = SITE.replace("calls = 9", "calls = 20").replace("fall_back = \"replica\"", "");
         let file = jaspershunt_operator::read("site", &text).unwrap();
         let some = changes(&file, routes.table(), "pagos").unwrap();
@@ -180,7 +178,7 @@
         let wrong = changes(&file, &Table::default(), "pagos").unwrap_err();
         assert_eq!(
             wrong.to_string(),
-            "2 routes go into dependency \"padron\", which has 1 calls at once for them"
+            "2 routes use dependency \"padron\", which has only 1 concurrent calls for them"
         );
     }
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,18 +1,26 @@
-//! A route table for the whole fleet, edited by many teams at once and merged by meaning.
+//! The fleet's route table, edited by many teams at once and merged by the meaning of their changes.
 //!
-//! Decides and does nothing: no clock, socket, file, thread or random source. What was agreed comes in, and what came of it goes out.
+//! The crate is purely functional: it has no clock, socket, file, thread or random source. Committed
+//! entries come in, their outcomes go out.
 //!
-//! - [`table`]: the table: things (regions, dependencies, classes, tenants, routes) with fields, of which the owner is one.
-//! - [`edit`]: an edit: typed changes of one team with base revision and reason, taken together or not at all.
-//! - [`merge`](mod@merge): what becomes of each edit, as a function of the set of all that was said; [`access`], [`search`]: how it is found.
-//! - [`base`]: the table that edits rest on, and how an edit changes it; [`rules`]: what makes a table valid.
-//! - [`part`]: the table as part of the agreed state; [`trial`]: to whom a new one goes first, and whether it goes on.
-//! - [`overlay`]: the operator's file of a nodo with the table over it; [`from_file`]: an operator's file as an edit.
-//! - [`snapshot`]: the table as requests use it; [`soak`]: the merge against brute force; [`trial_sim`]: trials by a seed.
-//! - [`mutants`]: the rules left out one by one, to show that the checks find it.
+//! - [`table`]: the table: things (regions, dependencies, classes, tenants, routes) with fields, one of
+//!   which is the owner.
+//! - [`edit`]: edits: typed changes of one team with base revision and reason, accepted or refused as a
+//!   whole.
+//! - [`merge`](mod@merge): computes the state of each edit from the set of all submissions, using
+//!   [`access`] and [`search`].
+//! - [`base`]: the revision that edits are based on, and how an edit changes it; [`rules`]: what makes a
+//!   table valid.
+//! - [`part`]: the table as part of the replicated state; [`trial`]: trials of a new table on a share of
+//!   the members.
+//! - [`overlay`]: applies the table to a nodo's operator file; [`from_file`]: turns an operator file into
+//!   an edit.
+//! - [`snapshot`]: the table as requests use it; [`soak`]: the merge compared with brute force;
+//!   [`trial_sim`]: simulated trials.
+//! - [`mutants`]: rules that can be disabled one by one, to show that the checks find it.
 //!
 //! ```
-//! let edit = r#"{ "id": { "team": "pagos", "number": 1 }, "base": 0, "reason": "padron bears more",
+//! let edit = r#"{ "id": { "team": "pagos", "number": 1 }, "base": 0, "reason": "padron can take more",
 //!     "changes": [{ "set": { "thing": "dependency/padron", "field": "budget", "value": { "number": 40 } } }] }"#;
 //! let edit = jaspershunt_routes::edit::parse_edit(edit).unwrap();
 //! assert_eq!(edit.key().to_string(), "pagos#1");
--- a/crates/routes/src/merge.rs
+++ b/crates/routes/src/merge.rs
@@ -1,5 +1,5 @@
-//! The merge: what becomes of each edit, as a function of the table and of the set of all that was said. Nothing depends on the order
-//! in which it came, on repetition, or on who merges.
+//! The merge: computes the state of each edit from the table and the set of all submissions. The result
+//! does not depend on the order or repetition of submissions, nor on the process that merges.
 
 use crate::access::{AccessSet, ConflictReason};
 use crate::base::{ApplyError, Base, EditContext};
@@ -15,10 +15,11 @@
 use std::fmt;
 use std::hash::Hasher;
 
-/// Conflicts that are told. Edits in others are held as well, and are told as these are settled.
+/// Maximum number of reported conflicts. Edits in further conflicts are not accepted either; these are
+/// reported as others get settled.
 pub const MAX_CONFLICTS: usize = 256;
 
-/// The number of a conflict: of the edits in it, and of nothing else.
+/// The id of a conflict: a hash of the keys of its edits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ConflictId(pub u64);
 
@@ -29,7 +30,7 @@
 }
 
 impl ConflictId {
-    /// The number of a conflict of these edits.
+    /// Returns the id of the conflict between these edits.
     pub fn of(members: &BTreeSet<EditKey>) -> ConflictId {
         let mut hash = SipHasher24::new();
         hash.write(&postcard::to_stdvec(members).unwrap_or_default());
@@ -37,21 +38,21 @@
     }
 }
 
-/// The smallest set of edits that cannot be taken together. Its text names it in plain words, with the figures.
+/// A minimal set of edits that cannot be accepted together. Its text gives the reasons with their figures.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// Its edits.
+    /// The edits in conflict.
     pub members: BTreeSet<EditKey>,
     /// Those of them that are part of the table already.
     pub in_force: BTreeSet<EditKey>,
-    /// ConflictReason.
+    /// Why they conflict.
     pub reasons: BTreeSet<ConflictReason>,
-    /// The teams that may settle it: whose edits they are, and whose parts they touch.
+    /// The teams that may settle it: those of the edits, and the owners of the things they affect.
     pub teams: BTreeSet<String>,
 }
 
 impl Conflict {
-    /// Whether all may be kept: one then follows the other's rename.
+    /// Whether all edits may be kept: one of them then follows the other's rename.
     pub fn can_keep_all(&self) -> bool {
         self.members.len() == 2 && self.reasons.iter().all(|why| matches!(why, ConflictReason::Renamed(..)))
     }
@@ -71,34 +72,34 @@
     }
 }
 
-/// How a conflict was settled.
+/// The settlement of a conflict.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Settlement {
     /// The edits in conflict.
     pub members: BTreeSet<EditKey>,
-    /// Those that are kept; the others are withdrawn.
+    /// The edits that are kept; the others are withdrawn.
     pub keep: BTreeSet<EditKey>,
-    /// The team that said so.
+    /// The team that settled it.
     pub by: String,
-    /// Those that were part of the table. What is kept while one of these is not, is kept over it.
+    /// Those that were part of the table. A kept edit overrides those of them that are not kept.
     pub in_force: BTreeSet<EditKey>,
 }
 
-/// All that was said and has not ended.
+/// Everything submitted that has not ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MergeInput {
-    /// Edits.
+    /// The open edits.
     pub edits: BTreeMap<EditKey, Edit>,
-    /// What teams said to edits that touch their parts; no stands over yes.
+    /// Consents by edit and team. A denial prevails over consent.
     pub consents: BTreeMap<EditKey, BTreeMap<String, bool>>,
-    /// Edits that their teams took back.
+    /// Edits that their teams withdrew.
     pub withdrawn: BTreeSet<EditKey>,
-    /// Conflicts that were settled.
+    /// Settled conflicts.
     pub settled: BTreeMap<ConflictId, Settlement>,
 }
 
 impl MergeInput {
-    /// What is known on both sides.
+    /// Returns the union of two sets of submissions.
     #[must_use]
     pub fn union(mut self, other: &MergeInput) -> MergeInput {
         self.edits.extend(other.edits.iter().map(|(key, edit)| (key.clone(), edit.clone())));
@@ -110,7 +111,8 @@
         }
         self.withdrawn.extend(other.withdrawn.iter().cloned());
         for (id, settlement) in &other.settled {
-            // In the log the first stands. Between two sides that have not met any rule will do that is the same on both.
+            // In the log the first settlement prevails. Between two sides of a partition any rule will do
+            // that gives the same result on both.
             let own = self.settled.entry(*id).or_insert_with(|| settlement.clone());
             if settlement < own {
                 *own = settlement.clone();
@@ -119,7 +121,7 @@
         self
     }
 
-    /// How edits are to be index, by what was said of them.
+    /// Indexes the settlements by edit.
     fn index(&self) -> InputIndex<'_> {
         let mut settled: BTreeMap<&EditKey, Vec<&Settlement>> = BTreeMap::new();
         for settlement in self.settled.values() {
@@ -151,7 +153,7 @@
         context
     }
 
-    /// Who has withdrawn an edit.
+    /// Returns the team that withdrew an edit.
     fn withdrawn_by(&self, key: &EditKey) -> Option<String> {
         if self.input.withdrawn.contains(key) {
             return Some(key.id.team.clone());
@@ -161,28 +163,28 @@
     }
 }
 
-/// ConflictReason an edit is refused.
+/// Why an edit is refused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RefusalReason {
     /// It cannot be applied.
     NotApplicable(ApplyError),
-    /// It names what is not there.
+    /// It refers to a thing that does not exist.
     DanglingReference(Thing),
-    /// What it removes or renames is still named by another thing.
+    /// It removes or renames a thing that another one still refers to.
     StillReferenced(Thing, Thing),
-    /// It makes the table wrong by itself.
+    /// It makes the table invalid by itself.
     InvalidTable(TableFault),
-    /// A team whose part it touches said no.
+    /// The owner of a thing it affects denied consent.
     Denied(String),
-    /// The revision was on trial and was taken back.
+    /// Its revision was rolled back after a trial.
     RolledBack {
-        /// Which.
+        /// The revision.
         revision: u64,
-        /// ConflictReason.
+        /// Why it was rolled back.
         why: trial::RollbackReason,
-        /// What nodos without it had seen by then.
+        /// Counts of the nodos without the revision.
         without: Counts,
-        /// And those with it.
+        /// Counts of the nodos with it.
         with: Counts,
     },
 }
@@ -192,15 +194,21 @@
         match self {
             RefusalReason::NotApplicable(ApplyError::NotFound(thing)) => write!(f, "there is no {thing}"),
             RefusalReason::NotApplicable(ApplyError::Exists(thing)) => {
-                write!(f, "there is a {thing} already")
+                write!(f, "{thing} exists already")
             }
             RefusalReason::NotApplicable(ApplyError::Rights(thing, team)) => {
                 write!(f, "{thing} belongs to {team}")
             }
-            RefusalReason::DanglingReference(thing) => write!(f, "it names {thing}, which is not there"),
-            RefusalReason::StillReferenced(thing, by) => write!(f, "it removes {thing}, which {by} names"),
+            RefusalReason::DanglingReference(thing) => {
+                write!(f, "it refers to {thing}, which does not exist")
+            }
+            RefusalReason::StillReferenced(thing, by) => {
+                write!(f, "it removes {thing}, which {by} refers to")
+            }
             RefusalReason::InvalidTable(wrong) => write!(f, "{wrong}"),
-            RefusalReason::Denied(team) => write!(f, "{team}, whose part it touches, said no"),
+            RefusalReason::Denied(team) => {
+                write!(f, "{team} owns a thing that it affects and denied consent")
+            }
             RefusalReason::RolledBack { revision, why, without, with } => {
                 write!(f, "revision {revision} was taken back: {why} ({with}; without it {without})")
             }
@@ -208,18 +216,18 @@
     }
 }
 
-/// What has become of an edit.
+/// The state of an open edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EditState {
-    /// It is part of the next table.
+    /// Accepted as part of the next table. Operators see this as `taken`.
     Accepted,
-    /// It is in these conflicts; none if they are beyond what is told.
+    /// In these conflicts; empty if none of them is reported.
     InConflict(BTreeSet<ConflictId>),
-    /// It needs the word of these teams.
+    /// Waits for the consent of these teams.
     AwaitsConsent(BTreeSet<String>),
-    /// This team took it back or settled against it.
+    /// Withdrawn by this team, or discarded by its settlement of a conflict.
     Withdrawn(String),
-    /// It cannot be taken.
+    /// Cannot be accepted.
     Refused(RefusalReason),
 }
 
@@ -228,7 +236,7 @@
         match self {
             EditState::Accepted => f.write_str("taken, part of the next table"),
             EditState::InConflict(ids) if ids.is_empty() => {
-                f.write_str("in conflict, in one that is told once others are settled")
+                f.write_str("in a conflict that is reported once others are settled")
             }
             EditState::InConflict(ids) => {
                 let ids: Vec<String> = ids.iter().map(ConflictId::to_string).collect();
@@ -236,7 +244,7 @@
             }
             EditState::AwaitsConsent(teams) => {
                 let teams: Vec<&str> = teams.iter().map(String::as_str).collect();
-                write!(f, "waits for the word of {}", teams.join(", "))
+                write!(f, "waits for the consent of {}", teams.join(", "))
             }
             EditState::Withdrawn(by) => write!(f, "withdrawn by {by}"),
             EditState::Refused(why) => write!(f, "refused: {why}"),
@@ -244,16 +252,16 @@
     }
 }
 
-/// What all that was said comes to.
+/// The result of a merge.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergeResult {
-    /// Of each edit.
+    /// The state of each edit.
     pub states: BTreeMap<EditKey, EditState>,
-    /// The conflicts that are told.
+    /// The reported conflicts.
     pub conflicts: BTreeMap<ConflictId, Conflict>,
 }
 
-/// Merges what was said into what is there.
+/// Merges the submissions into the table.
 pub fn merge(base: &Base, input: &MergeInput) -> MergeResult {
     let mut merged = MergeResult::default();
     let (mut keys, mut accesses, mut stale) = (Vec::new(), Vec::new(), Vec::new());
@@ -276,7 +284,8 @@
     }
     let mut bad = conflicting_pairs(&keys, &accesses);
     let clashes: BTreeSet<(usize, usize)> = bad.iter().map(|(set, _)| first_and_last(set)).collect();
-    // Those that cannot be applied as they are take no part in what the whole table comes to.
+    // Edits in conflict with the base cannot be applied, so that they take no part in checks of the whole
+    // table.
     let fit: Vec<usize> = (0..keys.len()).filter(|at| stale[*at].is_empty()).collect();
     let parts: Vec<Candidate<'_>> =
         fit.iter().map(|at| Candidate { key: keys[*at], access: &accesses[*at] }).collect();
@@ -298,7 +307,7 @@
     (set.first().copied().unwrap_or(0), set.last().copied().unwrap_or(0))
 }
 
-/// What comes of an edit by itself; nothing, if it could be taken.
+/// Checks an edit by itself. Returns `None` if it could be accepted.
 fn check_alone(
     base: &Base,
     input: &MergeInput,
@@ -322,7 +331,8 @@
         }
     }
     let claims: BTreeSet<Thing> = access.claimed_names().collect();
-    // What was added or renamed alike by another since its base is there by its own word as well.
+    // A thing that another edit has added or renamed in the same way since the base does not block this
+    // one.
     let before = |name: &&Thing| there(name) && base.written_since(name, None, access.context.base).is_none();
     if let Some(name) = claims.iter().find(before) {
         return refused(RefusalReason::NotApplicable(ApplyError::Exists(name.clone())));
@@ -348,7 +358,7 @@
     (!needs.is_empty()).then(|| EditState::AwaitsConsent(needs.into_keys().collect()))
 }
 
-/// The pairs that do not commute. Only edits that have a thing in common can be.
+/// Returns the pairs of edits that do not commute. Only edits with a thing in common are compared.
 fn conflicting_pairs(keys: &[&EditKey], accesses: &[AccessSet]) -> Vec<(BTreeSet<usize>, ConflictReason)> {
     let mut of: BTreeMap<Thing, BTreeSet<usize>> = BTreeMap::new();
     let mut together: BTreeSet<(usize, usize)> = BTreeSet::new();
@@ -361,7 +371,7 @@
         for thing in whole.chain(sets).chain(access.references.iter().cloned()) {
             of.entry(thing).or_default().insert(at);
         }
-        // Two that are under parts alike meet only where one gives the part away.
+        // Two edits that merely affect the same thing conflict only if one of them changes its owner.
         for (thing, field) in access.sets.keys() {
             if *field == Field::Owner {
                 let touch = (0..accesses.len()).filter(|other| accesses[*other].affected.contains_key(thing));
@@ -389,7 +399,7 @@
     bad
 }
 
-/// The sets of which no other is a part, with all that is wrong with each.
+/// Returns the sets without a smaller one inside, each with all its reasons.
 fn minimal_sets(
     bad: Vec<(BTreeSet<usize>, ConflictReason)>,
 ) -> Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)> {
@@ -401,10 +411,10 @@
     let mut with: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
     for ((_, set), why) in by_set {
         let within = |at: &usize| kept[*at].0.is_subset(&set);
-        // Where not all sets were looked at, a smaller one that was found says nothing of the others.
+        // Where the search was cut short, a smaller set says nothing about the other edits in this one.
         let crowded = why.iter().any(|why| matches!(why, ConflictReason::TooManySets(_)));
         if crowded || !set.iter().any(|one| with.get(one).is_some_and(|sets| sets.iter().any(within))) {
-            // One of its edits is enough to find it by: a set that holds it holds that one.
+            // Indexed by one edit of the set: every superset contains it.
             if let Some(one) = set.first() {
                 with.entry(*one).or_default().push(kept.len());
             }
@@ -480,15 +490,14 @@
         }
     }
 
-    /// The edits that are part of the next table.
+    /// Returns the edits that are part of the next table.
     pub fn accepted(&self) -> impl Iterator<Item = &EditKey> {
         self.states.iter().filter(|(_, state)| **state == EditState::Accepted).map(|(key, _)| key)
     }
 
-    /// The next table: the present one with all that is taken.
-    ///
+    /// Computes the next table: the present one with all accepted edits.
     /// # Errors
-    /// An edit that could not be applied, which would be a fault of the merge.
+    /// Returns the edit that could not be applied, which would be a defect of the merge.
     pub fn next_base(&self, base: &Base, input: &MergeInput) -> Result<Base, (EditKey, ApplyError)> {
         let (mut next, index) = (base.clone(), input.index());
         for key in self.accepted() {
--- a/crates/routes/src/mutants.rs
+++ b/crates/routes/src/mutants.rs
@@ -1,45 +1,45 @@
-//! Ways in which the rules could be wrong, for those who show that their checks find each. There is none in a program that is built
-//! without the feature `mutants`: the question is answered when it is compiled.
+//! Mutants: rules that can be disabled to show that the checks find it. Without the feature `mutants` no
+//! rule can be disabled, which is decided at compile time.
 
-/// A rule left out.
+/// A disabled rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// Of two values for one field the later edit's stands.
+    /// Of two values for one field, the later edit's is used.
     LastWriterWins = 1,
-    /// A conflict is numbered by where it stands among those that are known here.
+    /// The id of a conflict is its position among the known ones.
     NumberedByPlace,
-    /// A sum is looked at for two edits at a time.
+    /// Sums are checked only for pairs of edits.
     SumByPairs,
     /// All members are shown a table that is still on trial.
     ShownBeforeAgreed,
-    /// Circles of fall-backs are not looked for.
+    /// Cycles of fallbacks are not searched for.
     CircleNotLookedFor,
-    /// An edit that is to follow a rename goes by the old name.
+    /// An edit that is to follow a rename uses the old name.
     RenameNotFollowed,
-    /// A team's word is not asked.
+    /// The consent of teams is not required.
     WordNotAsked,
     /// A conflict can be settled again.
     SettledTwice,
-    /// An edit made on an older revision is taken as if it were made on the present one.
+    /// An edit based on an older revision is treated as if based on the present one.
     BaseIgnored,
-    /// An edit that has ended and comes again is a new one.
+    /// An ended edit that is sent again is treated as new.
     EndForgotten,
-    /// Loss of ownership is not seen by edits made meanwhile.
+    /// Edits made meanwhile do not conflict with a change of owner.
     LossNotSeen,
-    /// Routes that overlap are not compared.
+    /// Overlapping routes are not compared.
     OverlapNotCompared,
-    /// A table on trial is judged by however few requests.
+    /// A table on trial is judged by any number of requests.
     FewDecide,
-    /// What starts told that are gone goes on counting.
+    /// Counts of incarnations that have left the fleet are kept.
     GoneCount,
-    /// What a start tells again is added to what it told before.
+    /// A repeated report is added to the earlier one.
     ToldTwice,
-    /// Whoever tells of a trial is taken at its word on which side it is.
+    /// A report is counted on whichever side it claims.
     AnySideCounts,
 }
 
-/// All of them.
+/// All mutants.
 pub const ALL: [Mutant; 16] = [
     Mutant::LastWriterWins,
     Mutant::NumberedByPlace,
@@ -62,19 +62,19 @@
 #[cfg(feature = "mutants")]
 static PRESENT: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// From now on this rule is left out in the whole process; or none.
+/// Activates one mutant in the whole process, or none.
 #[cfg(feature = "mutants")]
 pub fn activate(one: Option<Mutant>) {
     PRESENT.store(one.map_or(0, |one| one as u8), std::sync::atomic::Ordering::SeqCst);
 }
 
-/// Whether this rule is left out.
+/// Whether this mutant is active.
 #[cfg(feature = "mutants")]
 pub fn is_active(one: Mutant) -> bool {
     PRESENT.load(std::sync::atomic::Ordering::Relaxed) == one as u8
 }
 
-/// Whether this rule is left out: never.
+/// Whether this mutant is active: never.
 #[cfg(not(feature = "mutants"))]
 pub const fn is_active(_: Mutant) -> bool {
     false
--- a/crates/routes/src/overlay.rs
+++ b/crates/routes/src/overlay.rs
@@ -1,16 +1,19 @@
-//! The operator's file of a nodo with the table over it. The file says how a dependency is reached, the table what it may be asked.
+//! Applies the table to a nodo's operator file. The file says how a dependency is reached, the table how
+//! much it may be asked.
 
 use crate::table::{FULL_SHARE_PERMILLE, Field, Kind, Table, Thing, Value};
 use jaspershunt_operator::File;
 use jaspershunt_operator::units::Share;
 
-/// Calls at once that a nodo's file may allow one dependency, and so the most that a table does.
+/// Maximum number of concurrent calls that a nodo's file allows for one dependency, and so the most that
+/// the table can set.
 pub const MAX_CALLS: u32 = 1024;
-/// The least share that a dependency is left with: a file knows none of nothing.
+/// The least share of a dependency: a file cannot have a share of zero.
 const MIN_SHARE: f64 = 0.001;
 
-/// The file, with what the table says of the dependencies that it names: calls at once, shares, fall-backs. What the table does not
-/// name stays as it stands in the file; a dependency without an address here is not made up.
+/// Returns the file with the table's calls, shares and fallbacks for the dependencies that both have.
+/// Dependencies that the table lacks stay as they are in the file; those without an address in the file are
+/// not added.
 pub fn overlay(file: &File, table: &Table) -> File {
     let mut file = file.clone();
     let names: Vec<String> = file.dependency.keys().cloned().collect();
@@ -34,7 +37,8 @@
         };
         told += below.share.0;
     }
-    // Guards against shares of over the whole: the table's come to that at most among themselves, and know nothing of the file's.
+    // The table's shares do not exceed the whole, but know nothing of the file's. Scales the file's down to
+    // the rest.
     if told + rest > 1.0 && rest > 0.0 {
         let part = ((1.0 - told) / rest).max(0.0);
         let of_file = |name: &String| !table.things.contains_key(&Thing::new(Kind::Dependency, name));
@@ -45,7 +49,8 @@
     file
 }
 
-/// The dependencies of the table that this file has no address for: routes into them are not followed here.
+/// Returns the table's dependencies without an address in the file; this nodo does not follow routes into
+/// them.
 pub fn without_address<'a>(file: &File, table: &'a Table) -> Vec<&'a str> {
     let names = table.of_kind(Kind::Dependency).map(|(thing, _)| thing.name.as_str());
     names.filter(|name| !file.dependency.contains_key(*name)).collect()
@@ -95,10 +100,11 @@
         let padron = &over.dependency["padron"];
         assert_eq!((padron.calls, padron.share, padron.fall_back.as_deref()), (3, Share(0.9), None));
         assert_eq!(padron.addresses, file.dependency["padron"].addresses);
-        // A budget of nothing is the least that can be carried out, and nobody falls back on what has no address here.
+        // A budget of 0 becomes the least the file allows, and a dependency without an address here is no
+        // fallback.
         assert_eq!((over.dependency["replica"].calls, &over.dependency["replica"].fall_back), (1, &None));
         assert_eq!(without_address(&file, &table), ["lejos"]);
-        // 90 % and 30 % by the table leave the file's 20 % next to nothing.
+        // 90 % and 30 % by the table leave the least share for the file's 20 %.
         assert_eq!(over.dependency["sello"].share, Share(MIN_SHARE));
         assert_eq!(over.dependency["sello"].calls, file.dependency["sello"].calls);
         assert_eq!(over.route, file.route);
--- a/crates/routes/src/part.rs
+++ b/crates/routes/src/part.rs
@@ -1,4 +1,5 @@
-//! The route table as part of the agreed state: entries of the log come in, what has become of edits goes out.
+//! The route table as part of the replicated state: applies committed log entries and reports the outcome
+//! of each edit.
 
 use crate::base::Base;
 use crate::edit::{Change, Edit, EditId, EditKey, MAX_EDIT_BYTES, Malformed};
@@ -17,83 +18,87 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-/// The name under which the log has its entries.
+/// Name of this part in the log's entries.
 pub const NAME: &str = "routes";
-/// Edits that have not ended. Ours: more than forty teams have open at once by ten times.
+/// Maximum number of open edits: ten times what forty teams have open at once.
 pub const MAX_OPEN: usize = 512;
-/// Bytes of all of them.
+/// Maximum total size of the open edits, in bytes.
 pub const MAX_OPEN_BYTES: usize = 1024 * 1024;
-/// Teams of which anything is known.
+/// Maximum number of teams on record.
 pub const MAX_TEAMS: usize = 256;
-/// Edits that have ended and are known by number, of each team. Older numbers cannot be told from new ones, and are refused.
+/// Ended edits on record for each team. A number older than these cannot be told from a new one and is
+/// refused.
 pub const MAX_ENDED_PER_TEAM: usize = 128;
-/// Settlements that still matter to an open edit.
+/// Maximum number of settlements that still concern an open edit.
 pub const MAX_SETTLED: usize = 1024;
-/// Lines of the log that are stored, to tell and to undo.
+/// Published edits on record, for the log shown to operators and for undo.
 pub const MAX_PUBLISHED_EDITS: usize = 512;
-/// Conflicts that each member is shown. All are known to those that vote.
+/// Conflicts included in a [`MemberView`]. Voters know all of them.
 pub const MAX_SHOWN_CONFLICTS: usize = 64;
-/// Open edits that write one field of a thing, or that add, remove or rename it. Each pair of them is compared at each entry, so that what
-/// comes in costs the cube of this. Ours: more than forty teams, each with a value of its own.
+/// Open edits that may write the same field of a thing, or add, remove or rename the same thing. Each entry
+/// compares every pair of them, so that submitting n of them costs O(n³). Leaves room for a different value
+/// from each of forty teams.
 pub const MAX_OPEN_PER_FIELD: usize = 64;
-/// Bytes of an entry.
+/// Maximum size of a log entry, in bytes.
 pub const MAX_ENTRY_BYTES: usize = 8 * 1024;
-// An edit with what is around it is an entry.
+// An entry holds an edit and its envelope.
 const _: () = assert!(MAX_EDIT_BYTES + 256 < MAX_ENTRY_BYTES);
 
-/// What is said to the table.
+/// A log entry of the route table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// An edit.
+    /// Submits an edit.
     Edit(Edit),
-    /// A team takes back an edit of its own.
+    /// Withdraws an edit of the team's own.
     Withdraw {
         /// The team.
         by: String,
         /// The edit.
         edit: EditKey,
     },
-    /// A team whose part an edit touches gives its word, or says no.
+    /// Gives or denies the consent of a team whose things an edit affects.
     Consent {
         /// The team.
         by: String,
         /// The edit.
         edit: EditKey,
-        /// Whether it may.
+        /// `false` denies consent.
         granted: bool,
     },
-    /// A team settles a conflict.
+    /// Settles a conflict on behalf of a team.
     Settle {
         /// The team.
         by: String,
         /// The conflict.
         conflict: ConflictId,
-        /// The edits that are stored; all of them if one is to follow the other's rename.
+        /// The edits to keep. All of them are kept only if one of them is to follow the other's rename.
         keep: BTreeSet<EditKey>,
     },
-    /// What is taken becomes the table, for this share of the members first.
+    /// Publishes the accepted edits as a new table, first to a share of the members.
     Publish {
-        /// Thousandths.
+        /// The share, in thousandths.
         permille: u32,
-        /// When, in Unix milliseconds.
+        /// Time of publication, in Unix milliseconds.
         now_ms: u64,
     },
-    /// A table on trial is judged by what is known of it when this is taken in, and goes on to all, or back, or waits.
+    /// Judges the table on trial by the counts reported so far: it is adopted by all members, rolled back,
+    /// or stays on trial.
     JudgeTrial {
-        /// Its revision.
+        /// The revision on trial.
         revision: u64,
-        /// When, in Unix milliseconds.
+        /// Time of the judgement, in Unix milliseconds.
         now_ms: u64,
     },
-    /// What a start has seen of requests since it heard of a trial: all of them, so that a word that is lost or comes twice does no harm.
+    /// Reports the requests that an incarnation has seen since it learned of a trial. The counts are
+    /// cumulative, so that a lost or repeated report does no harm.
     ReportCounts {
-        /// The start.
+        /// The reporting incarnation.
         by: Holder,
         /// The revision on trial.
         trial: u64,
-        /// The one that it uses.
+        /// The revision that the incarnation uses.
         revision: u64,
-        /// What it has seen.
+        /// Its cumulative counts.
         counts: Counts,
     },
 }
@@ -101,108 +106,117 @@
 /// How an edit ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinalState {
-    /// It is part of the table since this revision.
+    /// Part of the table since this revision.
     Published(u64),
-    /// This team took it back, or settled against it.
+    /// Withdrawn by this team, or discarded by its settlement of a conflict.
     Withdrawn(String),
-    /// It was refused.
+    /// Refused.
     Refused(RefusalReason),
 }
 
-/// RollbackReason an entry changed nothing.
+/// Why an entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// It is no entry.
+    /// The entry cannot be decoded.
     Unreadable,
-    /// The edit is none.
+    /// The edit is malformed.
     Malformed(Malformed),
-    /// It was made on a revision that is not there yet.
+    /// The edit is based on a revision that does not exist yet.
     UnknownBase(u64),
-    /// Another edit of the team has this number.
+    /// The team has used this number for another edit.
     NumberTaken(EditId),
-    /// Numbers up to this one cannot be told from old ones any more: it is to be sent under a new one.
+    /// Numbers up to this one may have been used by forgotten edits: the edit needs a new number.
     NumberTooOld(u64),
-    /// A bound is reached, by its name.
+    /// The named bound is reached.
     Full(String),
-    /// So many open edits say something of this field already, or of the thing itself.
+    /// [`MAX_OPEN_PER_FIELD`] open edits write this field already, or add, remove or rename the thing.
     TooManyOnField(Thing, Option<Field>),
-    /// There is no such edit that has not ended.
+    /// There is no such open edit.
     NoSuchEdit,
     /// There is no such conflict.
     NoSuchConflict,
-    /// It was settled before, by this team.
+    /// This team has settled the conflict already.
     AlreadySettled(String),
-    /// The team has no right to say this.
+    /// The team has no authority over the edit or conflict.
     NotAuthorized,
-    /// What is stored is not of this conflict, or all of it, which only a rename can bear.
+    /// The edits to keep are not all in the conflict, or are all of its edits although it is no rename
+    /// conflict.
     InvalidKeep,
-    /// A table is on trial, with this revision.
+    /// This revision is on trial.
     TrialRunning(u64),
     /// No table with this revision is on trial.
     NoSuchTrial,
     /// It is too early to judge the table on trial.
     TooEarly,
-    /// Such counts cannot be, or cannot be those of this start.
+    /// The counts are implausible, or cannot come from this incarnation.
     InvalidCounts,
-    /// This start is not in the fleet.
+    /// The incarnation is not in the fleet.
     NotInFleet,
-    /// There is nothing new to publish.
+    /// There are no accepted edits to publish.
     NothingToPublish,
-    /// The share is above the whole, or nothing.
+    /// The share is zero or more than the whole.
     InvalidShare(u32),
-    /// The table would not be valid, and is not published.
+    /// The resulting table would not be valid.
     InvalidTable(String),
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Unreadable => f.write_str("this is no entry"),
+            Refusal::Unreadable => f.write_str("the entry cannot be decoded"),
             Refusal::Malformed(what) => write!(f, "the edit {what}"),
-            Refusal::UnknownBase(base) => write!(f, "there is no revision {base} yet"),
-            Refusal::NumberTaken(id) => write!(f, "{} has another edit with number {}", id.team, id.number),
+            Refusal::UnknownBase(base) => write!(f, "revision {base} does not exist yet"),
+            Refusal::NumberTaken(id) => {
+                write!(f, "{} has used the number {} for another edit", id.team, id.number)
+            }
             Refusal::NumberTooOld(last) => {
-                write!(f, "numbers up to {last} are over: send it under a new one")
+                write!(f, "edit numbers up to {last} are no longer accepted: send the edit with a new one")
             }
             Refusal::Full(bound) => write!(f, "{bound} is reached: settle, withdraw or publish first"),
             Refusal::TooManyOnField(thing, field) => {
                 let of = field.map_or(String::new(), |field| format!("{field:?} of "));
                 write!(
                     f,
-                    "{MAX_OPEN_PER_FIELD} open edits say what becomes of {of}{thing}: settle or withdraw some first"
+                    "{MAX_OPEN_PER_FIELD} open edits already change {of}{thing}: settle or withdraw some first"
                 )
             }
-            Refusal::NoSuchEdit => f.write_str("there is no such edit that has not ended"),
+            Refusal::NoSuchEdit => f.write_str("there is no such open edit"),
             Refusal::NoSuchConflict => f.write_str("there is no such conflict"),
             Refusal::AlreadySettled(by) => write!(f, "{by} has settled it"),
-            Refusal::NotAuthorized => f.write_str("this is for another team to say"),
-            Refusal::InvalidKeep => f.write_str("that cannot be what is kept of this conflict"),
+            Refusal::NotAuthorized => f.write_str("the team has no authority over this"),
+            Refusal::InvalidKeep => f.write_str(
+                "the edits to keep must be a part of the conflict, or all of it if one can follow a rename",
+            ),
             Refusal::TrialRunning(revision) => write!(f, "revision {revision} is on trial"),
             Refusal::NoSuchTrial => f.write_str("no such revision is on trial"),
-            Refusal::TooEarly => f.write_str("too few requests, or too little time, to judge by"),
-            Refusal::InvalidCounts => f.write_str("these cannot be the counts of that start"),
-            Refusal::NotInFleet => f.write_str("that start is not in the fleet"),
-            Refusal::NothingToPublish => f.write_str("nothing is taken that the table has not"),
+            Refusal::TooEarly => {
+                f.write_str("there were too few requests, or too little time has passed, to judge the trial")
+            }
+            Refusal::InvalidCounts => {
+                f.write_str("the counts are implausible, or for a table that this member does not use")
+            }
+            Refusal::NotInFleet => f.write_str("the reporting process is not in the fleet"),
+            Refusal::NothingToPublish => f.write_str("there is no accepted edit to publish"),
             Refusal::InvalidShare(permille) => {
-                write!(f, "{permille} thousandths: 1 to {FULL_SHARE_PERMILLE}")
+                write!(f, "a share of {permille} thousandths: 1 to {FULL_SHARE_PERMILLE} are allowed")
             }
             Refusal::InvalidTable(what) => write!(f, "not published: {what}"),
         }
     }
 }
 
-/// What came of an entry.
+/// The outcome of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The edit is open, and stands so.
+    /// The edit is open, in this state.
     Open(EditState),
     /// The edit has ended.
     Ended(FinalState),
-    /// It is done.
+    /// The entry was applied.
     Done,
-    /// The table has this revision.
+    /// The table has this revision now.
     Published(u64),
-    /// Nothing has changed.
+    /// Nothing was changed.
     Refused(Refusal),
 }
 
@@ -228,33 +242,33 @@
     }
 }
 
-/// What a member is shown.
+/// What a member is shown of the route table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// The revision that it uses.
+    /// The revision that the member uses.
     pub revision: u64,
-    /// Whether that is on trial.
+    /// Whether that revision is on trial.
     pub on_trial: bool,
-    /// The revision that is on trial, at some of all.
+    /// The revision on trial at some of the members.
     pub trial: Option<u64>,
-    /// When the table was last published, in Unix milliseconds.
+    /// Time of the last publication, in Unix milliseconds.
     pub published_ms: u64,
     /// The table.
     pub table: Table,
-    /// The first of the conflicts.
+    /// The first [`MAX_SHOWN_CONFLICTS`] conflicts.
     pub conflicts: Vec<(ConflictId, Conflict)>,
 }
 
 macro_rules! bytes {
     ($($of:ty),*) => {$(
         impl $of {
-            /// As bytes, the same for the same.
+            /// Encodes the value; equal values give equal bytes.
             pub fn to_bytes(&self) -> Vec<u8> {
-                // Nothing in it cannot be written.
+                // Every value of these types can be encoded.
                 postcard::to_stdvec(self).unwrap_or_default()
             }
 
-            /// From its bytes; `None` if they are not.
+            /// Decodes a value; `None` if the bytes are not exactly one.
             pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
                 postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(of, _)| of)
             }
@@ -265,32 +279,32 @@
 bytes!(Entry, Outcome, MemberView);
 
 impl MemberView {
-    /// The table for requests.
+    /// Returns the table for use by requests.
     pub fn snapshot(self, confirmed_ms: u64) -> Snapshot {
         Snapshot::new(self.revision, self.on_trial, confirmed_ms, self.table).with_trial(self.trial)
     }
 }
 
-/// A line of the log.
+/// An edit that was published.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedEdit {
     /// The revision with which it was published.
     pub revision: u64,
     /// The edit.
     pub edit: EditKey,
-    /// RollbackReason, in its team's words.
+    /// The reason its team gave.
     pub reason: String,
-    /// What undoes it.
+    /// The changes that undo it.
     pub inverse: Vec<Change>,
-    /// Whether the revision was taken back.
+    /// Whether the revision was rolled back.
     pub reverted: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct TeamRecord {
-    /// By number: what the edit was, and how it ended.
+    /// Ended edits by number: digest and final state.
     ended: BTreeMap<u64, (u64, FinalState)>,
-    /// Ended edits up to this number may be forgotten.
+    /// Edits with numbers up to this one may have been forgotten.
     forgotten_up_to: u64,
 }
 
@@ -299,27 +313,27 @@
     permille: u32,
     previous: Base,
     edits: BTreeSet<EditKey>,
-    /// What each start has told last, as long as it is in the fleet.
+    /// The last report of each incarnation that is in the fleet.
     reports: BTreeMap<Holder, Counts>,
 }
 
-/// A trial as it stands.
+/// The status of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrialStatus {
-    /// The revision.
+    /// The revision on trial.
     pub revision: u64,
-    /// The share that has it, in thousandths.
+    /// The share of members that have it, in thousandths.
     pub permille: u32,
-    /// Since when, in Unix milliseconds.
+    /// Start of the trial, in Unix milliseconds.
     pub since_ms: u64,
-    /// What nodos without it have seen.
+    /// Counts of the nodos without it.
     pub without: Counts,
-    /// And those with it.
+    /// Counts of the nodos with it.
     pub with: Counts,
 }
 
 impl TrialStatus {
-    /// What becomes of it at this time. A clock that goes back has it wait.
+    /// Judges the trial at this time. If the clock has gone back, the trial goes on.
     pub fn verdict(&self, now_ms: u64) -> Verdict {
         judge(&self.without, &self.with, now_ms.saturating_sub(self.since_ms))
     }
@@ -340,12 +354,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Routes {
     stored: Stored,
-    /// What the input come to; found again from them.
+    /// The merge of the open edits; not stored but computed.
     merged: MergeResult,
 }
 
 impl Default for Routes {
-    /// An empty table. Guards against one whose sums were never found: it had no room for any edit.
+    /// Creates an empty table. Its sums must be computed: without them, every edit was refused for lack of
+    /// room.
     fn default() -> Routes {
         let stored = Stored { base: Base::new(Table::default()), ..Stored::default() };
         Routes { stored, merged: MergeResult::default() }
@@ -353,29 +368,29 @@
 }
 
 impl Routes {
-    /// Begins with a valid table; `None` if it is not.
+    /// Creates the state from a table; `None` if the table is not valid.
     pub fn new(table: Table) -> Option<Routes> {
         let valid = rules::check(&table).is_empty();
         let stored = Stored { base: Base::new(table), epoch: 1, ..Stored::default() };
         valid.then(|| Routes { stored, merged: MergeResult::default() })
     }
 
-    /// The revision that edits are made on.
+    /// Returns the revision that new edits are based on.
     pub fn revision(&self) -> u64 {
         self.stored.base.revision
     }
 
-    /// What all that is open comes to.
+    /// Returns the merge of the open edits.
     pub fn merged(&self) -> &MergeResult {
         &self.merged
     }
 
-    /// Whether there is something to publish.
+    /// Whether there are accepted edits to publish and no trial is running.
     pub fn can_publish(&self) -> bool {
         self.stored.trial.is_none() && self.merged.accepted().next().is_some()
     }
 
-    /// The trial, if there is one.
+    /// Returns the status of the current trial.
     pub fn trial_status(&self) -> Option<TrialStatus> {
         let trial = self.stored.trial.as_ref()?;
         let sum = |with: bool| {
@@ -386,12 +401,12 @@
         Some(TrialStatus { revision, permille, since_ms, without: sum(false), with: sum(true) })
     }
 
-    /// The log, the oldest line first.
+    /// Returns the published edits, oldest first.
     pub fn published_edits(&self) -> impl Iterator<Item = &PublishedEdit> {
         self.stored.published_edits.iter()
     }
 
-    /// What has become of an edit, if it is known.
+    /// Returns the outcome of an edit, if it is known.
     pub fn outcome_of(&self, key: &EditKey) -> Option<Outcome> {
         if let Some(state) = self.merged.states.get(key) {
             return Some(Outcome::Open(state.clone()));
@@ -403,12 +418,12 @@
         (*digest == key.digest).then(|| Outcome::Ended(end.clone()))
     }
 
-    /// The edits that have not ended, those on trial left out.
+    /// Returns the edits that have not ended, without those on trial.
     pub fn open(&self) -> impl Iterator<Item = (&EditKey, &Edit)> {
         self.stored.input.edits.iter()
     }
 
-    /// How each team's last edits ended, at most so many of each.
+    /// Returns the final states of each team's latest edits, at most `most` for each team.
     pub fn ended(&self, most: usize) -> impl Iterator<Item = (EditId, &FinalState)> {
         self.stored.teams.iter().flat_map(move |(team, of)| {
             let last = of.ended.iter().rev().take(most);
@@ -416,22 +431,23 @@
         })
     }
 
-    /// The edits of this number that have not ended: more than one only where a team used a number twice.
+    /// Returns the open edits with this id: more than one only if a team has used a number twice.
     pub fn open_keys(&self, id: &EditId) -> Vec<EditKey> {
         self.stored.input.edits.keys().filter(|key| key.id == *id).cloned().collect()
     }
 
-    /// The table that is agreed, whoever uses it already, with its revision.
+    /// Returns the committed table, which not all members use yet during a trial.
     pub fn table(&self) -> &Table {
         &self.stored.base.table
     }
 
-    /// When the table was last published, in Unix milliseconds.
+    /// Returns the time of the last publication, in Unix milliseconds.
     pub fn published_ms(&self) -> u64 {
         self.stored.published_ms
     }
 
-    /// An edit that undoes one in the log, to be sent like any other. `None` if the log has it no more or it would be too large.
+    /// Creates an edit that undoes a published one, to be submitted like any other. `None` if the edit is
+    /// no longer on record or its undo would be too large.
     pub fn undo(&self, edit: &EditKey, id: EditId, reason: &str) -> Option<Edit> {
         let line =
             self.stored.published_edits.iter().rev().find(|line| line.edit == *edit && !line.reverted)?;
@@ -440,7 +456,7 @@
         undo.check().is_ok().then_some(undo)
     }
 
-    /// The table that a member uses, and whether it is on trial there.
+    /// Returns the table that a member uses, and whether it is on trial there.
     pub fn table_for(&self, member: &str) -> (&Base, bool) {
         match &self.stored.trial {
             Some(trial) if !in_trial(member, trial.permille) && !is_active(Mutant::ShownBeforeAgreed) => {
@@ -450,13 +466,14 @@
         }
     }
 
-    /// The regions that may serve a class and tenant, by the table that all members have; empty if all may.
+    /// Returns the regions that may serve a class and tenant by the table that all members have; empty if
+    /// all may.
     pub fn allowed_regions(&self, class: &str, tenant: &str) -> BTreeSet<String> {
         let base = self.stored.trial.as_ref().map_or(&self.stored.base, |trial| &trial.previous);
         Snapshot::new(base.revision, false, 0, base.table.clone()).allowed_regions(class, tenant)
     }
 
-    /// Takes in an entry.
+    /// Applies an entry.
     pub fn apply_entry(&mut self, entry: Entry) -> Outcome {
         let (conflicts, shown) = (self.merged.conflicts.clone(), self.published_state());
         let outcome = match entry {
@@ -530,7 +547,7 @@
         self.full_field(edit).map_or(Ok(()), |(thing, field)| Err(Refusal::TooManyOnField(thing, field)))
     }
 
-    /// What the edit writes that enough others write already.
+    /// Finds a field or thing of the edit that [`MAX_OPEN_PER_FIELD`] other edits write already.
     fn full_field(&self, edit: &Edit) -> Option<(Thing, Option<Field>)> {
         fn writes(change: &Change) -> Vec<(&Thing, Option<Field>)> {
             match change {
@@ -572,7 +589,7 @@
         let Some(open) = self.stored.input.edits.get(&edit) else {
             return self.outcome_of(&edit).unwrap_or(Outcome::Refused(Refusal::NoSuchEdit));
         };
-        // A team that gets a part only by another open edit may give its word before it has it.
+        // A team that an open edit makes the owner of a thing may consent before it is the owner.
         let promised = self.merged.conflicts.values().any(|of| {
             of.members.contains(&edit)
                 && of.reasons.iter().any(
@@ -628,7 +645,8 @@
         if edits.is_empty() {
             return Outcome::Refused(Refusal::NothingToPublish);
         }
-        // The merge has seen to all of this; a table is checked as a whole all the same before anybody uses it.
+        // The merge guarantees a valid table; it is checked as a whole all the same before any member uses
+        // it.
         let next = match self.merged.next_base(&self.stored.base, &self.stored.input) {
             Ok(next) => next,
             Err((key, unfit)) => {
@@ -674,7 +692,7 @@
         let Some(of) = self.stored.trial.as_mut().filter(|_| trial == present) else {
             return Outcome::Refused(Refusal::NoSuchTrial);
         };
-        // Guards against counts of a table that this start was never shown.
+        // Rejects counts for a table that this incarnation was never shown.
         let uses = if in_trial(&by.member, of.permille) { present } else { of.previous.revision };
         if (revision != uses && !is_active(Mutant::AnySideCounts)) || !counts.is_plausible() {
             return Outcome::Refused(Refusal::InvalidCounts);
@@ -683,7 +701,7 @@
         if is_active(Mutant::ToldTwice) {
             *known = known.plus(&counts);
         } else if counts.requests >= known.requests {
-            // Guards against an earlier word that comes late.
+            // An earlier report that arrives late does not replace a later one.
             *known = counts;
         }
         Outcome::Done
@@ -693,7 +711,7 @@
         let Some(of) = self.trial_status().filter(|of| of.revision == revision) else {
             return Outcome::Refused(Refusal::NoSuchTrial);
         };
-        // Judged here, by what is agreed: whoever proposes it may know less.
+        // The verdict is computed here from the replicated state; the proposer may know less.
         let why = match of.verdict(now_ms) {
             Verdict::Wait => return Outcome::Refused(Refusal::TooEarly),
             Verdict::Adopt => None,
@@ -714,7 +732,7 @@
             self.finish_edit(key, end);
         }
         if !on {
-            // A revision is never used for two tables, so the way back is a new one.
+            // A revision is never used for two tables, so the rollback gets a new one.
             self.stored.base = Base { revision: revision + 1, ..trial.previous };
             self.stored
                 .published_edits
@@ -736,7 +754,7 @@
         }
     }
 
-    /// Merges again, and lets go of what has ended.
+    /// Repeats the merge and removes the edits that have ended.
     fn remerge(&mut self) {
         self.merged = merge(&self.stored.base, &self.stored.input);
         let mut over = Vec::new();
@@ -749,7 +767,7 @@
             over.push((key.clone(), end));
             false
         });
-        // These took no part in the merge, so the rest stands as it is.
+        // The removed edits took no part in the merge, so that the other states stay as they are.
         for (key, end) in over {
             self.stored.input.edits.remove(&key);
             self.finish_edit(key, end);
@@ -761,7 +779,7 @@
     }
 }
 
-/// What undoes a change of a table.
+/// Returns the change that undoes `change`.
 fn inverse(base: &Base, change: &Change) -> Change {
     match change {
         Change::Add { thing, .. } => Change::Remove { thing: thing.clone() },
@@ -786,7 +804,8 @@
         let read = if entry.len() <= MAX_ENTRY_BYTES { Entry::from_bytes(entry) } else { None };
         let outcome = match read {
             None => Outcome::Refused(Refusal::Unreadable),
-            // Guards against a start that tells of itself after the fleet took it for lost, and is counted for ever.
+            // An incarnation that the fleet has declared lost may still report; its counts would never be
+            // removed.
             Some(Entry::ReportCounts { by, .. }) if !fleet.is_present(&by) => {
                 Outcome::Refused(Refusal::NotInFleet)
             }
@@ -796,7 +815,8 @@
     }
 
     fn members_changed(&mut self, fleet: &Fleet) {
-        // Who is among the first goes by names alone; what is judged by, by who is there.
+        // Membership of the trial group depends on names alone; the counts only on incarnations in the
+        // fleet.
         if let Some(trial) = self.stored.trial.as_mut().filter(|_| !is_active(Mutant::GoneCount)) {
             trial.reports.retain(|by, _| fleet.is_present(by));
         }
--- a/crates/routes/src/rules.rs
+++ b/crates/routes/src/rules.rs
@@ -1,5 +1,5 @@
-//! What makes a table valid: checks on the whole table, whatever edits led to it. The search for conflicts ([`crate::search`]) looks
-//! for the same faults without making the tables.
+//! Validity rules: checks of a whole table, whatever edits led to it. The search for conflicts
+//! ([`crate::search`]) finds the same faults without building the tables.
 
 use crate::table::{
     FULL_SHARE_PERMILLE, Field, Fields, Kind, MAX_NAME_BYTES, MAX_TABLE_BYTES, Table, Thing, Value,
@@ -8,36 +8,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What is added up, and must not go over.
+/// A sum with a limit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Sum {
-    /// The calls of all routes into a dependency, against its budget.
+    /// The calls of all routes into a dependency, limited by its budget.
     Budget(String),
-    /// The shares of all dependencies or all tenants, against the whole.
+    /// The shares of all tenants (`true`) or all dependencies (`false`), limited by the whole.
     Shares(bool),
     /// The size of the table.
     Size,
 }
 
-/// What is wrong with a table.
+/// A fault that makes a table invalid.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum TableFault {
-    /// A field names what is not there.
+    /// A field refers to a thing that does not exist.
     Dangling(Thing, Field, Thing),
-    /// A sum is over.
+    /// A sum exceeds its limit.
     OverLimit {
-        /// Which.
+        /// The sum.
         sum: Sum,
-        /// What it comes to.
+        /// Its value.
         used: i64,
-        /// What it may come to.
+        /// Its limit.
         limit: i64,
     },
-    /// Two routes are for the same calls, lead elsewhere, and neither comes first.
+    /// Two routes for the same calls differ in their target or regions and have the same order.
     OverlappingRoutes(String, String),
-    /// The regions of a route and of a tenant that it is for have none in common.
+    /// A route and a tenant it is for have no region in common.
     NoCommonRegion(String, String),
-    /// Fall-backs go round.
+    /// A cycle of fallbacks.
     FallbackCycle(Vec<String>),
 }
 
@@ -45,31 +45,31 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TableFault::Dangling(thing, field, to) => {
-                write!(f, "{thing} names {to} as its {field:?}, which is not there")
+                write!(f, "{thing} refers to {to} as its {field:?}, which does not exist")
             }
             TableFault::OverLimit { sum: Sum::Budget(name), used, limit } => {
                 write!(f, "routes into dependency/{name} take {used} calls of a budget of {limit}")
             }
             TableFault::OverLimit { sum: Sum::Shares(tenants), used, limit } => {
                 let of = if *tenants { "tenants" } else { "dependencies" };
-                write!(f, "the shares of all {of} come to {used} thousandths of {limit}")
+                write!(f, "the shares of all {of} add up to {used} thousandths, more than {limit}")
             }
             TableFault::OverLimit { sum: Sum::Size, used, limit } => {
-                write!(f, "the table would have {used} bytes of {limit}")
+                write!(f, "the table would have {used} bytes, more than {limit}")
             }
             TableFault::OverlappingRoutes(one, other) => write!(
                 f,
-                "route/{one} and route/{other} are for the same requests, lead elsewhere, and neither comes first"
+                "route/{one} and route/{other} match the same requests with the same order but differ in their target or regions"
             ),
             TableFault::NoCommonRegion(route, tenant) => {
-                write!(f, "route/{route} and tenant/{tenant} allow no region in common")
+                write!(f, "route/{route} and tenant/{tenant} have no allowed region in common")
             }
-            TableFault::FallbackCycle(way) => write!(f, "fall-backs go round: {}", way.join(" → ")),
+            TableFault::FallbackCycle(way) => write!(f, "fallback cycle: {}", way.join(" → ")),
         }
     }
 }
 
-/// Whether two fixed fields are for the same: what is left out is for any.
+/// Whether two routes can match the same value of a field; an omitted field matches any.
 fn fields_intersect(one: &Fields, other: &Fields, field: Field) -> bool {
     match (one.get(&field), other.get(&field)) {
         (Some(one), Some(other)) => one == other,
@@ -77,12 +77,12 @@
     }
 }
 
-/// Whether two routes may be for the same request.
+/// Whether two routes can match the same request.
 pub fn may_match_same_request(one: &Fields, other: &Fields) -> bool {
     fields_intersect(one, other, Field::Class) && fields_intersect(one, other, Field::Tenant)
 }
 
-/// Whether two routes for the same requests lead elsewhere while neither comes first.
+/// Whether two routes for the same requests have the same order but differ in their target or regions.
 pub fn routes_overlap(one: &Fields, other: &Fields) -> bool {
     let to = |fields: &Fields| match fields.get(&Field::Call) {
         Some(Value::Call { to, .. }) => Some(to.clone()),
@@ -97,7 +97,7 @@
         && (regions || (fields_intersect(one, other, Field::Place) && to(one) != to(other)))
 }
 
-/// Whether a route is for a tenant, and they allow no region in common.
+/// Whether a route is for a tenant and they have no region in common.
 pub fn lacks_common_region(route: &Fields, tenant: &Thing, of: &Fields) -> bool {
     let applies = match route.get(&Field::Tenant) {
         Some(Value::Name(name)) => *name == tenant.name,
@@ -109,7 +109,7 @@
     }
 }
 
-/// What one field of a thing adds to which sums; what it adds by being there at all, for no field.
+/// Returns what one field of a thing adds to each sum; without a field, what the thing itself adds.
 pub fn contributions(thing: &Thing, field: Option<Field>, value: &Value) -> Vec<(Sum, i64)> {
     let Some(field) = field else {
         return vec![(Sum::Size, 8 + MAX_NAME_BYTES as i64)];
@@ -124,7 +124,7 @@
     vec![size, other]
 }
 
-/// All that a thing adds, by field.
+/// Returns all that a thing adds to sums, by field.
 pub fn thing_contributions(thing: &Thing, fields: &Fields) -> Vec<(Option<Field>, Sum, i64)> {
     let of = fields.iter().map(|(field, value)| (Some(*field), value)).chain([(None, &Value::Nothing)]);
     of.flat_map(|(field, value)| {
@@ -133,7 +133,7 @@
     .collect()
 }
 
-/// What a sum may come to, where that is no budget.
+/// Returns the limit of a sum. A budget is counted as a negative part of its sum, so that the limit is 0.
 fn limit_of(sum: &Sum) -> i64 {
     match sum {
         Sum::Budget(_) => 0,
@@ -142,7 +142,7 @@
     }
 }
 
-/// What each sum of a table is beyond its room.
+/// Returns by how much each sum of a table exceeds its limit.
 pub fn sum_excess(table: &Table) -> BTreeMap<Sum, i64> {
     let mut sums: BTreeMap<Sum, i64> =
         [Sum::Shares(false), Sum::Shares(true), Sum::Size].map(|sum| (sum.clone(), -limit_of(&sum))).into();
@@ -154,13 +154,13 @@
     sums
 }
 
-/// A sum with its figures; `beyond` is what it is beyond its room.
+/// Describes a sum that exceeds its limit by `excess`.
 pub fn over_limit(sum: &Sum, excess: i64, budget: i64) -> TableFault {
     let limit = if let Sum::Budget(_) = sum { budget } else { limit_of(sum) };
     TableFault::OverLimit { sum: sum.clone(), used: excess + limit, limit }
 }
 
-/// All that is wrong with a table; nothing, if it may be published.
+/// Returns all faults of a table; empty if it may be published.
 pub fn check(table: &Table) -> Vec<TableFault> {
     let mut wrong = Vec::new();
     for (thing, fields) in &table.things {
@@ -197,7 +197,7 @@
     wrong
 }
 
-/// A circle of fall-backs, from its first name.
+/// Finds a cycle of fallbacks, from its first dependency back to it.
 fn fallback_cycle(table: &Table) -> Option<Vec<String>> {
     let mut over: BTreeSet<&Thing> = BTreeSet::new();
     for (start, _) in table.of_kind(Kind::Dependency) {
--- a/crates/routes/src/snapshot.rs
+++ b/crates/routes/src/snapshot.rs
@@ -1,72 +1,74 @@
-//! A table as requests use it: it does not change, and a request keeps the one that it began with.
+//! An immutable table as requests use it: each request keeps the snapshot that it began with.
 
 use crate::table::{FULL_SHARE_PERMILLE, Field, Fields, Kind, Table, Thing, Value};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// Dependencies that are tried one after the other for one call.
+/// Maximum number of fallbacks for one call.
 pub const MAX_FALLBACKS: usize = 8;
 
-/// A table of one revision. To clone it is to count it.
+/// The table of one revision. Cloning only counts a reference.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The revision.
     pub revision: u64,
-    /// Whether it is on trial.
+    /// Whether the revision is on trial.
     pub on_trial: bool,
-    /// The revision that is on trial, here or elsewhere in the fleet.
+    /// The revision on trial at any member of the fleet.
     pub trial: Option<u64>,
-    /// When this process last heard that it is the present one, in the caller's milliseconds.
+    /// When this process last had the revision confirmed as the present one, by the caller's clock in
+    /// milliseconds.
     pub confirmed_ms: u64,
     table: Arc<Table>,
 }
 
-/// Where one call of a request goes.
+/// The target of one call of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteChoice {
-    /// By which route.
+    /// The route that was chosen.
     pub route: String,
     /// The dependency.
     pub to: String,
-    /// Calls at once at most.
+    /// Maximum number of concurrent calls.
     pub calls: u32,
-    /// Those that stand in, one for the other.
+    /// The fallbacks of the dependency, in order.
     pub fallbacks: Vec<String>,
 }
 
 impl Snapshot {
-    /// A snapshot of a table.
+    /// Creates a snapshot of a table.
     pub fn new(revision: u64, on_trial: bool, confirmed_ms: u64, table: Table) -> Snapshot {
         let trial = on_trial.then_some(revision);
         Snapshot { revision, on_trial, trial, confirmed_ms, table: Arc::new(table) }
     }
 
-    /// The same table while this revision is on trial, here or elsewhere.
+    /// Returns the same table with `trial` as the revision on trial in the fleet.
     #[must_use]
     pub fn with_trial(mut self, trial: Option<u64>) -> Snapshot {
         self.trial = trial;
         self
     }
 
-    /// The same table, heard of again.
+    /// Returns the same table, confirmed as the present one at `now_ms`.
     #[must_use]
     pub fn confirmed(mut self, now_ms: u64) -> Snapshot {
         self.confirmed_ms = self.confirmed_ms.max(now_ms);
         self
     }
 
-    /// How long ago this process heard that it is the present one. One that is cut off goes on with what it has, and says this.
+    /// Returns the time since the table was confirmed as the present one. A nodo that is cut off uses what
+    /// it has and shows this age.
     pub fn age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.confirmed_ms)
     }
 
-    /// The table.
+    /// Returns the table.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// The routes for a class and tenant, the first in order first.
+    /// Returns the routes for a class and tenant in order of precedence.
     fn routes(&self, class: &str, tenant: &str) -> Vec<(&Thing, &Fields)> {
         let is_for = |fields: &Fields, field, name: &str| match fields.get(&field) {
             Some(Value::Name(of)) => of == name,
@@ -76,7 +78,7 @@
             is_for(fields, Field::Class, class) && is_for(fields, Field::Tenant, tenant)
         };
         let mut routes: Vec<_> = self.table.of_kind(Kind::Route).filter(fit).collect();
-        // Stable: those that are in no order lead to the same, or the table would not be valid.
+        // The sort is stable. In a valid table, routes of the same order do not disagree.
         routes.sort_by_key(|(_, fields)| match fields.get(&Field::Order) {
             Some(Value::Number(order)) => u64::from(*order),
             _ => u64::MAX,
@@ -84,7 +86,7 @@
         routes
     }
 
-    /// Where a call of a request goes, by its place in the run from 1.
+    /// Returns the target of a request's call by its position in the run, from 1.
     pub fn choose(&self, class: &str, tenant: &str, place: u32) -> Option<RouteChoice> {
         let fit = |(thing, fields): (&Thing, &Fields)| {
             let here = fields.get(&Field::Place).is_none_or(|of| *of == Value::Number(place));
@@ -99,7 +101,7 @@
         self.routes(class, tenant).into_iter().find_map(fit)
     }
 
-    /// The dependencies that stand in for one, the first first: a valid table has no circle of them.
+    /// Returns the fallbacks of a dependency in order. A valid table has no cycle of them.
     fn fallbacks_of(&self, to: &str) -> Vec<String> {
         let next =
             |name: &String| match self.table.value(&Thing::new(Kind::Dependency, name), Field::Fallback) {
@@ -109,13 +111,13 @@
         std::iter::successors(next(&to.to_string()), next).take(MAX_FALLBACKS).collect()
     }
 
-    /// Requests of a class that a nodo may have in hand at once, if that is bounded.
+    /// Returns the maximum number of in-flight requests of a class on one nodo, if limited.
     pub fn class_limit(&self, class: &str) -> Option<usize> {
         self.number(Kind::Class, class, Field::Limit)
     }
 
-    /// Of so many places of a nodo, those that a tenant's requests may take at once, if that is bounded. A share that is not nothing is
-    /// one place at least.
+    /// Returns how many of a nodo's `of` slots the requests of a tenant may take, if limited. A share above
+    /// zero gives at least one slot.
     pub fn tenant_slots(&self, tenant: &str, of: usize) -> Option<usize> {
         let share = self.number(Kind::Tenant, tenant, Field::Share)?;
         Some(share.saturating_mul(of).div_ceil(FULL_SHARE_PERMILLE as usize))
@@ -128,8 +130,8 @@
         }
     }
 
-    /// The regions that may serve a request; empty if all may. The first route in order that names regions says which, and of these the
-    /// ones that its tenant may be served in. A valid table leaves at least one.
+    /// Returns the regions that may serve a request; empty if all may. The first route that names regions
+    /// applies, restricted to those of the tenant. A valid table leaves at least one.
     pub fn allowed_regions(&self, class: &str, tenant: &str) -> BTreeSet<String> {
         let regions = |fields: &Fields| match fields.get(&Field::Regions) {
             Some(Value::Names(names)) => Some(names.clone()),
@@ -143,13 +145,13 @@
         }
     }
 
-    /// Why requests of a class and tenant go where they go, in words.
+    /// Explains as text where requests of a class and tenant go.
     pub fn explain(&self, class: &str, tenant: &str, now_ms: u64) -> String {
         let mut words = format!("revision {}", self.revision);
         if self.on_trial {
             words.push_str(", on trial here");
         }
-        // Writing into text cannot fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(words, ", heard {} ms ago", self.age_ms(now_ms));
         for (at, (thing, fields)) in self.routes(class, tenant).into_iter().enumerate() {
             let first = if at == 0 { "first" } else { "then" };
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,30 +1,32 @@
-//! The table: things with fields. What is asked of it is in [`crate::snapshot`], what makes it valid in [`crate::rules`].
+//! The table: things with fields. Queries by requests are in [`crate::snapshot`], validity rules in
+//! [`crate::rules`].
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Bytes of a name: it stands in lines of operators and in headers as it is.
+/// Maximum length of a name, in bytes: names appear unescaped in operators' lines and in headers.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Names that one field may hold: as many regions as anybody has.
+/// Maximum number of names in one field: enough for all regions of a fleet.
 pub const MAX_NAMES_PER_FIELD: usize = 64;
-/// Bytes of a table, each name counted as if it were as long as a name can be, so that a rename changes nothing.
+/// Maximum size of a table, in bytes. Each name counts with the maximum length, so that renames do not
+/// change the size.
 pub const MAX_TABLE_BYTES: u32 = 1024 * 1024;
-/// All of a share, in thousandths.
+/// The whole of a share, in thousandths.
 pub const FULL_SHARE_PERMILLE: u32 = 1000;
 
-/// What a thing is.
+/// The kind of a thing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// A place where nodos stand.
+    /// A region with nodos.
     Region,
-    /// What lies below the nodos.
+    /// A dependency that nodos call.
     Dependency,
     /// A class of requests.
     Class,
-    /// Whose requests they are.
+    /// A tenant whose requests are served.
     Tenant,
-    /// Where the calls of a class and tenant go.
+    /// The target of calls of a class and tenant.
     Route,
 }
 
@@ -40,19 +42,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Thing {
-    /// What it is.
+    /// The kind.
     pub kind: Kind,
-    /// What it is called.
+    /// The name.
     pub name: String,
 }
 
 impl Thing {
-    /// A thing of this kind and name.
+    /// Creates a thing of this kind and name.
     pub fn new(kind: Kind, name: &str) -> Thing {
         Thing { kind, name: name.to_string() }
     }
 
-    /// Another one of the same kind.
+    /// Returns a thing of the same kind with another name.
     pub fn named(&self, name: &str) -> Thing {
         Thing::new(self.kind, name)
     }
@@ -88,35 +90,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Field {
-    /// The team that it belongs to.
+    /// The team that owns the thing.
     Owner,
-    /// Calls at once that a dependency bears, over all routes into it.
+    /// Concurrent calls that a dependency can take, over all routes into it.
     Budget,
-    /// Thousandths of the nodos' places that a dependency or a tenant may take.
+    /// Share of the nodos' slots that a dependency or a tenant may take, in thousandths.
     Share,
-    /// The dependency that stands in.
+    /// The fallback of a dependency.
     Fallback,
-    /// Requests of a class at once.
+    /// Maximum number of concurrent requests of a class.
     Limit,
-    /// Where requests may be served; all regions if it is left out.
+    /// Regions where requests may be served; all if omitted.
     Regions,
-    /// The class that a route is for; any if it is left out. Fixed when the route is added.
+    /// The class of a route; any if omitted. Immutable after the route is added.
     Class,
-    /// The tenant that a route is for; any if it is left out. Fixed when the route is added.
+    /// The tenant of a route; any if omitted. Immutable after the route is added.
     Tenant,
-    /// The call of a run that a route is for, from 1; any if it is left out. Fixed when the route is added.
+    /// The position of a route's call in a run, from 1; any if omitted. Immutable after the route is added.
     Place,
-    /// Where the calls of a route go, and how many of its budget they may take.
+    /// The target of a route's calls, and how much of its budget they may take.
     Call,
-    /// Which of two routes comes first: the lower. One without comes last.
+    /// Precedence among routes, lowest first. A route without it comes last.
     Order,
 }
 
-/// What a field holds.
+/// The value of a field.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Value {
-    /// The field is left out.
+    /// The field is omitted.
     Nothing,
     /// A count.
     Number(u32),
@@ -124,11 +126,11 @@
     Name(String),
     /// Names of regions.
     Names(BTreeSet<String>),
-    /// Where calls go.
+    /// The target of calls.
     Call {
         /// The name of the dependency.
         to: String,
-        /// Calls at once at most.
+        /// Maximum number of concurrent calls.
         calls: u32,
     },
 }
@@ -147,11 +149,11 @@
     }
 }
 
-/// The fields of a thing that are not left out.
+/// The fields of a thing that are not omitted.
 pub type Fields = BTreeMap<Field, Value>;
 
 impl Field {
-    /// Whether a thing of this kind has the field, and the value is of its type.
+    /// Whether a thing of this kind has the field, and the value is valid for it.
     pub fn accepts(self, kind: Kind, value: &Value) -> bool {
         use Kind::{Class, Dependency, Route, Tenant};
         let has = match self {
@@ -179,17 +181,17 @@
         has && fits
     }
 
-    /// Whether a thing of this kind cannot be without it.
+    /// Whether a thing of this kind must have the field.
     pub fn is_required_for(self, kind: Kind) -> bool {
         matches!((self, kind), (Field::Budget, Kind::Dependency) | (Field::Call, Kind::Route))
     }
 
-    /// Whether it is what a route is for, and stays as it was added.
+    /// Whether the field selects the calls of a route, and so cannot change after the route is added.
     pub fn is_immutable(self) -> bool {
         matches!(self, Field::Class | Field::Tenant | Field::Place)
     }
 
-    /// What it counts for in [`MAX_TABLE_BYTES`].
+    /// Returns the size of a value as counted in [`MAX_TABLE_BYTES`].
     pub fn accounted_bytes(value: &Value) -> i64 {
         let names = match value {
             Value::Nothing => return 0,
@@ -200,7 +202,7 @@
         i64::try_from(8 + names * (MAX_NAME_BYTES + 2)).unwrap_or(i64::MAX)
     }
 
-    /// The things that a value of this field names.
+    /// Returns the things that a value of this field refers to.
     pub fn references(self, value: &Value) -> Vec<Thing> {
         match (self, value) {
             (Field::Fallback, Value::Name(name)) => vec![Thing::new(Kind::Dependency, name)],
@@ -214,7 +216,7 @@
         }
     }
 
-    /// The value with one thing called something else.
+    /// Returns the value with references to `from` changed to the name `to`.
     pub fn with_reference_renamed(self, value: &Value, from: &Thing, to: &str) -> Value {
         if !self.references(value).contains(from) {
             return value.clone();
@@ -233,7 +235,7 @@
     }
 }
 
-/// Names stand in lines of operators as they are.
+/// Whether a name is safe to appear unescaped in operators' lines.
 pub fn is_valid_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len())
         && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._".contains(&b))
@@ -242,19 +244,19 @@
 /// All things, by kind and name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Each with its fields.
+    /// The fields of each thing.
     pub things: BTreeMap<Thing, Fields>,
 }
 
 static NOTHING: Value = Value::Nothing;
 
 impl Table {
-    /// What a field holds.
+    /// Returns the value of a field.
     pub fn value(&self, thing: &Thing, field: Field) -> &Value {
         self.things.get(thing).and_then(|fields| fields.get(&field)).unwrap_or(&NOTHING)
     }
 
-    /// The team that a thing belongs to.
+    /// Returns the team that owns a thing.
     pub fn owner(&self, thing: &Thing) -> Option<&str> {
         match self.value(thing, Field::Owner) {
             Value::Name(team) => Some(team),
@@ -262,12 +264,13 @@
         }
     }
 
-    /// The things of one kind.
+    /// Returns the things of one kind.
     pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = (&Thing, &Fields)> {
         self.things.iter().filter(move |(thing, _)| thing.kind == kind)
     }
 
-    /// The parts that are touched when this thing is: itself, and what a route is for.
+    /// Returns the things whose owners are concerned by a change of this one: the thing itself, and the
+    /// class and tenant of a route.
     pub fn affected_things(thing: &Thing, fields: &Fields) -> Vec<Thing> {
         let fixed = [Field::Class, Field::Tenant];
         let of = fixed.iter().filter_map(|field| fields.get(field).map(|value| field.references(value)));
--- a/crates/routes/src/tests.rs
+++ b/crates/routes/src/tests.rs
@@ -318,12 +318,15 @@
     );
     assert_eq!(refused(vec![budget("correo", 3)]), "there is no dependency/correo");
     let remove = Change::Remove { thing: dependency("padron") };
-    assert_eq!(refused(vec![remove]), "it removes dependency/padron, which route/r1 names");
+    assert_eq!(refused(vec![remove]), "it removes dependency/padron, which route/r1 refers to");
     let next = |of: &str, to: &str| set(dependency(of), Field::Fallback, Value::Name(to.into()));
     let round = refused(vec![next("firma", "padron"), next("padron", "firma")]);
-    assert!(round.contains("firma, whose") || round.contains("Waits"), "{round}");
-    assert_eq!(refused(vec![next("padron", "padron")]), "fall-backs go round: padron → padron");
-    assert_eq!(refused(vec![next("padron", "correo")]), "it names dependency/correo, which is not there");
+    assert!(round.contains("AwaitsConsent"), "{round}");
+    assert_eq!(refused(vec![next("padron", "padron")]), "fallback cycle: padron → padron");
+    assert_eq!(
+        refused(vec![next("padron", "correo")]),
+        "it refers to dependency/correo, which does not exist"
+    );
 }
 
 #[test]
@@ -497,7 +500,8 @@
         assert!(matches!(outcome, Outcome::Open(_)), "{number}: {outcome:?}");
     }
     let outcome = send(&mut routes, MAX_OPEN_PER_FIELD, budget(MAX_OPEN_PER_FIELD));
-    let words = "refused: 64 open edits say what becomes of Budget of dependency/padron: settle or withdraw some first";
+    let words =
+        "refused: 64 open edits already change Budget of dependency/padron: settle or withdraw some first";
     assert_eq!(outcome.to_string(), words);
     // One that came before is known still, and another field is free.
     assert!(matches!(send(&mut routes, 3, budget(3)), Outcome::Open(_)));
--- a/crates/routes/src/trial.rs
+++ b/crates/routes/src/trial.rs
@@ -1,4 +1,5 @@
-//! A new table goes to a share of the members first, and on only when these do no worse.
+//! Trials: a new table is used by a share of the members first, and by all only if these do no worse with
+//! it.
 
 use crate::mutants::{Mutant, is_active};
 use crate::snapshot::Snapshot;
@@ -9,31 +10,34 @@
 use std::fmt;
 use std::hash::Hasher;
 
-/// Requests on either side below which nothing is said. Ours: at one failure in a hundred it shows a doubling.
+/// Requests needed on either side before a verdict. At a failure rate of 1 %, this many show a doubling.
 pub const MIN_REQUESTS_PER_SIDE: u64 = 500;
-/// So much of all, in thousandths, is let pass as no worse.
+/// An increase of the failed or slow requests up to this, in thousandths of all requests, is tolerated.
 pub const TOLERATED_INCREASE_PERMILLE: u64 = 2;
-/// After so long a table that too few requests came to goes back, as nobody can say that it does no worse.
+/// After this time a table with too few requests is rolled back, since it cannot be shown to do no worse.
 pub const MAX_TRIAL_MS: u64 = 30 * 60 * 1000;
-/// No table goes on before this: what goes wrong slowly, such as a budget that fills, needs its time.
+/// No table is adopted before this time: slow effects, such as a budget that fills up, take a while to
+/// show.
 pub const MIN_TRIAL_MS: u64 = 30 * 1000;
-/// Standard deviations beyond which a difference is no chance.
+/// Number of standard deviations beyond which a difference counts as significant.
 const SIGNIFICANCE_STD_DEVS: f64 = 3.0;
 
-/// Where a member stands in the order in which members get a table, by its name alone.
+/// Returns the position of a member in the order in which members get a new table. Depends on its name
+/// alone.
 fn trial_position(member: &str) -> u32 {
     let mut hash = SipHasher13::new();
     hash.write(member.as_bytes());
     (hash.finish() % u64::from(FULL_SHARE_PERMILLE)) as u32
 }
 
-/// Whether a member is among the first, by its name alone: the same members as long as the share is.
+/// Whether a member is in a trial with this share. Depends on its name alone, so that equal shares have
+/// equal members.
 pub fn in_trial(member: &str, permille: u32) -> bool {
     trial_position(member) < permille
 }
 
-/// The share to begin with: the one wanted, or so much more that one of these members is among the first, or so much less that one is
-/// not; all at once where that cannot be, as there is nothing to compare with then.
+/// Returns the share of a trial: the wanted one, adjusted so that at least one of the members is in the
+/// trial and one is not. Returns the whole if that is impossible, as there is nothing to compare then.
 pub fn trial_permille<'a>(members: impl IntoIterator<Item = &'a str>, wanted: u32) -> u32 {
     let places: BTreeSet<u32> = members.into_iter().map(trial_position).collect();
     match (places.first(), places.last()) {
@@ -42,32 +46,32 @@
     }
 }
 
-/// Requests that one start tells of at most: sums over all starts stay far within what a number holds.
+/// Maximum number of requests in one report, so that sums over all incarnations cannot overflow.
 pub const MAX_REPORTED_REQUESTS: u64 = 1 << 40;
 
-/// What some members have seen.
+/// Counts of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests.
+    /// All requests.
     pub requests: u64,
-    /// Of these, those that failed or were turned away.
+    /// Requests that failed or were rejected.
     pub failed: u64,
-    /// Of these, those that took longer than their class may.
+    /// Requests that took longer than their class allows.
     pub slow: u64,
 }
 
 impl Counts {
-    /// Those that were served in time.
+    /// Returns the number of requests served in time.
     pub fn in_time(&self) -> u64 {
         self.requests.saturating_sub(self.failed).saturating_sub(self.slow)
     }
 
-    /// Whether this can be, and is within bounds.
+    /// Whether the counts are consistent and within bounds.
     pub fn is_plausible(&self) -> bool {
         self.requests <= MAX_REPORTED_REQUESTS && self.failed.saturating_add(self.slow) <= self.requests
     }
 
-    /// With those of another.
+    /// Returns the sum of two counts.
     #[must_use]
     pub fn plus(&self, other: &Counts) -> Counts {
         Counts {
@@ -84,18 +88,18 @@
     }
 }
 
-/// How a request ended, as far as a table is judged by it.
+/// How a request ended, for the judgement of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// Served in time.
     InTime,
-    /// Served too late, or its caller did not wait for it.
+    /// Served too late, or abandoned by its caller.
     Slow,
-    /// Failed or turned away.
+    /// Failed or rejected.
     Failed,
 }
 
-/// What one start has seen of requests that began while it knew of a trial: of the newest trial alone.
+/// Counts the requests of one incarnation that began during the newest trial it knows of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     trial: u64,
@@ -104,7 +108,8 @@
 }
 
 impl Tally {
-    /// A request that began with this table is over. Those that began while there was no trial say nothing of one.
+    /// Records the end of a request that began with this table. Requests that began while no trial ran do
+    /// not count.
     pub fn record(&mut self, table: &Snapshot, how: RequestEnd) {
         let Some(trial) = table.trial.filter(|trial| *trial >= self.trial) else { return };
         if trial > self.trial {
@@ -121,31 +126,31 @@
         }
     }
 
-    /// What it has seen of this trial, by the revision that it uses.
+    /// Returns the revision in use and the counts of this trial, if there are any.
     pub fn counts_for(&self, trial: u64) -> Option<(u64, Counts)> {
         (self.trial == trial && self.counts.requests > 0).then_some((self.revision, self.counts))
     }
 }
 
-/// What becomes of a table that is on trial.
+/// The verdict on a table that is on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// All get it.
+    /// All members get it.
     Adopt,
-    /// It is taken back.
+    /// It is rolled back.
     RollBack(RollbackReason),
-    /// It is too early to say.
+    /// The trial goes on.
     Wait,
 }
 
-/// RollbackReason a table is taken back.
+/// Why a table is rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RollbackReason {
-    /// More requests failed or were turned away.
+    /// More requests failed or were rejected.
     Failures,
     /// More requests were served late.
     Slow,
-    /// Too few came on one side to say that it does no worse.
+    /// There were too few requests on one side to show that it does no worse.
     TooFew,
 }
 
@@ -159,11 +164,12 @@
     }
 }
 
-/// Judges a table by what members without it (`before`) and with it (`after`) have seen in the same time.
-///
-/// It goes back as soon as failures or slow answers are more by over [`TOLERATED_INCREASE_PERMILLE`] and by more than chance, and goes on once there was
-/// enough to see and the time was not too short. A difference that may be chance and is above what is let pass waits for more. Too few
-/// requests never decide that it goes on: after [`MAX_TRIAL_MS`] it goes back.
+/// Judges a table by the requests of members without it (`before`) and with it (`after`) over the same
+/// time.
+/// It is rolled back as soon as failures or slow requests increase by significantly more than
+/// [`TOLERATED_INCREASE_PERMILLE`]. It is adopted after enough requests and [`MIN_TRIAL_MS`]. An increase
+/// above the tolerated one that is not significant prolongs the trial up to [`MAX_TRIAL_MS`]. With too few
+/// requests a table is never adopted, but rolled back after [`MAX_TRIAL_MS`].
 pub fn judge(before: &Counts, after: &Counts, waited_ms: u64) -> Verdict {
     let enough = before.requests.min(after.requests) >= MIN_REQUESTS_PER_SIDE || is_active(Mutant::FewDecide);
     if !enough {
@@ -189,7 +195,7 @@
     }
     match (worse, doubt) {
         (Some(why), _) => Verdict::RollBack(why),
-        // What stays in doubt for the whole trial is too small to be seen.
+        // An increase that is still not significant at the end of the trial is too small to matter.
         (None, true) if waited_ms < MAX_TRIAL_MS => Verdict::Wait,
         _ if waited_ms < MIN_TRIAL_MS => Verdict::Wait,
         _ => Verdict::Adopt,
--- a/crates/routes/src/trial_sim.rs
+++ b/crates/routes/src/trial_sim.rs
@@ -1,5 +1,6 @@
-//! Trials by a seed: nodos that serve, tell, are cut off and come back, words that are lost, late or doubled, and several that lead at
-//! once with clocks that differ. What the part sums up is held against a ledger of what was really seen and heard.
+//! Simulation of trials with a seeded rng: nodos that serve, report, are cut off and return; reports that
+//! are lost, late or repeated; several leaders with differing clocks. The sums of the replicated state are
+//! compared with the counts that were really received.
 
 use crate::edit::{Change, Edit, EditId};
 use crate::merge::RefusalReason;
@@ -13,50 +14,50 @@
 use jaspershunt_fleet::{Entry as OfFleet, Holder, Outcome as OfAgreed};
 use std::collections::BTreeMap;
 
-/// Between two looks at all of it.
+/// Time between two steps.
 const STEP_MS: u64 = 5_000;
-/// When the trial begins.
+/// Start of the trial.
 const BEGIN_MS: u64 = 1_000_000;
-/// Of a thousand requests, those that fail and those that are late without the table on trial.
+/// Failed and late requests in a thousand without the table on trial.
 const BASELINE_PERMILLE: [u64; 2] = [10, 10];
-/// The same for what a bad table makes worse.
+/// Failed or late requests in a thousand with a bad table.
 const DEGRADED_PERMILLE: u64 = 100;
 
-/// What the table on trial makes worse.
+/// The quality of the table on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TableQuality {
-    /// Nothing.
+    /// Does no worse.
     Good,
-    /// More fail.
+    /// More requests fail.
     Fails,
-    /// More are late.
+    /// More requests are late.
     Late,
 }
 
-/// How trials ended.
+/// How the simulated trials ended.
 #[derive(Clone, Debug, Default)]
 pub struct Tried {
-    /// By what the table was like, and why it went back, if it did.
+    /// Number of trials by the quality of the table and the reason for the rollback, if any.
     pub ends: BTreeMap<(TableQuality, Option<RollbackReason>), u64>,
-    /// The first seed that failed, and how.
+    /// The first seed that failed, with the reason.
     pub first: Option<(u64, String)>,
 }
 
 struct Nodo {
     start: Holder,
     tally: Tally,
-    /// Requests in a step.
+    /// Mean number of requests in a step.
     rate: u64,
-    /// Its requests are counted, its words do not come through.
+    /// Whether it is cut off: it goes on counting requests, but its reports are lost.
     cut: bool,
-    /// The most that came through of this start while it was in the fleet.
+    /// The highest counts received from this incarnation while it was in the fleet.
     received: Option<Counts>,
 }
 
 struct Simulation {
     agreed: Agreed,
     nodos: Vec<Nodo>,
-    /// Words on the way, with when they come.
+    /// Reports in transit, with the time of their arrival.
     in_transit: Vec<(u64, Entry)>,
 }
 
@@ -109,7 +110,7 @@
         Ok(Simulation { agreed, nodos, in_transit: Vec::new() })
     }
 
-    /// Requests are served, and told of.
+    /// Serves requests and sends reports.
     fn serve(&mut self, now_ms: u64, quality: TableQuality, rng: &mut SeededRng) -> Result<(), String> {
         for nodo in &mut self.nodos {
             let routes = routes(&self.agreed)?;
@@ -134,7 +135,7 @@
             }
             let Some(trial) = table.trial else { continue };
             let Some((revision, counts)) = nodo.tally.counts_for(trial) else { continue };
-            // One in thirty words is of a table that the start does not use.
+            // One in thirty reports is for a table that the nodo does not use.
             let odd = rng.below(30) == 0;
             let revision = if odd && revision > 0 { revision - 1 } else { revision + u64::from(odd) };
             let told = Entry::ReportCounts { by: nodo.start.clone(), trial, revision, counts };
@@ -147,7 +148,7 @@
         Ok(())
     }
 
-    /// Words come, those that come together in any order.
+    /// Delivers the reports that are due, in random order.
     fn deliver(&mut self, now_ms: u64, rng: &mut SeededRng) {
         let (mut due, rest): (Vec<_>, Vec<_>) = self.in_transit.drain(..).partition(|(at, _)| *at <= now_ms);
         self.in_transit = rest;
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Nodos are cut off, are taken for lost, come back, or start again.
+    /// Cuts a nodo off, declares it lost, lets it return, or restarts it.
     fn change_members(&mut self, rng: &mut SeededRng) {
         let at = rng.below(self.nodos.len() as u64) as usize;
         let nodo = &mut self.nodos[at];
@@ -187,7 +188,7 @@
         }
     }
 
-    /// What was heard of starts that are there, without the table and with it.
+    /// Sums the counts received from incarnations in the fleet, without and with the table.
     fn expected_counts(&self, permille: u32) -> [Counts; 2] {
         let sum = |with: bool| {
             let side = self.nodos.iter().filter(|nodo| trial::in_trial(&nodo.start.member, permille) == with);
@@ -197,7 +198,7 @@
     }
 }
 
-/// One trial; what is wrong with it, if anything is.
+/// Runs one trial; returns what is wrong, if anything.
 pub fn run_seed(seed: u64, tried: &mut Tried) -> Option<String> {
     let mut rng = SeededRng::new(seed);
     let quality = [TableQuality::Good, TableQuality::Fails, TableQuality::Late][rng.below(3) as usize];
@@ -232,7 +233,7 @@
         if (of.without, of.with) != (without, with) {
             return Err(format!("{of:?}, and heard was {without:?} {with:?}"));
         }
-        // Several may lead, with clocks of which one is up to a minute behind.
+        // There may be two leaders, each with a clock up to a minute behind.
         for _ in 0..1 + rng.below(2) {
             let at = now_ms - 1_000 * rng.below(60).min((now_ms - BEGIN_MS) / 1_000);
             let outcome = propose(&mut simulation.agreed, &Entry::JudgeTrial { revision: 1, now_ms: at });
@@ -245,7 +246,7 @@
     }
 }
 
-/// Whether a trial that ended so ended rightly.
+/// Checks the end of a trial.
 fn check_end(
     simulation: &Simulation,
     quality: TableQuality,
@@ -281,7 +282,7 @@
     }
 }
 
-/// Trials by seeds from one on.
+/// Runs trials with consecutive seeds until one fails.
 pub fn run_seeds(first: u64, cases: u64) -> Tried {
     let mut tried = Tried::default();
     for seed in first..first + cases {
@@ -297,14 +298,14 @@
 mod tests {
     use super::*;
 
-    /// `ROUTES_TRIALS` asks for more.
+    /// `ROUTES_TRIALS` sets the number of cases.
     #[test]
     fn trials_end_by_what_was_heard_and_bad_tables_never_go_on() {
         let cases = std::env::var("ROUTES_TRIALS").ok().and_then(|cases| cases.parse().ok()).unwrap_or(300);
         let tried = run_seeds(1, cases);
         println!("{tried:?}");
         assert_eq!(tried.first, None);
-        // Worth something only if all ends are among them.
+        // The test is only meaningful if all outcomes occur.
         for end in [
             (TableQuality::Good, None),
             (TableQuality::Good, Some(RollbackReason::TooFew)),
