--- a/crates/routes/src/from_file.rs
+++ b/crates/routes/src/from_file.rs
@@ -146,7 +146,7 @@
     }
 
     #[test]
-    fn a_file_is_an_edit_that_makes_the_table_say_the_same() {
+    fn a_file_becomes_an_edit_that_brings_the_table_in_line() {
         let file = jaspershunt_operator::read("site", SITE).unwrap();
         let mut routes = Routes::default();
         let all = changes(&file, routes.table(), "pagos").unwrap();
@@ -172,7 +172,7 @@
     }
 
     #[test]
-    fn routes_into_too_few_calls_are_told() {
+    fn a_dependency_with_fewer_calls_than_routes_is_an_error() {
         let text = SITE.replace("calls = 9", "calls = 1\n limit { start = 1 }");
         let file = jaspershunt_operator::read("site", &text).unwrap();
         let wrong = changes(&file, &Table::default(), "pagos").unwrap_err();
--- a/crates/routes/src/overlay.rs
+++ b/crates/routes/src/overlay.rs
@@ -89,7 +89,7 @@
     }
 
     #[test]
-    fn the_table_stands_over_the_file_and_the_file_where_the_table_is_silent() {
+    fn the_table_overrides_the_file_where_it_has_a_value() {
         let file = jaspershunt_operator::read("site", SITE).unwrap();
         let table = table(&[
             ("padron", &[(Field::Budget, Value::Number(3)), (Field::Share, Value::Number(900))]),
--- a/crates/routes/src/search.rs
+++ b/crates/routes/src/search.rs
@@ -1,7 +1,8 @@
-//! The smallest sets of edits that make the table wrong together: sums, overlaps, regions and cycles, found without making the tables.
-//!
-//! A set is bad if some of it makes a wrong table; what is looked for are bad sets of which each part is good. So no table on the way to
-//! the one with all taken edits is wrong, in whichever order they come.
+//! Finds the minimal sets of edits that make the table invalid together by sums, overlaps, regions or
+//! cycles, without building the tables.
+//! A set is invalid if applying some of its edits gives an invalid table. The search reports invalid sets
+//! of which every subset is valid, so that the accepted edits can be applied in any order through valid
+//! tables only.
 
 use crate::access::{AccessSet, ConflictReason};
 use crate::base::Base;
@@ -11,22 +12,23 @@
 use crate::table::{Field, Fields, Kind, Thing, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sets that are looked at for one rule. Ours: all sets of up to three of twenty edits; where there are more, all that take part are held.
+/// Maximum number of sets examined for one rule: enough for all sets of up to three among twenty edits.
+/// Beyond it, none of the edits that take part is accepted.
 pub const MAX_SEARCH_STEPS: usize = 2_000;
 
-/// An edit that takes part.
+/// An edit that the search considers.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// What stands for it.
+    /// Its key.
     pub key: &'a EditKey,
     /// What it reads and writes.
     pub access: &'a AccessSet,
 }
 
-/// A set of edits, by place, and what is wrong with it.
+/// A set of edits, by index, and what is wrong with it.
 pub type InvalidSet = (BTreeSet<usize>, ConflictReason);
 
-/// Looks through all rules.
+/// Searches by all rules.
 pub fn find_invalid_sets(
     base: &Base,
     parts: &[Candidate<'_>],
@@ -46,7 +48,7 @@
     clash: &'a dyn Fn(usize, usize) -> bool,
 }
 
-/// Goes through sets of edits, each once, and not beyond a bad one.
+/// Enumerates sets of edits, each once, without extending invalid ones.
 struct SetSearch<'a> {
     among: &'a [usize],
     clash: &'a dyn Fn(usize, usize) -> bool,
@@ -101,7 +103,7 @@
         let mut takers: BTreeMap<&Sum, Vec<usize>> = BTreeMap::new();
         for (at, part) in self.parts.iter().enumerate() {
             for (sum, cells) in &part.access.sum_changes {
-                // A bad set without one that takes is bad without one that gives.
+                // Edits that only lower a sum are never part of a minimal invalid set.
                 if cells.values().any(|add| *add > 0) {
                     takers.entry(sum).or_default().push(at);
                 }
@@ -112,7 +114,7 @@
             let cells = |at: usize| self.parts[at].access.sum_changes.get(sum);
             let most = |at: usize| cells(at).into_iter().flatten().map(|(_, add)| (*add).max(0)).sum::<i64>();
             let beyond = |chosen: &[usize]| {
-                // What two of them say alike counts once.
+                // Changes that several edits make alike count once.
                 let all: BTreeMap<_, i64> = chosen
                     .iter()
                     .flat_map(|at| cells(*at))
@@ -148,7 +150,7 @@
         if let Some(Value::Number(budget)) = value { i64::from(budget) } else { 0 }
     }
 
-    /// A thing, as it is with these edits.
+    /// Returns a thing as these edits make it.
     fn thing_with(&self, thing: &Thing, chosen: &[usize]) -> Option<Fields> {
         let accesses = || chosen.iter().map(|at| self.parts[*at].access);
         let added = || accesses().find_map(|access| access.adds.get(thing));
@@ -167,7 +169,7 @@
         Some(fields)
     }
 
-    /// The routes and tenants that edits touch, with the edits of each.
+    /// Returns the things of a kind that edits add or set one of the fields of, with the edits of each.
     fn touched(&self, kind: Kind, fields: &[Field]) -> BTreeMap<Thing, BTreeSet<usize>> {
         let mut touched: BTreeMap<Thing, BTreeSet<usize>> = BTreeMap::new();
         for (at, part) in self.parts.iter().enumerate() {
@@ -180,7 +182,8 @@
         touched
     }
 
-    /// What edits have made of a route's fixed fields: as it is, or as each that adds it has it.
+    /// Returns the versions of a route with different immutable fields: the existing one, and that of each
+    /// edit that adds the route.
     fn variants<'a>(&'a self, route: &'a Thing, by: &'a BTreeSet<usize>) -> impl Iterator<Item = &'a Fields> {
         let added = by.iter().filter_map(move |at| self.parts[*at].access.adds.get(route));
         self.base.table.things.get(route).into_iter().chain(added)
@@ -202,11 +205,11 @@
             for other in self.routes_of_same_class(one, by, &of_class) {
                 let other = other.clone();
                 let theirs = routes.get(&other).unwrap_or(&nobody);
-                // Most are in order whatever is taken, which is cheaply seen.
+                // Most pairs have different orders whatever is accepted, which is cheap to check.
                 if self.possible_orders(&other, theirs).is_disjoint(&orders) {
                     continue;
                 }
-                // Where both are touched, they are compared once.
+                // A pair that is changed on both sides is compared once.
                 if other == *one
                     || (!theirs.is_empty() && other < *one)
                     || is_active(Mutant::OverlapNotCompared)
@@ -228,7 +231,7 @@
                 }
             }
         }
-        // Pairs of a route and a tenant of which one at least is touched.
+        // Pairs of a route and a tenant, at least one of them changed.
         let mut pairs: BTreeSet<(Thing, Thing)> = BTreeSet::new();
         let all: BTreeSet<&Thing> =
             self.base.table.of_kind(Kind::Tenant).map(|(of, _)| of).chain(tenants.keys()).collect();
@@ -268,7 +271,7 @@
         by.iter().any(set) || self.variants(route, by).any(|fields| fields.contains_key(&Field::Regions))
     }
 
-    /// The orders that a route may come to have.
+    /// Returns the orders that a route may come to have.
     fn possible_orders<'a>(
         &'a self,
         route: &'a Thing,
@@ -280,7 +283,7 @@
         set.chain(self.variants(route, by).map(|fields| fields.get(&Field::Order))).collect()
     }
 
-    /// The routes that may be for the same class as one.
+    /// Returns the routes that may be for the same class as this one.
     fn routes_of_same_class<'a>(
         &'a self,
         one: &'a Thing,
@@ -344,7 +347,7 @@
     }
 }
 
-/// Goes along fall-backs, of the table and of edits.
+/// Follows fallbacks of the table and of edits to find cycles.
 struct CycleSearch<'a> {
     search: &'a Search<'a>,
     edges: &'a BTreeMap<String, Vec<(usize, String)>>,
@@ -384,7 +387,7 @@
 
     fn close(&mut self, way: &[(String, Option<usize>)]) {
         let set: BTreeSet<usize> = way.iter().filter_map(|(_, by)| *by).collect();
-        // A step of the table counts only if none of the edits has changed it.
+        // A fallback of the table counts only if none of the edits in the set changes it.
         let stands = way.iter().all(|(name, by)| {
             let changed = self.writers.get(name).is_some_and(|by| by.keys().any(|by| set.contains(by)));
             by.is_some() || !changed
--- a/crates/routes/src/soak.rs
+++ b/crates/routes/src/soak.rs
@@ -1,7 +1,7 @@
-//! The merge against brute force: small tables and edits by a seed, and each order of each set of edits tried out.
-//!
-//! The other side knows nothing of what an edit reads and writes, nor of sums, cycles and overlaps: it applies edits one after the
-//! other and checks whole tables.
+//! Compares the merge with brute force: random small tables and edits, with every order of every set of
+//! edits tried.
+//! Brute force does not use what an edit reads and writes, nor the search for sums, cycles and overlaps: it
+//! applies edits one after the other and checks whole tables.
 
 use crate::base::{Base, EditContext};
 use crate::edit::{Change, Edit, EditId, EditKey};
@@ -10,19 +10,18 @@
 use crate::table::{Field, Fields, Kind, Table, Thing, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Numbers by a seed.
+/// A seeded random number generator (splitmix64).
 #[derive(Clone, Debug)]
 pub struct SeededRng(u64);
 
 impl SeededRng {
-    /// From a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> SeededRng {
         SeededRng(seed)
     }
 
-    /// A number below another.
+    /// Returns a number below `end`.
     pub fn below(&mut self, end: u64) -> u64 {
-        // splitmix64.
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -99,7 +98,7 @@
     fields
 }
 
-/// A valid table of a dozen things at most.
+/// Generates a small valid table.
 pub fn random_table(rng: &mut SeededRng) -> Table {
     let mut table = Table::default();
     for kind in KINDS {
@@ -138,7 +137,7 @@
     }
 }
 
-/// An edit that can be one.
+/// Generates a well-formed edit.
 pub fn random_edit(rng: &mut SeededRng, base: &Base, number: u64) -> Edit {
     loop {
         let count = 1 + rng.below(3) * rng.below(2);
@@ -154,7 +153,7 @@
     }
 }
 
-/// A table in which much hangs together, and with little room.
+/// Generates a table whose things refer to each other, with little room below the limits.
 fn tight_table(rng: &mut SeededRng) -> Table {
     let mut table = Table::default();
     for name in ["norte", "sur"] {
@@ -177,7 +176,7 @@
     table
 }
 
-/// An edit of one kind of field only, so that sets of several come to something.
+/// Generates an edit of one group of fields, so that several edits are likely to conflict.
 fn related_edit(rng: &mut SeededRng, base: &Base, number: u64, theme: u64) -> Edit {
     let mut edit = Edit {
         id: EditId { team: rng.pick(&TEAMS).into(), number },
@@ -212,7 +211,8 @@
     edit
 }
 
-/// A table and edits on it. Most edits could be taken by themselves; every other case has edits that hang together.
+/// Generates a table and edits of it. Most edits can be accepted by themselves; in half of the cases the
+/// edits are related.
 pub fn random_case(seed: u64) -> (Base, MergeInput) {
     let mut rng = SeededRng::new(seed);
     let theme = rng.below(8);
@@ -238,18 +238,20 @@
     (base, input)
 }
 
-/// The table with this edit, if that is valid.
+/// Returns the table with this edit, if valid.
 fn fits(base: &Base, edit: &Edit, terms: &EditContext) -> Option<Base> {
     let mut next = base.clone();
     next.apply(edit, terms, base.revision + 1).ok()?;
     rules::check(&next.table).is_empty().then_some(next)
 }
 
-/// What brute force says: the edits that cannot be taken by themselves, and the smallest sets that cannot be taken together.
+/// Finds by brute force the edits that cannot be accepted by themselves, and the minimal sets that cannot
+/// be accepted together.
 pub fn brute_force(base: &Base, input: &MergeInput) -> (BTreeSet<EditKey>, BTreeSet<BTreeSet<EditKey>>) {
     let edits: Vec<(&EditKey, &Edit)> = input.edits.iter().collect();
     let terms = EditContext { base: base.revision, ..EditContext::default() };
-    // For each set of edits the one table that all orders lead to, through valid tables only; `None` if there is no such.
+    // For each set of edits, the one table that all orders lead to through valid tables; `None` if there is
+    // none.
     let mut tables: Vec<Option<Base>> = vec![Some(base.clone())];
     let (mut alone, mut sets) = (BTreeSet::new(), BTreeSet::new());
     for set in 1..1usize << edits.len() {
@@ -287,24 +289,24 @@
     (alone, sets)
 }
 
-/// What came of a soak.
+/// The result of a soak test.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Soaked {
-    /// Cases.
+    /// Number of cases.
     pub cases: usize,
-    /// Edits.
+    /// Number of edits.
     pub edits: usize,
-    /// Conflicts that both found, by how many edits are in them.
+    /// Conflicts that both found, by number of edits.
     pub conflicts: BTreeMap<usize, usize>,
-    /// Conflicts that only the merge has.
+    /// Conflicts that only the merge found.
     pub false_ones: usize,
-    /// Conflicts that only brute force has.
+    /// Conflicts that only brute force found.
     pub missed: usize,
-    /// What was wrong first, with its seed.
+    /// The first difference, with its seed.
     pub first: Option<String>,
 }
 
-/// One case; what is wrong in it.
+/// Checks the case of a seed; returns what is wrong, if anything.
 pub fn check_seed(seed: u64, soaked: &mut Soaked) -> Option<String> {
     let (base, input) = random_case(seed);
     let merged = merge(&base, &input);
@@ -336,7 +338,7 @@
     matches!(merged.states.get(key), Some(EditState::Refused(_) | EditState::AwaitsConsent(_)))
 }
 
-/// Goes through cases from a seed on.
+/// Checks cases with consecutive seeds.
 pub fn check_seeds(seed: u64, cases: usize) -> Soaked {
     let mut soaked = Soaked::default();
     for seed in (seed..).take(cases) {
--- a/crates/routes/src/tests.rs
+++ b/crates/routes/src/tests.rs
@@ -1,4 +1,4 @@
-//! The part by its entries: how edits end, bounds, trial, undo.
+//! Tests of the part by its entries: how edits end, bounds, trials, undo.
 
 use crate::base::{Base, EditContext, MAX_RETIRED_NAMES};
 use crate::edit::{Change, Edit, EditId, EditKey, MAX_CHANGES, Malformed, parse_edit};
@@ -31,7 +31,7 @@
     Edit { id: EditId { team: team.into(), number }, base, reason: "as agreed".into(), changes }
 }
 
-/// padron with 10 calls, firma with 10 that belongs to ares, a route of class alta into padron with 4.
+/// padron with 10 calls, firma with 10 and owned by ares, a route of class alta to padron with 4.
 fn routes() -> Routes {
     let mut table = Table::default();
     let budget = (Field::Budget, Value::Number(10));
@@ -68,20 +68,20 @@
 }
 
 #[test]
-fn an_edit_sent_on_both_sides_of_a_cut_is_one_also_when_it_has_ended() {
+fn an_edit_sent_on_both_sides_of_a_partition_counts_once_even_after_it_has_ended() {
     let mut routes = routes();
     let one = edit("brio", 1, 0, vec![budget("padron", 12)]);
     assert_eq!(send(&mut routes, &one), Outcome::Open(EditState::Accepted));
     assert_eq!(send(&mut routes, &one), Outcome::Open(EditState::Accepted));
     assert_eq!(publish(&mut routes, FULL_SHARE_PERMILLE), Outcome::Published(1));
     assert_eq!(send(&mut routes, &one), Outcome::Ended(FinalState::Published(1)));
-    // Another under the same number is told so.
+    // A different edit with the same number is refused.
     let other = edit("brio", 1, 1, vec![budget("padron", 13)]);
     assert_eq!(send(&mut routes, &other), Outcome::Refused(Refusal::NumberTaken(one.id)));
 }
 
 #[test]
-fn a_conflict_has_the_same_number_before_and_after_one_of_its_edits_is_published() {
+fn a_conflict_keeps_its_id_when_one_of_its_edits_is_published() {
     let one = edit("brio", 1, 0, vec![budget("padron", 12)]);
     let other = edit("casa", 1, 0, vec![budget("padron", 13)]);
     let (mut open, mut late) = (routes(), routes());
@@ -89,7 +89,7 @@
     send(&mut open, &other);
     send(&mut late, &one);
     publish(&mut late, FULL_SHARE_PERMILLE);
-    // Its base has been compacted away meanwhile.
+    // The revision that this edit is based on is no longer the present one.
     send(&mut late, &other);
     assert_eq!(only_conflict(&open), only_conflict(&late));
     let said = late.merged().conflicts.values().next().expect("one").to_string();
@@ -98,7 +98,7 @@
         "brio#1, casa#1 cannot be taken together: they set Budget of dependency/padron to different values; \
          brio#1 is in force"
     );
-    // Whatever is kept, both end, and as many times as it is said.
+    // The kept edit overrides the published one.
     assert_eq!(settle(&mut late, "casa", &[&other]), Outcome::Done);
     assert_eq!(late.outcome_of(&other.key()), Some(Outcome::Open(EditState::Accepted)));
     publish(&mut late, FULL_SHARE_PERMILLE);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_sum_of_three_is_told_with_its_figures_and_settled_once() {
+fn a_sum_exceeded_by_three_edits_is_reported_with_figures_and_settled_once() {
     let mut routes = routes();
     let call = |name: &str, calls| {
         let fields =
@@ -115,7 +115,7 @@
     };
     let edits: Vec<Edit> = [("brio", "r2", 3), ("casa", "r3", 2), ("dado", "r4", 2)]
         .map(|(team, name, calls)| {
-            // Orders differ, so that only the sum is in question.
+            // The orders differ, so that only the sum conflicts.
             let mut change = call(name, calls);
             if let (Change::Add { fields, .. }, "dado") = (&mut change, team) {
                 fields.insert(Field::Order, Value::Number(9));
@@ -139,7 +139,7 @@
     let all = settle(&mut routes, "dado", &[&edits[0], &edits[1], &edits[2]]);
     assert_eq!(all, Outcome::Refused(Refusal::InvalidKeep));
     assert_eq!(settle(&mut routes, "dado", &[&edits[0], &edits[2]]), Outcome::Done);
-    // Once for all: another team that has not heard of it changes nothing.
+    // A conflict is settled once: a team that does not know of the settlement changes nothing.
     let again = Entry::Settle { by: "casa".into(), conflict: id, keep: [edits[1].key()].into() };
     assert_eq!(routes.apply_entry(again), Outcome::Refused(Refusal::AlreadySettled("dado".into())));
     assert_eq!(routes.outcome_of(&edits[0].key()), Some(Outcome::Open(EditState::Accepted)));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn an_edit_that_is_kept_beside_a_rename_goes_by_the_new_name_before_and_after_it_is_published() {
+fn an_edit_kept_with_a_rename_uses_the_new_name_before_and_after_publication() {
     let rename = edit("brio", 1, 0, vec![Change::Rename { thing: dependency("padron"), to: "censo".into() }]);
     let other = edit("casa", 1, 0, vec![budget("padron", 12)]);
     for publish_first in [false, true] {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn anothers_part_is_touched_only_with_its_word() {
+fn an_edit_affects_things_of_another_team_only_with_its_consent() {
     let mut routes = routes();
     let one = edit("brio", 1, 0, vec![budget("firma", 12)]);
     let waits = Outcome::Open(EditState::AwaitsConsent(["ares".to_string()].into()));
@@ -179,13 +179,13 @@
     let word = |by: &str, yes| Entry::Consent { by: by.into(), edit: one.key(), granted: yes };
     assert_eq!(routes.apply_entry(word("casa", true)), Outcome::Refused(Refusal::NotAuthorized));
     assert_eq!(routes.apply_entry(word("ares", true)), Outcome::Open(EditState::Accepted));
-    // No stands over yes, whichever came first.
+    // A denial prevails over consent.
     let denied = Outcome::Ended(FinalState::Refused(RefusalReason::Denied("ares".into())));
     assert_eq!(routes.apply_entry(word("ares", false)), denied);
 }
 
 #[test]
-fn a_table_on_trial_is_the_firsts_and_goes_on_or_back() {
+fn a_table_on_trial_is_adopted_or_rolled_back() {
     let (mut on, one) = (routes(), edit("brio", 1, 0, vec![budget("padron", 12)]));
     send(&mut on, &one);
     publish(&mut on, 300);
@@ -197,7 +197,8 @@
     assert_eq!(publish(&mut on, 300), Outcome::Refused(Refusal::TrialRunning(1)));
     send(&mut on, &other);
     let mut back = on.clone();
-    // Ten of each side tell: as many failures as elsewhere, or thrice as many.
+    // Ten members of each side report; with the table as many failures as without it, or three times as
+    // many.
     let told = |routes: &mut Routes, with: bool, failed: u64| {
         for name in names.iter().filter(|name| in_trial(name, 300) == with).take(10) {
             let counts = Counts { requests: 1_000, failed, slow: 10 };
@@ -228,12 +229,12 @@
          10000 requests, 100 failed, 100 late)"
     );
     assert_eq!(back.apply_entry(step(2)), Outcome::Refused(Refusal::NoSuchTrial));
-    // What was open meanwhile stands over the old table.
+    // Edits submitted meanwhile apply to the old table.
     assert!(matches!(back.outcome_of(&other.key()), Some(Outcome::Open(EditState::AwaitsConsent(_)))));
 }
 
 #[test]
-fn what_cannot_be_the_counts_of_a_start_is_refused() {
+fn implausible_counts_are_refused() {
     let (mut routes, n1) = (routes(), Holder::new("n1", 1));
     let told = |revision, trial, counts| Entry::ReportCounts { by: n1.clone(), trial, revision, counts };
     let good = Counts { requests: 10, failed: 1, slow: 2 };
@@ -247,7 +248,7 @@
         let counts = Counts { requests, failed, slow };
         assert_eq!(routes.apply_entry(told(1, 1, counts)), Outcome::Refused(Refusal::InvalidCounts));
     }
-    // Of one that is not in the fleet nothing is taken, and of one that goes nothing stays.
+    // Reports of incarnations outside the fleet are refused, and the counts of one that leaves are dropped.
     let said = |routes: &mut Routes, fleet: &Fleet| {
         Outcome::from_bytes(&routes.apply(fleet, &told(1, 1, good).to_bytes()))
     };
@@ -262,22 +263,22 @@
 }
 
 #[test]
-fn a_table_is_judged_by_failures_and_slow_answers_beyond_chance() {
+fn a_table_is_judged_by_significant_increases_of_failures_and_slow_requests() {
     let counts = |requests, failed, slow| Counts { requests, failed, slow };
     let (good, long) = (counts(10_000, 100, 50), MIN_TRIAL_MS);
     assert_eq!(judge(&good, &counts(10_000, 105, 50), long), Verdict::Adopt);
     assert_eq!(judge(&good, &counts(10_000, 105, 50), long - 1), Verdict::Wait);
     assert_eq!(judge(&good, &counts(10_000, 200, 50), 0), Verdict::RollBack(RollbackReason::Failures));
     assert_eq!(judge(&good, &counts(10_000, 100, 150), 0), Verdict::RollBack(RollbackReason::Slow));
-    // More than is let pass and maybe chance.
+    // More than is tolerated, but maybe by chance.
     assert_eq!(judge(&good, &counts(MIN_REQUESTS_PER_SIDE, 8, 2), long), Verdict::Wait);
     assert_eq!(judge(&good, &counts(MIN_REQUESTS_PER_SIDE - 1, 400, 2), long), Verdict::Wait);
-    // However long, too few never say that it does no worse.
+    // Too few requests never show that a table does no worse.
     let few = counts(MIN_REQUESTS_PER_SIDE - 1, 0, 0);
     assert_eq!(judge(&good, &few, MAX_TRIAL_MS - 1), Verdict::Wait);
     assert_eq!(judge(&good, &few, MAX_TRIAL_MS), Verdict::RollBack(RollbackReason::TooFew));
     assert_eq!(judge(&few, &good, MAX_TRIAL_MS), Verdict::RollBack(RollbackReason::TooFew));
-    // What stays in doubt to the end is too small to be seen.
+    // An increase that is not significant by the end is too small to matter.
     assert_eq!(judge(&good, &counts(MIN_REQUESTS_PER_SIDE, 8, 2), MAX_TRIAL_MS), Verdict::Adopt);
 }
 
@@ -302,11 +303,11 @@
 }
 
 #[test]
-fn what_is_wrong_by_itself_is_refused_with_its_figures() {
+fn an_edit_that_is_invalid_by_itself_is_refused_with_figures() {
     let mut routes = routes();
     let mut refused = |changes| match send(&mut routes, &edit("brio", 1, 0, changes)) {
         Outcome::Ended(FinalState::Refused(reason)) => {
-            // Each under a number of its own would do as well.
+            // Starts anew, so that the number of the edit is free again.
             routes = self::routes();
             reason.to_string()
         }
@@ -330,7 +331,7 @@
 }
 
 #[test]
-fn bounds_are_reached_and_named() {
+fn each_bound_is_enforced_and_named() {
     let mut routes = routes();
     let full = |name: &str| Outcome::Refused(Refusal::Full(name.into()));
     for number in 1..=MAX_OPEN as u64 {
@@ -341,7 +342,7 @@
 
     let mut routes = self::routes();
     for number in 1..=24 {
-        // All set one field to different values: more conflicts than are told.
+        // All set one field to different values, which gives more conflicts than are reported.
         send(&mut routes, &edit("brio", number, 0, vec![budget("padron", 10 + number as u32)]));
     }
     assert_eq!(routes.merged().conflicts.len(), MAX_CONFLICTS);
@@ -351,7 +352,7 @@
 
     let mut routes = self::routes();
     let mut number = 0;
-    // An edit that is refused ends at once, and its number is known for as long as the bound says.
+    // A refused edit ends at once and stays on record up to the bound.
     for _ in 0..=MAX_ENDED_PER_TEAM {
         number += 1;
         send(&mut routes, &edit("brio", number, 0, vec![budget("correo", 9)]));
@@ -380,7 +381,7 @@
 }
 
 #[test]
-fn what_was_saved_goes_on_alike() {
+fn a_saved_and_loaded_state_behaves_the_same() {
     let mut routes = routes();
     send(&mut routes, &edit("brio", 1, 0, vec![budget("padron", 12)]));
     publish(&mut routes, 300);
@@ -398,7 +399,7 @@
 }
 
 #[test]
-fn a_snapshot_says_how_many_requests_of_a_class_and_a_tenant_there_may_be() {
+fn a_snapshot_gives_the_limits_of_classes_and_tenants() {
     let mut table = Table::default();
     let number = |field, number| [(field, Value::Number(number))].into();
     table.things.insert(Thing::new(Kind::Class, "alta"), number(Field::Limit, 3));
@@ -413,7 +414,7 @@
 }
 
 #[test]
-fn a_snapshot_says_why() {
+fn a_snapshot_explains_the_route() {
     let mut routes = routes();
     let norte = Value::Names(["norte".to_string()].into());
     send(&mut routes, &edit("brio", 1, 0, vec![set(Thing::new(Kind::Route, "r1"), Field::Regions, norte)]));
@@ -431,11 +432,11 @@
 }
 
 #[test]
-fn a_sum_with_more_sets_than_can_be_looked_at_holds_all_that_take_part() {
+fn a_sum_with_too_many_sets_blocks_all_edits_that_take_part() {
     let mut input = MergeInput::default();
     for number in 0..40 {
         let call = Value::Call { to: "padron".into(), calls: 1 };
-        // In an order, so that only the sum is in question; six of forty fit.
+        // The orders differ, so that only the sum conflicts; six of the forty fit.
         let fields = [(Field::Call, call), (Field::Order, Value::Number(number))];
         let thing = Thing::new(Kind::Route, &format!("x{number}"));
         let one = edit("brio", u64::from(number), 0, vec![Change::Add { thing, fields: fields.into() }]);
@@ -451,7 +452,7 @@
 }
 
 #[test]
-fn what_is_gone_is_remembered_within_its_bound() {
+fn retired_names_are_bounded() {
     let mut base = Base::new(Table::default());
     for number in 0..=MAX_RETIRED_NAMES as u64 {
         let thing = Thing::new(Kind::Region, &format!("r{number}"));
@@ -471,14 +472,15 @@
 }
 
 #[test]
-fn a_key_tells_edits_of_one_number_apart() {
+fn keys_distinguish_edits_with_the_same_number() {
     let key = |calls| -> EditKey { edit("brio", 1, 0, vec![budget("padron", calls)]).key() };
     assert!(key(1) == key(1) && key(1) != key(2));
 }
 
-/// Guards against minutes for one entry. Each pair of edits of one field is compared at each entry: 512 with 512 values took minutes to come in.
+/// Guards against entries that take minutes. Each entry compares every pair of open edits of a field:
+/// submitting 512 edits with 512 values took minutes.
 #[test]
-fn edits_of_one_field_are_bounded_and_the_next_is_refused_in_words() {
+fn open_edits_of_one_field_are_bounded() {
     let mut routes = Routes::default();
     let padron = Thing::new(Kind::Dependency, "padron");
     let send = |routes: &mut Routes, number: usize, changes: Vec<Change>| {
@@ -503,15 +505,15 @@
     let words =
         "refused: 64 open edits already change Budget of dependency/padron: settle or withdraw some first";
     assert_eq!(outcome.to_string(), words);
-    // One that came before is known still, and another field is free.
+    // A known edit is still answered, and another field is not affected.
     assert!(matches!(send(&mut routes, 3, budget(3)), Outcome::Open(_)));
     let share = vec![Change::Set { thing: padron.clone(), field: Field::Share, value: Value::Number(5) }];
     assert!(matches!(send(&mut routes, MAX_OPEN_PER_FIELD + 1, share), Outcome::Open(EditState::Accepted)));
-    // And so does room that is made.
+    // A withdrawn edit makes room.
     let gone = routes.open().find(|(key, _)| key.id.team == "t7").unwrap().0.clone();
     routes.apply_entry(Entry::Withdraw { by: "t7".into(), edit: gone });
     assert!(matches!(send(&mut routes, MAX_OPEN_PER_FIELD, budget(MAX_OPEN_PER_FIELD)), Outcome::Open(_)));
-    // Removals and renames of one thing are bounded alike.
+    // Removals and renames of one thing have the same bound.
     let mut last = None;
     for number in 0..=MAX_OPEN_PER_FIELD {
         let to = format!("p{number}");
--- a/crates/routes/src/trial_sim.rs
+++ b/crates/routes/src/trial_sim.rs
@@ -300,7 +300,7 @@
 
     /// `ROUTES_TRIALS` sets the number of cases.
     #[test]
-    fn trials_end_by_what_was_heard_and_bad_tables_never_go_on() {
+    fn trials_end_by_the_received_counts_and_bad_tables_are_never_adopted() {
         let cases = std::env::var("ROUTES_TRIALS").ok().and_then(|cases| cases.parse().ok()).unwrap_or(300);
         let tried = run_seeds(1, cases);
         println!("{tried:?}");
@@ -317,7 +317,7 @@
     }
 
     #[test]
-    fn a_start_counts_what_began_in_the_newest_trial() {
+    fn a_tally_counts_requests_that_began_in_the_newest_trial() {
         let table =
             |revision, trial| crate::Snapshot::new(revision, false, 0, Table::default()).with_trial(trial);
         let mut tally = Tally::default();
@@ -335,7 +335,7 @@
     }
 
     #[test]
-    fn a_share_has_one_nodo_with_the_table_and_one_without_it() {
+    fn a_trial_has_a_nodo_with_the_table_and_one_without_it() {
         for many in 2..40 {
             for salt in 0..20 {
                 let names: Vec<String> = (0..many).map(|n| format!("n{n}-{salt}")).collect();
--- a/crates/routes/tests/laws.rs
+++ b/crates/routes/tests/laws.rs
@@ -1,4 +1,4 @@
-//! The laws of the merge, and that nothing is lost.
+//! Properties of the merge: it is independent of order and grouping, and loses nothing.
 
 use jaspershunt_routes::base::{Base, EditContext};
 use jaspershunt_routes::merge::{MergeInput, merge};
@@ -6,11 +6,11 @@
 use jaspershunt_routes::soak::{SeededRng, random_case};
 use proptest::prelude::*;
 
-/// Three sides of a cut, each with some of the edits.
+/// Distributes the edits to three sides of a network partition.
 fn sides(input: &MergeInput, rng: &mut SeededRng) -> [MergeInput; 3] {
     let mut sides: [MergeInput; 3] = Default::default();
     for (key, edit) in &input.edits {
-        // On one side at least; the same on two or three is one.
+        // Each edit is on at least one side, and counts once.
         let first = rng.below(3);
         for (at, side) in sides.iter_mut().enumerate() {
             if at as u64 == first || rng.below(3) == 0 {
@@ -26,7 +26,7 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn who_merges_and_in_which_order_does_not_matter(seed in any::<u64>()) {
+    fn merging_is_associative_commutative_and_idempotent(seed in any::<u64>()) {
         let (base, input) = random_case(seed);
         let [a, b, c] = sides(&input, &mut SeededRng::new(seed ^ 1));
         let left = a.clone().union(&b).union(&c);
@@ -35,13 +35,13 @@
         prop_assert_eq!(&left, &c.clone().union(&b).union(&a));
         prop_assert_eq!(&left, &left.clone().union(&left));
         prop_assert_eq!(merge(&base, &left), merge(&base, &right));
-        // Nothing is lost.
+        // Every edit has a state.
         let merged = merge(&base, &left);
         prop_assert!(input.edits.keys().all(|key| merged.states.contains_key(key)));
     }
 
     #[test]
-    fn what_is_taken_is_the_same_in_any_serial_order_through_valid_tables(seed in any::<u64>()) {
+    fn accepted_edits_give_the_same_table_in_any_order_through_valid_tables(seed in any::<u64>()) {
         let (base, input) = random_case(seed);
         let merged = merge(&base, &input);
         let next = merged.next_base(&base, &input).expect("what is taken can be applied");
--- a/crates/routes/tests/mutants.rs
+++ b/crates/routes/tests/mutants.rs
@@ -1,5 +1,5 @@
-//! The checks are worth what they can refute: with any one rule left out, the check that is there for it fails. One test alone in
-//! this process, as what is left out is left out in all of it.
+//! Mutation test: with any one rule disabled, the check for that rule fails. There is one test in this file
+//! because a mutant is active in the whole process.
 
 use jaspershunt_routes::merge::{MergeInput, merge};
 use jaspershunt_routes::mutants::{ALL, Mutant, activate};
@@ -10,7 +10,7 @@
     Change, Edit, EditId, EditState, Entry, Field, Kind, Outcome, Routes, Table, Thing, Value,
 };
 
-/// Brute force is given so many seeds.
+/// Number of seeds for brute force.
 const SEEDS: u64 = 200;
 
 fn padron() -> Thing {
@@ -36,7 +36,7 @@
     routes.apply_entry(Entry::Publish { permille, now_ms: 1 });
 }
 
-/// A check, by what it says if it fails.
+/// Runs the check for a mutant; returns its name and the failure, if any.
 fn checked(mutant: Mutant) -> (&'static str, Option<String>) {
     match mutant {
         Mutant::LastWriterWins
@@ -54,7 +54,7 @@
             });
             ("trials by a seed", found)
         }
-        Mutant::NumberedByPlace => ("numbers stay as edits come", (1..SEEDS).find_map(numbers_differ)),
+        Mutant::NumberedByPlace => ("numbers stay as edits come", (1..SEEDS).find_map(ids_differ)),
         Mutant::ShownBeforeAgreed => ("trial", {
             let mut routes = routes(None);
             routes.apply_entry(Entry::Edit(budget("brio", 12)));
@@ -107,8 +107,8 @@
     }
 }
 
-/// A conflict of some edits is the same conflict when more are known.
-fn numbers_differ(seed: u64) -> Option<String> {
+/// Checks that a conflict has the same id when more edits are known.
+fn ids_differ(seed: u64) -> Option<String> {
     let (base, input) = random_case(seed);
     let all = merge(&base, &input);
     let pair =
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn every_rule_left_out_is_found() {
+fn every_mutant_is_detected() {
     for mutant in ALL {
         activate(None);
         assert_eq!(checked(mutant).1, None, "{mutant:?}: the check fails with all rules");
--- a/crates/routes/tests/speed.rs
+++ b/crates/routes/tests/speed.rs
@@ -1,4 +1,5 @@
-//! How many edits a second are merged. Told, and held to the least that is asked for by far less than a busy machine could miss.
+//! Measures how many edits are merged in a second. The bound is the required rate, which leaves a wide
+//! margin for a busy machine.
 
 use jaspershunt_routes::table::FULL_SHARE_PERMILLE;
 use jaspershunt_routes::{
@@ -6,9 +7,10 @@
 };
 use std::time::Instant;
 
-/// 40 teams of a fleet of 300 nodos, each with a class, a dependency and ten routes; a table is published after each hundred edits.
+/// 40 teams of a fleet of 300 nodos, each with a class, a dependency and ten routes; a table is published
+/// after every hundred edits.
 #[test]
-fn edits_a_second_of_forty_teams() {
+fn forty_teams_reach_the_required_rate_of_edits() {
     let mut table = Table::default();
     let named = |value: String| Value::Name(value);
     for team in 0..40 {
@@ -32,7 +34,8 @@
     let mut conflicts = 0;
     for number in 1..=edits {
         let team = number % 40;
-        // One in twenty goes for another's dependency; two of one team may go for the same route.
+        // One in twenty edits targets another team's dependency; two edits of one team may change the same
+        // route.
         let to = if number % 20 == 0 { (team + 1) % 40 } else { team };
         let value = Value::Call { to: format!("below-{to}"), calls: (number % 13) as u32 };
         let thing = Thing::new(Kind::Route, &format!("r-{team}-{}", (number / 80) % 10));
@@ -50,7 +53,7 @@
             assert!(matches!(published, Outcome::Published(_)), "{published:?}");
             let open: Vec<_> = routes.merged().conflicts.iter().map(|(id, of)| (*id, of.clone())).collect();
             for (conflict, of) in open {
-                // The first in each is kept, unless another settlement has ended it.
+                // Keeps the first edit of each conflict, unless another settlement has ended the conflict.
                 let keep = of.members.iter().take(1).cloned().collect();
                 let by = of.teams.first().cloned().unwrap_or_default();
                 routes.apply_entry(Entry::Settle { by, conflict, keep });
