--- a/crates/routes/src/base.rs
+++ b/crates/routes/src/base.rs
@@ -176,6 +176,7 @@
 
     /// Applies an edit as part of a revision. A change that another edit has made in the same way already
     /// has no further effect.
+    ///
     /// # Errors
     /// Returns why the edit cannot be applied; the table is then partly changed and must be discarded.
     pub fn apply(&mut self, edit: &Edit, terms: &EditContext, revision: u64) -> Result<(), ApplyError> {
--- a/crates/routes/src/edit.rs
+++ b/crates/routes/src/edit.rs
@@ -132,6 +132,7 @@
 }
 
 /// Parses an edit from JSON and checks it on its own.
+///
 /// # Errors
 /// Returns why the edit is malformed.
 pub fn parse_edit(json: &str) -> Result<Edit, Malformed> {
@@ -148,6 +149,7 @@
     }
 
     /// Checks the edit on its own, whatever the table.
+    ///
     /// # Errors
     /// Returns why the edit is malformed.
     pub fn check(&self) -> Result<(), Malformed> {
--- a/crates/routes/src/from_file.rs
+++ b/crates/routes/src/from_file.rs
@@ -1,4 +1,5 @@
 //! Turns an operator file into an edit that gives the table the file's dependencies and routes.
+//!
 //! Things of the file are added, or set where the table differs. Other things stay, as a team's file covers
 //! only its own. Settings of this nodo alone (addresses, timeouts, breakers, kept replies) do not go into
 //! the table.
@@ -34,8 +35,10 @@
 }
 
 /// Returns the changes that bring a table in line with a file. The team owns what is new.
+///
 /// The table limits the calls of each route, the file only those of each dependency. A route in the table
 /// keeps its limit; new routes of a dependency share the remaining calls equally.
+///
 /// # Errors
 /// Returns why there are no such changes.
 pub fn changes(file: &File, table: &Table, team: &str) -> Result<Vec<Change>, FileEditError> {
--- a/crates/routes/src/merge.rs
+++ b/crates/routes/src/merge.rs
@@ -103,10 +103,10 @@
     #[must_use]
     pub fn union(mut self, other: &MergeInput) -> MergeInput {
         self.edits.extend(other.edits.iter().map(|(key, edit)| (key.clone(), edit.clone())));
-        for (key, words) in &other.consents {
+        for (key, consents) in &other.consents {
             let own = self.consents.entry(key.clone()).or_default();
-            for (team, yes) in words {
-                own.entry(team.clone()).and_modify(|said| *said &= yes).or_insert(*yes);
+            for (team, granted) in consents {
+                own.entry(team.clone()).and_modify(|consent| *consent &= granted).or_insert(*granted);
             }
         }
         self.withdrawn.extend(other.withdrawn.iter().cloned());
@@ -140,10 +140,12 @@
 
 impl InputIndex<'_> {
     fn context(&self, key: &EditKey, edit: &Edit) -> EditContext {
-        let said = self.input.consents.get(key).into_iter().flatten();
-        let consents = said.filter(|(_, yes)| **yes).map(|(team, _)| team.clone()).collect();
+        let all_consents = self.input.consents.get(key).into_iter().flatten();
+        let consents = all_consents.filter(|(_, granted)| **granted).map(|(team, _)| team.clone()).collect();
         let mut context = EditContext { consents, base: edit.base, ..EditContext::default() };
-        for settlement in self.settled.get(key).into_iter().flatten().filter(|of| of.keep.contains(key)) {
+        for settlement in
+            self.settled.get(key).into_iter().flatten().filter(|settlement| settlement.keep.contains(key))
+        {
             if settlement.keep == settlement.members {
                 context.follows.extend(settlement.members.iter().filter(|other| *other != key).cloned());
             } else {
@@ -158,8 +160,8 @@
         if self.input.withdrawn.contains(key) {
             return Some(key.id.team.clone());
         }
-        let lost = |of: &&&Settlement| !of.keep.contains(key);
-        self.settled.get(key)?.iter().find(lost).map(|settlement| settlement.by.clone())
+        let discards = |settlement: &&&Settlement| !settlement.keep.contains(key);
+        self.settled.get(key)?.iter().find(discards).map(|settlement| settlement.by.clone())
     }
 }
 
@@ -264,7 +266,7 @@
 /// Merges the submissions into the table.
 pub fn merge(base: &Base, input: &MergeInput) -> MergeResult {
     let mut merged = MergeResult::default();
-    let (mut keys, mut accesses, mut stale) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut keys, mut accesses, mut base_conflicts) = (Vec::new(), Vec::new(), Vec::new());
     let index = input.index();
     for (key, edit) in &input.edits {
         if let Some(team) = index.withdrawn_by(key) {
@@ -272,31 +274,32 @@
             continue;
         }
         let access = AccessSet::new(base, edit, index.context(key, edit));
-        let old = access.conflicts_with_base(base);
-        let verdict = if old.is_empty() { check_alone(base, input, key, edit, &access) } else { None };
-        if let Some(state) = verdict {
+        let with_base = access.conflicts_with_base(base);
+        let state_alone =
+            if with_base.is_empty() { check_alone(base, input, key, edit, &access) } else { None };
+        if let Some(state) = state_alone {
             merged.states.insert(key.clone(), state);
             continue;
         }
-        stale.push(old);
+        base_conflicts.push(with_base);
         keys.push(key);
         accesses.push(access);
     }
-    let mut bad = conflicting_pairs(&keys, &accesses);
-    let clashes: BTreeSet<(usize, usize)> = bad.iter().map(|(set, _)| first_and_last(set)).collect();
+    let mut conflicts = conflicting_pairs(&keys, &accesses);
+    let pairs: BTreeSet<(usize, usize)> = conflicts.iter().map(|(set, _)| first_and_last(set)).collect();
     // Edits in conflict with the base cannot be applied, so that they take no part in checks of the whole
     // table.
-    let fit: Vec<usize> = (0..keys.len()).filter(|at| stale[*at].is_empty()).collect();
-    let parts: Vec<Candidate<'_>> =
-        fit.iter().map(|at| Candidate { key: keys[*at], access: &accesses[*at] }).collect();
-    let clash = |one: usize, other: usize| {
-        let (one, other) = (fit[one], fit[other]);
-        clashes.contains(&(one.min(other), one.max(other)))
+    let applicable: Vec<usize> = (0..keys.len()).filter(|i| base_conflicts[*i].is_empty()).collect();
+    let candidates: Vec<Candidate<'_>> =
+        applicable.iter().map(|i| Candidate { key: keys[*i], access: &accesses[*i] }).collect();
+    let in_conflict = |one: usize, other: usize| {
+        let (one, other) = (applicable[one], applicable[other]);
+        pairs.contains(&(one.min(other), one.max(other)))
     };
-    for (set, why) in find_invalid_sets(base, &parts, &clash) {
-        bad.push((set.into_iter().map(|at| fit[at]).collect(), why));
+    for (set, reason) in find_invalid_sets(base, &candidates, &in_conflict) {
+        conflicts.push((set.into_iter().map(|i| applicable[i]).collect(), reason));
     }
-    merged.add_conflicts(base, input, &keys, &accesses, minimal_sets(bad), stale);
+    merged.add_conflicts(base, input, &keys, &accesses, minimal_sets(conflicts), base_conflicts);
     for key in keys {
         merged.states.entry(key.clone()).or_insert(EditState::Accepted);
     }
@@ -315,31 +318,34 @@
     edit: &Edit,
     access: &AccessSet,
 ) -> Option<EditState> {
-    let there = |thing: &Thing| base.table.things.contains_key(thing);
+    let exists = |thing: &Thing| base.table.things.contains_key(thing);
     let refused = |reason| Some(EditState::Refused(reason));
     for change in &edit.changes {
         let thing = base.resolve_name(change.thing(), &access.context);
-        let gone = base.retired_since(&thing, access.context.base).map(|gone| gone.to.as_ref());
-        let said = match change {
+        let retired = base.retired_since(&thing, access.context.base).map(|retired| retired.to.as_ref());
+        let missing = match change {
             Change::Add { .. } => None,
-            Change::Set { .. } => (!there(&thing)).then(|| thing.clone()),
-            Change::Remove { .. } => (!there(&thing) && gone != Some(None)).then(|| thing.clone()),
-            Change::Rename { to, .. } => (!there(&thing) && gone != Some(Some(to))).then(|| thing.clone()),
+            Change::Set { .. } => (!exists(&thing)).then(|| thing.clone()),
+            Change::Remove { .. } => (!exists(&thing) && retired != Some(None)).then(|| thing.clone()),
+            Change::Rename { to, .. } => {
+                (!exists(&thing) && retired != Some(Some(to))).then(|| thing.clone())
+            }
         };
-        if let Some(thing) = said {
+        if let Some(thing) = missing {
             return refused(RefusalReason::NotApplicable(ApplyError::NotFound(thing)));
         }
     }
-    let claims: BTreeSet<Thing> = access.claimed_names().collect();
+    let claimed: BTreeSet<Thing> = access.claimed_names().collect();
     // A thing that another edit has added or renamed in the same way since the base does not block this
     // one.
-    let before = |name: &&Thing| there(name) && base.written_since(name, None, access.context.base).is_none();
-    if let Some(name) = claims.iter().find(before) {
+    let existed =
+        |name: &&Thing| exists(name) && base.written_since(name, None, access.context.base).is_none();
+    if let Some(name) = claimed.iter().find(existed) {
         return refused(RefusalReason::NotApplicable(ApplyError::Exists(name.clone())));
     }
-    let leaves = |thing: &Thing| access.removes.contains(thing) || access.renames.contains_key(thing);
+    let disappears = |thing: &Thing| access.removes.contains(thing) || access.renames.contains_key(thing);
     if let Some(name) =
-        access.references.iter().find(|name| !claims.contains(name) && (!there(name) || leaves(name)))
+        access.references.iter().find(|name| !claimed.contains(name) && (!exists(name) || disappears(name)))
     {
         return refused(RefusalReason::DanglingReference(name.clone()));
     }
@@ -350,78 +356,81 @@
             }
         }
     }
-    let needs = base.missing_consents(edit, &access.context);
-    let no = |team: &&String| input.consents.get(key).is_some_and(|said| said.get(*team) == Some(&false));
-    if let Some(team) = needs.keys().find(no) {
+    let needed = base.missing_consents(edit, &access.context);
+    let denied =
+        |team: &&String| input.consents.get(key).is_some_and(|answers| answers.get(*team) == Some(&false));
+    if let Some(team) = needed.keys().find(denied) {
         return refused(RefusalReason::Denied(team.clone()));
     }
-    (!needs.is_empty()).then(|| EditState::AwaitsConsent(needs.into_keys().collect()))
+    (!needed.is_empty()).then(|| EditState::AwaitsConsent(needed.into_keys().collect()))
 }
 
 /// Returns the pairs of edits that do not commute. Only edits with a thing in common are compared.
 fn conflicting_pairs(keys: &[&EditKey], accesses: &[AccessSet]) -> Vec<(BTreeSet<usize>, ConflictReason)> {
-    let mut of: BTreeMap<Thing, BTreeSet<usize>> = BTreeMap::new();
-    let mut together: BTreeSet<(usize, usize)> = BTreeSet::new();
-    for (at, access) in accesses.iter().enumerate() {
+    let mut edits_of: BTreeMap<Thing, BTreeSet<usize>> = BTreeMap::new();
+    let mut pairs: BTreeSet<(usize, usize)> = BTreeSet::new();
+    for (i, access) in accesses.iter().enumerate() {
         let sets = access.sets.keys().map(|(thing, _)| thing.clone());
         let whole = access
             .claimed_names()
             .chain(access.removes.iter().cloned())
             .chain(access.renames.keys().cloned());
         for thing in whole.chain(sets).chain(access.references.iter().cloned()) {
-            of.entry(thing).or_default().insert(at);
+            edits_of.entry(thing).or_default().insert(i);
         }
         // Two edits that merely affect the same thing conflict only if one of them changes its owner.
         for (thing, field) in access.sets.keys() {
             if *field == Field::Owner {
-                let touch = (0..accesses.len()).filter(|other| accesses[*other].affected.contains_key(thing));
-                together
-                    .extend(touch.filter(|other| *other != at).map(|other| (at.min(other), at.max(other))));
+                let affecting =
+                    (0..accesses.len()).filter(|other| accesses[*other].affected.contains_key(thing));
+                pairs.extend(affecting.filter(|other| *other != i).map(|other| (i.min(other), i.max(other))));
             }
         }
-        if at > 0 && keys[at - 1].id == keys[at].id {
-            let first = (0..at).find(|other| keys[*other].id == keys[at].id).unwrap_or(at);
-            together.extend((first..at).map(|other| (other, at)));
+        if i > 0 && keys[i - 1].id == keys[i].id {
+            let first = (0..i).find(|other| keys[*other].id == keys[i].id).unwrap_or(i);
+            pairs.extend((first..i).map(|other| (other, i)));
         }
     }
-    for among in of.values() {
+    for among in edits_of.values() {
         let all: Vec<usize> = among.iter().copied().collect();
-        for (at, one) in all.iter().enumerate() {
-            together.extend(all[at + 1..].iter().map(|other| (*one, *other)));
+        for (i, one) in all.iter().enumerate() {
+            pairs.extend(all[i + 1..].iter().map(|other| (*one, *other)));
         }
     }
-    let mut bad = Vec::new();
-    for (one, other) in together {
-        for why in accesses[one].conflicts_with(keys[one], &accesses[other], keys[other]) {
-            bad.push((BTreeSet::from([one, other]), why));
+    let mut conflicts = Vec::new();
+    for (one, other) in pairs {
+        for reason in accesses[one].conflicts_with(keys[one], &accesses[other], keys[other]) {
+            conflicts.push((BTreeSet::from([one, other]), reason));
         }
     }
-    bad
+    conflicts
 }
 
 /// Returns the sets without a smaller one inside, each with all its reasons.
 fn minimal_sets(
-    bad: Vec<(BTreeSet<usize>, ConflictReason)>,
+    conflicts: Vec<(BTreeSet<usize>, ConflictReason)>,
 ) -> Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)> {
     let mut by_set: BTreeMap<(usize, BTreeSet<usize>), BTreeSet<ConflictReason>> = BTreeMap::new();
-    for (set, why) in bad {
-        by_set.entry((set.len(), set)).or_default().insert(why);
+    for (set, reason) in conflicts {
+        by_set.entry((set.len(), set)).or_default().insert(reason);
     }
-    let mut kept: Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)> = Vec::new();
-    let mut with: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-    for ((_, set), why) in by_set {
-        let within = |at: &usize| kept[*at].0.is_subset(&set);
+    let mut minimal: Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)> = Vec::new();
+    let mut by_first: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
+    for ((_, set), reason) in by_set {
+        let is_contained = |i: &usize| minimal[*i].0.is_subset(&set);
         // Where the search was cut short, a smaller set says nothing about the other edits in this one.
-        let crowded = why.iter().any(|why| matches!(why, ConflictReason::TooManySets(_)));
-        if crowded || !set.iter().any(|one| with.get(one).is_some_and(|sets| sets.iter().any(within))) {
+        let is_cut_short = reason.iter().any(|reason| matches!(reason, ConflictReason::TooManySets(_)));
+        if is_cut_short
+            || !set.iter().any(|one| by_first.get(one).is_some_and(|sets| sets.iter().any(is_contained)))
+        {
             // Indexed by one edit of the set: every superset contains it.
             if let Some(one) = set.first() {
-                with.entry(*one).or_default().push(kept.len());
+                by_first.entry(*one).or_default().push(minimal.len());
             }
-            kept.push((set, why));
+            minimal.push((set, reason));
         }
     }
-    kept
+    minimal
 }
 
 impl MergeResult {
@@ -431,60 +440,58 @@
         input: &MergeInput,
         keys: &[&EditKey],
         accesses: &[AccessSet],
-        bad: Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)>,
-        stale: Vec<Vec<(EditKey, ConflictReason)>>,
+        sets: Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)>,
+        base_conflicts: Vec<Vec<(EditKey, ConflictReason)>>,
     ) {
-        let teams = |at: usize| {
-            let owners = accesses[at].affected.keys().filter_map(|part| base.table.owner(part));
-            owners.map(str::to_string).chain([keys[at].id.team.clone()]).collect::<BTreeSet<String>>()
+        let teams = |i: usize| {
+            let owners = accesses[i].affected.keys().filter_map(|thing| base.table.owner(thing));
+            owners.map(str::to_string).chain([keys[i].id.team.clone()]).collect::<BTreeSet<String>>()
         };
-        let mut held: BTreeMap<BTreeSet<EditKey>, Conflict> = BTreeMap::new();
-        for (set, why) in bad {
+        let mut conflicts: BTreeMap<BTreeSet<EditKey>, Conflict> = BTreeMap::new();
+        for (set, reason) in sets {
             if set.len() == 1 {
-                for (at, why) in set.iter().zip(why) {
-                    if let ConflictReason::InvalidTable(wrong, _) = why {
-                        self.states.insert(
-                            keys[*at].clone(),
-                            EditState::Refused(RefusalReason::InvalidTable(wrong)),
-                        );
+                for (i, reason) in set.iter().zip(reason) {
+                    if let ConflictReason::InvalidTable(fault, _) = reason {
+                        self.states
+                            .insert(keys[*i].clone(), EditState::Refused(RefusalReason::InvalidTable(fault)));
                     }
                 }
                 continue;
             }
-            let members: BTreeSet<EditKey> = set.iter().map(|at| keys[*at].clone()).collect();
-            let teams = set.iter().flat_map(|at| teams(*at)).collect();
-            held.insert(
+            let members: BTreeSet<EditKey> = set.iter().map(|i| keys[*i].clone()).collect();
+            let teams = set.iter().flat_map(|i| teams(*i)).collect();
+            conflicts.insert(
                 members.clone(),
-                Conflict { members, in_force: BTreeSet::new(), reasons: why, teams },
+                Conflict { members, in_force: BTreeSet::new(), reasons: reason, teams },
             );
         }
-        for (at, old) in stale.into_iter().enumerate() {
-            for (by, why) in old {
-                let members = BTreeSet::from([keys[at].clone(), by.clone()]);
-                let conflict = held.entry(members.clone()).or_insert_with(|| Conflict {
+        for (i, reasons) in base_conflicts.into_iter().enumerate() {
+            for (by, reason) in reasons {
+                let members = BTreeSet::from([keys[i].clone(), by.clone()]);
+                let conflict = conflicts.entry(members.clone()).or_insert_with(|| Conflict {
                     members,
                     in_force: BTreeSet::from([by.clone()]),
                     reasons: BTreeSet::new(),
-                    teams: teams(at).into_iter().chain([by.id.team.clone()]).collect(),
+                    teams: teams(i).into_iter().chain([by.id.team.clone()]).collect(),
                 });
-                conflict.reasons.insert(why);
+                conflict.reasons.insert(reason);
             }
         }
-        for (place, (members, conflict)) in held.into_iter().enumerate() {
+        for (position, (members, conflict)) in conflicts.into_iter().enumerate() {
             let id = if is_active(Mutant::NumberedByPlace) {
-                ConflictId(place as u64 + 1)
+                ConflictId(position as u64 + 1)
             } else {
                 ConflictId::of(&members)
             };
-            let told = self.conflicts.len() < MAX_CONFLICTS;
+            let is_reported = self.conflicts.len() < MAX_CONFLICTS;
             for key in members.iter().filter(|key| input.edits.contains_key(key)) {
                 let state =
                     self.states.entry(key.clone()).or_insert_with(|| EditState::InConflict(BTreeSet::new()));
-                if let (EditState::InConflict(ids), true) = (state, told) {
+                if let (EditState::InConflict(ids), true) = (state, is_reported) {
                     ids.insert(id);
                 }
             }
-            if told {
+            if is_reported {
                 self.conflicts.insert(id, conflict);
             }
         }
@@ -496,6 +503,7 @@
     }
 
     /// Computes the next table: the present one with all accepted edits.
+    ///
     /// # Errors
     /// Returns the edit that could not be applied, which would be a defect of the merge.
     pub fn next_base(&self, base: &Base, input: &MergeInput) -> Result<Base, (EditKey, ApplyError)> {
--- a/crates/routes/src/part.rs
+++ b/crates/routes/src/part.rs
@@ -425,9 +425,9 @@
 
     /// Returns the final states of each team's latest edits, at most `most` for each team.
     pub fn ended(&self, most: usize) -> impl Iterator<Item = (EditId, &FinalState)> {
-        self.stored.teams.iter().flat_map(move |(team, of)| {
-            let last = of.ended.iter().rev().take(most);
-            last.map(|(number, (_, end))| (EditId { team: team.clone(), number: *number }, end))
+        self.stored.teams.iter().flat_map(move |(team, record)| {
+            let latest = record.ended.iter().rev().take(most);
+            latest.map(|(number, (_, end))| (EditId { team: team.clone(), number: *number }, end))
         })
     }
 
@@ -449,10 +449,14 @@
     /// Creates an edit that undoes a published one, to be submitted like any other. `None` if the edit is
     /// no longer on record or its undo would be too large.
     pub fn undo(&self, edit: &EditKey, id: EditId, reason: &str) -> Option<Edit> {
-        let line =
-            self.stored.published_edits.iter().rev().find(|line| line.edit == *edit && !line.reverted)?;
+        let published = self
+            .stored
+            .published_edits
+            .iter()
+            .rev()
+            .find(|published| published.edit == *edit && !published.reverted)?;
         let base = self.stored.base.revision;
-        let undo = Edit { id, base, reason: reason.to_string(), changes: line.inverse.clone() };
+        let undo = Edit { id, base, reason: reason.to_string(), changes: published.inverse.clone() };
         undo.check().is_ok().then_some(undo)
     }
 
@@ -475,7 +479,7 @@
 
     /// Applies an entry.
     pub fn apply_entry(&mut self, entry: Entry) -> Outcome {
-        let (conflicts, shown) = (self.merged.conflicts.clone(), self.published_state());
+        let (conflicts_before, state_before) = (self.merged.conflicts.clone(), self.published_state());
         let outcome = match entry {
             Entry::Edit(edit) => self.submit_edit(edit),
             Entry::Withdraw { by, edit } => self.withdraw(&by, edit),
@@ -487,7 +491,7 @@
                 self.report_counts(by, trial, revision, counts)
             }
         };
-        if self.published_state() != shown || self.merged.conflicts != conflicts {
+        if self.published_state() != state_before || self.merged.conflicts != conflicts_before {
             self.stored.epoch += 1;
         }
         outcome
@@ -498,8 +502,8 @@
     }
 
     fn submit_edit(&mut self, edit: Edit) -> Outcome {
-        if let Err(what) = edit.check() {
-            return Outcome::Refused(Refusal::Malformed(what));
+        if let Err(malformed) = edit.check() {
+            return Outcome::Refused(Refusal::Malformed(malformed));
         }
         let key = edit.key();
         if let Some(known) = self.outcome_of(&key)
@@ -552,18 +556,18 @@
         fn writes(change: &Change) -> Vec<(&Thing, Option<Field>)> {
             match change {
                 Change::Set { thing, field, .. } => vec![(thing, Some(*field))],
-                whole => vec![(whole.thing(), None)],
+                change => vec![(change.thing(), None)],
             }
         }
-        let mut others: BTreeMap<(&Thing, Option<Field>), usize> =
+        let mut counts: BTreeMap<(&Thing, Option<Field>), usize> =
             edit.changes.iter().flat_map(writes).map(|write| (write, 0)).collect();
         for change in self.stored.input.edits.values().flat_map(|other| &other.changes) {
             for write in writes(change) {
-                others.entry(write).and_modify(|count| *count += 1);
+                counts.entry(write).and_modify(|count| *count += 1);
             }
         }
-        let crowded = others.into_iter().find(|(_, count)| *count >= MAX_OPEN_PER_FIELD);
-        crowded.map(|((thing, field), _)| (thing.clone(), field))
+        let full = counts.into_iter().find(|(_, count)| *count >= MAX_OPEN_PER_FIELD);
+        full.map(|((thing, field), _)| (thing.clone(), field))
     }
 
     fn withdraw(&mut self, by: &str, edit: EditKey) -> Outcome {
@@ -579,39 +583,43 @@
     }
 
     fn consent(&mut self, by: String, edit: EditKey, granted: bool) -> Outcome {
-        let parts = |open: &Edit| {
-            let terms = crate::base::EditContext::default();
-            open.changes
+        let affected = |open_edit: &Edit| {
+            let context = crate::base::EditContext::default();
+            open_edit
+                .changes
                 .iter()
-                .flat_map(|change| self.stored.base.affected_things(change, &terms))
+                .flat_map(|change| self.stored.base.affected_things(change, &context))
                 .collect::<Vec<_>>()
         };
-        let Some(open) = self.stored.input.edits.get(&edit) else {
+        let Some(open_edit) = self.stored.input.edits.get(&edit) else {
             return self.outcome_of(&edit).unwrap_or(Outcome::Refused(Refusal::NoSuchEdit));
         };
         // A team that an open edit makes the owner of a thing may consent before it is the owner.
-        let promised = self.merged.conflicts.values().any(|of| {
-            of.members.contains(&edit)
-                && of.reasons.iter().any(
-                    |why| matches!(why, crate::access::ConflictReason::OwnerChanged(_, team) if *team == by),
+        let becomes_owner = self.merged.conflicts.values().any(|conflict| {
+            conflict.members.contains(&edit)
+                && conflict.reasons.iter().any(
+                    |reason| matches!(reason, crate::access::ConflictReason::OwnerChanged(_, team) if *team == by),
                 )
         });
-        if !promised && !parts(open).iter().any(|part| self.stored.base.table.owner(part) == Some(&by)) {
+        if !becomes_owner
+            && !affected(open_edit).iter().any(|thing| self.stored.base.table.owner(thing) == Some(&by))
+        {
             return Outcome::Refused(Refusal::NotAuthorized);
         }
-        let said = self.stored.input.consents.entry(edit.clone()).or_default().entry(by).or_insert(granted);
-        *said &= granted;
+        let consent =
+            self.stored.input.consents.entry(edit.clone()).or_default().entry(by).or_insert(granted);
+        *consent &= granted;
         self.remerge();
         self.outcome_of(&edit).unwrap_or(Outcome::Done)
     }
 
     fn settle(&mut self, by: String, id: ConflictId, keep: BTreeSet<EditKey>) -> Outcome {
         let refused = Outcome::Refused;
-        if let Some(before) = self.stored.input.settled.get_mut(&id) {
+        if let Some(settlement) = self.stored.input.settled.get_mut(&id) {
             if !is_active(Mutant::SettledTwice) {
-                return refused(Refusal::AlreadySettled(before.by.clone()));
+                return refused(Refusal::AlreadySettled(settlement.by.clone()));
             }
-            before.keep = before.keep.intersection(&keep).cloned().collect();
+            settlement.keep = settlement.keep.intersection(&keep).cloned().collect();
             self.remerge();
             return Outcome::Done;
         }
@@ -621,8 +629,8 @@
         if !conflict.teams.contains(&by) {
             return refused(Refusal::NotAuthorized);
         }
-        let all = keep == conflict.members;
-        if !keep.is_subset(&conflict.members) || (all && !conflict.can_keep_all()) {
+        let keeps_all = keep == conflict.members;
+        if !keep.is_subset(&conflict.members) || (keeps_all && !conflict.can_keep_all()) {
             return refused(Refusal::InvalidKeep);
         }
         if self.stored.input.settled.len() >= MAX_SETTLED {
@@ -649,15 +657,15 @@
         // it.
         let next = match self.merged.next_base(&self.stored.base, &self.stored.input) {
             Ok(next) => next,
-            Err((key, unfit)) => {
+            Err((key, error)) => {
                 return Outcome::Refused(Refusal::InvalidTable(format!(
                     "{key}: {}",
-                    RefusalReason::NotApplicable(unfit)
+                    RefusalReason::NotApplicable(error)
                 )));
             }
         };
-        if let Some(wrong) = rules::check(&next.table).first() {
-            return Outcome::Refused(Refusal::InvalidTable(wrong.to_string()));
+        if let Some(fault) = rules::check(&next.table).first() {
+            return Outcome::Refused(Refusal::InvalidTable(fault.to_string()));
         }
         for key in &edits {
             if let Some(edit) = self.stored.input.edits.remove(key) {
@@ -675,70 +683,71 @@
         while self.stored.published_edits.len() > MAX_PUBLISHED_EDITS {
             self.stored.published_edits.pop_front();
         }
-        let before = std::mem::replace(&mut self.stored.base, next);
+        let previous = std::mem::replace(&mut self.stored.base, next);
         self.stored.published_ms = now_ms;
         let revision = self.revision();
         if permille == FULL_SHARE_PERMILLE {
             edits.into_iter().for_each(|key| self.finish_edit(key, FinalState::Published(revision)));
         } else {
-            self.stored.trial = Some(Trial { permille, previous: before, edits, reports: BTreeMap::new() });
+            self.stored.trial = Some(Trial { permille, previous, edits, reports: BTreeMap::new() });
         }
         self.remerge();
         Outcome::Published(revision)
     }
 
-    fn report_counts(&mut self, by: Holder, trial: u64, revision: u64, counts: Counts) -> Outcome {
+    fn report_counts(&mut self, by: Holder, trial_revision: u64, revision: u64, counts: Counts) -> Outcome {
         let present = self.revision();
-        let Some(of) = self.stored.trial.as_mut().filter(|_| trial == present) else {
+        let Some(trial) = self.stored.trial.as_mut().filter(|_| trial_revision == present) else {
             return Outcome::Refused(Refusal::NoSuchTrial);
         };
         // Rejects counts for a table that this incarnation was never shown.
-        let uses = if in_trial(&by.member, of.permille) { present } else { of.previous.revision };
-        if (revision != uses && !is_active(Mutant::AnySideCounts)) || !counts.is_plausible() {
+        let expected_revision =
+            if in_trial(&by.member, trial.permille) { present } else { trial.previous.revision };
+        if (revision != expected_revision && !is_active(Mutant::AnySideCounts)) || !counts.is_plausible() {
             return Outcome::Refused(Refusal::InvalidCounts);
         }
-        let known = of.reports.entry(by).or_default();
+        let report = trial.reports.entry(by).or_default();
         if is_active(Mutant::ToldTwice) {
-            *known = known.plus(&counts);
-        } else if counts.requests >= known.requests {
+            *report = report.plus(&counts);
+        } else if counts.requests >= report.requests {
             // An earlier report that arrives late does not replace a later one.
-            *known = counts;
+            *report = counts;
         }
         Outcome::Done
     }
 
     fn judge_trial(&mut self, revision: u64, now_ms: u64) -> Outcome {
-        let Some(of) = self.trial_status().filter(|of| of.revision == revision) else {
+        let Some(status) = self.trial_status().filter(|status| status.revision == revision) else {
             return Outcome::Refused(Refusal::NoSuchTrial);
         };
         // The verdict is computed here from the replicated state; the proposer may know less.
-        let why = match of.verdict(now_ms) {
+        let reason = match status.verdict(now_ms) {
             Verdict::Wait => return Outcome::Refused(Refusal::TooEarly),
             Verdict::Adopt => None,
-            Verdict::RollBack(why) => Some(why),
+            Verdict::RollBack(reason) => Some(reason),
         };
         let Some(trial) = self.stored.trial.take() else {
             return Outcome::Refused(Refusal::NoSuchTrial);
         };
-        let on = why.is_none();
+        let adopted = reason.is_none();
         for key in trial.edits {
-            let end = match why {
+            let end = match reason {
                 None => FinalState::Published(revision),
-                Some(why) => {
-                    let (without, with) = (of.without, of.with);
-                    FinalState::Refused(RefusalReason::RolledBack { revision, why, without, with })
+                Some(reason) => {
+                    let (without, with) = (status.without, status.with);
+                    FinalState::Refused(RefusalReason::RolledBack { revision, why: reason, without, with })
                 }
             };
             self.finish_edit(key, end);
         }
-        if !on {
+        if !adopted {
             // A revision is never used for two tables, so the rollback gets a new one.
             self.stored.base = Base { revision: revision + 1, ..trial.previous };
             self.stored
                 .published_edits
                 .iter_mut()
-                .filter(|line| line.revision == revision)
-                .for_each(|line| line.reverted = true);
+                .filter(|published| published.revision == revision)
+                .for_each(|published| published.reverted = true);
         }
         self.remerge();
         Outcome::Published(self.revision())
@@ -757,25 +766,27 @@
     /// Repeats the merge and removes the edits that have ended.
     fn remerge(&mut self) {
         self.merged = merge(&self.stored.base, &self.stored.input);
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         self.merged.states.retain(|key, state| {
             let end = match state {
                 EditState::Withdrawn(by) => FinalState::Withdrawn(by.clone()),
                 EditState::Refused(reason) => FinalState::Refused(reason.clone()),
                 _ => return true,
             };
-            over.push((key.clone(), end));
+            ended.push((key.clone(), end));
             false
         });
         // The removed edits took no part in the merge, so that the other states stay as they are.
-        for (key, end) in over {
+        for (key, end) in ended {
             self.stored.input.edits.remove(&key);
             self.finish_edit(key, end);
         }
         let input = &mut self.stored.input;
         input.consents.retain(|key, _| input.edits.contains_key(key));
         input.withdrawn.retain(|key| input.edits.contains_key(key));
-        input.settled.retain(|_, of| of.members.iter().any(|key| input.edits.contains_key(key)));
+        input
+            .settled
+            .retain(|_, settlement| settlement.members.iter().any(|key| input.edits.contains_key(key)));
     }
 }
 
@@ -801,8 +812,8 @@
     }
 
     fn apply(&mut self, fleet: &Fleet, entry: &[u8]) -> Vec<u8> {
-        let read = if entry.len() <= MAX_ENTRY_BYTES { Entry::from_bytes(entry) } else { None };
-        let outcome = match read {
+        let decoded = if entry.len() <= MAX_ENTRY_BYTES { Entry::from_bytes(entry) } else { None };
+        let outcome = match decoded {
             None => Outcome::Refused(Refusal::Unreadable),
             // An incarnation that the fleet has declared lost may still report; its counts would never be
             // removed.
@@ -818,7 +829,7 @@
         // Membership of the trial group depends on names alone; the counts only on incarnations in the
         // fleet.
         if let Some(trial) = self.stored.trial.as_mut().filter(|_| !is_active(Mutant::GoneCount)) {
-            trial.reports.retain(|by, _| fleet.is_present(by));
+            trial.reports.retain(|incarnation, _| fleet.is_present(incarnation));
         }
     }
 
@@ -828,16 +839,16 @@
 
     fn seen_by(&self, holder: &Holder) -> Vec<u8> {
         let (base, on_trial) = self.table_for(&holder.member);
-        let shown = self.merged.conflicts.iter().take(MAX_SHOWN_CONFLICTS);
-        let seen = MemberView {
+        let conflicts = self.merged.conflicts.iter().take(MAX_SHOWN_CONFLICTS);
+        let view = MemberView {
             revision: base.revision,
             on_trial,
             trial: self.stored.trial.as_ref().map(|_| self.stored.base.revision),
             published_ms: self.stored.published_ms,
             table: base.table.clone(),
-            conflicts: shown.map(|(id, conflict)| (*id, conflict.clone())).collect(),
+            conflicts: conflicts.map(|(id, conflict)| (*id, conflict.clone())).collect(),
         };
-        seen.to_bytes()
+        view.to_bytes()
     }
 
     fn save(&self) -> Vec<u8> {
--- a/crates/routes/src/search.rs
+++ b/crates/routes/src/search.rs
@@ -1,5 +1,6 @@
 //! Finds the minimal sets of edits that make the table invalid together by sums, overlaps, regions or
 //! cycles, without building the tables.
+//!
 //! A set is invalid if applying some of its edits gives an invalid table. The search reports invalid sets
 //! of which every subset is valid, so that the accepted edits can be applied in any order through valid
 //! tables only.
--- a/crates/routes/src/soak.rs
+++ b/crates/routes/src/soak.rs
@@ -1,5 +1,6 @@
 //! Compares the merge with brute force: random small tables and edits, with every order of every set of
 //! edits tried.
+//!
 //! Brute force does not use what an edit reads and writes, nor the search for sums, cycles and overlaps: it
 //! applies edits one after the other and checks whole tables.
 
