--- a/crates/routes/src/access.rs
+++ b/crates/routes/src/access.rs
@@ -93,8 +93,8 @@
         let mut access = AccessSet { team: edit.id.team.clone(), ..AccessSet::default() };
         for change in &edit.changes {
             let thing = base.resolve_name(change.thing(), &context);
-            for part in base.affected_things(change, &context) {
-                access.affected.entry(part).or_default().insert(thing.clone());
+            for affected in base.affected_things(change, &context) {
+                access.affected.entry(affected).or_default().insert(thing.clone());
             }
             for (field, value) in change.written_fields() {
                 access.references.extend(field.references(&base.resolve_value(field, value, &context)));
@@ -128,7 +128,7 @@
                         .table
                         .things
                         .get(&thing)
-                        .map(|of| rules::thing_contributions(&thing, of))
+                        .map(|fields| rules::thing_contributions(&thing, fields))
                         .unwrap_or_default()
                     {
                         access.add_to_sum(sum, &thing, field, -add);
@@ -164,47 +164,52 @@
     }
 
     /// Returns why this edit and one made independently of it cannot be accepted together.
-    pub fn conflicts_with(&self, key: &EditKey, other: &AccessSet, others: &EditKey) -> Vec<ConflictReason> {
-        let mut why = Vec::new();
-        if key.id == others.id {
-            why.push(ConflictReason::SameNumber);
+    pub fn conflicts_with(
+        &self,
+        key: &EditKey,
+        other: &AccessSet,
+        other_key: &EditKey,
+    ) -> Vec<ConflictReason> {
+        let mut reasons = Vec::new();
+        if key.id == other_key.id {
+            reasons.push(ConflictReason::SameNumber);
         }
         for ((thing, field), value) in &self.sets {
             let differs = other.sets.get(&(thing.clone(), *field)).is_some_and(|set| set != value);
             if differs && !is_active(Mutant::LastWriterWins) {
-                why.push(ConflictReason::SameField(thing.clone(), *field));
+                reasons.push(ConflictReason::SameField(thing.clone(), *field));
             }
         }
-        let taken: BTreeSet<Thing> = other.claimed_names().collect();
-        for name in self.claimed_names().filter(|name| taken.contains(name)) {
+        let other_names: BTreeSet<Thing> = other.claimed_names().collect();
+        for name in self.claimed_names().filter(|name| other_names.contains(name)) {
             let both_add = self.adds.get(&name).is_some_and(|fields| other.adds.get(&name) == Some(fields));
             let both_rename = self
                 .renames
                 .iter()
                 .any(|(thing, to)| thing.named(to) == name && other.renames.get(thing) == Some(to));
             if !both_add && !both_rename {
-                why.push(ConflictReason::SameName(name));
+                reasons.push(ConflictReason::SameName(name));
             }
         }
         for (thing, to) in &self.renames {
-            if other.renames.get(thing).is_some_and(|others| others != to) {
-                why.push(ConflictReason::SameName(thing.clone()));
+            if other.renames.get(thing).is_some_and(|other_to| other_to != to) {
+                reasons.push(ConflictReason::SameName(thing.clone()));
             }
         }
-        self.one_way_conflicts(key, other, &mut why);
-        other.one_way_conflicts(others, self, &mut why);
-        why
+        self.one_way_conflicts(key, other, &mut reasons);
+        other.one_way_conflicts(other_key, self, &mut reasons);
+        reasons
     }
 
-    fn one_way_conflicts(&self, key: &EditKey, other: &AccessSet, why: &mut Vec<ConflictReason>) {
+    fn one_way_conflicts(&self, key: &EditKey, other: &AccessSet, reasons: &mut Vec<ConflictReason>) {
         for thing in &self.removes {
             if other.renames.contains_key(thing) || other.changes_or_references(thing) {
-                why.push(ConflictReason::Removed(thing.clone()));
+                reasons.push(ConflictReason::Removed(thing.clone()));
             }
         }
         for (thing, to) in &self.renames {
             if other.changes_or_references(thing) && !other.context.follows.contains(key) {
-                why.push(ConflictReason::Renamed(thing.clone(), to.clone()));
+                reasons.push(ConflictReason::Renamed(thing.clone(), to.clone()));
             }
         }
         // If both remove or rename a thing alike, only the first to be applied affects it.
@@ -218,7 +223,7 @@
                 && !other.has_consent_of(team)
                 && !is_active(Mutant::LossNotSeen)
             {
-                why.push(ConflictReason::OwnerChanged(thing.clone(), team.clone()));
+                reasons.push(ConflictReason::OwnerChanged(thing.clone(), team.clone()));
             }
         }
     }
@@ -229,16 +234,17 @@
         let mut found = Vec::new();
         let from = self.context.base;
         let follows = |by: &EditKey| self.context.follows.contains(by);
-        let gone = |thing: &Thing| {
-            let gone = base.retired_since(thing, from).filter(|_| !base.table.things.contains_key(thing))?;
-            let why = match &gone.to {
+        let retired = |thing: &Thing| {
+            let retired =
+                base.retired_since(thing, from).filter(|_| !base.table.things.contains_key(thing))?;
+            let reason = match &retired.to {
                 Some(to) => ConflictReason::Renamed(thing.clone(), to.clone()),
                 None => ConflictReason::Removed(thing.clone()),
             };
-            Some((gone.stamp.by.clone(), why))
+            Some((retired.stamp.by.clone(), reason))
         };
         for ((thing, field), value) in &self.sets {
-            found.extend(gone(thing));
+            found.extend(retired(thing));
             if let Some(stamp) = base.written_since(thing, None, from).filter(|stamp| !follows(&stamp.by)) {
                 found.push((stamp.by.clone(), ConflictReason::Removed(thing.clone())));
             }
@@ -248,16 +254,17 @@
                 found.push((stamp.by.clone(), ConflictReason::SameField(thing.clone(), *field)));
             }
         }
-        found.extend(self.references.iter().filter_map(&gone));
+        found.extend(self.references.iter().filter_map(&retired));
         for thing in &self.removes {
-            found.extend(gone(thing).filter(|(_, why)| !matches!(why, ConflictReason::Removed(_))));
+            found.extend(retired(thing).filter(|(_, reason)| !matches!(reason, ConflictReason::Removed(_))));
             found.extend(
                 writers_since(base, thing, from).map(|by| (by, ConflictReason::Removed(thing.clone()))),
             );
         }
         for (thing, to) in &self.renames {
             found.extend(
-                gone(thing).filter(|(_, why)| *why != ConflictReason::Renamed(thing.clone(), to.clone())),
+                retired(thing)
+                    .filter(|(_, reason)| *reason != ConflictReason::Renamed(thing.clone(), to.clone())),
             );
             found.extend(
                 writers_since(base, thing, from)
@@ -268,7 +275,7 @@
             let alike = match self.adds.get(&name) {
                 Some(fields) => base.table.things.get(&name) == Some(fields),
                 None => self.renames.iter().any(|(thing, to)| {
-                    let same = |gone: &crate::base::RetiredName| gone.to.as_ref() == Some(to);
+                    let same = |retired: &crate::base::RetiredName| retired.to.as_ref() == Some(to);
                     thing.named(to) == name && base.retired_since(thing, from).is_some_and(same)
                 }),
             };
@@ -276,11 +283,11 @@
                 found.push((stamp.by.clone(), ConflictReason::SameName(name)));
             }
         }
-        for part in self.affected.keys() {
-            if let Some(stamp) = base.written_since(part, Some(Field::Owner), from)
-                && let Some(team) = base.table.owner(part).filter(|team| !self.has_consent_of(team))
+        for thing in self.affected.keys() {
+            if let Some(stamp) = base.written_since(thing, Some(Field::Owner), from)
+                && let Some(team) = base.table.owner(thing).filter(|team| !self.has_consent_of(team))
             {
-                found.push((stamp.by.clone(), ConflictReason::OwnerChanged(part.clone(), team.to_string())));
+                found.push((stamp.by.clone(), ConflictReason::OwnerChanged(thing.clone(), team.to_string())));
             }
         }
         found.retain(|(by, _)| !self.context.overrides.contains(by));
@@ -291,12 +298,12 @@
 /// Returns the edits that have changed a thing, or fields that refer to it, after revision `from`.
 fn writers_since(base: &Base, thing: &Thing, from: u64) -> impl Iterator<Item = EditKey> {
     let own = base.stamps.get(thing).into_iter().flatten().map(|(field, _)| (thing.clone(), *field));
-    let named =
+    let referring =
         base.referenced_by.get(thing).into_iter().flatten().map(|(by, field)| (by.clone(), Some(*field)));
-    let cells: BTreeSet<(Thing, Option<Field>)> = own.chain(named).collect();
-    let by: BTreeSet<EditKey> = cells
+    let cells: BTreeSet<(Thing, Option<Field>)> = own.chain(referring).collect();
+    let writers: BTreeSet<EditKey> = cells
         .into_iter()
         .filter_map(|(thing, field)| base.written_since(&thing, field, from).map(|stamp| stamp.by.clone()))
         .collect();
-    by.into_iter()
+    writers.into_iter()
 }
--- a/crates/routes/src/base.rs
+++ b/crates/routes/src/base.rs
@@ -93,9 +93,9 @@
                     self.referenced_by.entry(to).or_default().insert((thing.clone(), *field));
                 }
             }
-            for (at, field) in [Field::Class, Field::Tenant].into_iter().enumerate() {
+            for (i, field) in [Field::Class, Field::Tenant].into_iter().enumerate() {
                 if thing.kind == Kind::Route && !fields.contains_key(&field) {
-                    self.unrestricted_routes[at].insert(thing.clone());
+                    self.unrestricted_routes[i].insert(thing.clone());
                 }
             }
         }
@@ -110,60 +110,60 @@
 
     /// Returns what became of a name that was removed or renamed after revision `base`.
     pub fn retired_since(&self, thing: &Thing, base: u64) -> Option<&RetiredName> {
-        self.retired.get(thing).filter(|gone| gone.stamp.revision > base)
+        self.retired.get(thing).filter(|retired| retired.stamp.revision > base)
     }
 
     /// Returns the present name of a thing for an edit that follows renames.
-    pub fn resolve_name(&self, thing: &Thing, terms: &EditContext) -> Thing {
-        let mut at = thing.clone();
+    pub fn resolve_name(&self, thing: &Thing, context: &EditContext) -> Thing {
+        let mut current = thing.clone();
         // Each rename is followed at most once, so that the loop ends.
-        for _ in 0..terms.follows.len() {
-            match self.retired.get(&at) {
+        for _ in 0..context.follows.len() {
+            match self.retired.get(&current) {
                 Some(RetiredName { to: Some(to), stamp })
-                    if terms.follows.contains(&stamp.by) && !is_active(Mutant::RenameNotFollowed) =>
+                    if context.follows.contains(&stamp.by) && !is_active(Mutant::RenameNotFollowed) =>
                 {
-                    at = at.named(to);
+                    current = current.named(to);
                 }
                 _ => break,
             }
         }
-        at
+        current
     }
 
     /// Returns a value with its references renamed for an edit that follows renames.
-    pub fn resolve_value(&self, field: Field, value: &Value, terms: &EditContext) -> Value {
+    pub fn resolve_value(&self, field: Field, value: &Value, context: &EditContext) -> Value {
         field.references(value).iter().fold(value.clone(), |value, thing| {
-            let called = self.resolve_name(thing, terms);
-            if called == *thing { value } else { field.with_reference_renamed(&value, thing, &called.name) }
+            let current = self.resolve_name(thing, context);
+            if current == *thing { value } else { field.with_reference_renamed(&value, thing, &current.name) }
         })
     }
 
     /// Returns the teams whose consent is missing, each with one of its things that the edit affects.
-    pub fn missing_consents(&self, edit: &Edit, terms: &EditContext) -> BTreeMap<String, Thing> {
-        let mut needs = BTreeMap::new();
+    pub fn missing_consents(&self, edit: &Edit, context: &EditContext) -> BTreeMap<String, Thing> {
+        let mut missing = BTreeMap::new();
         if is_active(Mutant::WordNotAsked) {
-            return needs;
+            return missing;
         }
         for change in &edit.changes {
-            for part in self.affected_things(change, terms) {
-                if let Some(owner) = self.table.owner(&part)
+            for affected in self.affected_things(change, context) {
+                if let Some(owner) = self.table.owner(&affected)
                     && owner != edit.id.team
-                    && !terms.consents.contains(owner)
+                    && !context.consents.contains(owner)
                 {
-                    needs.entry(owner.to_string()).or_insert(part);
+                    missing.entry(owner.to_string()).or_insert(affected);
                 }
             }
         }
-        needs
+        missing
     }
 
     /// Returns the things whose owners are concerned by a change.
-    pub fn affected_things(&self, change: &Change, terms: &EditContext) -> Vec<Thing> {
-        let thing = self.resolve_name(change.thing(), terms);
+    pub fn affected_things(&self, change: &Change, context: &EditContext) -> Vec<Thing> {
+        let thing = self.resolve_name(change.thing(), context);
         match change {
             Change::Add { fields, .. } => {
-                let parts = Table::affected_things(&thing, fields);
-                parts.into_iter().skip(1).map(|part| self.resolve_name(&part, terms)).collect()
+                let affected = Table::affected_things(&thing, fields);
+                affected.into_iter().skip(1).map(|thing| self.resolve_name(&thing, context)).collect()
             }
             _ => self
                 .table
@@ -179,9 +179,9 @@
     ///
     /// # Errors
     /// Returns why the edit cannot be applied; the table is then partly changed and must be discarded.
-    pub fn apply(&mut self, edit: &Edit, terms: &EditContext, revision: u64) -> Result<(), ApplyError> {
-        if let Some((team, part)) = self.missing_consents(edit, terms).into_iter().next() {
-            return Err(ApplyError::Rights(part, team));
+    pub fn apply(&mut self, edit: &Edit, context: &EditContext, revision: u64) -> Result<(), ApplyError> {
+        if let Some((team, thing)) = self.missing_consents(edit, context).into_iter().next() {
+            return Err(ApplyError::Rights(thing, team));
         }
         let stamp = Stamp { revision, by: edit.key() };
         // The order of changes within an edit has no meaning. Renames are applied first, so that the other
@@ -195,7 +195,7 @@
         let mut changes: Vec<&Change> = edit.changes.iter().collect();
         changes.sort_by_key(order);
         for change in changes {
-            self.apply_change(change, terms, &stamp)?;
+            self.apply_change(change, context, &stamp)?;
         }
         Ok(())
     }
@@ -203,21 +203,21 @@
     fn apply_change(
         &mut self,
         change: &Change,
-        terms: &EditContext,
+        context: &EditContext,
         stamp: &Stamp,
     ) -> Result<(), ApplyError> {
-        let thing = self.resolve_name(change.thing(), terms);
-        let there = self.table.things.contains_key(&thing);
+        let thing = self.resolve_name(change.thing(), context);
+        let exists = self.table.things.contains_key(&thing);
         match change {
             Change::Add { fields, .. } => {
                 let fields: Fields = fields
                     .iter()
-                    .map(|(field, value)| (*field, self.resolve_value(*field, value, terms)))
+                    .map(|(field, value)| (*field, self.resolve_value(*field, value, context)))
                     .collect();
-                if there {
-                    let alike = self.table.things.get(&thing) == Some(&fields);
-                    let meanwhile = self.written_since(&thing, None, terms.base).is_some();
-                    return if alike && meanwhile { Ok(()) } else { Err(ApplyError::Exists(thing)) };
+                if exists {
+                    let is_equal = self.table.things.get(&thing) == Some(&fields);
+                    let added_since = self.written_since(&thing, None, context.base).is_some();
+                    return if is_equal && added_since { Ok(()) } else { Err(ApplyError::Exists(thing)) };
                 }
                 let stamps = fields.keys().map(|field| Some(*field)).chain([None]);
                 self.stamps.insert(thing.clone(), stamps.map(|field| (field, stamp.clone())).collect());
@@ -225,7 +225,7 @@
                 self.table.things.insert(thing, fields);
             }
             Change::Set { field, value, .. } => {
-                let value = self.resolve_value(*field, value, terms);
+                let value = self.resolve_value(*field, value, context);
                 let Some(fields) = self.table.things.get_mut(&thing) else {
                     return Err(ApplyError::NotFound(thing));
                 };
@@ -236,9 +236,10 @@
                 self.stamps.entry(thing).or_default().insert(Some(*field), stamp.clone());
             }
             Change::Remove { .. } => {
-                if !there {
-                    let same = self.retired_since(&thing, terms.base).is_some_and(|gone| gone.to.is_none());
-                    return if same { Ok(()) } else { Err(ApplyError::NotFound(thing)) };
+                if !exists {
+                    let done_already =
+                        self.retired_since(&thing, context.base).is_some_and(|retired| retired.to.is_none());
+                    return if done_already { Ok(()) } else { Err(ApplyError::NotFound(thing)) };
                 }
                 self.table.things.remove(&thing);
                 self.stamps.remove(&thing);
@@ -246,11 +247,11 @@
             }
             Change::Rename { to, .. } => {
                 let new = thing.named(to);
-                if !there {
-                    let same = self
-                        .retired_since(&thing, terms.base)
-                        .is_some_and(|gone| gone.to.as_ref() == Some(to));
-                    return if same { Ok(()) } else { Err(ApplyError::NotFound(thing)) };
+                if !exists {
+                    let done_already = self
+                        .retired_since(&thing, context.base)
+                        .is_some_and(|retired| retired.to.as_ref() == Some(to));
+                    return if done_already { Ok(()) } else { Err(ApplyError::NotFound(thing)) };
                 }
                 if self.table.things.contains_key(&new) {
                     return Err(ApplyError::Exists(new));
@@ -283,7 +284,7 @@
             let oldest = self
                 .retired
                 .iter()
-                .min_by_key(|(_, gone)| gone.stamp.revision)
+                .min_by_key(|(_, retired)| retired.stamp.revision)
                 .map(|(thing, _)| thing.clone());
             oldest.map(|thing| self.retired.remove(&thing));
         }
--- a/crates/routes/src/from_file.rs
+++ b/crates/routes/src/from_file.rs
@@ -43,14 +43,14 @@
 /// Returns why there are no such changes.
 pub fn changes(file: &File, table: &Table, team: &str) -> Result<Vec<Change>, FileEditError> {
     let mut wanted: BTreeMap<Thing, Fields> = BTreeMap::new();
-    for (name, below) in &file.dependency {
+    for (name, dependency) in &file.dependency {
         let number = |number: usize| Value::Number(u32::try_from(number).unwrap_or(u32::MAX));
-        let share = (below.share.0 * f64::from(FULL_SHARE_PERMILLE))
+        let share = (dependency.share.0 * f64::from(FULL_SHARE_PERMILLE))
             .round()
             .clamp(0.0, f64::from(FULL_SHARE_PERMILLE)) as u32;
         let mut fields =
-            Fields::from([(Field::Budget, number(below.calls)), (Field::Share, Value::Number(share))]);
-        if let Some(next) = &below.fall_back {
+            Fields::from([(Field::Budget, number(dependency.calls)), (Field::Share, Value::Number(share))]);
+        if let Some(next) = &dependency.fall_back {
             fields.insert(Field::Fallback, Value::Name(next.clone()));
         }
         wanted.insert(Thing::new(Kind::Dependency, name), fields);
@@ -58,12 +58,12 @@
     let mut routes: BTreeMap<&str, Vec<(Thing, Fields)>> = BTreeMap::new();
     for (class, route) in &file.route {
         wanted.insert(Thing::new(Kind::Class, class), Fields::new());
-        for (place, call) in &route.call {
-            let thing = Thing::new(Kind::Route, &format!("{class}-{place}"));
+        for (position, call) in &route.call {
+            let thing = Thing::new(Kind::Route, &format!("{class}-{position}"));
             let mut fields = Fields::from([(Field::Class, Value::Name(class.clone()))]);
             // As in the file, a route for one position takes precedence over one for any.
             let mut order = 1000;
-            if let Some(number) = place.parse().ok().filter(|_| place != ANY) {
+            if let Some(number) = position.parse().ok().filter(|_| position != ANY) {
                 fields.insert(Field::Place, Value::Number(number));
                 order = 100;
             }
@@ -72,26 +72,26 @@
         }
     }
     for (to, into) in routes {
-        let budget = file.dependency.get(to).map_or(0, |below| below.calls);
-        let has = |thing: &Thing| match table.value(thing, Field::Call) {
+        let budget = file.dependency.get(to).map_or(0, |dependency| dependency.calls);
+        let calls_in_table = |thing: &Thing| match table.value(thing, Field::Call) {
             Value::Call { to: now, calls } if now == to => Some(*calls as usize),
             _ => None,
         };
-        let of_others =
+        let other_routes =
             table.of_kind(Kind::Route).filter(|(thing, _)| !into.iter().any(|(own, _)| own == *thing));
-        let taken: usize = of_others.filter_map(|(thing, _)| has(thing)).sum();
-        let kept: usize = into.iter().filter_map(|(thing, _)| has(thing)).sum();
-        let new = into.iter().filter(|(thing, _)| has(thing).is_none()).count();
-        let left = budget.saturating_sub(taken + kept);
-        if new > left {
+        let taken_calls: usize = other_routes.filter_map(|(thing, _)| calls_in_table(thing)).sum();
+        let kept_calls: usize = into.iter().filter_map(|(thing, _)| calls_in_table(thing)).sum();
+        let added = into.iter().filter(|(thing, _)| calls_in_table(thing).is_none()).count();
+        let remaining = budget.saturating_sub(taken_calls + kept_calls);
+        if added > remaining {
             return Err(FileEditError::NotEnoughCalls(
                 to.to_string(),
                 into.len(),
-                budget.saturating_sub(taken),
+                budget.saturating_sub(taken_calls),
             ));
         }
         for (thing, mut fields) in into {
-            let calls = has(&thing).unwrap_or(left / new.max(1));
+            let calls = calls_in_table(&thing).unwrap_or(remaining / added.max(1));
             let calls = u32::try_from(calls).unwrap_or(u32::MAX);
             fields.insert(Field::Call, Value::Call { to: to.to_string(), calls });
             wanted.insert(thing, fields);
--- a/crates/routes/src/overlay.rs
+++ b/crates/routes/src/overlay.rs
@@ -17,33 +17,33 @@
 pub fn overlay(file: &File, table: &Table) -> File {
     let mut file = file.clone();
     let names: Vec<String> = file.dependency.keys().cloned().collect();
-    let (mut told, mut rest) = (0.0, 0.0);
-    for (name, below) in &mut file.dependency {
+    let (mut table_shares, mut file_shares) = (0.0, 0.0);
+    for (name, dependency) in &mut file.dependency {
         let thing = Thing::new(Kind::Dependency, name);
         if !table.things.contains_key(&thing) {
-            rest += below.share.0;
+            file_shares += dependency.share.0;
             continue;
         }
         if let Value::Number(budget) = table.value(&thing, Field::Budget) {
-            below.calls = (*budget).clamp(1, MAX_CALLS) as usize;
-            below.limit.least = below.limit.least.min(below.calls);
+            dependency.calls = (*budget).clamp(1, MAX_CALLS) as usize;
+            dependency.limit.least = dependency.limit.least.min(dependency.calls);
         }
         if let Value::Number(share) = table.value(&thing, Field::Share) {
-            below.share = Share((f64::from(*share) / f64::from(FULL_SHARE_PERMILLE)).max(MIN_SHARE));
+            dependency.share = Share((f64::from(*share) / f64::from(FULL_SHARE_PERMILLE)).max(MIN_SHARE));
         }
-        below.fall_back = match table.value(&thing, Field::Fallback) {
+        dependency.fall_back = match table.value(&thing, Field::Fallback) {
             Value::Name(next) => Some(next.clone()).filter(|next| names.contains(next)),
             _ => None,
         };
-        told += below.share.0;
+        table_shares += dependency.share.0;
     }
     // The table's shares do not exceed the whole, but know nothing of the file's. Scales the file's down to
     // the rest.
-    if told + rest > 1.0 && rest > 0.0 {
-        let part = ((1.0 - told) / rest).max(0.0);
+    if table_shares + file_shares > 1.0 && file_shares > 0.0 {
+        let scale = ((1.0 - table_shares) / file_shares).max(0.0);
         let of_file = |name: &String| !table.things.contains_key(&Thing::new(Kind::Dependency, name));
-        for (_, below) in file.dependency.iter_mut().filter(|(name, _)| of_file(name)) {
-            below.share = Share((below.share.0 * part).max(MIN_SHARE));
+        for (_, dependency) in file.dependency.iter_mut().filter(|(name, _)| of_file(name)) {
+            dependency.share = Share((dependency.share.0 * scale).max(MIN_SHARE));
         }
     }
     file
--- a/crates/routes/src/rules.rs
+++ b/crates/routes/src/rules.rs
@@ -98,12 +98,12 @@
 }
 
 /// Whether a route is for a tenant and they have no region in common.
-pub fn lacks_common_region(route: &Fields, tenant: &Thing, of: &Fields) -> bool {
+pub fn lacks_common_region(route: &Fields, tenant: &Thing, tenant_fields: &Fields) -> bool {
     let applies = match route.get(&Field::Tenant) {
         Some(Value::Name(name)) => *name == tenant.name,
         _ => true,
     };
-    match (route.get(&Field::Regions), of.get(&Field::Regions)) {
+    match (route.get(&Field::Regions), tenant_fields.get(&Field::Regions)) {
         (Some(Value::Names(one)), Some(Value::Names(other))) => applies && one.is_disjoint(other),
         _ => false,
     }
@@ -126,11 +126,13 @@
 
 /// Returns all that a thing adds to sums, by field.
 pub fn thing_contributions(thing: &Thing, fields: &Fields) -> Vec<(Option<Field>, Sum, i64)> {
-    let of = fields.iter().map(|(field, value)| (Some(*field), value)).chain([(None, &Value::Nothing)]);
-    of.flat_map(|(field, value)| {
-        contributions(thing, field, value).into_iter().map(move |(sum, add)| (field, sum, add))
-    })
-    .collect()
+    let fields_and_thing =
+        fields.iter().map(|(field, value)| (Some(*field), value)).chain([(None, &Value::Nothing)]);
+    fields_and_thing
+        .flat_map(|(field, value)| {
+            contributions(thing, field, value).into_iter().map(move |(sum, add)| (field, sum, add))
+        })
+        .collect()
 }
 
 /// Returns the limit of a sum. A budget is counted as a negative part of its sum, so that the limit is 0.
@@ -162,15 +164,15 @@
 
 /// Returns all faults of a table; empty if it may be published.
 pub fn check(table: &Table) -> Vec<TableFault> {
-    let mut wrong = Vec::new();
+    let mut faults = Vec::new();
     for (thing, fields) in &table.things {
         for (field, value) in fields {
             for to in field.references(value).into_iter().filter(|to| !table.things.contains_key(to)) {
-                wrong.push(TableFault::Dangling(thing.clone(), *field, to));
+                faults.push(TableFault::Dangling(thing.clone(), *field, to));
             }
         }
     }
-    for (sum, by) in sum_excess(table).into_iter().filter(|(_, by)| *by > 0) {
+    for (sum, excess) in sum_excess(table).into_iter().filter(|(_, excess)| *excess > 0) {
         let budget = match &sum {
             Sum::Budget(name) => match table.value(&Thing::new(Kind::Dependency, name), Field::Budget) {
                 Value::Number(budget) => i64::from(*budget),
@@ -178,44 +180,46 @@
             },
             _ => 0,
         };
-        wrong.push(over_limit(&sum, by, budget));
+        faults.push(over_limit(&sum, excess, budget));
     }
     let routes: Vec<(&Thing, &Fields)> = table.of_kind(Kind::Route).collect();
-    for (at, (one, fields)) in routes.iter().enumerate() {
-        for (other, others) in &routes[at + 1..] {
-            if routes_overlap(fields, others) {
-                wrong.push(TableFault::OverlappingRoutes(one.name.clone(), other.name.clone()));
+    for (i, (route, fields)) in routes.iter().enumerate() {
+        for (other, other_fields) in &routes[i + 1..] {
+            if routes_overlap(fields, other_fields) {
+                faults.push(TableFault::OverlappingRoutes(route.name.clone(), other.name.clone()));
             }
         }
-        for (tenant, of) in table.of_kind(Kind::Tenant) {
-            if lacks_common_region(fields, tenant, of) {
-                wrong.push(TableFault::NoCommonRegion(one.name.clone(), tenant.name.clone()));
+        for (tenant, tenant_fields) in table.of_kind(Kind::Tenant) {
+            if lacks_common_region(fields, tenant, tenant_fields) {
+                faults.push(TableFault::NoCommonRegion(route.name.clone(), tenant.name.clone()));
             }
         }
     }
-    wrong.extend(fallback_cycle(table).map(TableFault::FallbackCycle));
-    wrong
+    faults.extend(fallback_cycle(table).map(TableFault::FallbackCycle));
+    faults
 }
 
 /// Finds a cycle of fallbacks, from its first dependency back to it.
 fn fallback_cycle(table: &Table) -> Option<Vec<String>> {
-    let mut over: BTreeSet<&Thing> = BTreeSet::new();
+    let mut visited: BTreeSet<&Thing> = BTreeSet::new();
     for (start, _) in table.of_kind(Kind::Dependency) {
-        let (mut way, mut at) = (Vec::new(), Some(start));
-        while let Some(thing) = at {
-            if let Some(begin) = way.iter().position(|before| *before == thing) {
-                return Some(way[begin..].iter().chain([&thing]).map(|thing| thing.name.clone()).collect());
+        let (mut path, mut current) = (Vec::new(), Some(start));
+        while let Some(thing) = current {
+            if let Some(start_of_cycle) = path.iter().position(|earlier| *earlier == thing) {
+                return Some(
+                    path[start_of_cycle..].iter().chain([&thing]).map(|thing| thing.name.clone()).collect(),
+                );
             }
-            if over.contains(thing) {
+            if visited.contains(thing) {
                 break;
             }
-            way.push(thing);
-            at = match table.value(thing, Field::Fallback) {
+            path.push(thing);
+            current = match table.value(thing, Field::Fallback) {
                 Value::Name(name) => table.things.get_key_value(&thing.named(name)).map(|(thing, _)| thing),
                 _ => None,
             };
         }
-        over.extend(way);
+        visited.extend(path);
     }
     None
 }
--- a/crates/routes/src/snapshot.rs
+++ b/crates/routes/src/snapshot.rs
@@ -71,13 +71,13 @@
     /// Returns the routes for a class and tenant in order of precedence.
     fn routes(&self, class: &str, tenant: &str) -> Vec<(&Thing, &Fields)> {
         let is_for = |fields: &Fields, field, name: &str| match fields.get(&field) {
-            Some(Value::Name(of)) => of == name,
+            Some(Value::Name(route_value)) => route_value == name,
             _ => true,
         };
-        let fit = |(_, fields): &(&Thing, &Fields)| {
+        let matches = |(_, fields): &(&Thing, &Fields)| {
             is_for(fields, Field::Class, class) && is_for(fields, Field::Tenant, tenant)
         };
-        let mut routes: Vec<_> = self.table.of_kind(Kind::Route).filter(fit).collect();
+        let mut routes: Vec<_> = self.table.of_kind(Kind::Route).filter(matches).collect();
         // The sort is stable. In a valid table, routes of the same order do not disagree.
         routes.sort_by_key(|(_, fields)| match fields.get(&Field::Order) {
             Some(Value::Number(order)) => u64::from(*order),
@@ -87,18 +87,20 @@
     }
 
     /// Returns the target of a request's call by its position in the run, from 1.
-    pub fn choose(&self, class: &str, tenant: &str, place: u32) -> Option<RouteChoice> {
-        let fit = |(thing, fields): (&Thing, &Fields)| {
-            let here = fields.get(&Field::Place).is_none_or(|of| *of == Value::Number(place));
+    pub fn choose(&self, class: &str, tenant: &str, position: u32) -> Option<RouteChoice> {
+        let target = |(thing, fields): (&Thing, &Fields)| {
+            let matches = fields
+                .get(&Field::Place)
+                .is_none_or(|route_position| *route_position == Value::Number(position));
             match fields.get(&Field::Call) {
-                Some(Value::Call { to, calls }) if here => {
+                Some(Value::Call { to, calls }) if matches => {
                     let fallbacks = self.fallbacks_of(to);
                     Some(RouteChoice { route: thing.name.clone(), to: to.clone(), calls: *calls, fallbacks })
                 }
                 _ => None,
             }
         };
-        self.routes(class, tenant).into_iter().find_map(fit)
+        self.routes(class, tenant).into_iter().find_map(target)
     }
 
     /// Returns the fallbacks of a dependency in order. A valid table has no cycle of them.
@@ -118,9 +120,9 @@
 
     /// Returns how many of a nodo's `of` slots the requests of a tenant may take, if limited. A share above
     /// zero gives at least one slot.
-    pub fn tenant_slots(&self, tenant: &str, of: usize) -> Option<usize> {
+    pub fn tenant_slots(&self, tenant: &str, slots: usize) -> Option<usize> {
         let share = self.number(Kind::Tenant, tenant, Field::Share)?;
-        Some(share.saturating_mul(of).div_ceil(FULL_SHARE_PERMILLE as usize))
+        Some(share.saturating_mul(slots).div_ceil(FULL_SHARE_PERMILLE as usize))
     }
 
     fn number(&self, kind: Kind, name: &str, field: Field) -> Option<usize> {
@@ -147,39 +149,39 @@
 
     /// Explains as text where requests of a class and tenant go.
     pub fn explain(&self, class: &str, tenant: &str, now_ms: u64) -> String {
-        let mut words = format!("revision {}", self.revision);
+        let mut text = format!("revision {}", self.revision);
         if self.on_trial {
-            words.push_str(", on trial here");
+            text.push_str(", on trial here");
         }
         // Writing to a string cannot fail.
-        let _ = writeln!(words, ", heard {} ms ago", self.age_ms(now_ms));
-        for (at, (thing, fields)) in self.routes(class, tenant).into_iter().enumerate() {
-            let first = if at == 0 { "first" } else { "then" };
-            let said = |field, none: &str| fields.get(&field).map_or(none.to_string(), Value::to_string);
-            let (order, place) = (said(Field::Order, "last"), said(Field::Place, "any"));
-            let (call, regions) = (said(Field::Call, "nothing"), said(Field::Regions, "all"));
-            let owner = said(Field::Owner, "nobody");
+        let _ = writeln!(text, ", heard {} ms ago", self.age_ms(now_ms));
+        for (i, (thing, fields)) in self.routes(class, tenant).into_iter().enumerate() {
+            let first = if i == 0 { "first" } else { "then" };
+            let shown = |field, none: &str| fields.get(&field).map_or(none.to_string(), Value::to_string);
+            let (order, place) = (shown(Field::Order, "last"), shown(Field::Place, "any"));
+            let (call, regions) = (shown(Field::Call, "nothing"), shown(Field::Regions, "all"));
+            let owner = shown(Field::Owner, "nobody");
             let _ = writeln!(
-                words,
+                text,
                 "{first} {thing} (order {order}, of {owner}): call {place} to {call}, regions {regions}"
             );
             if let Some(Value::Call { to, .. }) = fields.get(&Field::Call) {
                 let thing = Thing::new(Kind::Dependency, to);
                 let (budget, next) =
                     (self.table.value(&thing, Field::Budget), self.table.value(&thing, Field::Fallback));
-                let _ = writeln!(words, "  {thing}: budget {budget}, falls back on {next}");
+                let _ = writeln!(text, "  {thing}: budget {budget}, falls back on {next}");
             }
         }
-        let of = Thing::new(Kind::Tenant, tenant);
+        let thing = Thing::new(Kind::Tenant, tenant);
         if let Some(Value::Names(_)) =
-            self.table.things.get(&of).and_then(|fields| fields.get(&Field::Regions))
+            self.table.things.get(&thing).and_then(|fields| fields.get(&Field::Regions))
         {
-            let _ = writeln!(words, "{of} is served in {} only", self.table.value(&of, Field::Regions));
+            let _ = writeln!(text, "{thing} is served in {} only", self.table.value(&thing, Field::Regions));
         }
-        let allows = self.allowed_regions(class, tenant);
-        let all = allows.is_empty();
-        let allows = if all { "all regions".to_string() } else { Value::Names(allows).to_string() };
-        let _ = writeln!(words, "allowed: {allows}");
-        words
+        let allowed = self.allowed_regions(class, tenant);
+        let all = allowed.is_empty();
+        let allowed = if all { "all regions".to_string() } else { Value::Names(allowed).to_string() };
+        let _ = writeln!(text, "allowed: {allowed}");
+        text
     }
 }
--- a/crates/routes/src/soak.rs
+++ b/crates/routes/src/soak.rs
@@ -49,8 +49,8 @@
 }
 
 fn value(rng: &mut SeededRng, kind: Kind, field: Field) -> Value {
-    let sometimes = field != Field::Owner && !field.is_required_for(kind) && !field.is_immutable();
-    if sometimes && rng.below(6) == 0 {
+    let may_be_omitted = field != Field::Owner && !field.is_required_for(kind) && !field.is_immutable();
+    if may_be_omitted && rng.below(6) == 0 {
         return Value::Nothing;
     }
     match field {
@@ -178,7 +178,7 @@
 }
 
 /// Generates an edit of one group of fields, so that several edits are likely to conflict.
-fn related_edit(rng: &mut SeededRng, base: &Base, number: u64, theme: u64) -> Edit {
+fn related_edit(rng: &mut SeededRng, base: &Base, number: u64, group: u64) -> Edit {
     let mut edit = Edit {
         id: EditId { team: rng.pick(&TEAMS).into(), number },
         base: base.revision,
@@ -186,7 +186,7 @@
         changes: Vec::new(),
     };
     for _ in 0..1 + rng.below(2) * rng.below(2) {
-        let (kind, field, value) = match theme {
+        let (kind, field, value) = match group {
             0 => {
                 let to = rng.pick(&["padron", "padron", "firma"]).into();
                 (Kind::Route, Field::Call, Value::Call { to, calls: 2 + rng.below(4) as u32 })
@@ -216,15 +216,15 @@
 /// edits are related.
 pub fn random_case(seed: u64) -> (Base, MergeInput) {
     let mut rng = SeededRng::new(seed);
-    let theme = rng.below(8);
-    let close = theme < 4;
-    let base = Base::new(if close { tight_table(&mut rng) } else { random_table(&mut rng) });
+    let group = rng.below(8);
+    let related = group < 4;
+    let base = Base::new(if related { tight_table(&mut rng) } else { random_table(&mut rng) });
     let count = 2 + rng.below(4);
     let mut input = MergeInput::default();
     for number in 1..=count {
         for _ in 0..8 {
-            let edit = match close {
-                true => related_edit(&mut rng, &base, number, theme),
+            let edit = match related {
+                true => related_edit(&mut rng, &base, number, group),
                 false => random_edit(&mut rng, &base, number),
             };
             if edit.check().is_err() {
@@ -312,26 +312,28 @@
     let (base, input) = random_case(seed);
     let merged = merge(&base, &input);
     let (alone, sets) = brute_force(&base, &input);
-    let told: BTreeSet<BTreeSet<EditKey>> =
+    let reported: BTreeSet<BTreeSet<EditKey>> =
         merged.conflicts.values().map(|conflict| conflict.members.clone()).collect();
     soaked.cases += 1;
     soaked.edits += input.edits.len();
-    soaked.false_ones += told.difference(&sets).count();
-    soaked.missed += sets.difference(&told).count();
-    for set in sets.intersection(&told) {
+    soaked.false_ones += reported.difference(&sets).count();
+    soaked.missed += sets.difference(&reported).count();
+    for set in sets.intersection(&reported) {
         *soaked.conflicts.entry(set.len()).or_insert(0) += 1;
     }
-    if told != sets {
-        return Some(format!("told {told:?}, brute force {sets:?}"));
+    if reported != sets {
+        return Some(format!("the merge reports {reported:?}, brute force {sets:?}"));
     }
-    let by_itself: BTreeSet<EditKey> =
+    let refused: BTreeSet<EditKey> =
         input.edits.keys().filter(|key| is_alone(&merged, key)).cloned().collect();
-    if by_itself != alone {
-        return Some(format!("refused {by_itself:?}, brute force {alone:?}"));
+    if refused != alone {
+        return Some(format!("the merge refuses {refused:?}, brute force {alone:?}"));
     }
     match merged.next_base(&base, &input) {
-        Err(e) => Some(format!("taken and cannot be applied: {e:?}")),
-        Ok(next) => rules::check(&next.table).first().map(|wrong| format!("the next table: {wrong}")),
+        Err(e) => Some(format!("accepted but not applicable: {e:?}")),
+        Ok(next) => {
+            rules::check(&next.table).first().map(|wrong| format!("the next table is invalid: {wrong}"))
+        }
     }
 }
 
--- a/crates/routes/src/tests.rs
+++ b/crates/routes/src/tests.rs
@@ -199,20 +199,20 @@
     let mut back = on.clone();
     // Ten members of each side report; with the table as many failures as without it, or three times as
     // many.
-    let told = |routes: &mut Routes, with: bool, failed: u64| {
+    let report = |routes: &mut Routes, with: bool, failed: u64| {
         for name in names.iter().filter(|name| in_trial(name, 300) == with).take(10) {
             let counts = Counts { requests: 1_000, failed, slow: 10 };
             let (by, revision) = (Holder::new(name, 1), u64::from(with));
-            let told = Entry::ReportCounts { by, trial: 1, revision, counts };
-            assert_eq!(routes.apply_entry(told), Outcome::Done);
+            let report = Entry::ReportCounts { by, trial: 1, revision, counts };
+            assert_eq!(routes.apply_entry(report), Outcome::Done);
         }
     };
     let step = |now_ms: u64| Entry::JudgeTrial { revision: 1, now_ms };
-    told(&mut on, false, 10);
-    told(&mut back, false, 10);
+    report(&mut on, false, 10);
+    report(&mut back, false, 10);
     assert_eq!(on.apply_entry(step(1 + MIN_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
-    told(&mut on, true, 10);
-    told(&mut back, true, 30);
+    report(&mut on, true, 10);
+    report(&mut back, true, 30);
     assert_eq!(on.apply_entry(step(MIN_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
     // A clock that has gone back, and one that has not.
     assert_eq!(on.apply_entry(step(0)), Outcome::Refused(Refusal::TooEarly));
@@ -236,21 +236,21 @@
 #[test]
 fn implausible_counts_are_refused() {
     let (mut routes, n1) = (routes(), Holder::new("n1", 1));
-    let told = |revision, trial, counts| Entry::ReportCounts { by: n1.clone(), trial, revision, counts };
+    let report = |revision, trial, counts| Entry::ReportCounts { by: n1.clone(), trial, revision, counts };
     let good = Counts { requests: 10, failed: 1, slow: 2 };
-    assert_eq!(routes.apply_entry(told(0, 1, good)), Outcome::Refused(Refusal::NoSuchTrial));
+    assert_eq!(routes.apply_entry(report(0, 1, good)), Outcome::Refused(Refusal::NoSuchTrial));
     send(&mut routes, &edit("brio", 1, 0, vec![budget("padron", 12)]));
     publish(&mut routes, 999);
     assert!(in_trial("n1", 999));
-    assert_eq!(routes.apply_entry(told(1, 0, good)), Outcome::Refused(Refusal::NoSuchTrial));
-    assert_eq!(routes.apply_entry(told(0, 1, good)), Outcome::Refused(Refusal::InvalidCounts));
+    assert_eq!(routes.apply_entry(report(1, 0, good)), Outcome::Refused(Refusal::NoSuchTrial));
+    assert_eq!(routes.apply_entry(report(0, 1, good)), Outcome::Refused(Refusal::InvalidCounts));
     for (requests, failed, slow) in [(10, 6, 5), (MAX_REPORTED_REQUESTS + 1, 0, 0), (0, u64::MAX, u64::MAX)] {
         let counts = Counts { requests, failed, slow };
-        assert_eq!(routes.apply_entry(told(1, 1, counts)), Outcome::Refused(Refusal::InvalidCounts));
+        assert_eq!(routes.apply_entry(report(1, 1, counts)), Outcome::Refused(Refusal::InvalidCounts));
     }
     // Reports of incarnations outside the fleet are refused, and the counts of one that leaves are dropped.
     let said = |routes: &mut Routes, fleet: &Fleet| {
-        Outcome::from_bytes(&routes.apply(fleet, &told(1, 1, good).to_bytes()))
+        Outcome::from_bytes(&routes.apply(fleet, &report(1, 1, good).to_bytes()))
     };
     let mut fleet = Fleet::default();
     assert_eq!(said(&mut routes, &fleet), Some(Outcome::Refused(Refusal::NotInFleet)));
--- a/crates/routes/src/trial.rs
+++ b/crates/routes/src/trial.rs
@@ -39,8 +39,8 @@
 /// Returns the share of a trial: the wanted one, adjusted so that at least one of the members is in the
 /// trial and one is not. Returns the whole if that is impossible, as there is nothing to compare then.
 pub fn trial_permille<'a>(members: impl IntoIterator<Item = &'a str>, wanted: u32) -> u32 {
-    let places: BTreeSet<u32> = members.into_iter().map(trial_position).collect();
-    match (places.first(), places.last()) {
+    let positions: BTreeSet<u32> = members.into_iter().map(trial_position).collect();
+    match (positions.first(), positions.last()) {
         (Some(first), Some(last)) if first < last => wanted.max(first + 1).min(*last),
         _ => FULL_SHARE_PERMILLE,
     }
@@ -166,6 +166,7 @@
 
 /// Judges a table by the requests of members without it (`before`) and with it (`after`) over the same
 /// time.
+///
 /// It is rolled back as soon as failures or slow requests increase by significantly more than
 /// [`TOLERATED_INCREASE_PERMILLE`]. It is adopted after enough requests and [`MIN_TRIAL_MS`]. An increase
 /// above the tolerated one that is not significant prolongs the trial up to [`MAX_TRIAL_MS`]. With too few
@@ -179,22 +180,22 @@
             Verdict::Wait
         };
     }
-    let seen = [
+    let increases = [
         (RollbackReason::Failures, before.failed, after.failed),
         (RollbackReason::Slow, before.slow, after.slow),
     ];
-    let (mut doubt, mut worse) = (false, None);
-    for (why, was, is) in seen {
+    let (mut is_doubtful, mut reason) = (false, None);
+    for (kind, was, is) in increases {
         let (n, m) = (before.requests.max(1) as f64, after.requests.max(1) as f64);
         let (p, q) = (was as f64 / n, is as f64 / m);
-        let both = (was + is) as f64 / (n + m);
-        let chance = SIGNIFICANCE_STD_DEVS * (both * (1.0 - both).max(0.0) * (1.0 / n + 1.0 / m)).sqrt();
-        let more = q - p - TOLERATED_INCREASE_PERMILLE as f64 / 1000.0;
-        worse = worse.or((more > chance).then_some(why));
-        doubt |= more > 0.0;
+        let pooled = (was + is) as f64 / (n + m);
+        let margin = SIGNIFICANCE_STD_DEVS * (pooled * (1.0 - pooled).max(0.0) * (1.0 / n + 1.0 / m)).sqrt();
+        let excess = q - p - TOLERATED_INCREASE_PERMILLE as f64 / 1000.0;
+        reason = reason.or((excess > margin).then_some(kind));
+        is_doubtful |= excess > 0.0;
     }
-    match (worse, doubt) {
-        (Some(why), _) => Verdict::RollBack(why),
+    match (reason, is_doubtful) {
+        (Some(kind), _) => Verdict::RollBack(kind),
         // An increase that is still not significant at the end of the trial is too small to matter.
         (None, true) if waited_ms < MAX_TRIAL_MS => Verdict::Wait,
         _ if waited_ms < MIN_TRIAL_MS => Verdict::Wait,
--- a/crates/routes/src/trial_sim.rs
+++ b/crates/routes/src/trial_sim.rs
@@ -44,7 +44,7 @@
 }
 
 struct Nodo {
-    start: Holder,
+    holder: Holder,
     tally: Tally,
     /// Mean number of requests in a step.
     rate: u64,
@@ -63,7 +63,7 @@
 
 fn routes(agreed: &Agreed) -> Result<&Routes, String> {
     let part = agreed.part(NAME).and_then(|part| part.as_any().downcast_ref());
-    part.ok_or_else(|| "no routes".to_string())
+    part.ok_or_else(|| "the replicated state has no route table".to_string())
 }
 
 fn propose(agreed: &mut Agreed, entry: &Entry) -> Option<Outcome> {
@@ -83,7 +83,7 @@
         let rates = [0, 1, 10, 60];
         let nodos: Vec<Nodo> = (0..3 + rng.below(7))
             .map(|n| Nodo {
-                start: Holder::new(&format!("nodo-{}", n + 100 * rng.below(100)), 1),
+                holder: Holder::new(&format!("nodo-{}", n + 100 * rng.below(100)), 1),
                 tally: Tally::default(),
                 rate: rates[rng.below(4) as usize],
                 cut: false,
@@ -91,7 +91,7 @@
             })
             .collect();
         for nodo in &nodos {
-            agreed.apply(&OfFleet::Enrol { holder: nodo.start.clone() });
+            agreed.apply(&OfFleet::Enrol { holder: nodo.holder.clone() });
         }
         let value = Value::Number(12);
         let edit = Edit {
@@ -104,7 +104,7 @@
         let names = agreed.fleet.members().map(|(name, _)| name);
         let permille = trial::trial_permille(names, 100 + 100 * rng.below(5) as u32);
         if permille == FULL_SHARE_PERMILLE {
-            return Err("all at once".to_string());
+            return Err("the table is published to all nodos at once".to_string());
         }
         propose(&mut agreed, &Entry::Publish { permille, now_ms: BEGIN_MS });
         Ok(Simulation { agreed, nodos, in_transit: Vec::new() })
@@ -114,34 +114,37 @@
     fn serve(&mut self, now_ms: u64, quality: TableQuality, rng: &mut SeededRng) -> Result<(), String> {
         for nodo in &mut self.nodos {
             let routes = routes(&self.agreed)?;
-            let seen = MemberView::from_bytes(&routes.seen_by(&nodo.start)).ok_or("nothing is shown")?;
-            let (of, table) = (if seen.on_trial { quality } else { TableQuality::Good }, seen.snapshot(0));
+            let view =
+                MemberView::from_bytes(&routes.seen_by(&nodo.holder)).ok_or("the view cannot be decoded")?;
+            let (quality_here, table) =
+                (if view.on_trial { quality } else { TableQuality::Good }, view.snapshot(0));
             let [mut fails, mut late] = BASELINE_PERMILLE;
-            match of {
+            match quality_here {
                 TableQuality::Good => {}
                 TableQuality::Fails => fails = DEGRADED_PERMILLE,
                 TableQuality::Late => late = DEGRADED_PERMILLE,
             }
             for _ in 0..rng.below(2 * nodo.rate + 1) {
-                let rolled = rng.below(1000);
-                let how = if rolled < fails {
+                let roll = rng.below(1000);
+                let end = if roll < fails {
                     RequestEnd::Failed
-                } else if rolled < fails + late {
+                } else if roll < fails + late {
                     RequestEnd::Slow
                 } else {
                     RequestEnd::InTime
                 };
-                nodo.tally.record(&table, how);
+                nodo.tally.record(&table, end);
             }
             let Some(trial) = table.trial else { continue };
             let Some((revision, counts)) = nodo.tally.counts_for(trial) else { continue };
             // One in thirty reports is for a table that the nodo does not use.
-            let odd = rng.below(30) == 0;
-            let revision = if odd && revision > 0 { revision - 1 } else { revision + u64::from(odd) };
-            let told = Entry::ReportCounts { by: nodo.start.clone(), trial, revision, counts };
+            let is_wrong = rng.below(30) == 0;
+            let revision =
+                if is_wrong && revision > 0 { revision - 1 } else { revision + u64::from(is_wrong) };
+            let report = Entry::ReportCounts { by: nodo.holder.clone(), trial, revision, counts };
             for _ in 0..[0, 1, 1, 1, 2][rng.below(5) as usize] {
                 if !nodo.cut {
-                    self.in_transit.push((now_ms + STEP_MS * rng.below(4), told.clone()));
+                    self.in_transit.push((now_ms + STEP_MS * rng.below(4), report.clone()));
                 }
             }
         }
@@ -156,11 +159,11 @@
             let (_, entry) = due.swap_remove(rng.below(due.len() as u64) as usize);
             propose(&mut self.agreed, &entry);
             let Entry::ReportCounts { by, trial, revision, counts } = entry else { continue };
-            let Some(nodo) = self.nodos.iter_mut().find(|nodo| nodo.start == by) else { continue };
-            let real = nodo.tally.counts_for(trial).is_some_and(|(uses, _)| uses == revision);
-            if real && self.agreed.fleet.is_present(&by) {
-                let heard = nodo.received.get_or_insert_with(Counts::default);
-                *heard = if heard.requests > counts.requests { *heard } else { counts };
+            let Some(nodo) = self.nodos.iter_mut().find(|nodo| nodo.holder == by) else { continue };
+            let is_genuine = nodo.tally.counts_for(trial).is_some_and(|(uses, _)| uses == revision);
+            if is_genuine && self.agreed.fleet.is_present(&by) {
+                let received = nodo.received.get_or_insert_with(Counts::default);
+                *received = if received.requests > counts.requests { *received } else { counts };
             }
         }
     }
@@ -171,18 +174,18 @@
         let nodo = &mut self.nodos[at];
         match (nodo.cut, rng.below(8)) {
             (false, 0) => nodo.cut = true,
-            (true, 0..4) if self.agreed.fleet.is_present(&nodo.start) => {
-                self.agreed.apply(&OfFleet::Gone { holder: nodo.start.clone() });
+            (true, 0..4) if self.agreed.fleet.is_present(&nodo.holder) => {
+                self.agreed.apply(&OfFleet::Gone { holder: nodo.holder.clone() });
                 nodo.received = None;
             }
             (true, 4..6) => {
                 nodo.cut = false;
                 if rng.below(2) == 0 {
-                    let next = nodo.start.incarnation + 1;
-                    nodo.start = Holder::new(&nodo.start.member, next);
+                    let next = nodo.holder.incarnation + 1;
+                    nodo.holder = Holder::new(&nodo.holder.member, next);
                     (nodo.tally, nodo.received) = (Tally::default(), None);
                 }
-                self.agreed.apply(&OfFleet::Enrol { holder: nodo.start.clone() });
+                self.agreed.apply(&OfFleet::Enrol { holder: nodo.holder.clone() });
             }
             _ => {}
         }
@@ -191,8 +194,9 @@
     /// Sums the counts received from incarnations in the fleet, without and with the table.
     fn expected_counts(&self, permille: u32) -> [Counts; 2] {
         let sum = |with: bool| {
-            let side = self.nodos.iter().filter(|nodo| trial::in_trial(&nodo.start.member, permille) == with);
-            side.filter_map(|nodo| nodo.received).fold(Counts::default(), |sum, heard| sum.plus(&heard))
+            let side =
+                self.nodos.iter().filter(|nodo| trial::in_trial(&nodo.holder.member, permille) == with);
+            side.filter_map(|nodo| nodo.received).fold(Counts::default(), |sum, received| sum.plus(&received))
         };
         [sum(false), sum(true)]
     }
@@ -221,17 +225,17 @@
         simulation.deliver(now_ms, rng);
         simulation.change_members(rng);
         if now_ms == reload {
-            let mut again = Routes::default();
+            let mut loaded = Routes::default();
             let saved = routes(&simulation.agreed)?.save();
-            if !again.load(&saved) || again != *routes(&simulation.agreed)? {
-                return Err("what was saved does not go on alike".to_string());
+            if !loaded.load(&saved) || loaded != *routes(&simulation.agreed)? {
+                return Err("the loaded state differs from the saved one".to_string());
             }
-            simulation.agreed.parts = vec![Box::new(again)];
+            simulation.agreed.parts = vec![Box::new(loaded)];
         }
-        let of = routes(&simulation.agreed)?.trial_status().ok_or("the trial is gone")?;
-        let [without, with] = simulation.expected_counts(of.permille);
-        if (of.without, of.with) != (without, with) {
-            return Err(format!("{of:?}, and heard was {without:?} {with:?}"));
+        let status = routes(&simulation.agreed)?.trial_status().ok_or("there is no trial")?;
+        let [without, with] = simulation.expected_counts(status.permille);
+        if (status.without, status.with) != (without, with) {
+            return Err(format!("{status:?}, but received were {without:?} {with:?}"));
         }
         // There may be two leaders, each with a clock up to a minute behind.
         for _ in 0..1 + rng.below(2) {
@@ -241,7 +245,7 @@
             return check_end(&simulation, quality, (without, with), at - BEGIN_MS, revision);
         }
         if now_ms > BEGIN_MS + MAX_TRIAL_MS + 120_000 {
-            return Err("it is on trial for ever".to_string());
+            return Err("the trial does not end".to_string());
         }
     }
 }
@@ -260,23 +264,25 @@
     let why = match (&end, revision) {
         (Some(FinalState::Published(1)), 1) => None,
         (Some(FinalState::Refused(RefusalReason::RolledBack { revision: 1, why, .. })), 2) => Some(*why),
-        other => return Err(format!("it ended as {other:?}")),
+        other => return Err(format!("the trial ended as {other:?}")),
     };
-    let uses = |nodo: &Nodo| MemberView::from_bytes(&routes.seen_by(&nodo.start)).map(|seen| seen.revision);
-    if simulation.nodos.iter().any(|nodo| uses(nodo) != Some(revision)) {
-        return Err("not all use what was decided".to_string());
+    let revision_of =
+        |nodo: &Nodo| MemberView::from_bytes(&routes.seen_by(&nodo.holder)).map(|seen| seen.revision);
+    if simulation.nodos.iter().any(|nodo| revision_of(nodo) != Some(revision)) {
+        return Err("not all nodos use the decided revision".to_string());
     }
     match why {
-        None if !enough => Err(format!("it goes on by {with}, and {without} without it")),
-        None if waited_ms < MIN_TRIAL_MS => Err(format!("it goes on after {waited_ms} ms")),
+        None if !enough => Err(format!("adopted with too few requests: {with}; without it {without}")),
+        None if waited_ms < MIN_TRIAL_MS => Err(format!("adopted after only {waited_ms} ms")),
         None if quality != TableQuality::Good => {
-            Err(format!("{quality:?} goes on: {with}; without it {without}"))
+            Err(format!("a bad table ({quality:?}) was adopted: {with}; without it {without}"))
         }
         Some(RollbackReason::TooFew) if enough || waited_ms < MAX_TRIAL_MS => {
-            Err("there was enough".to_string())
+            Err("rolled back for too few requests, but there were enough or the time was not over"
+                .to_string())
         }
         Some(RollbackReason::Failures | RollbackReason::Slow) if !enough => {
-            Err(format!("it goes back by {with}; {without}"))
+            Err(format!("rolled back with too few requests: {with}; without it {without}"))
         }
         _ => Ok(why),
     }
