--- a/crates/routes/src/tests.rs
+++ b/crates/routes/src/tests.rs
@@ -92,9 +92,9 @@
     // The revision that this edit is based on is no longer the present one.
     send(&mut late, &other);
     assert_eq!(only_conflict(&open), only_conflict(&late));
-    let said = late.merged().conflicts.values().next().expect("one").to_string();
+    let text = late.merged().conflicts.values().next().expect("one").to_string();
     assert_eq!(
-        said,
+        text,
         "brio#1, casa#1 cannot be taken together: they set Budget of dependency/padron to different values; \
          brio#1 is in force"
     );
@@ -173,30 +173,30 @@
 fn an_edit_affects_things_of_another_team_only_with_its_consent() {
     let mut routes = routes();
     let one = edit("brio", 1, 0, vec![budget("firma", 12)]);
-    let waits = Outcome::Open(EditState::AwaitsConsent(["ares".to_string()].into()));
-    assert_eq!(send(&mut routes, &one), waits);
+    let awaits_consent = Outcome::Open(EditState::AwaitsConsent(["ares".to_string()].into()));
+    assert_eq!(send(&mut routes, &one), awaits_consent);
     assert_eq!(publish(&mut routes, FULL_SHARE_PERMILLE), Outcome::Refused(Refusal::NothingToPublish));
-    let word = |by: &str, yes| Entry::Consent { by: by.into(), edit: one.key(), granted: yes };
-    assert_eq!(routes.apply_entry(word("casa", true)), Outcome::Refused(Refusal::NotAuthorized));
-    assert_eq!(routes.apply_entry(word("ares", true)), Outcome::Open(EditState::Accepted));
+    let consent = |by: &str, granted| Entry::Consent { by: by.into(), edit: one.key(), granted };
+    assert_eq!(routes.apply_entry(consent("casa", true)), Outcome::Refused(Refusal::NotAuthorized));
+    assert_eq!(routes.apply_entry(consent("ares", true)), Outcome::Open(EditState::Accepted));
     // A denial prevails over consent.
     let denied = Outcome::Ended(FinalState::Refused(RefusalReason::Denied("ares".into())));
-    assert_eq!(routes.apply_entry(word("ares", false)), denied);
+    assert_eq!(routes.apply_entry(consent("ares", false)), denied);
 }
 
 #[test]
 fn a_table_on_trial_is_adopted_or_rolled_back() {
-    let (mut on, one) = (routes(), edit("brio", 1, 0, vec![budget("padron", 12)]));
-    send(&mut on, &one);
-    publish(&mut on, 300);
+    let (mut adopted, one) = (routes(), edit("brio", 1, 0, vec![budget("padron", 12)]));
+    send(&mut adopted, &one);
+    publish(&mut adopted, 300);
     let names: Vec<String> = (0..300).map(|n| format!("nodo-{n}")).collect();
-    let first: Vec<&String> = names.iter().filter(|name| on.table_for(name).1).collect();
+    let first: Vec<&String> = names.iter().filter(|name| adopted.table_for(name).1).collect();
     assert!((60..120).contains(&first.len()), "{}", first.len());
     assert!(first.iter().all(|name| in_trial(name, 300) && in_trial(name, 600)));
     let other = edit("casa", 1, 1, vec![budget("firma", 9)]);
-    assert_eq!(publish(&mut on, 300), Outcome::Refused(Refusal::TrialRunning(1)));
-    send(&mut on, &other);
-    let mut back = on.clone();
+    assert_eq!(publish(&mut adopted, 300), Outcome::Refused(Refusal::TrialRunning(1)));
+    send(&mut adopted, &other);
+    let mut rolled_back = adopted.clone();
     // Ten members of each side report; with the table as many failures as without it, or three times as
     // many.
     let report = |routes: &mut Routes, with: bool, failed: u64| {
@@ -207,30 +207,30 @@
             assert_eq!(routes.apply_entry(report), Outcome::Done);
         }
     };
-    let step = |now_ms: u64| Entry::JudgeTrial { revision: 1, now_ms };
-    report(&mut on, false, 10);
-    report(&mut back, false, 10);
-    assert_eq!(on.apply_entry(step(1 + MIN_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
-    report(&mut on, true, 10);
-    report(&mut back, true, 30);
-    assert_eq!(on.apply_entry(step(MIN_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
+    let judge_at = |now_ms: u64| Entry::JudgeTrial { revision: 1, now_ms };
+    report(&mut adopted, false, 10);
+    report(&mut rolled_back, false, 10);
+    assert_eq!(adopted.apply_entry(judge_at(1 + MIN_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
+    report(&mut adopted, true, 10);
+    report(&mut rolled_back, true, 30);
+    assert_eq!(adopted.apply_entry(judge_at(MIN_TRIAL_MS)), Outcome::Refused(Refusal::TooEarly));
     // A clock that has gone back, and one that has not.
-    assert_eq!(on.apply_entry(step(0)), Outcome::Refused(Refusal::TooEarly));
-    assert_eq!(on.apply_entry(step(1 + MIN_TRIAL_MS)), Outcome::Published(1));
-    assert!(names.iter().all(|name| on.table_for(name).0.revision == 1));
-    assert_eq!(back.apply_entry(step(2)), Outcome::Published(2));
-    assert!(names.iter().all(|name| back.table_for(name).0.table == routes().kept_table()));
-    let Some(Outcome::Ended(FinalState::Refused(why))) = back.outcome_of(&one.key()) else {
-        panic!("{:?}", back.outcome_of(&one.key()))
+    assert_eq!(adopted.apply_entry(judge_at(0)), Outcome::Refused(Refusal::TooEarly));
+    assert_eq!(adopted.apply_entry(judge_at(1 + MIN_TRIAL_MS)), Outcome::Published(1));
+    assert!(names.iter().all(|name| adopted.table_for(name).0.revision == 1));
+    assert_eq!(rolled_back.apply_entry(judge_at(2)), Outcome::Published(2));
+    assert!(names.iter().all(|name| rolled_back.table_for(name).0.table == routes().committed_table()));
+    let Some(Outcome::Ended(FinalState::Refused(why))) = rolled_back.outcome_of(&one.key()) else {
+        panic!("{:?}", rolled_back.outcome_of(&one.key()))
     };
     assert_eq!(
         why.to_string(),
         "revision 1 was taken back: more requests failed with it (10000 requests, 300 failed, 100 late; without it \
          10000 requests, 100 failed, 100 late)"
     );
-    assert_eq!(back.apply_entry(step(2)), Outcome::Refused(Refusal::NoSuchTrial));
+    assert_eq!(rolled_back.apply_entry(judge_at(2)), Outcome::Refused(Refusal::NoSuchTrial));
     // Edits submitted meanwhile apply to the old table.
-    assert!(matches!(back.outcome_of(&other.key()), Some(Outcome::Open(EditState::AwaitsConsent(_)))));
+    assert!(matches!(rolled_back.outcome_of(&other.key()), Some(Outcome::Open(EditState::AwaitsConsent(_)))));
 }
 
 #[test]
@@ -249,13 +249,13 @@
         assert_eq!(routes.apply_entry(report(1, 1, counts)), Outcome::Refused(Refusal::InvalidCounts));
     }
     // Reports of incarnations outside the fleet are refused, and the counts of one that leaves are dropped.
-    let said = |routes: &mut Routes, fleet: &Fleet| {
+    let apply = |routes: &mut Routes, fleet: &Fleet| {
         Outcome::from_bytes(&routes.apply(fleet, &report(1, 1, good).to_bytes()))
     };
     let mut fleet = Fleet::default();
-    assert_eq!(said(&mut routes, &fleet), Some(Outcome::Refused(Refusal::NotInFleet)));
+    assert_eq!(apply(&mut routes, &fleet), Some(Outcome::Refused(Refusal::NotInFleet)));
     fleet.apply(&jaspershunt_fleet::Entry::Enrol { holder: n1.clone() });
-    assert_eq!(said(&mut routes, &fleet), Some(Outcome::Done));
+    assert_eq!(apply(&mut routes, &fleet), Some(Outcome::Done));
     assert_eq!(routes.trial_status().map(|of| of.with), Some(good));
     fleet.apply(&jaspershunt_fleet::Entry::Gone { holder: n1.clone() });
     routes.members_changed(&fleet);
@@ -290,7 +290,7 @@
         Change::Add { thing: dependency("censo"), fields: [(Field::Budget, Value::Number(5))].into() },
         set(Thing::new(Kind::Route, "r1"), Field::Call, Value::Call { to: "censo".into(), calls: 5 }),
     ];
-    let before = routes.kept_table();
+    let before = routes.committed_table();
     let one = edit("brio", 1, 0, swap);
     send(&mut routes, &one);
     publish(&mut routes, FULL_SHARE_PERMILLE);
@@ -299,7 +299,7 @@
         .expect("in the log");
     assert_eq!(send(&mut routes, &undo), Outcome::Open(EditState::Accepted));
     publish(&mut routes, FULL_SHARE_PERMILLE);
-    assert_eq!((routes.kept_table(), routes.revision()), (before, 2));
+    assert_eq!((routes.committed_table(), routes.revision()), (before, 2));
 }
 
 #[test]
@@ -321,8 +321,8 @@
     let remove = Change::Remove { thing: dependency("padron") };
     assert_eq!(refused(vec![remove]), "it removes dependency/padron, which route/r1 refers to");
     let next = |of: &str, to: &str| set(dependency(of), Field::Fallback, Value::Name(to.into()));
-    let round = refused(vec![next("firma", "padron"), next("padron", "firma")]);
-    assert!(round.contains("AwaitsConsent"), "{round}");
+    let cycle = refused(vec![next("firma", "padron"), next("padron", "firma")]);
+    assert!(cycle.contains("AwaitsConsent"), "{cycle}");
     assert_eq!(refused(vec![next("padron", "padron")]), "fallback cycle: padron → padron");
     assert_eq!(
         refused(vec![next("padron", "correo")]),
@@ -347,7 +347,7 @@
     }
     assert_eq!(routes.merged().conflicts.len(), MAX_CONFLICTS);
     assert!(routes.merged().states.values().all(|state| matches!(state, EditState::InConflict(_))));
-    let seen = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("its own bytes");
+    let seen = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("an encoded view");
     assert_eq!(seen.conflicts.len(), MAX_SHOWN_CONFLICTS);
 
     let mut routes = self::routes();
@@ -419,7 +419,7 @@
     let norte = Value::Names(["norte".to_string()].into());
     send(&mut routes, &edit("brio", 1, 0, vec![set(Thing::new(Kind::Route, "r1"), Field::Regions, norte)]));
     publish(&mut routes, FULL_SHARE_PERMILLE);
-    let seen = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("its own bytes");
+    let seen = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("an encoded view");
     let snapshot = seen.snapshot(1000);
     assert_eq!(snapshot.allowed_regions("alta", "uno"), ["norte".to_string()].into());
     assert_eq!(snapshot.allowed_regions("baja", "uno"), Default::default());
@@ -466,7 +466,7 @@
 }
 
 impl Routes {
-    fn kept_table(&self) -> Table {
+    fn committed_table(&self) -> Table {
         self.table_for("n1").0.table.clone()
     }
 }
@@ -502,9 +502,9 @@
         assert!(matches!(outcome, Outcome::Open(_)), "{number}: {outcome:?}");
     }
     let outcome = send(&mut routes, MAX_OPEN_PER_FIELD, budget(MAX_OPEN_PER_FIELD));
-    let words =
+    let text =
         "refused: 64 open edits already change Budget of dependency/padron: settle or withdraw some first";
-    assert_eq!(outcome.to_string(), words);
+    assert_eq!(outcome.to_string(), text);
     // A known edit is still answered, and another field is not affected.
     assert!(matches!(send(&mut routes, 3, budget(3)), Outcome::Open(_)));
     let share = vec![Change::Set { thing: padron.clone(), field: Field::Share, value: Value::Number(5) }];
--- a/crates/routes/tests/mutants.rs
+++ b/crates/routes/tests/mutants.rs
@@ -37,7 +37,7 @@
 }
 
 /// Runs the check for a mutant; returns its name and the failure, if any.
-fn checked(mutant: Mutant) -> (&'static str, Option<String>) {
+fn run_check(mutant: Mutant) -> (&'static str, Option<String>) {
     match mutant {
         Mutant::LastWriterWins
         | Mutant::SumByPairs
@@ -52,9 +52,9 @@
             let found = (1..SEEDS).find_map(|seed| {
                 trial_sim::run_seed(seed, &mut Tried::default()).map(|what| format!("seed {seed}: {what}"))
             });
-            ("trials by a seed", found)
+            ("simulated trials", found)
         }
-        Mutant::NumberedByPlace => ("numbers stay as edits come", (1..SEEDS).find_map(ids_differ)),
+        Mutant::NumberedByPlace => ("conflict ids are stable", (1..SEEDS).find_map(ids_differ)),
         Mutant::ShownBeforeAgreed => ("trial", {
             let mut routes = routes(None);
             routes.apply_entry(Entry::Edit(budget("brio", 12)));
@@ -71,12 +71,12 @@
             let keep = [rename.key(), budget("casa", 12).key()].into();
             routes.apply_entry(Entry::Settle { by: "casa".into(), conflict, keep });
             publish(&mut routes, FULL_SHARE_PERMILLE);
-            let held = routes.table_for("n1").0.table.value(&padron().named("censo"), Field::Budget).clone();
-            (held != Value::Number(12)).then(|| format!("{held}"))
+            let value = routes.table_for("n1").0.table.value(&padron().named("censo"), Field::Budget).clone();
+            (value != Value::Number(12)).then(|| format!("{value}"))
         }),
-        Mutant::WordNotAsked => ("word", {
-            let said = routes(Some("ares")).apply_entry(Entry::Edit(budget("brio", 12)));
-            (said == Outcome::Open(EditState::Accepted)).then(|| format!("{said:?}"))
+        Mutant::WordNotAsked => ("consent", {
+            let outcome = routes(Some("ares")).apply_entry(Entry::Edit(budget("brio", 12)));
+            (outcome == Outcome::Open(EditState::Accepted)).then(|| format!("{outcome:?}"))
         }),
         Mutant::SettledTwice => ("settled once", {
             let mut routes = routes(None);
@@ -87,22 +87,22 @@
             for (by, keep) in [("brio", &one), ("casa", &other)] {
                 routes.apply_entry(Entry::Settle { by: by.into(), conflict, keep: [keep.key()].into() });
             }
-            let said = routes.outcome_of(&one.key());
-            (said != Some(Outcome::Open(EditState::Accepted))).then(|| format!("{said:?}"))
+            let outcome = routes.outcome_of(&one.key());
+            (outcome != Some(Outcome::Open(EditState::Accepted))).then(|| format!("{outcome:?}"))
         }),
         Mutant::BaseIgnored => ("late edit", {
             let mut routes = routes(None);
             routes.apply_entry(Entry::Edit(budget("brio", 12)));
             publish(&mut routes, FULL_SHARE_PERMILLE);
-            let said = routes.apply_entry(Entry::Edit(budget("casa", 13)));
-            (!matches!(said, Outcome::Open(EditState::InConflict(_)))).then(|| format!("{said:?}"))
+            let outcome = routes.apply_entry(Entry::Edit(budget("casa", 13)));
+            (!matches!(outcome, Outcome::Open(EditState::InConflict(_)))).then(|| format!("{outcome:?}"))
         }),
         Mutant::EndForgotten => ("sent twice", {
             let mut routes = routes(None);
             routes.apply_entry(Entry::Edit(budget("brio", 12)));
             publish(&mut routes, FULL_SHARE_PERMILLE);
-            let said = routes.apply_entry(Entry::Edit(budget("brio", 12)));
-            (!matches!(said, Outcome::Ended(_))).then(|| format!("{said:?}"))
+            let outcome = routes.apply_entry(Entry::Edit(budget("brio", 12)));
+            (!matches!(outcome, Outcome::Ended(_))).then(|| format!("{outcome:?}"))
         }),
     }
 }
@@ -118,21 +118,21 @@
         few.edits.insert(key.clone(), input.edits[key].clone());
     }
     let alone = merge(&base, &few);
-    let number = |merged: &jaspershunt_routes::merge::MergeResult| {
+    let id = |merged: &jaspershunt_routes::merge::MergeResult| {
         merged.conflicts.iter().find(|(_, of)| of.members == pair.members).map(|(id, _)| *id)
     };
-    (number(&alone) != number(&all)).then(|| format!("seed {seed}"))
+    (id(&alone) != id(&all)).then(|| format!("seed {seed}"))
 }
 
 #[test]
 fn every_mutant_is_detected() {
     for mutant in ALL {
         activate(None);
-        assert_eq!(checked(mutant).1, None, "{mutant:?}: the check fails with all rules");
+        assert_eq!(run_check(mutant).1, None, "{mutant:?}: the check fails without a mutant");
         activate(Some(mutant));
-        let (check, found) = checked(mutant);
+        let (check, found) = run_check(mutant);
         activate(None);
-        let Some(found) = found else { panic!("{mutant:?} lives") };
+        let Some(found) = found else { panic!("{mutant:?} is not detected") };
         println!("| {mutant:?} | {check} | {found} |");
     }
 }
