--- a/crates/routes/src/base.rs
+++ b/crates/routes/src/base.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ApplyError {
     /// The changed thing does not exist.
-    NotFound(Thing),
+    NotThere(Thing),
     /// The name is in use already.
     Exists(Thing),
     /// The thing belongs to this other team, which has not consented.
@@ -227,7 +227,7 @@
             Change::Set { field, value, .. } => {
                 let value = self.resolve_value(*field, value, context);
                 let Some(fields) = self.table.things.get_mut(&thing) else {
-                    return Err(ApplyError::NotFound(thing));
+                    return Err(ApplyError::NotThere(thing));
                 };
                 match value {
                     Value::Nothing => fields.remove(field),
@@ -239,7 +239,7 @@
                 if !exists {
                     let done_already =
                         self.retired_since(&thing, context.base).is_some_and(|retired| retired.to.is_none());
-                    return if done_already { Ok(()) } else { Err(ApplyError::NotFound(thing)) };
+                    return if done_already { Ok(()) } else { Err(ApplyError::NotThere(thing)) };
                 }
                 self.table.things.remove(&thing);
                 self.stamps.remove(&thing);
@@ -251,7 +251,7 @@
                     let done_already = self
                         .retired_since(&thing, context.base)
                         .is_some_and(|retired| retired.to.as_ref() == Some(to));
-                    return if done_already { Ok(()) } else { Err(ApplyError::NotFound(thing)) };
+                    return if done_already { Ok(()) } else { Err(ApplyError::NotThere(thing)) };
                 }
                 if self.table.things.contains_key(&new) {
                     return Err(ApplyError::Exists(new));
--- a/crates/routes/src/merge.rs
+++ b/crates/routes/src/merge.rs
@@ -194,7 +194,7 @@
 impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RefusalReason::NotApplicable(ApplyError::NotFound(thing)) => write!(f, "there is no {thing}"),
+            RefusalReason::NotApplicable(ApplyError::NotThere(thing)) => write!(f, "there is no {thing}"),
             RefusalReason::NotApplicable(ApplyError::Exists(thing)) => {
                 write!(f, "{thing} exists already")
             }
@@ -332,7 +332,7 @@
             }
         };
         if let Some(thing) = missing {
-            return refused(RefusalReason::NotApplicable(ApplyError::NotFound(thing)));
+            return refused(RefusalReason::NotApplicable(ApplyError::NotThere(thing)));
         }
     }
     let claimed: BTreeSet<Thing> = access.claimed_names().collect();
