--- a/crates/routes/src/edit.rs
+++ b/crates/routes/src/edit.rs
@@ -113,7 +113,7 @@
             Malformed::InvalidName(name) => {
                 write!(
                     f,
-                    "has the name {name:?}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '.' or '_' are allowed"
+                    "has the name {name:?}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '.', '_' are allowed"
                 )
             }
             Malformed::ChangeCount(count) => write!(f, "has {count} changes: 1 to {MAX_CHANGES} are allowed"),
--- a/crates/routes/src/from_file.rs
+++ b/crates/routes/src/from_file.rs
@@ -27,7 +27,7 @@
             FileEditError::NotEnoughCalls(name, routes, calls) => {
                 write!(
                     f,
-                    "{routes} routes use dependency {name:?}, which has only {calls} concurrent calls for them"
+                    "{routes} routes use dependency {name:?}, which allows only {calls} concurrent calls"
                 )
             }
         }
@@ -181,7 +181,7 @@
         let wrong = changes(&file, &Table::default(), "pagos").unwrap_err();
         assert_eq!(
             wrong.to_string(),
-            "2 routes use dependency \"padron\", which has only 1 concurrent calls for them"
+            "2 routes use dependency \"padron\", which allows only 1 concurrent calls"
         );
     }
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -21,7 +21,8 @@
 //!
 //! ```
 //! let edit = r#"{ "id": { "team": "pagos", "number": 1 }, "base": 0, "reason": "padron can take more",
-//!     "changes": [{ "set": { "thing": "dependency/padron", "field": "budget", "value": { "number": 40 } } }] }"#;
+//!     "changes": [{ "set":
+//!         { "thing": "dependency/padron", "field": "budget", "value": { "number": 40 } } }] }"#;
 //! let edit = jaspershunt_routes::edit::parse_edit(edit).unwrap();
 //! assert_eq!(edit.key().to_string(), "pagos#1");
 //! ```
--- a/crates/routes/src/part.rs
+++ b/crates/routes/src/part.rs
@@ -1,7 +1,8 @@
 //! The route table as part of the replicated state: applies committed log entries and reports the outcome
 //! of each edit.
 
-use crate::base::Base;
+use crate::access::ConflictReason;
+use crate::base::{Base, EditContext};
 use crate::edit::{Change, Edit, EditId, EditKey, MAX_EDIT_BYTES, Malformed};
 use crate::merge::{
     Conflict, ConflictId, EditState, MergeInput, MergeResult, RefusalReason, Settlement, merge,
@@ -175,10 +176,7 @@
             Refusal::Full(bound) => write!(f, "{bound} is reached: settle, withdraw or publish first"),
             Refusal::TooManyOnField(thing, field) => {
                 let of = field.map_or(String::new(), |field| format!("{field:?} of "));
-                write!(
-                    f,
-                    "{MAX_OPEN_PER_FIELD} open edits already change {of}{thing}: settle or withdraw some first"
-                )
+                write!(f, "{MAX_OPEN_PER_FIELD} open edits change {of}{thing}: settle or withdraw some first")
             }
             Refusal::NoSuchEdit => f.write_str("there is no such open edit"),
             Refusal::NoSuchConflict => f.write_str("there is no such conflict"),
@@ -333,7 +331,7 @@
 }
 
 impl TrialStatus {
-    /// Judges the trial at this time. If the clock has gone back, the trial goes on.
+    /// Judges the trial at this time. If the clock has gone back, the trial continues.
     pub fn verdict(&self, now_ms: u64) -> Verdict {
         judge(&self.without, &self.with, now_ms.saturating_sub(self.since_ms))
     }
@@ -584,7 +582,7 @@
 
     fn consent(&mut self, by: String, edit: EditKey, granted: bool) -> Outcome {
         let affected = |open_edit: &Edit| {
-            let context = crate::base::EditContext::default();
+            let context = EditContext::default();
             open_edit
                 .changes
                 .iter()
@@ -597,9 +595,10 @@
         // A team that an open edit makes the owner of a thing may consent before it is the owner.
         let becomes_owner = self.merged.conflicts.values().any(|conflict| {
             conflict.members.contains(&edit)
-                && conflict.reasons.iter().any(
-                    |reason| matches!(reason, crate::access::ConflictReason::OwnerChanged(_, team) if *team == by),
-                )
+                && conflict
+                    .reasons
+                    .iter()
+                    .any(|reason| matches!(reason, ConflictReason::OwnerChanged(_, team) if *team == by))
         });
         if !becomes_owner
             && !affected(open_edit).iter().any(|thing| self.stored.base.table.owner(thing) == Some(&by))
--- a/crates/routes/src/rules.rs
+++ b/crates/routes/src/rules.rs
@@ -59,12 +59,12 @@
             }
             TableFault::OverlappingRoutes(one, other) => write!(
                 f,
-                "route/{one} and route/{other} match the same requests with the same order but differ in their target or regions"
+                "route/{one} and route/{other} match the same requests in the same order but differ"
             ),
             TableFault::NoCommonRegion(route, tenant) => {
                 write!(f, "route/{route} and tenant/{tenant} have no allowed region in common")
             }
-            TableFault::FallbackCycle(way) => write!(f, "fallback cycle: {}", way.join(" → ")),
+            TableFault::FallbackCycle(names) => write!(f, "fallback cycle: {}", names.join(" → ")),
         }
     }
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -62,7 +62,7 @@
 
 impl fmt::Display for Thing {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let kind = KINDS.iter().find(|(kind, _)| *kind == self.kind).map_or("", |(_, word)| word);
+        let kind = KINDS.iter().find(|(kind, _)| *kind == self.kind).map_or("", |(_, prefix)| prefix);
         write!(f, "{kind}/{}", self.name)
     }
 }
@@ -77,11 +77,13 @@
     type Error = String;
 
     fn try_from(text: String) -> Result<Thing, String> {
-        let known = text.split_once('/').and_then(|(word, name)| {
-            KINDS.iter().find(|(_, of)| *of == word).map(|(kind, _)| Thing::new(*kind, name))
+        let known = text.split_once('/').and_then(|(prefix, name)| {
+            KINDS.iter().find(|(_, of)| *of == prefix).map(|(kind, _)| Thing::new(*kind, name))
         });
         known.ok_or_else(|| {
-            format!("{text:?} is no region/, dependency/, class/, tenant/ or route/ with a name")
+            format!(
+                "{text:?} is not a thing: expected region/, dependency/, class/, tenant/ or route/ and a name"
+            )
         })
     }
 }
--- a/crates/routes/src/tests.rs
+++ b/crates/routes/src/tests.rs
@@ -347,8 +347,8 @@
     }
     assert_eq!(routes.merged().conflicts.len(), MAX_CONFLICTS);
     assert!(routes.merged().states.values().all(|state| matches!(state, EditState::InConflict(_))));
-    let seen = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("an encoded view");
-    assert_eq!(seen.conflicts.len(), MAX_SHOWN_CONFLICTS);
+    let view = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("an encoded view");
+    assert_eq!(view.conflicts.len(), MAX_SHOWN_CONFLICTS);
 
     let mut routes = self::routes();
     let mut number = 0;
@@ -419,16 +419,16 @@
     let norte = Value::Names(["norte".to_string()].into());
     send(&mut routes, &edit("brio", 1, 0, vec![set(Thing::new(Kind::Route, "r1"), Field::Regions, norte)]));
     publish(&mut routes, FULL_SHARE_PERMILLE);
-    let seen = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("an encoded view");
-    let snapshot = seen.snapshot(1000);
+    let view = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("an encoded view");
+    let snapshot = view.snapshot(1000);
     assert_eq!(snapshot.allowed_regions("alta", "uno"), ["norte".to_string()].into());
     assert_eq!(snapshot.allowed_regions("baja", "uno"), Default::default());
     assert_eq!(snapshot.choose("alta", "uno", 2).expect("a route").to, "padron");
     assert_eq!(snapshot.choose("baja", "uno", 2), None);
-    let why = "revision 1, heard 500 ms ago\n\
+    let text = "revision 1, heard 500 ms ago\n\
                first route/r1 (order last, of nobody): call any to padron with 4 calls, regions norte\n  \
                dependency/padron: budget 10, falls back on nothing\nallowed: norte\n";
-    assert_eq!(snapshot.explain("alta", "uno", 1500), why);
+    assert_eq!(snapshot.explain("alta", "uno", 1500), text);
 }
 
 #[test]
@@ -502,8 +502,7 @@
         assert!(matches!(outcome, Outcome::Open(_)), "{number}: {outcome:?}");
     }
     let outcome = send(&mut routes, MAX_OPEN_PER_FIELD, budget(MAX_OPEN_PER_FIELD));
-    let text =
-        "refused: 64 open edits already change Budget of dependency/padron: settle or withdraw some first";
+    let text = "refused: 64 open edits change Budget of dependency/padron: settle or withdraw some first";
     assert_eq!(outcome.to_string(), text);
     // A known edit is still answered, and another field is not affected.
     assert!(matches!(send(&mut routes, 3, budget(3)), Outcome::Open(_)));
--- a/crates/routes/src/trial.rs
+++ b/crates/routes/src/trial.rs
@@ -139,7 +139,7 @@
     Adopt,
     /// It is rolled back.
     RollBack(RollbackReason),
-    /// The trial goes on.
+    /// The trial continues.
     Wait,
 }
 
@@ -159,7 +159,7 @@
         f.write_str(match self {
             RollbackReason::Failures => "more requests failed with it",
             RollbackReason::Slow => "more requests were served late with it",
-            RollbackReason::TooFew => "too few requests came to say that it does no worse",
+            RollbackReason::TooFew => "too few requests came to show that it does no worse",
         })
     }
 }
--- a/crates/routes/src/trial_sim.rs
+++ b/crates/routes/src/trial_sim.rs
@@ -48,8 +48,8 @@
     tally: Tally,
     /// Mean number of requests in a step.
     rate: u64,
-    /// Whether it is cut off: it goes on counting requests, but its reports are lost.
-    cut: bool,
+    /// Whether it is cut off: it still counts requests, but its reports are lost.
+    cut_off: bool,
     /// The highest counts received from this incarnation while it was in the fleet.
     received: Option<Counts>,
 }
@@ -86,7 +86,7 @@
                 holder: Holder::new(&format!("nodo-{}", n + 100 * rng.below(100)), 1),
                 tally: Tally::default(),
                 rate: rates[rng.below(4) as usize],
-                cut: false,
+                cut_off: false,
                 received: None,
             })
             .collect();
@@ -143,7 +143,7 @@
                 if is_wrong && revision > 0 { revision - 1 } else { revision + u64::from(is_wrong) };
             let report = Entry::ReportCounts { by: nodo.holder.clone(), trial, revision, counts };
             for _ in 0..[0, 1, 1, 1, 2][rng.below(5) as usize] {
-                if !nodo.cut {
+                if !nodo.cut_off {
                     self.in_transit.push((now_ms + STEP_MS * rng.below(4), report.clone()));
                 }
             }
@@ -172,14 +172,14 @@
     fn change_members(&mut self, rng: &mut SeededRng) {
         let at = rng.below(self.nodos.len() as u64) as usize;
         let nodo = &mut self.nodos[at];
-        match (nodo.cut, rng.below(8)) {
-            (false, 0) => nodo.cut = true,
+        match (nodo.cut_off, rng.below(8)) {
+            (false, 0) => nodo.cut_off = true,
             (true, 0..4) if self.agreed.fleet.is_present(&nodo.holder) => {
                 self.agreed.apply(&OfFleet::Gone { holder: nodo.holder.clone() });
                 nodo.received = None;
             }
             (true, 4..6) => {
-                nodo.cut = false;
+                nodo.cut_off = false;
                 if rng.below(2) == 0 {
                     let next = nodo.holder.incarnation + 1;
                     nodo.holder = Holder::new(&nodo.holder.member, next);
@@ -267,7 +267,7 @@
         other => return Err(format!("the trial ended as {other:?}")),
     };
     let revision_of =
-        |nodo: &Nodo| MemberView::from_bytes(&routes.seen_by(&nodo.holder)).map(|seen| seen.revision);
+        |nodo: &Nodo| MemberView::from_bytes(&routes.seen_by(&nodo.holder)).map(|view| view.revision);
     if simulation.nodos.iter().any(|nodo| revision_of(nodo) != Some(revision)) {
         return Err("not all nodos use the decided revision".to_string());
     }
--- a/crates/routes/tests/speed.rs
+++ b/crates/routes/tests/speed.rs
@@ -1,5 +1,5 @@
-//! Measures how many edits are merged in a second. The bound is the required rate, which leaves a wide
-//! margin for a busy machine.
+//! Measures how many edits are merged in a second. The rate is printed and must exceed the required minimum,
+//! which a busy machine reaches as well.
 
 use jaspershunt_routes::table::FULL_SHARE_PERMILLE;
 use jaspershunt_routes::{
@@ -17,10 +17,10 @@
         let owner = (Field::Owner, named(format!("team-{team}")));
         let class = Thing::new(Kind::Class, &format!("class-{team}"));
         table.things.insert(class, [owner.clone()].into());
-        let below = Thing::new(Kind::Dependency, &format!("below-{team}"));
-        table.things.insert(below, [owner, (Field::Budget, Value::Number(1000))].into());
+        let dependency = Thing::new(Kind::Dependency, &format!("db-{team}"));
+        table.things.insert(dependency, [owner, (Field::Budget, Value::Number(1000))].into());
         for route in 0..10 {
-            let call = Value::Call { to: format!("below-{team}"), calls: 10 };
+            let call = Value::Call { to: format!("db-{team}"), calls: 10 };
             let fields = [
                 (Field::Class, named(format!("class-{team}"))),
                 (Field::Call, call),
@@ -37,7 +37,7 @@
         // One in twenty edits targets another team's dependency; two edits of one team may change the same
         // route.
         let to = if number % 20 == 0 { (team + 1) % 40 } else { team };
-        let value = Value::Call { to: format!("below-{to}"), calls: (number % 13) as u32 };
+        let value = Value::Call { to: format!("db-{to}"), calls: (number % 13) as u32 };
         let thing = Thing::new(Kind::Route, &format!("r-{team}-{}", (number / 80) % 10));
         let edit = Edit {
             id: EditId { team: format!("team-{team}"), number },
