--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -383,7 +383,7 @@
     let revision = shown["here"]["revision"].as_u64().unwrap_or(0);
     let snapshot = Snapshot::new(revision, shown["here"]["on_trial"] == true, 0, table);
     let age = shown["here"]["age_ms"].as_u64();
-    let mut text = snapshot.why(class, tenant, age.unwrap_or(0));
+    let mut text = snapshot.explain(class, tenant, age.unwrap_or(0));
     if age.is_none() {
         let from = text.find('\n').unwrap_or(0);
         text.replace_range(
@@ -391,7 +391,7 @@
             &format!("revision {revision}, and the fleet was not heard yet: this may be old"),
         );
     }
-    if snapshot.chooses(class, tenant, 1).is_none() {
+    if snapshot.choose(class, tenant, 1).is_none() {
         text.push_str("no route for its first call: that goes as this nodo's file says\n");
     }
     for name in list(&shown["here"]["not_here"]) {
@@ -428,7 +428,7 @@
     fn the_table_is_shown_with_its_age_and_a_route_is_explained() {
         let here =
             json!({"revision": 7, "on_trial": false, "age_ms": 40, "table": table(), "not_here": ["lejos"]});
-        let open = json!([{"edit": "brio/2", "reason": "more", "words": "waits for the word of casa"}]);
+        let open = json!([{"edit": "brio/2", "reason": "more", "words": "waits for the consent of casa"}]);
         let shown =
             json!({"member": "n1", "here": here, "held": [{"edit": "casa/9"}], "fleet": {"open": open}});
         let text = show(&shown);
@@ -437,7 +437,7 @@
             text.contains("route/r1           call padron with 4 calls, class alta, owner brio\n"),
             "{text}"
         );
-        assert!(text.contains("brio/2  more    waits for the word of casa\n"), "{text}");
+        assert!(text.contains("brio/2  more    waits for the consent of casa\n"), "{text}");
         assert!(
             text.contains("casa/9 is held on this nodo's disk")
                 && text.contains("dependency/lejos has no address")
--- a/crates/routes/src/base.rs
+++ b/crates/routes/src/base.rs
@@ -1,185 +1,191 @@
-//! The table that all edits rest on, with what is remembered of those that made it; and how an edit changes it.
+//! The table that edits are based on, with the edits that wrote it, and how an edit changes it.
 
-use crate::edit::{Change, Edit, Key};
-use crate::mutants::{Mutant, left_out};
+use crate::edit::{Change, Edit, EditKey};
+use crate::mutants::{Mutant, is_active};
 use crate::rules;
 use crate::table::{Field, Fields, Kind, Table, Thing, Value};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Things of which it is remembered who removed or renamed them. The oldest go; an edit on an older revision then hears that the
-/// thing is not there.
-pub const MAX_GONE: usize = 1024;
+/// Removed and renamed names on record. The oldest are dropped; an edit based on an older revision is then
+/// refused because the thing does not exist.
+pub const MAX_RETIRED_NAMES: usize = 1024;
 
-/// Which edit did it, and the revision that it was first part of.
+/// The edit that made a change, and the first revision with it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
     /// The revision.
     pub revision: u64,
     /// The edit.
-    pub by: Key,
+    pub by: EditKey,
 }
 
-/// A thing that is no longer there under this name.
+/// A name that was removed from the table or renamed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Gone {
-    /// What it is called now; `None` if it was removed.
+pub struct RetiredName {
+    /// The new name; `None` if the thing was removed.
     pub to: Option<String>,
-    /// Who did it.
+    /// The edit that removed or renamed it.
     pub stamp: Stamp,
 }
 
-/// A table with its revision.
+/// A revision of the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Base {
-    /// Grows with each table.
+    /// Grows with each published table.
     pub revision: u64,
-    /// The table, valid.
+    /// The table, which is valid.
     pub table: Table,
-    /// Who wrote what; under `None` who added the thing.
+    /// The edits that wrote each field; under `None` the edit that added the thing.
     pub stamps: BTreeMap<Thing, BTreeMap<Option<Field>, Stamp>>,
-    /// What was there.
-    pub gone: BTreeMap<Thing, Gone>,
-    /// Where each thing is named; found again from the table.
+    /// Names that are no longer in the table.
+    pub retired: BTreeMap<Thing, RetiredName>,
+    /// The fields that refer to each thing; not stored but computed.
     #[serde(skip)]
-    pub named: BTreeMap<Thing, BTreeSet<(Thing, Field)>>,
-    /// What each sum is over its room by; found again from the table.
+    pub referenced_by: BTreeMap<Thing, BTreeSet<(Thing, Field)>>,
+    /// By how much each sum exceeds its limit; not stored but computed.
     #[serde(skip)]
-    pub sums: BTreeMap<rules::Sum, i64>,
-    /// Routes for any class, and for any tenant; found again from the table.
+    pub sum_excess: BTreeMap<rules::Sum, i64>,
+    /// Routes for any class, and routes for any tenant; not stored but computed.
     #[serde(skip)]
-    pub wide: [BTreeSet<Thing>; 2],
+    pub unrestricted_routes: [BTreeSet<Thing>; 2],
 }
 
-/// What an edit may do beyond its own team's parts, and how it reads names.
+/// How an edit is to be applied, by consents and settlements.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Terms {
-    /// Teams whose parts it may touch.
-    pub teams: BTreeSet<String>,
+pub struct EditContext {
+    /// Teams that have consented to changes of their things.
+    pub consents: BTreeSet<String>,
     /// Edits whose renames it follows.
-    pub follows: BTreeSet<Key>,
-    /// Edits in force that it was settled to stand over.
-    pub over: BTreeSet<Key>,
-    /// The revision that it was made on.
+    pub follows: BTreeSet<EditKey>,
+    /// Published edits that it overrides by a settlement.
+    pub overrides: BTreeSet<EditKey>,
+    /// The revision that the edit is based on.
     pub base: u64,
 }
 
 /// Why an edit cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Unfit {
-    /// What it is about is not there.
+pub enum ApplyError {
+    /// The changed thing does not exist.
     NotThere(Thing),
-    /// The name that it takes is taken.
+    /// The name is in use already.
     Exists(Thing),
-    /// A part belongs to another team, which has not given its word.
+    /// The thing belongs to this other team, which has not consented.
     Rights(Thing, String),
 }
 
 impl Base {
-    /// A table to begin with, by no edit.
+    /// Creates the first revision, written by no edit.
     pub fn new(table: Table) -> Base {
         let mut base = Base { table, ..Base::default() };
-        base.find();
+        base.rebuild_indexes();
         base
     }
 
-    /// Finds again what is not kept with it.
-    pub fn find(&mut self) {
-        self.named.clear();
-        self.wide = Default::default();
+    /// Computes the fields that are not stored.
+    pub fn rebuild_indexes(&mut self) {
+        self.referenced_by.clear();
+        self.unrestricted_routes = Default::default();
         for (thing, fields) in &self.table.things {
             for (field, value) in fields {
-                for to in field.names(value) {
-                    self.named.entry(to).or_default().insert((thing.clone(), *field));
+                for to in field.references(value) {
+                    self.referenced_by.entry(to).or_default().insert((thing.clone(), *field));
                 }
             }
-            for (at, field) in [Field::Class, Field::Tenant].into_iter().enumerate() {
+            for (i, field) in [Field::Class, Field::Tenant].into_iter().enumerate() {
                 if thing.kind == Kind::Route && !fields.contains_key(&field) {
-                    self.wide[at].insert(thing.clone());
+                    self.unrestricted_routes[i].insert(thing.clone());
                 }
             }
         }
-        self.sums = rules::sums(&self.table);
+        self.sum_excess = rules::sum_excess(&self.table);
     }
 
-    /// Who wrote a field, or added the thing, after the revision that an edit was made on.
-    pub fn since(&self, thing: &Thing, field: Option<Field>, base: u64) -> Option<&Stamp> {
+    /// Returns which edit wrote a field, or added the thing, after revision `base`.
+    pub fn written_since(&self, thing: &Thing, field: Option<Field>, base: u64) -> Option<&Stamp> {
         let stamp = self.stamps.get(thing)?.get(&field)?;
-        (stamp.revision > base && !left_out(Mutant::BaseIgnored)).then_some(stamp)
+        (stamp.revision > base && !is_active(Mutant::BaseIgnored)).then_some(stamp)
     }
 
-    /// Who took a name out of the table after the revision that an edit was made on.
-    pub fn gone_since(&self, thing: &Thing, base: u64) -> Option<&Gone> {
-        self.gone.get(thing).filter(|gone| gone.stamp.revision > base)
+    /// Returns what became of a name that was removed or renamed after revision `base`.
+    pub fn retired_since(&self, thing: &Thing, base: u64) -> Option<&RetiredName> {
+        self.retired.get(thing).filter(|retired| retired.stamp.revision > base)
     }
 
-    /// What a thing is called for an edit that follows renames.
-    pub fn called(&self, thing: &Thing, terms: &Terms) -> Thing {
-        let mut at = thing.clone();
-        // Each rename is followed once, so this ends.
-        for _ in 0..terms.follows.len() {
-            match self.gone.get(&at) {
-                Some(Gone { to: Some(to), stamp })
-                    if terms.follows.contains(&stamp.by) && !left_out(Mutant::RenameNotFollowed) =>
+    /// Returns the present name of a thing for an edit that follows renames.
+    pub fn resolve_name(&self, thing: &Thing, context: &EditContext) -> Thing {
+        let mut current = thing.clone();
+        // Each rename is followed at most once, so that the loop ends.
+        for _ in 0..context.follows.len() {
+            match self.retired.get(&current) {
+                Some(RetiredName { to: Some(to), stamp })
+                    if context.follows.contains(&stamp.by) && !is_active(Mutant::RenameNotFollowed) =>
                 {
-                    at = at.named(to);
+                    current = current.named(to);
                 }
                 _ => break,
             }
         }
-        at
+        current
     }
 
-    /// The same value as it reads for an edit that follows renames.
-    pub fn reads(&self, field: Field, value: &Value, terms: &Terms) -> Value {
-        field.names(value).iter().fold(value.clone(), |value, thing| {
-            let called = self.called(thing, terms);
-            if called == *thing { value } else { field.renamed(&value, thing, &called.name) }
+    /// Returns a value with its references renamed for an edit that follows renames.
+    pub fn resolve_value(&self, field: Field, value: &Value, context: &EditContext) -> Value {
+        field.references(value).iter().fold(value.clone(), |value, thing| {
+            let current = self.resolve_name(thing, context);
+            if current == *thing { value } else { field.with_reference_renamed(&value, thing, &current.name) }
         })
     }
 
-    /// The teams that an edit needs the word of, with one of the parts of each.
-    pub fn needs(&self, edit: &Edit, terms: &Terms) -> BTreeMap<String, Thing> {
-        let mut needs = BTreeMap::new();
-        if left_out(Mutant::WordNotAsked) {
-            return needs;
+    /// Returns the teams whose consent is missing, each with one of its things that the edit affects.
+    pub fn missing_consents(&self, edit: &Edit, context: &EditContext) -> BTreeMap<String, Thing> {
+        let mut missing = BTreeMap::new();
+        if is_active(Mutant::WordNotAsked) {
+            return missing;
         }
         for change in &edit.changes {
-            for part in self.touches(change, terms) {
-                if let Some(owner) = self.table.owner(&part)
+            for affected in self.affected_things(change, context) {
+                if let Some(owner) = self.table.owner(&affected)
                     && owner != edit.id.team
-                    && !terms.teams.contains(owner)
+                    && !context.consents.contains(owner)
                 {
-                    needs.entry(owner.to_string()).or_insert(part);
+                    missing.entry(owner.to_string()).or_insert(affected);
                 }
             }
         }
-        needs
+        missing
     }
 
-    /// The parts that a change touches.
-    pub fn touches(&self, change: &Change, terms: &Terms) -> Vec<Thing> {
-        let thing = self.called(change.thing(), terms);
+    /// Returns the things whose owners are concerned by a change.
+    pub fn affected_things(&self, change: &Change, context: &EditContext) -> Vec<Thing> {
+        let thing = self.resolve_name(change.thing(), context);
         match change {
             Change::Add { fields, .. } => {
-                let parts = Table::parts(&thing, fields);
-                parts.into_iter().skip(1).map(|part| self.called(&part, terms)).collect()
+                let affected = Table::affected_things(&thing, fields);
+                affected.into_iter().skip(1).map(|thing| self.resolve_name(&thing, context)).collect()
             }
-            _ => self.table.things.get(&thing).map(|fields| Table::parts(&thing, fields)).unwrap_or_default(),
+            _ => self
+                .table
+                .things
+                .get(&thing)
+                .map(|fields| Table::affected_things(&thing, fields))
+                .unwrap_or_default(),
         }
     }
 
-    /// Applies an edit as part of this revision. Says the same twice without harm: what another edit has already removed, renamed
-    /// or added in just this way.
+    /// Applies an edit as part of a revision. A change that another edit has made in the same way already
+    /// has no further effect.
     ///
     /// # Errors
-    /// Why it cannot be, the base is then of no use.
-    pub fn apply(&mut self, edit: &Edit, terms: &Terms, revision: u64) -> Result<(), Unfit> {
-        if let Some((team, part)) = self.needs(edit, terms).into_iter().next() {
-            return Err(Unfit::Rights(part, team));
+    /// Returns why the edit cannot be applied; the table is then partly changed and must be discarded.
+    pub fn apply(&mut self, edit: &Edit, context: &EditContext, revision: u64) -> Result<(), ApplyError> {
+        if let Some((team, thing)) = self.missing_consents(edit, context).into_iter().next() {
+            return Err(ApplyError::Rights(thing, team));
         }
         let stamp = Stamp { revision, by: edit.key() };
-        // Renames first, so that what the edit adds and sets goes by the new names; the edit's order means nothing.
+        // The order of changes within an edit has no meaning. Renames are applied first, so that the other
+        // changes use the new names.
         let order = |change: &&Change| match change {
             Change::Rename { .. } => 0,
             Change::Set { .. } => 1,
@@ -189,32 +195,39 @@
         let mut changes: Vec<&Change> = edit.changes.iter().collect();
         changes.sort_by_key(order);
         for change in changes {
-            self.change(change, terms, &stamp)?;
+            self.apply_change(change, context, &stamp)?;
         }
         Ok(())
     }
 
-    fn change(&mut self, change: &Change, terms: &Terms, stamp: &Stamp) -> Result<(), Unfit> {
-        let thing = self.called(change.thing(), terms);
-        let there = self.table.things.contains_key(&thing);
+    fn apply_change(
+        &mut self,
+        change: &Change,
+        context: &EditContext,
+        stamp: &Stamp,
+    ) -> Result<(), ApplyError> {
+        let thing = self.resolve_name(change.thing(), context);
+        let exists = self.table.things.contains_key(&thing);
         match change {
             Change::Add { fields, .. } => {
-                let fields: Fields =
-                    fields.iter().map(|(field, value)| (*field, self.reads(*field, value, terms))).collect();
-                if there {
-                    let alike = self.table.things.get(&thing) == Some(&fields);
-                    let meanwhile = self.since(&thing, None, terms.base).is_some();
-                    return if alike && meanwhile { Ok(()) } else { Err(Unfit::Exists(thing)) };
+                let fields: Fields = fields
+                    .iter()
+                    .map(|(field, value)| (*field, self.resolve_value(*field, value, context)))
+                    .collect();
+                if exists {
+                    let is_equal = self.table.things.get(&thing) == Some(&fields);
+                    let added_since = self.written_since(&thing, None, context.base).is_some();
+                    return if is_equal && added_since { Ok(()) } else { Err(ApplyError::Exists(thing)) };
                 }
                 let stamps = fields.keys().map(|field| Some(*field)).chain([None]);
                 self.stamps.insert(thing.clone(), stamps.map(|field| (field, stamp.clone())).collect());
-                self.gone.remove(&thing);
+                self.retired.remove(&thing);
                 self.table.things.insert(thing, fields);
             }
             Change::Set { field, value, .. } => {
-                let value = self.reads(*field, value, terms);
+                let value = self.resolve_value(*field, value, context);
                 let Some(fields) = self.table.things.get_mut(&thing) else {
-                    return Err(Unfit::NotThere(thing));
+                    return Err(ApplyError::NotThere(thing));
                 };
                 match value {
                     Value::Nothing => fields.remove(field),
@@ -223,23 +236,25 @@
                 self.stamps.entry(thing).or_default().insert(Some(*field), stamp.clone());
             }
             Change::Remove { .. } => {
-                if !there {
-                    let same = self.gone_since(&thing, terms.base).is_some_and(|gone| gone.to.is_none());
-                    return if same { Ok(()) } else { Err(Unfit::NotThere(thing)) };
+                if !exists {
+                    let done_already =
+                        self.retired_since(&thing, context.base).is_some_and(|retired| retired.to.is_none());
+                    return if done_already { Ok(()) } else { Err(ApplyError::NotThere(thing)) };
                 }
                 self.table.things.remove(&thing);
                 self.stamps.remove(&thing);
-                self.gone.insert(thing, Gone { to: None, stamp: stamp.clone() });
+                self.retired.insert(thing, RetiredName { to: None, stamp: stamp.clone() });
             }
             Change::Rename { to, .. } => {
                 let new = thing.named(to);
-                if !there {
-                    let same =
-                        self.gone_since(&thing, terms.base).is_some_and(|gone| gone.to.as_ref() == Some(to));
-                    return if same { Ok(()) } else { Err(Unfit::NotThere(thing)) };
+                if !exists {
+                    let done_already = self
+                        .retired_since(&thing, context.base)
+                        .is_some_and(|retired| retired.to.as_ref() == Some(to));
+                    return if done_already { Ok(()) } else { Err(ApplyError::NotThere(thing)) };
                 }
                 if self.table.things.contains_key(&new) {
-                    return Err(Unfit::Exists(new));
+                    return Err(ApplyError::Exists(new));
                 }
                 self.rename(&thing, &new, stamp);
             }
@@ -254,21 +269,24 @@
         let mut stamps = self.stamps.remove(old).unwrap_or_default();
         stamps.insert(None, stamp.clone());
         self.stamps.insert(new.clone(), stamps);
-        self.gone.remove(new);
-        self.gone.insert(old.clone(), Gone { to: Some(new.name.clone()), stamp: stamp.clone() });
+        self.retired.remove(new);
+        self.retired.insert(old.clone(), RetiredName { to: Some(new.name.clone()), stamp: stamp.clone() });
         for fields in self.table.things.values_mut() {
             for (field, value) in fields.iter_mut() {
-                *value = field.renamed(value, old, &new.name);
+                *value = field.with_reference_renamed(value, old, &new.name);
             }
         }
     }
 
-    /// Forgets the oldest of what is gone, down to the bound.
-    pub fn forget(&mut self) {
-        while self.gone.len() > MAX_GONE {
-            let oldest =
-                self.gone.iter().min_by_key(|(_, gone)| gone.stamp.revision).map(|(thing, _)| thing.clone());
-            oldest.map(|thing| self.gone.remove(&thing));
+    /// Drops the oldest retired names down to the bound.
+    pub fn trim_retired(&mut self) {
+        while self.retired.len() > MAX_RETIRED_NAMES {
+            let oldest = self
+                .retired
+                .iter()
+                .min_by_key(|(_, retired)| retired.stamp.revision)
+                .map(|(thing, _)| thing.clone());
+            oldest.map(|thing| self.retired.remove(&thing));
         }
     }
 }
--- a/crates/routes/src/edit.rs
+++ b/crates/routes/src/edit.rs
@@ -1,170 +1,178 @@
-//! An edit: typed changes of one team, that are taken together or not at all.
+//! An edit: typed changes of one team that are accepted or refused as a whole.
 
-use crate::table::{Field, Fields, MAX_NAME, Thing, Value, good_name};
+use crate::table::{Field, Fields, MAX_NAME_BYTES, Thing, Value, is_valid_name};
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::hash::Hasher;
 
-/// Changes of one edit.
+/// Maximum number of changes in one edit.
 pub const MAX_CHANGES: usize = 64;
-/// Bytes of the reason: a sentence or two.
-pub const MAX_REASON: usize = 256;
-/// Bytes of an edit; with what is around it, it stays below what one entry of the log may have.
-pub const MAX_EDIT: usize = 7 * 1024;
+/// Maximum length of the reason, in bytes: one or two sentences.
+pub const MAX_REASON_BYTES: usize = 256;
+/// Maximum size of an edit, in bytes. With its envelope it fits into one log entry.
+pub const MAX_EDIT_BYTES: usize = 7 * 1024;
 
-/// Who made an edit and which of theirs it is: the same on both sides of a cut.
+/// The team and number of an edit: the same on both sides of a network partition.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EditId {
     /// The team.
     pub team: String,
-    /// The team's own count.
+    /// The number, assigned by the team.
     pub number: u64,
 }
 
-/// An edit as it was sent: two edits under one number are two.
+/// Identifies an edit by its content: two different edits with the same id have different keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
-    /// Who made it, and which of theirs it is.
+pub struct EditKey {
+    /// The team and number.
     pub id: EditId,
-    /// What stands in it, in short.
+    /// A hash of the edit's content.
     pub digest: u64,
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for EditKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}#{}", self.id.team, self.id.number)
     }
 }
 
-/// One change.
+/// A change of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// A thing that is new.
+    /// Adds a thing.
     Add {
         /// The thing.
         thing: Thing,
-        /// What it begins with.
+        /// Its initial fields.
         #[serde(default)]
         fields: Fields,
     },
-    /// One field gets another value; the owner is one.
+    /// Sets a field, such as the owner.
     Set {
         /// The thing.
         thing: Thing,
         /// The field.
         field: Field,
-        /// What it is to hold.
+        /// The new value.
         value: Value,
     },
-    /// A thing goes.
+    /// Removes a thing.
     Remove {
         /// The thing.
         thing: Thing,
     },
-    /// A thing gets another name, wherever it is named.
+    /// Renames a thing, with all references to it.
     Rename {
         /// The thing.
         thing: Thing,
-        /// What it is called from now on.
+        /// The new name.
         to: String,
     },
 }
 
-/// A set of changes with what it rests on.
+/// Changes of one team, with the revision they are based on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// Who made it, and which of theirs it is.
+    /// The team and number.
     pub id: EditId,
     /// The revision that its author saw.
     pub base: u64,
-    /// Why, in the team's words.
+    /// The reason the team gives.
     pub reason: String,
-    /// What it changes.
+    /// The changes.
     pub changes: Vec<Change>,
 }
 
-/// What is wrong with an edit in itself.
+/// Why an edit is malformed, whatever the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Malformed {
-    /// It is no edit at all; with what the reader said.
-    NotRead(String),
-    /// A name cannot stand.
-    Name(String),
-    /// No changes, or too many.
-    Changes(usize),
+    /// The JSON is not an edit, for this reason.
+    Unreadable(String),
+    /// A name is not allowed.
+    InvalidName(String),
+    /// There are no changes, or too many.
+    ChangeCount(usize),
     /// The reason is missing or too long.
-    Reason(usize),
-    /// The whole is too long.
-    Bytes(usize),
-    /// A thing has no such field, or it holds no such value.
-    Field(Thing, Field),
-    /// Two changes are about the same.
-    Twice(Thing),
+    ReasonLength(usize),
+    /// The edit is too large.
+    TooLarge(usize),
+    /// The thing does not have the field, lacks a required one, or the value is not allowed.
+    InvalidField(Thing, Field),
+    /// Two changes write the same thing or field.
+    Duplicate(Thing),
 }
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Malformed::NotRead(what) => write!(f, "cannot be read: {what}"),
-            Malformed::Name(name) => {
-                write!(f, "{name:?} must hold 1 to {MAX_NAME} letters, digits, '-', '.' or '_'")
+            Malformed::Unreadable(what) => write!(f, "cannot be read: {what}"),
+            Malformed::InvalidName(name) => {
+                write!(
+                    f,
+                    "has the name {name:?}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '.', '_' are allowed"
+                )
             }
-            Malformed::Changes(count) => write!(f, "has {count} changes: 1 to {MAX_CHANGES}"),
-            Malformed::Reason(bytes) => write!(f, "has a reason of {bytes} bytes: 1 to {MAX_REASON}"),
-            Malformed::Bytes(bytes) => write!(f, "has {bytes} bytes: at most {MAX_EDIT}"),
-            Malformed::Field(thing, field) => {
-                write!(f, "{thing} has no {field:?}, or it cannot hold that")
+            Malformed::ChangeCount(count) => write!(f, "has {count} changes: 1 to {MAX_CHANGES} are allowed"),
+            Malformed::ReasonLength(bytes) => {
+                write!(f, "has a reason of {bytes} bytes: 1 to {MAX_REASON_BYTES} are allowed")
             }
-            Malformed::Twice(thing) => write!(f, "says two things about {thing}"),
+            Malformed::TooLarge(bytes) => {
+                write!(f, "has {bytes} bytes: at most {MAX_EDIT_BYTES} are allowed")
+            }
+            Malformed::InvalidField(thing, field) => {
+                write!(f, "has a missing or invalid {field:?} for {thing}")
+            }
+            Malformed::Duplicate(thing) => write!(f, "changes {thing} more than once"),
         }
     }
 }
 
-/// Reads an edit from JSON, and checks it in itself.
+/// Parses an edit from JSON and checks it on its own.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Returns why the edit is malformed.
 pub fn parse_edit(json: &str) -> Result<Edit, Malformed> {
-    let edit: Edit = serde_json::from_str(json).map_err(|e| Malformed::NotRead(e.to_string()))?;
+    let edit: Edit = serde_json::from_str(json).map_err(|e| Malformed::Unreadable(e.to_string()))?;
     edit.check().map(|()| edit)
 }
 
 impl Edit {
-    /// What stands for it, wherever it is sent from.
-    pub fn key(&self) -> Key {
+    /// Returns the key, which is the same wherever the edit is sent from.
+    pub fn key(&self) -> EditKey {
         let mut hash = SipHasher24::new();
         hash.write(&postcard::to_stdvec(self).unwrap_or_default());
-        Key { id: self.id.clone(), digest: hash.finish128().h1 }
+        EditKey { id: self.id.clone(), digest: hash.finish128().h1 }
     }
 
-    /// Whether it can be an edit, whatever the table.
+    /// Checks the edit on its own, whatever the table.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns why the edit is malformed.
     pub fn check(&self) -> Result<(), Malformed> {
-        if !good_name(&self.id.team) {
-            return Err(Malformed::Name(self.id.team.clone()));
+        if !is_valid_name(&self.id.team) {
+            return Err(Malformed::InvalidName(self.id.team.clone()));
         }
         if !(1..=MAX_CHANGES).contains(&self.changes.len()) {
-            return Err(Malformed::Changes(self.changes.len()));
+            return Err(Malformed::ChangeCount(self.changes.len()));
         }
-        if !(1..=MAX_REASON).contains(&self.reason.len()) {
-            return Err(Malformed::Reason(self.reason.len()));
+        if !(1..=MAX_REASON_BYTES).contains(&self.reason.len()) {
+            return Err(Malformed::ReasonLength(self.reason.len()));
         }
         let bytes = postcard::to_stdvec(self).map_or(usize::MAX, |bytes| bytes.len());
-        if bytes > MAX_EDIT {
-            return Err(Malformed::Bytes(bytes));
+        if bytes > MAX_EDIT_BYTES {
+            return Err(Malformed::TooLarge(bytes));
         }
-        // What an edit says about one thing is either its being there or distinct fields: the order of changes means nothing.
+        // An edit may add, remove or rename a thing once, or set distinct fields of it, so that the order
+        // of its changes does not matter.
         let (mut whole, mut fields) = (BTreeSet::new(), BTreeSet::new());
         for change in &self.changes {
-            for name in [Some(change.thing()), change.claims().as_ref()].into_iter().flatten() {
-                if !good_name(&name.name) {
-                    return Err(Malformed::Name(name.name.clone()));
+            for name in [Some(change.thing()), change.claimed_name().as_ref()].into_iter().flatten() {
+                if !is_valid_name(&name.name) {
+                    return Err(Malformed::InvalidName(name.name.clone()));
                 }
             }
             change.check()?;
@@ -177,18 +185,18 @@
                 Change::Add { thing, .. } | Change::Remove { thing } => whole.insert(thing.clone()),
             };
             if !fresh {
-                return Err(Malformed::Twice(change.thing().clone()));
+                return Err(Malformed::Duplicate(change.thing().clone()));
             }
         }
         match fields.into_iter().find(|(thing, _)| whole.contains(thing)) {
-            Some((thing, _)) => Err(Malformed::Twice(thing)),
+            Some((thing, _)) => Err(Malformed::Duplicate(thing)),
             None => Ok(()),
         }
     }
 }
 
 impl Change {
-    /// The thing that it is about.
+    /// Returns the thing that is changed.
     pub fn thing(&self) -> &Thing {
         match self {
             Change::Add { thing, .. }
@@ -198,8 +206,8 @@
         }
     }
 
-    /// The name that it takes.
-    pub fn claims(&self) -> Option<Thing> {
+    /// Returns the name that the change takes.
+    pub fn claimed_name(&self) -> Option<Thing> {
         match self {
             Change::Add { thing, .. } => Some(thing.clone()),
             Change::Rename { thing, to } => Some(thing.named(to)),
@@ -207,8 +215,8 @@
         }
     }
 
-    /// The fields that it writes.
-    pub fn writes(&self) -> Vec<(Field, &Value)> {
+    /// Returns the fields that the change writes.
+    pub fn written_fields(&self) -> Vec<(Field, &Value)> {
         match self {
             Change::Add { fields, .. } => fields.iter().map(|(field, value)| (*field, value)).collect(),
             Change::Set { field, value, .. } => vec![(*field, value)],
@@ -218,12 +226,13 @@
 
     fn check(&self) -> Result<(), Malformed> {
         let thing = self.thing();
-        let wrong = |field: Field| Err(Malformed::Field(thing.clone(), field));
-        for (field, value) in self.writes() {
+        let wrong = |field: Field| Err(Malformed::InvalidField(thing.clone(), field));
+        for (field, value) in self.written_fields() {
             let set = matches!(self, Change::Set { .. });
-            // An added thing leaves out what it does not have: one way to say it.
-            if !field.takes(thing.kind, value)
-                || (set && field.is_fixed())
+            // An added thing omits fields it does not have instead of setting them to nothing, so that
+            // equal things have equal edits.
+            if !field.accepts(thing.kind, value)
+                || (set && field.is_immutable())
                 || (!set && *value == Value::Nothing)
             {
                 return wrong(field);
@@ -231,7 +240,7 @@
         }
         if let Change::Add { fields, .. } = self {
             for field in [Field::Budget, Field::Call] {
-                if field.needed_by(thing.kind) && !fields.contains_key(&field) {
+                if field.is_required_for(thing.kind) && !fields.contains_key(&field) {
                     return wrong(field);
                 }
             }
--- a/crates/routes/src/merge.rs
+++ b/crates/routes/src/merge.rs
@@ -1,24 +1,25 @@
-//! The merge: what becomes of each edit, as a function of the table and of the set of all that was said. Nothing depends on the order
-//! in which it came, on repetition, or on who merges.
+//! The merge: computes the state of each edit from the table and the set of all submissions. The result
+//! does not depend on the order or repetition of submissions, nor on the process that merges.
 
-use crate::base::{Base, Terms, Unfit};
-use crate::edit::{Change, Edit, Key};
-use crate::mutants::{Mutant, left_out};
-use crate::print::{Print, Why};
-use crate::rules::Wrong;
-use crate::search::{Part, wrong_sets};
-use crate::stage::{self, Counts};
+use crate::access::{AccessSet, ConflictReason};
+use crate::base::{ApplyError, Base, EditContext};
+use crate::edit::{Change, Edit, EditKey};
+use crate::mutants::{Mutant, is_active};
+use crate::rules::TableFault;
+use crate::search::{Candidate, find_invalid_sets};
 use crate::table::{Field, Thing};
+use crate::trial::{self, Counts};
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::hash::Hasher;
 
-/// Conflicts that are told. Edits in others are held as well, and are told as these are settled.
+/// Maximum number of reported conflicts. Edits in further conflicts are not accepted either; these are
+/// reported as others get settled.
 pub const MAX_CONFLICTS: usize = 256;
 
-/// The number of a conflict: of the edits in it, and of nothing else.
+/// The id of a conflict: a hash of the keys of its edits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ConflictId(pub u64);
 
@@ -29,39 +30,40 @@
 }
 
 impl ConflictId {
-    /// The number of a conflict of these edits.
-    pub fn of(members: &BTreeSet<Key>) -> ConflictId {
+    /// Returns the id of the conflict between these edits.
+    pub fn of(members: &BTreeSet<EditKey>) -> ConflictId {
         let mut hash = SipHasher24::new();
         hash.write(&postcard::to_stdvec(members).unwrap_or_default());
         ConflictId(hash.finish128().h1)
     }
 }
 
-/// The smallest set of edits that cannot be taken together. Its text names it in plain words, with the figures.
+/// A minimal set of edits that cannot be accepted together. Its text gives the reasons with their figures.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// Its edits.
-    pub members: BTreeSet<Key>,
+    /// The edits in conflict.
+    pub members: BTreeSet<EditKey>,
     /// Those of them that are part of the table already.
-    pub in_force: BTreeSet<Key>,
-    /// Why.
-    pub why: BTreeSet<Why>,
-    /// The teams that may settle it: whose edits they are, and whose parts they touch.
+    pub in_force: BTreeSet<EditKey>,
+    /// Why they conflict.
+    pub reasons: BTreeSet<ConflictReason>,
+    /// The teams that may settle it: those of the edits, and the owners of the things they affect.
     pub teams: BTreeSet<String>,
 }
 
 impl Conflict {
-    /// Whether all may be kept: one then follows the other's rename.
-    pub fn may_follow(&self) -> bool {
-        self.members.len() == 2 && self.why.iter().all(|why| matches!(why, Why::Renamed(..)))
+    /// Whether all edits may be kept: one of them then follows the other's rename.
+    pub fn can_keep_all(&self) -> bool {
+        self.members.len() == 2 && self.reasons.iter().all(|why| matches!(why, ConflictReason::Renamed(..)))
     }
 }
 
 impl fmt::Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let list = |keys: &BTreeSet<Key>| keys.iter().map(Key::to_string).collect::<Vec<_>>().join(", ");
+        let list =
+            |keys: &BTreeSet<EditKey>| keys.iter().map(EditKey::to_string).collect::<Vec<_>>().join(", ");
         write!(f, "{} cannot be taken together: ", list(&self.members))?;
-        let why: Vec<String> = self.why.iter().map(Why::to_string).collect();
+        let why: Vec<String> = self.reasons.iter().map(ConflictReason::to_string).collect();
         f.write_str(&why.join("; "))?;
         if !self.in_force.is_empty() {
             write!(f, "; {} is in force", list(&self.in_force))?;
@@ -70,46 +72,47 @@
     }
 }
 
-/// How a conflict was settled.
+/// The settlement of a conflict.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Settlement {
     /// The edits in conflict.
-    pub members: BTreeSet<Key>,
-    /// Those that are kept; the others are withdrawn.
-    pub keep: BTreeSet<Key>,
-    /// The team that said so.
+    pub members: BTreeSet<EditKey>,
+    /// The edits that are kept; the others are withdrawn.
+    pub keep: BTreeSet<EditKey>,
+    /// The team that settled it.
     pub by: String,
-    /// Those that were part of the table. What is kept while one of these is not, is kept over it.
-    pub in_force: BTreeSet<Key>,
+    /// Those that were part of the table. A kept edit overrides those of them that are not kept.
+    pub in_force: BTreeSet<EditKey>,
 }
 
-/// All that was said and has not ended.
+/// Everything submitted that has not ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Facts {
-    /// Edits.
-    pub edits: BTreeMap<Key, Edit>,
-    /// What teams said to edits that touch their parts; no stands over yes.
-    pub words: BTreeMap<Key, BTreeMap<String, bool>>,
-    /// Edits that their teams took back.
-    pub withdrawn: BTreeSet<Key>,
-    /// Conflicts that were settled.
+pub struct MergeInput {
+    /// The open edits.
+    pub edits: BTreeMap<EditKey, Edit>,
+    /// Consents by edit and team. A denial prevails over consent.
+    pub consents: BTreeMap<EditKey, BTreeMap<String, bool>>,
+    /// Edits that their teams withdrew.
+    pub withdrawn: BTreeSet<EditKey>,
+    /// Settled conflicts.
     pub settled: BTreeMap<ConflictId, Settlement>,
 }
 
-impl Facts {
-    /// What is known on both sides.
+impl MergeInput {
+    /// Returns the union of two sets of submissions.
     #[must_use]
-    pub fn union(mut self, other: &Facts) -> Facts {
+    pub fn union(mut self, other: &MergeInput) -> MergeInput {
         self.edits.extend(other.edits.iter().map(|(key, edit)| (key.clone(), edit.clone())));
-        for (key, words) in &other.words {
-            let own = self.words.entry(key.clone()).or_default();
-            for (team, yes) in words {
-                own.entry(team.clone()).and_modify(|said| *said &= yes).or_insert(*yes);
+        for (key, consents) in &other.consents {
+            let own = self.consents.entry(key.clone()).or_default();
+            for (team, granted) in consents {
+                own.entry(team.clone()).and_modify(|consent| *consent &= granted).or_insert(*granted);
             }
         }
         self.withdrawn.extend(other.withdrawn.iter().cloned());
         for (id, settlement) in &other.settled {
-            // In the log the first stands. Between two sides that have not met any rule will do that is the same on both.
+            // In the log the first settlement prevails. Between two sides of a partition any rule will do
+            // that gives the same result on both.
             let own = self.settled.entry(*id).or_insert_with(|| settlement.clone());
             if settlement < own {
                 *own = settlement.clone();
@@ -118,364 +121,402 @@
         self
     }
 
-    /// How edits are to be read, by what was said of them.
-    fn read(&self) -> Read<'_> {
-        let mut settled: BTreeMap<&Key, Vec<&Settlement>> = BTreeMap::new();
+    /// Indexes the settlements by edit.
+    fn index(&self) -> InputIndex<'_> {
+        let mut settled: BTreeMap<&EditKey, Vec<&Settlement>> = BTreeMap::new();
         for settlement in self.settled.values() {
             for key in &settlement.members {
                 settled.entry(key).or_default().push(settlement);
             }
         }
-        Read { facts: self, settled }
+        InputIndex { input: self, settled }
     }
 }
 
-struct Read<'a> {
-    facts: &'a Facts,
-    settled: BTreeMap<&'a Key, Vec<&'a Settlement>>,
+struct InputIndex<'a> {
+    input: &'a MergeInput,
+    settled: BTreeMap<&'a EditKey, Vec<&'a Settlement>>,
 }
 
-impl Read<'_> {
-    fn terms(&self, key: &Key, edit: &Edit) -> Terms {
-        let said = self.facts.words.get(key).into_iter().flatten();
-        let teams = said.filter(|(_, yes)| **yes).map(|(team, _)| team.clone()).collect();
-        let mut terms = Terms { teams, base: edit.base, ..Terms::default() };
-        for settlement in self.settled.get(key).into_iter().flatten().filter(|of| of.keep.contains(key)) {
+impl InputIndex<'_> {
+    fn context(&self, key: &EditKey, edit: &Edit) -> EditContext {
+        let all_consents = self.input.consents.get(key).into_iter().flatten();
+        let consents = all_consents.filter(|(_, granted)| **granted).map(|(team, _)| team.clone()).collect();
+        let mut context = EditContext { consents, base: edit.base, ..EditContext::default() };
+        for settlement in
+            self.settled.get(key).into_iter().flatten().filter(|settlement| settlement.keep.contains(key))
+        {
             if settlement.keep == settlement.members {
-                terms.follows.extend(settlement.members.iter().filter(|other| *other != key).cloned());
+                context.follows.extend(settlement.members.iter().filter(|other| *other != key).cloned());
             } else {
-                terms.over.extend(settlement.in_force.difference(&settlement.keep).cloned());
+                context.overrides.extend(settlement.in_force.difference(&settlement.keep).cloned());
             }
         }
-        terms
+        context
     }
 
-    /// Who has withdrawn an edit.
-    fn withdrawn_by(&self, key: &Key) -> Option<String> {
-        if self.facts.withdrawn.contains(key) {
+    /// Returns the team that withdrew an edit.
+    fn withdrawn_by(&self, key: &EditKey) -> Option<String> {
+        if self.input.withdrawn.contains(key) {
             return Some(key.id.team.clone());
         }
-        let lost = |of: &&&Settlement| !of.keep.contains(key);
-        self.settled.get(key)?.iter().find(lost).map(|settlement| settlement.by.clone())
+        let discards = |settlement: &&&Settlement| !settlement.keep.contains(key);
+        self.settled.get(key)?.iter().find(discards).map(|settlement| settlement.by.clone())
     }
 }
 
 /// Why an edit is refused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Reason {
+pub enum RefusalReason {
     /// It cannot be applied.
-    Unfit(Unfit),
-    /// It names what is not there.
-    Names(Thing),
-    /// What it removes or renames is still named by another thing.
-    StillNamed(Thing, Thing),
-    /// It makes the table wrong by itself.
-    Wrong(Wrong),
-    /// A team whose part it touches said no.
+    NotApplicable(ApplyError),
+    /// It refers to a thing that does not exist.
+    DanglingReference(Thing),
+    /// It removes or renames a thing that another one still refers to.
+    StillReferenced(Thing, Thing),
+    /// It makes the table invalid by itself.
+    InvalidTable(TableFault),
+    /// The owner of a thing it affects denied consent.
     Denied(String),
-    /// The revision was on trial and was taken back.
-    TakenBack {
-        /// Which.
+    /// Its revision was rolled back after a trial.
+    RolledBack {
+        /// The revision.
         revision: u64,
-        /// Why.
-        why: stage::Why,
-        /// What nodos without it had seen by then.
+        /// Why it was rolled back.
+        why: trial::RollbackReason,
+        /// Counts of the nodos without the revision.
         without: Counts,
-        /// And those with it.
+        /// Counts of the nodos with it.
         with: Counts,
     },
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Unfit(Unfit::NotThere(thing)) => write!(f, "there is no {thing}"),
-            Reason::Unfit(Unfit::Exists(thing)) => write!(f, "there is a {thing} already"),
-            Reason::Unfit(Unfit::Rights(thing, team)) => write!(f, "{thing} belongs to {team}"),
-            Reason::Names(thing) => write!(f, "it names {thing}, which is not there"),
-            Reason::StillNamed(thing, by) => write!(f, "it removes {thing}, which {by} names"),
-            Reason::Wrong(wrong) => write!(f, "{wrong}"),
-            Reason::Denied(team) => write!(f, "{team}, whose part it touches, said no"),
-            Reason::TakenBack { revision, why, without, with } => {
+            RefusalReason::NotApplicable(ApplyError::NotThere(thing)) => write!(f, "there is no {thing}"),
+            RefusalReason::NotApplicable(ApplyError::Exists(thing)) => {
+                write!(f, "{thing} exists already")
+            }
+            RefusalReason::NotApplicable(ApplyError::Rights(thing, team)) => {
+                write!(f, "{thing} belongs to {team}")
+            }
+            RefusalReason::DanglingReference(thing) => {
+                write!(f, "it refers to {thing}, which does not exist")
+            }
+            RefusalReason::StillReferenced(thing, by) => {
+                write!(f, "it removes {thing}, which {by} refers to")
+            }
+            RefusalReason::InvalidTable(wrong) => write!(f, "{wrong}"),
+            RefusalReason::Denied(team) => {
+                write!(f, "{team} owns a thing that it affects and denied consent")
+            }
+            RefusalReason::RolledBack { revision, why, without, with } => {
                 write!(f, "revision {revision} was taken back: {why} ({with}; without it {without})")
             }
         }
     }
 }
 
-/// What has become of an edit.
+/// The state of an open edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
-    /// It is part of the next table.
-    Taken,
-    /// It is in these conflicts; none if they are beyond what is told.
+pub enum EditState {
+    /// Accepted as part of the next table. Operators see this as `taken`.
+    Accepted,
+    /// In these conflicts; empty if none of them is reported.
     InConflict(BTreeSet<ConflictId>),
-    /// It needs the word of these teams.
-    Waits(BTreeSet<String>),
-    /// This team took it back or settled against it.
+    /// Waits for the consent of these teams.
+    AwaitsConsent(BTreeSet<String>),
+    /// Withdrawn by this team, or discarded by its settlement of a conflict.
     Withdrawn(String),
-    /// It cannot be taken.
-    Refused(Reason),
+    /// Cannot be accepted.
+    Refused(RefusalReason),
 }
 
-impl fmt::Display for State {
+impl fmt::Display for EditState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            State::Taken => f.write_str("taken, part of the next table"),
-            State::InConflict(ids) if ids.is_empty() => {
-                f.write_str("in conflict, in one that is told once others are settled")
+            EditState::Accepted => f.write_str("taken, part of the next table"),
+            EditState::InConflict(ids) if ids.is_empty() => {
+                f.write_str("in a conflict that is reported once others are settled")
             }
-            State::InConflict(ids) => {
+            EditState::InConflict(ids) => {
                 let ids: Vec<String> = ids.iter().map(ConflictId::to_string).collect();
                 write!(f, "in conflict {}", ids.join(", "))
             }
-            State::Waits(teams) => {
+            EditState::AwaitsConsent(teams) => {
                 let teams: Vec<&str> = teams.iter().map(String::as_str).collect();
-                write!(f, "waits for the word of {}", teams.join(", "))
+                write!(f, "waits for the consent of {}", teams.join(", "))
             }
-            State::Withdrawn(by) => write!(f, "withdrawn by {by}"),
-            State::Refused(why) => write!(f, "refused: {why}"),
+            EditState::Withdrawn(by) => write!(f, "withdrawn by {by}"),
+            EditState::Refused(why) => write!(f, "refused: {why}"),
         }
     }
 }
 
-/// What all that was said comes to.
+/// The result of a merge.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Merged {
-    /// Of each edit.
-    pub states: BTreeMap<Key, State>,
-    /// The conflicts that are told.
+pub struct MergeResult {
+    /// The state of each edit.
+    pub states: BTreeMap<EditKey, EditState>,
+    /// The reported conflicts.
     pub conflicts: BTreeMap<ConflictId, Conflict>,
 }
 
-/// Merges what was said into what is there.
-pub fn merge(base: &Base, facts: &Facts) -> Merged {
-    let mut merged = Merged::default();
-    let (mut keys, mut prints, mut stale) = (Vec::new(), Vec::new(), Vec::new());
-    let read = facts.read();
-    for (key, edit) in &facts.edits {
-        if let Some(team) = read.withdrawn_by(key) {
-            merged.states.insert(key.clone(), State::Withdrawn(team));
+/// Merges the submissions into the table.
+pub fn merge(base: &Base, input: &MergeInput) -> MergeResult {
+    let mut merged = MergeResult::default();
+    let (mut keys, mut accesses, mut base_conflicts) = (Vec::new(), Vec::new(), Vec::new());
+    let index = input.index();
+    for (key, edit) in &input.edits {
+        if let Some(team) = index.withdrawn_by(key) {
+            merged.states.insert(key.clone(), EditState::Withdrawn(team));
             continue;
         }
-        let print = Print::new(base, edit, read.terms(key, edit));
-        let old = print.against_base(base);
-        let verdict = if old.is_empty() { alone(base, facts, key, edit, &print) } else { None };
-        if let Some(state) = verdict {
+        let access = AccessSet::new(base, edit, index.context(key, edit));
+        let with_base = access.conflicts_with_base(base);
+        let state_alone =
+            if with_base.is_empty() { check_alone(base, input, key, edit, &access) } else { None };
+        if let Some(state) = state_alone {
             merged.states.insert(key.clone(), state);
             continue;
         }
-        stale.push(old);
+        base_conflicts.push(with_base);
         keys.push(key);
-        prints.push(print);
+        accesses.push(access);
     }
-    let mut bad = pairs(&keys, &prints);
-    let clashes: BTreeSet<(usize, usize)> = bad.iter().map(|(set, _)| ends(set)).collect();
-    // Those that cannot be applied as they are take no part in what the whole table comes to.
-    let fit: Vec<usize> = (0..keys.len()).filter(|at| stale[*at].is_empty()).collect();
-    let parts: Vec<Part<'_>> = fit.iter().map(|at| Part { key: keys[*at], print: &prints[*at] }).collect();
-    let clash = |one: usize, other: usize| {
-        let (one, other) = (fit[one], fit[other]);
-        clashes.contains(&(one.min(other), one.max(other)))
+    let mut conflicts = conflicting_pairs(&keys, &accesses);
+    let pairs: BTreeSet<(usize, usize)> = conflicts.iter().map(|(set, _)| first_and_last(set)).collect();
+    // Edits in conflict with the base cannot be applied, so that they take no part in checks of the whole
+    // table.
+    let applicable: Vec<usize> = (0..keys.len()).filter(|i| base_conflicts[*i].is_empty()).collect();
+    let candidates: Vec<Candidate<'_>> =
+        applicable.iter().map(|i| Candidate { key: keys[*i], access: &accesses[*i] }).collect();
+    let in_conflict = |one: usize, other: usize| {
+        let (one, other) = (applicable[one], applicable[other]);
+        pairs.contains(&(one.min(other), one.max(other)))
     };
-    for (set, why) in wrong_sets(base, &parts, &clash) {
-        bad.push((set.into_iter().map(|at| fit[at]).collect(), why));
+    for (set, reason) in find_invalid_sets(base, &candidates, &in_conflict) {
+        conflicts.push((set.into_iter().map(|i| applicable[i]).collect(), reason));
     }
-    merged.hold(base, facts, &keys, &prints, smallest(bad), stale);
+    merged.add_conflicts(base, input, &keys, &accesses, minimal_sets(conflicts), base_conflicts);
     for key in keys {
-        merged.states.entry(key.clone()).or_insert(State::Taken);
+        merged.states.entry(key.clone()).or_insert(EditState::Accepted);
     }
     merged
 }
 
-fn ends(set: &BTreeSet<usize>) -> (usize, usize) {
+fn first_and_last(set: &BTreeSet<usize>) -> (usize, usize) {
     (set.first().copied().unwrap_or(0), set.last().copied().unwrap_or(0))
 }
 
-/// What comes of an edit by itself; nothing, if it could be taken.
-fn alone(base: &Base, facts: &Facts, key: &Key, edit: &Edit, print: &Print) -> Option<State> {
-    let there = |thing: &Thing| base.table.things.contains_key(thing);
-    let refused = |reason| Some(State::Refused(reason));
+/// Checks an edit by itself. Returns `None` if it could be accepted.
+fn check_alone(
+    base: &Base,
+    input: &MergeInput,
+    key: &EditKey,
+    edit: &Edit,
+    access: &AccessSet,
+) -> Option<EditState> {
+    let exists = |thing: &Thing| base.table.things.contains_key(thing);
+    let refused = |reason| Some(EditState::Refused(reason));
     for change in &edit.changes {
-        let thing = base.called(change.thing(), &print.terms);
-        let gone = base.gone_since(&thing, print.terms.base).map(|gone| gone.to.as_ref());
-        let said = match change {
+        let thing = base.resolve_name(change.thing(), &access.context);
+        let retired = base.retired_since(&thing, access.context.base).map(|retired| retired.to.as_ref());
+        let missing = match change {
             Change::Add { .. } => None,
-            Change::Set { .. } => (!there(&thing)).then(|| thing.clone()),
-            Change::Remove { .. } => (!there(&thing) && gone != Some(None)).then(|| thing.clone()),
-            Change::Rename { to, .. } => (!there(&thing) && gone != Some(Some(to))).then(|| thing.clone()),
+            Change::Set { .. } => (!exists(&thing)).then(|| thing.clone()),
+            Change::Remove { .. } => (!exists(&thing) && retired != Some(None)).then(|| thing.clone()),
+            Change::Rename { to, .. } => {
+                (!exists(&thing) && retired != Some(Some(to))).then(|| thing.clone())
+            }
         };
-        if let Some(thing) = said {
-            return refused(Reason::Unfit(Unfit::NotThere(thing)));
+        if let Some(thing) = missing {
+            return refused(RefusalReason::NotApplicable(ApplyError::NotThere(thing)));
         }
     }
-    let claims: BTreeSet<Thing> = print.claims().collect();
-    // What was added or renamed alike by another since its base is there by its own word as well.
-    let before = |name: &&Thing| there(name) && base.since(name, None, print.terms.base).is_none();
-    if let Some(name) = claims.iter().find(before) {
-        return refused(Reason::Unfit(Unfit::Exists(name.clone())));
+    let claimed: BTreeSet<Thing> = access.claimed_names().collect();
+    // A thing that another edit has added or renamed in the same way since the base does not block this
+    // one.
+    let existed =
+        |name: &&Thing| exists(name) && base.written_since(name, None, access.context.base).is_none();
+    if let Some(name) = claimed.iter().find(existed) {
+        return refused(RefusalReason::NotApplicable(ApplyError::Exists(name.clone())));
     }
-    let leaves = |thing: &Thing| print.removes.contains(thing) || print.renames.contains_key(thing);
+    let disappears = |thing: &Thing| access.removes.contains(thing) || access.renames.contains_key(thing);
     if let Some(name) =
-        print.names.iter().find(|name| !claims.contains(name) && (!there(name) || leaves(name)))
+        access.references.iter().find(|name| !claimed.contains(name) && (!exists(name) || disappears(name)))
     {
-        return refused(Reason::Names(name.clone()));
+        return refused(RefusalReason::DanglingReference(name.clone()));
     }
-    for thing in &print.removes {
-        for (by, field) in base.named.get(thing).into_iter().flatten() {
-            if !print.removes.contains(by) && !print.sets.contains_key(&(by.clone(), *field)) {
-                return refused(Reason::StillNamed(thing.clone(), by.clone()));
+    for thing in &access.removes {
+        for (by, field) in base.referenced_by.get(thing).into_iter().flatten() {
+            if !access.removes.contains(by) && !access.sets.contains_key(&(by.clone(), *field)) {
+                return refused(RefusalReason::StillReferenced(thing.clone(), by.clone()));
             }
         }
     }
-    let needs = base.needs(edit, &print.terms);
-    let no = |team: &&String| facts.words.get(key).is_some_and(|said| said.get(*team) == Some(&false));
-    if let Some(team) = needs.keys().find(no) {
-        return refused(Reason::Denied(team.clone()));
+    let needed = base.missing_consents(edit, &access.context);
+    let denied =
+        |team: &&String| input.consents.get(key).is_some_and(|answers| answers.get(*team) == Some(&false));
+    if let Some(team) = needed.keys().find(denied) {
+        return refused(RefusalReason::Denied(team.clone()));
     }
-    (!needs.is_empty()).then(|| State::Waits(needs.into_keys().collect()))
+    (!needed.is_empty()).then(|| EditState::AwaitsConsent(needed.into_keys().collect()))
 }
 
-/// The pairs that do not commute. Only edits that have a thing in common can be.
-fn pairs(keys: &[&Key], prints: &[Print]) -> Vec<(BTreeSet<usize>, Why)> {
-    let mut of: BTreeMap<Thing, BTreeSet<usize>> = BTreeMap::new();
-    let mut together: BTreeSet<(usize, usize)> = BTreeSet::new();
-    for (at, print) in prints.iter().enumerate() {
-        let sets = print.sets.keys().map(|(thing, _)| thing.clone());
-        let whole = print.claims().chain(print.removes.iter().cloned()).chain(print.renames.keys().cloned());
-        for thing in whole.chain(sets).chain(print.names.iter().cloned()) {
-            of.entry(thing).or_default().insert(at);
+/// Returns the pairs of edits that do not commute. Only edits with a thing in common are compared.
+fn conflicting_pairs(keys: &[&EditKey], accesses: &[AccessSet]) -> Vec<(BTreeSet<usize>, ConflictReason)> {
+    let mut edits_of: BTreeMap<Thing, BTreeSet<usize>> = BTreeMap::new();
+    let mut pairs: BTreeSet<(usize, usize)> = BTreeSet::new();
+    for (i, access) in accesses.iter().enumerate() {
+        let sets = access.sets.keys().map(|(thing, _)| thing.clone());
+        let whole = access
+            .claimed_names()
+            .chain(access.removes.iter().cloned())
+            .chain(access.renames.keys().cloned());
+        for thing in whole.chain(sets).chain(access.references.iter().cloned()) {
+            edits_of.entry(thing).or_default().insert(i);
         }
-        // Two that are under parts alike meet only where one gives the part away.
-        for (thing, field) in print.sets.keys() {
+        // Two edits that merely affect the same thing conflict only if one of them changes its owner.
+        for (thing, field) in access.sets.keys() {
             if *field == Field::Owner {
-                let touch = (0..prints.len()).filter(|other| prints[*other].parts.contains_key(thing));
-                together
-                    .extend(touch.filter(|other| *other != at).map(|other| (at.min(other), at.max(other))));
+                let affecting =
+                    (0..accesses.len()).filter(|other| accesses[*other].affected.contains_key(thing));
+                pairs.extend(affecting.filter(|other| *other != i).map(|other| (i.min(other), i.max(other))));
             }
         }
-        if at > 0 && keys[at - 1].id == keys[at].id {
-            let first = (0..at).find(|other| keys[*other].id == keys[at].id).unwrap_or(at);
-            together.extend((first..at).map(|other| (other, at)));
+        if i > 0 && keys[i - 1].id == keys[i].id {
+            let first = (0..i).find(|other| keys[*other].id == keys[i].id).unwrap_or(i);
+            pairs.extend((first..i).map(|other| (other, i)));
         }
     }
-    for among in of.values() {
+    for among in edits_of.values() {
         let all: Vec<usize> = among.iter().copied().collect();
-        for (at, one) in all.iter().enumerate() {
-            together.extend(all[at + 1..].iter().map(|other| (*one, *other)));
+        for (i, one) in all.iter().enumerate() {
+            pairs.extend(all[i + 1..].iter().map(|other| (*one, *other)));
         }
     }
-    let mut bad = Vec::new();
-    for (one, other) in together {
-        for why in prints[one].against(keys[one], &prints[other], keys[other]) {
-            bad.push((BTreeSet::from([one, other]), why));
+    let mut conflicts = Vec::new();
+    for (one, other) in pairs {
+        for reason in accesses[one].conflicts_with(keys[one], &accesses[other], keys[other]) {
+            conflicts.push((BTreeSet::from([one, other]), reason));
         }
     }
-    bad
+    conflicts
 }
 
-/// The sets of which no other is a part, with all that is wrong with each.
-fn smallest(bad: Vec<(BTreeSet<usize>, Why)>) -> Vec<(BTreeSet<usize>, BTreeSet<Why>)> {
-    let mut by_set: BTreeMap<(usize, BTreeSet<usize>), BTreeSet<Why>> = BTreeMap::new();
-    for (set, why) in bad {
-        by_set.entry((set.len(), set)).or_default().insert(why);
+/// Returns the sets without a smaller one inside, each with all its reasons.
+fn minimal_sets(
+    conflicts: Vec<(BTreeSet<usize>, ConflictReason)>,
+) -> Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)> {
+    let mut by_set: BTreeMap<(usize, BTreeSet<usize>), BTreeSet<ConflictReason>> = BTreeMap::new();
+    for (set, reason) in conflicts {
+        by_set.entry((set.len(), set)).or_default().insert(reason);
     }
-    let mut kept: Vec<(BTreeSet<usize>, BTreeSet<Why>)> = Vec::new();
-    let mut with: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-    for ((_, set), why) in by_set {
-        let within = |at: &usize| kept[*at].0.is_subset(&set);
-        // Where not all sets were looked at, a smaller one that was found says nothing of the others.
-        let crowded = why.iter().any(|why| matches!(why, Why::Crowded(_)));
-        if crowded || !set.iter().any(|one| with.get(one).is_some_and(|sets| sets.iter().any(within))) {
-            // One of its edits is enough to find it by: a set that holds it holds that one.
+    let mut minimal: Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)> = Vec::new();
+    let mut by_first: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
+    for ((_, set), reason) in by_set {
+        let is_contained = |i: &usize| minimal[*i].0.is_subset(&set);
+        // Where the search was cut short, a smaller set says nothing about the other edits in this one.
+        let is_cut_short = reason.iter().any(|reason| matches!(reason, ConflictReason::TooManySets(_)));
+        if is_cut_short
+            || !set.iter().any(|one| by_first.get(one).is_some_and(|sets| sets.iter().any(is_contained)))
+        {
+            // Indexed by one edit of the set: every superset contains it.
             if let Some(one) = set.first() {
-                with.entry(*one).or_default().push(kept.len());
+                by_first.entry(*one).or_default().push(minimal.len());
             }
-            kept.push((set, why));
+            minimal.push((set, reason));
         }
     }
-    kept
+    minimal
 }
 
-impl Merged {
-    fn hold(
+impl MergeResult {
+    fn add_conflicts(
         &mut self,
         base: &Base,
-        facts: &Facts,
-        keys: &[&Key],
-        prints: &[Print],
-        bad: Vec<(BTreeSet<usize>, BTreeSet<Why>)>,
-        stale: Vec<Vec<(Key, Why)>>,
+        input: &MergeInput,
+        keys: &[&EditKey],
+        accesses: &[AccessSet],
+        sets: Vec<(BTreeSet<usize>, BTreeSet<ConflictReason>)>,
+        base_conflicts: Vec<Vec<(EditKey, ConflictReason)>>,
     ) {
-        let teams = |at: usize| {
-            let owners = prints[at].parts.keys().filter_map(|part| base.table.owner(part));
-            owners.map(str::to_string).chain([keys[at].id.team.clone()]).collect::<BTreeSet<String>>()
+        let teams = |i: usize| {
+            let owners = accesses[i].affected.keys().filter_map(|thing| base.table.owner(thing));
+            owners.map(str::to_string).chain([keys[i].id.team.clone()]).collect::<BTreeSet<String>>()
         };
-        let mut held: BTreeMap<BTreeSet<Key>, Conflict> = BTreeMap::new();
-        for (set, why) in bad {
+        let mut conflicts: BTreeMap<BTreeSet<EditKey>, Conflict> = BTreeMap::new();
+        for (set, reason) in sets {
             if set.len() == 1 {
-                for (at, why) in set.iter().zip(why) {
-                    if let Why::Wrong(wrong, _) = why {
-                        self.states.insert(keys[*at].clone(), State::Refused(Reason::Wrong(wrong)));
+                for (i, reason) in set.iter().zip(reason) {
+                    if let ConflictReason::InvalidTable(fault, _) = reason {
+                        self.states
+                            .insert(keys[*i].clone(), EditState::Refused(RefusalReason::InvalidTable(fault)));
                     }
                 }
                 continue;
             }
-            let members: BTreeSet<Key> = set.iter().map(|at| keys[*at].clone()).collect();
-            let teams = set.iter().flat_map(|at| teams(*at)).collect();
-            held.insert(members.clone(), Conflict { members, in_force: BTreeSet::new(), why, teams });
+            let members: BTreeSet<EditKey> = set.iter().map(|i| keys[*i].clone()).collect();
+            let teams = set.iter().flat_map(|i| teams(*i)).collect();
+            conflicts.insert(
+                members.clone(),
+                Conflict { members, in_force: BTreeSet::new(), reasons: reason, teams },
+            );
         }
-        for (at, old) in stale.into_iter().enumerate() {
-            for (by, why) in old {
-                let members = BTreeSet::from([keys[at].clone(), by.clone()]);
-                let conflict = held.entry(members.clone()).or_insert_with(|| Conflict {
+        for (i, reasons) in base_conflicts.into_iter().enumerate() {
+            for (by, reason) in reasons {
+                let members = BTreeSet::from([keys[i].clone(), by.clone()]);
+                let conflict = conflicts.entry(members.clone()).or_insert_with(|| Conflict {
                     members,
                     in_force: BTreeSet::from([by.clone()]),
-                    why: BTreeSet::new(),
-                    teams: teams(at).into_iter().chain([by.id.team.clone()]).collect(),
+                    reasons: BTreeSet::new(),
+                    teams: teams(i).into_iter().chain([by.id.team.clone()]).collect(),
                 });
-                conflict.why.insert(why);
+                conflict.reasons.insert(reason);
             }
         }
-        for (place, (members, conflict)) in held.into_iter().enumerate() {
-            let id = if left_out(Mutant::NumberedByPlace) {
-                ConflictId(place as u64 + 1)
+        for (position, (members, conflict)) in conflicts.into_iter().enumerate() {
+            let id = if is_active(Mutant::NumberedByPlace) {
+                ConflictId(position as u64 + 1)
             } else {
                 ConflictId::of(&members)
             };
-            let told = self.conflicts.len() < MAX_CONFLICTS;
-            for key in members.iter().filter(|key| facts.edits.contains_key(key)) {
+            let is_reported = self.conflicts.len() < MAX_CONFLICTS;
+            for key in members.iter().filter(|key| input.edits.contains_key(key)) {
                 let state =
-                    self.states.entry(key.clone()).or_insert_with(|| State::InConflict(BTreeSet::new()));
-                if let (State::InConflict(ids), true) = (state, told) {
+                    self.states.entry(key.clone()).or_insert_with(|| EditState::InConflict(BTreeSet::new()));
+                if let (EditState::InConflict(ids), true) = (state, is_reported) {
                     ids.insert(id);
                 }
             }
-            if told {
+            if is_reported {
                 self.conflicts.insert(id, conflict);
             }
         }
     }
 
-    /// The edits that are part of the next table.
-    pub fn taken(&self) -> impl Iterator<Item = &Key> {
-        self.states.iter().filter(|(_, state)| **state == State::Taken).map(|(key, _)| key)
+    /// Returns the edits that are part of the next table.
+    pub fn accepted(&self) -> impl Iterator<Item = &EditKey> {
+        self.states.iter().filter(|(_, state)| **state == EditState::Accepted).map(|(key, _)| key)
     }
 
-    /// The next table: the present one with all that is taken.
+    /// Computes the next table: the present one with all accepted edits.
     ///
     /// # Errors
-    /// An edit that could not be applied, which would be a fault of the merge.
-    pub fn next(&self, base: &Base, facts: &Facts) -> Result<Base, (Key, Unfit)> {
-        let (mut next, read) = (base.clone(), facts.read());
-        for key in self.taken() {
-            if let Some(edit) = facts.edits.get(key) {
-                next.apply(edit, &read.terms(key, edit), base.revision + 1).map_err(|e| (key.clone(), e))?;
+    /// Returns the edit that could not be applied, which would be a defect of the merge.
+    pub fn next_base(&self, base: &Base, input: &MergeInput) -> Result<Base, (EditKey, ApplyError)> {
+        let (mut next, index) = (base.clone(), input.index());
+        for key in self.accepted() {
+            if let Some(edit) = input.edits.get(key) {
+                next.apply(edit, &index.context(key, edit), base.revision + 1)
+                    .map_err(|e| (key.clone(), e))?;
             }
         }
         next.revision += 1;
-        next.forget();
-        next.find();
+        next.trim_retired();
+        next.rebuild_indexes();
         Ok(next)
     }
 }
--- a/crates/routes/src/below.rs
+++ b/crates/routes/src/overlay.rs
@@ -1,53 +1,58 @@
-//! The operator's file of a nodo with the table over it. The file says how a dependency is reached, the table what it may be asked.
+//! Applies the table to a nodo's operator file. The file says how a dependency is reached, the table how
+//! much it may be asked.
 
-use crate::table::{Field, Kind, Table, Thing, Value, WHOLE};
+use crate::table::{FULL_SHARE_PERMILLE, Field, Kind, Table, Thing, Value};
 use jaspershunt_operator::File;
 use jaspershunt_operator::units::Share;
 
-/// Calls at once that a nodo's file may allow one dependency, and so the most that a table does.
+/// Maximum number of concurrent calls that a nodo's file allows for one dependency, and so the most that
+/// the table can set.
 pub const MAX_CALLS: u32 = 1024;
-/// The least share that a dependency is left with: a file knows none of nothing.
-const LEAST_SHARE: f64 = 0.001;
+/// The least share of a dependency: a file cannot have a share of zero.
+const MIN_SHARE: f64 = 0.001;
 
-/// The file, with what the table says of the dependencies that it names: calls at once, shares, fall-backs. What the table does not
-/// name stays as it stands in the file; a dependency without an address here is not made up.
-pub fn overlaid(file: &File, table: &Table) -> File {
+/// Returns the file with the table's calls, shares and fallbacks for the dependencies that both have.
+/// Dependencies that the table lacks stay as they are in the file; those without an address in the file are
+/// not added.
+pub fn overlay(file: &File, table: &Table) -> File {
     let mut file = file.clone();
     let names: Vec<String> = file.dependency.keys().cloned().collect();
-    let (mut told, mut rest) = (0.0, 0.0);
-    for (name, below) in &mut file.dependency {
+    let (mut table_shares, mut file_shares) = (0.0, 0.0);
+    for (name, dependency) in &mut file.dependency {
         let thing = Thing::new(Kind::Dependency, name);
         if !table.things.contains_key(&thing) {
-            rest += below.share.0;
+            file_shares += dependency.share.0;
             continue;
         }
         if let Value::Number(budget) = table.value(&thing, Field::Budget) {
-            below.calls = (*budget).clamp(1, MAX_CALLS) as usize;
-            below.limit.least = below.limit.least.min(below.calls);
+            dependency.calls = (*budget).clamp(1, MAX_CALLS) as usize;
+            dependency.limit.least = dependency.limit.least.min(dependency.calls);
         }
         if let Value::Number(share) = table.value(&thing, Field::Share) {
-            below.share = Share((f64::from(*share) / f64::from(WHOLE)).max(LEAST_SHARE));
+            dependency.share = Share((f64::from(*share) / f64::from(FULL_SHARE_PERMILLE)).max(MIN_SHARE));
         }
-        below.fall_back = match table.value(&thing, Field::Fallback) {
+        dependency.fall_back = match table.value(&thing, Field::Fallback) {
             Value::Name(next) => Some(next.clone()).filter(|next| names.contains(next)),
             _ => None,
         };
-        told += below.share.0;
+        table_shares += dependency.share.0;
     }
-    // Guards against shares of over the whole: the table's come to that at most among themselves, and know nothing of the file's.
-    if told + rest > 1.0 && rest > 0.0 {
-        let part = ((1.0 - told) / rest).max(0.0);
+    // The table's shares do not exceed the whole, but know nothing of the file's. Scales the file's down to
+    // the rest.
+    if table_shares + file_shares > 1.0 && file_shares > 0.0 {
+        let scale = ((1.0 - table_shares) / file_shares).max(0.0);
         let of_file = |name: &String| !table.things.contains_key(&Thing::new(Kind::Dependency, name));
-        for (_, below) in file.dependency.iter_mut().filter(|(name, _)| of_file(name)) {
-            below.share = Share((below.share.0 * part).max(LEAST_SHARE));
+        for (_, dependency) in file.dependency.iter_mut().filter(|(name, _)| of_file(name)) {
+            dependency.share = Share((dependency.share.0 * scale).max(MIN_SHARE));
         }
     }
     file
 }
 
-/// The dependencies of the table that this file has no address for: routes into them are not followed here.
-pub fn not_here<'a>(file: &File, table: &'a Table) -> Vec<&'a str> {
-    let names = table.of(Kind::Dependency).map(|(thing, _)| thing.name.as_str());
+/// Returns the table's dependencies without an address in the file; this nodo does not follow routes into
+/// them.
+pub fn without_address<'a>(file: &File, table: &'a Table) -> Vec<&'a str> {
+    let names = table.of_kind(Kind::Dependency).map(|(thing, _)| thing.name.as_str());
     names.filter(|name| !file.dependency.contains_key(*name)).collect()
 }
 
@@ -84,22 +89,23 @@
     }
 
     #[test]
-    fn the_table_stands_over_the_file_and_the_file_where_the_table_is_silent() {
+    fn the_table_overrides_the_file_where_it_has_a_value() {
         let file = jaspershunt_operator::read("site", SITE).unwrap();
         let table = table(&[
             ("padron", &[(Field::Budget, Value::Number(3)), (Field::Share, Value::Number(900))]),
             ("lejos", &[(Field::Budget, Value::Number(5))]),
             ("replica", &[(Field::Budget, Value::Number(0)), (Field::Fallback, Value::Name("lejos".into()))]),
         ]);
-        let over = overlaid(&file, &table);
+        let over = overlay(&file, &table);
         let padron = &over.dependency["padron"];
         assert_eq!((padron.calls, padron.share, padron.fall_back.as_deref()), (3, Share(0.9), None));
         assert_eq!(padron.addresses, file.dependency["padron"].addresses);
-        // A budget of nothing is the least that can be carried out, and nobody falls back on what has no address here.
+        // A budget of 0 becomes the least the file allows, and a dependency without an address here is no
+        // fallback.
         assert_eq!((over.dependency["replica"].calls, &over.dependency["replica"].fall_back), (1, &None));
-        assert_eq!(not_here(&file, &table), ["lejos"]);
-        // 90 % and 30 % by the table leave the file's 20 % next to nothing.
-        assert_eq!(over.dependency["sello"].share, Share(LEAST_SHARE));
+        assert_eq!(without_address(&file, &table), ["lejos"]);
+        // 90 % and 30 % by the table leave the least share for the file's 20 %.
+        assert_eq!(over.dependency["sello"].share, Share(MIN_SHARE));
         assert_eq!(over.dependency["sello"].calls, file.dependency["sello"].calls);
         assert_eq!(over.route, file.route);
     }
@@ -107,6 +113,6 @@
     #[test]
     fn an_empty_table_changes_nothing() {
         let file = jaspershunt_operator::read("site", SITE).unwrap();
-        assert_eq!(overlaid(&file, &Table::default()), file);
+        assert_eq!(overlay(&file, &Table::default()), file);
     }
 }
