--- a/crates/agreed/src/lib.rs
+++ b/crates/agreed/src/lib.rs
@@ -1,17 +1,17 @@
 //! What joins the parts of the agreed state, which do not know each other: an heir for work that has lost its owner, in a region that
 //! may have it, the one that steering prefers first.
 //!
-//! Decides and does nothing: no clock, socket, file, thread or random source. [`parts()`] and [`lead()`] are what a member of a fleet
+//! Decides and does nothing: no clock, socket, file, thread or random source. [`parts()`] and [`leader_entries()`] are what a member of a fleet
 //! is given at its start.
 //!
 //! ```
-//! use jaspershunt_agreed::{lead, parts, work};
-//! use jaspershunt_fleet::parts::Agreed;
+//! use jaspershunt_agreed::{leader_entries, parts, work};
+//! use jaspershunt_fleet::parts::ReplicatedState;
 //! use jaspershunt_fleet::{Entry, Holder, Outcome};
-//! use jaspershunt_work::{Effect, Entry as OfWork, Offer};
+//! use jaspershunt_work::{Effect, Entry as WorkEntry, Offer};
 //!
 //! let (one, two) = (Holder::new("n1", 7), Holder::new("n2", 8));
-//! let mut agreed = Agreed::new(parts());
+//! let mut agreed = ReplicatedState::new(parts());
 //! for holder in [&one, &two] {
 //!     agreed.apply(&Entry::Enrol { holder: holder.clone() });
 //! }
@@ -19,19 +19,19 @@
 //!     key: "op-1".into(), class: "firma".into(), tenant: None, body: b"sign".to_vec(),
 //!     due_ms: 5_000, window_ends_ms: 60_000, worth_milli: 1_000, effect: Effect::Fenced,
 //! };
-//! let room = OfWork::Room { holder: two.clone(), region: "sur".into(), room: 3 };
-//! for entry in [OfWork::Offer { by: one.clone(), offer, begin: true, now_ms: 0 }, room] {
+//! let room = WorkEntry::Room { holder: two.clone(), region: "sur".into(), room: 3 };
+//! for entry in [WorkEntry::Offer { by: one.clone(), offer, begin: true, now_ms: 0 }, room] {
 //!     agreed.apply(&Entry::Part { part: "work".into(), bytes: entry.to_bytes() });
 //! }
 //! // Its nodo is lost; the one that leads proposes who takes it over.
 //! agreed.apply(&Entry::Gone { holder: one });
-//! for (part, bytes) in lead(100, &agreed) {
+//! for (part, bytes) in leader_entries(100, &agreed) {
 //!     assert!(matches!(agreed.apply(&Entry::Part { part, bytes }), Outcome::Part(_)));
 //! }
 //! assert_eq!(work(&agreed).unwrap().item("op-1").unwrap().owner, two);
 //! ```
 
-use jaspershunt_fleet::parts::{Agreed, Part};
+use jaspershunt_fleet::parts::{Part, ReplicatedState};
 use jaspershunt_routes::Routes;
 use jaspershunt_routes::stage::{Verdict, share};
 use jaspershunt_routes::table::WHOLE;
@@ -49,17 +49,17 @@
 }
 
 /// The work in hand, if this agreed state has it.
-pub fn work(agreed: &Agreed) -> Option<&Work> {
+pub fn work(agreed: &ReplicatedState) -> Option<&Work> {
     agreed.part(jaspershunt_work::part::NAME)?.as_any().downcast_ref()
 }
 
 /// The route table, if this agreed state has it.
-pub fn routes(agreed: &Agreed) -> Option<&Routes> {
+pub fn routes(agreed: &ReplicatedState) -> Option<&Routes> {
     agreed.part(jaspershunt_routes::part::NAME)?.as_any().downcast_ref()
 }
 
 /// Who is served where, if this agreed state has it.
-pub fn tables(agreed: &Agreed) -> Option<&Tables> {
+pub fn tables(agreed: &ReplicatedState) -> Option<&Tables> {
     let part: &steering::Part = agreed.part(steering::part::NAME)?.as_any().downcast_ref()?;
     Some(part.tables())
 }
@@ -67,21 +67,24 @@
 /// What the one that leads proposes at this time of the fleet's, in Unix milliseconds: each a part's name and an entry of it. Nothing
 /// while no work is in hand, no edit is taken and no edge measures. Two that lead may both do so: the token decides, and tidying or
 /// publishing twice is doing so once. A new table goes to all at once.
-pub fn lead(now_ms: u64, agreed: &Agreed) -> Vec<(String, Vec<u8>)> {
-    lead_by::<WHOLE>(now_ms, agreed)
+pub fn leader_entries(now_ms: u64, agreed: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
+    leader_entries_with_trial::<WHOLE>(now_ms, agreed)
 }
 
 /// The same, where a new table goes to so many thousandths of the nodos first.
-pub fn lead_by<const PERMILLE: u32>(now_ms: u64, agreed: &Agreed) -> Vec<(String, Vec<u8>)> {
-    let mut entries = lead_work(now_ms, agreed);
-    entries.extend(publish(now_ms, agreed, PERMILLE));
+pub fn leader_entries_with_trial<const PERMILLE: u32>(
+    now_ms: u64,
+    agreed: &ReplicatedState,
+) -> Vec<(String, Vec<u8>)> {
+    let mut entries = work_entries(now_ms, agreed);
+    entries.extend(route_table_entry(now_ms, agreed, PERMILLE));
     // Work waits for nobody; the next table can.
-    entries.extend(steered(now_ms, agreed));
+    entries.extend(steering_entries(now_ms, agreed));
     entries
 }
 
 /// A new table, once there are edits that are taken; and what becomes of one on trial, once that can be said.
-fn publish(now_ms: u64, agreed: &Agreed, permille: u32) -> Option<(String, Vec<u8>)> {
+fn route_table_entry(now_ms: u64, agreed: &ReplicatedState, permille: u32) -> Option<(String, Vec<u8>)> {
     let routes = routes(agreed)?;
     let entry = match routes.on_trial() {
         Some(trial) => {
@@ -98,9 +101,9 @@
     Some((jaspershunt_routes::part::NAME.to_string(), entry.to_bytes()))
 }
 
-fn lead_work(now_ms: u64, agreed: &Agreed) -> Vec<(String, Vec<u8>)> {
+fn work_entries(now_ms: u64, agreed: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
     let Some(work) = work(agreed) else { return Vec::new() };
-    let mut entries = heirs(now_ms, agreed, work, |orphan| allowed(agreed, orphan)).entries();
+    let mut entries = successors(now_ms, agreed, work, |orphan| allowed_regions(agreed, orphan)).entries();
     // Behind the rest: only so many are taken in one go, and what is over can wait.
     if work.items().next().is_some() && now_ms >= work.clock_ms().saturating_add(TIDY_EVERY_MS) {
         entries.push(Entry::Tidy { now_ms });
@@ -110,7 +113,7 @@
 }
 
 /// What the one that leads proposes for steering: a tenant's group is served only where the table of routes has it.
-fn steered(now_ms: u64, agreed: &Agreed) -> Vec<(String, Vec<u8>)> {
+fn steering_entries(now_ms: u64, agreed: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
     let Some(steering) = agreed.part(steering::part::NAME) else { return Vec::new() };
     let Some(part) = steering.as_any().downcast_ref::<steering::Part>() else { return Vec::new() };
     let present: BTreeSet<&str> = agreed.fleet.members().map(|(name, _)| name).collect();
@@ -123,16 +126,16 @@
 }
 
 /// The regions that may have it, by the table of routes that all members have; none named where that bounds nothing.
-fn allowed(agreed: &Agreed, orphan: &Orphan) -> Option<BTreeSet<String>> {
+fn allowed_regions(agreed: &ReplicatedState, orphan: &Orphan) -> Option<BTreeSet<String>> {
     let tenant = orphan.tenant.as_deref().unwrap_or_default();
     Some(routes(agreed).map(|routes| routes.allows(&orphan.class, tenant)).unwrap_or_default())
 }
 
 /// Who gets the work that has lost its owner: a start with room, in a region that `allowed` names (none named: all; `None`: it has no
 /// route any more), the one first that steering prefers for whose work it is.
-pub fn heirs(
+pub fn successors(
     now_ms: u64,
-    agreed: &Agreed,
+    agreed: &ReplicatedState,
     work: &Work,
     allowed: impl Fn(&Orphan) -> Option<BTreeSet<String>>,
 ) -> Spread {
@@ -143,7 +146,9 @@
     }
     let prefers = |orphan: &Orphan, regions: Vec<String>| match tables(agreed) {
         // A set of none would mean all that the table knows.
-        Some(tables) if !regions.is_empty() => tables.prefers(&group(orphan), &regions.into_iter().collect()),
+        Some(tables) if !regions.is_empty() => {
+            tables.prefers(&group_of(orphan), &regions.into_iter().collect())
+        }
         _ => regions,
     };
     spread(&orphans, &work.places(&agreed.fleet), now_ms, allowed, prefers)
@@ -151,7 +156,7 @@
 
 /// The group of clients whose work it is, as steering has it: the tenant's, which is one where the operator's file makes it so, and
 /// else all clients.
-fn group(orphan: &Orphan) -> Group {
+fn group_of(orphan: &Orphan) -> Group {
     orphan.tenant.as_deref().map_or(Group::All, Group::named)
 }
 
--- a/crates/agreed/src/tests.rs
+++ b/crates/agreed/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use jaspershunt_fleet::{Entry as OfFleet, Holder, Outcome as OfAgreed};
+use jaspershunt_fleet::{Entry as FleetEntry, Holder, Outcome as FleetOutcome};
 use jaspershunt_routes::stage::{Counts, LEAST_JUDGED, LONGEST_TRIAL_MS, SHORTEST_TRIAL_MS, in_stage, share};
 use jaspershunt_steering::{Place, Row, Why};
 use jaspershunt_work::{Effect, Offer, Outcome};
@@ -8,18 +8,18 @@
     Holder::new(&format!("n{n}"), n)
 }
 
-fn apply(agreed: &mut Agreed, part: &str, bytes: Vec<u8>) -> Vec<u8> {
-    match agreed.apply(&OfFleet::Part { part: part.into(), bytes }) {
-        OfAgreed::Part(outcome) => outcome,
+fn apply(agreed: &mut ReplicatedState, part: &str, bytes: Vec<u8>) -> Vec<u8> {
+    match agreed.apply(&FleetEntry::Part { part: part.into(), bytes }) {
+        FleetOutcome::Part(outcome) => outcome,
         other => panic!("{other:?}"),
     }
 }
 
-fn of_work(agreed: &mut Agreed, entry: &Entry) -> Outcome {
+fn apply_work(agreed: &mut ReplicatedState, entry: &Entry) -> Outcome {
     Outcome::from_bytes(&apply(agreed, "work", entry.to_bytes())).unwrap()
 }
 
-fn offer(agreed: &mut Agreed, by: u64, key: &str, tenant: Option<&str>) {
+fn offer(agreed: &mut ReplicatedState, by: u64, key: &str, tenant: Option<&str>) {
     let offer = Offer {
         key: key.into(),
         class: "firma".into(),
@@ -30,28 +30,28 @@
         worth_milli: 1_000,
         effect: Effect::Fenced,
     };
-    let outcome = of_work(agreed, &Entry::Offer { by: holder(by), offer, begin: true, now_ms: 0 });
+    let outcome = apply_work(agreed, &Entry::Offer { by: holder(by), offer, begin: true, now_ms: 0 });
     assert!(matches!(outcome, Outcome::Yours { .. }), "{outcome:?}");
 }
 
 /// The first has work and is then lost; the second is in norte, the third in sur, with more room.
-fn lost(tenants: &[Option<&str>]) -> Agreed {
-    let mut agreed = Agreed::new(parts());
+fn lost(tenants: &[Option<&str>]) -> ReplicatedState {
+    let mut agreed = ReplicatedState::new(parts());
     for n in 1..=3 {
-        agreed.apply(&OfFleet::Enrol { holder: holder(n) });
+        agreed.apply(&FleetEntry::Enrol { holder: holder(n) });
     }
     for (n, region, room) in [(2, "norte", 1), (3, "sur", 9)] {
-        of_work(&mut agreed, &Entry::Room { holder: holder(n), region: region.into(), room });
+        apply_work(&mut agreed, &Entry::Room { holder: holder(n), region: region.into(), room });
     }
     for (n, tenant) in tenants.iter().enumerate() {
         offer(&mut agreed, 1, &format!("op-{n}"), *tenant);
     }
-    agreed.apply(&OfFleet::Gone { holder: holder(1) });
+    agreed.apply(&FleetEntry::Gone { holder: holder(1) });
     agreed
 }
 
 /// Steering has this group in this region, and in no other.
-fn steer(agreed: &mut Agreed, epoch: u64, group: Group, region: &str) {
+fn steer(agreed: &mut ReplicatedState, epoch: u64, group: Group, region: &str) {
     let place = Place { region: region.into(), share: 1000, delay_ms: Some(9) };
     let row = Row { places: vec![place], why: Why::Found, moved_ms: 0, before: None };
     let step = steering::Entry::Step { epoch, rows: vec![(group, Some(row))] };
@@ -59,13 +59,13 @@
     assert_eq!(outcome, steering::Outcome::Taken { epoch });
 }
 
-fn led(now_ms: u64, agreed: &mut Agreed) -> Vec<Outcome> {
-    let entries = lead(now_ms, agreed);
+fn apply_leader_entries(now_ms: u64, agreed: &mut ReplicatedState) -> Vec<Outcome> {
+    let entries = leader_entries(now_ms, agreed);
     let apply = |(part, bytes): (String, Vec<u8>)| Outcome::from_bytes(&apply(agreed, &part, bytes)).unwrap();
     entries.into_iter().map(apply).collect()
 }
 
-fn owner(agreed: &Agreed, key: &str) -> String {
+fn owner(agreed: &ReplicatedState, key: &str) -> String {
     work(agreed).unwrap().item(key).unwrap().owner.member.clone()
 }
 
@@ -74,7 +74,7 @@
     let mut agreed = lost(&[Some("pagos"), Some("firmas"), None]);
     steer(&mut agreed, 1, Group::All, "norte");
     steer(&mut agreed, 2, Group::named("pagos"), "sur");
-    led(100, &mut agreed);
+    apply_leader_entries(100, &mut agreed);
     assert_eq!(owner(&agreed, "op-0"), "n3");
     // All others are preferred in norte, where there is room for one.
     assert_eq!((owner(&agreed, "op-1"), owner(&agreed, "op-2")), ("n2".into(), "n3".into()));
@@ -85,47 +85,47 @@
     let mut agreed = lost(&[None]);
     steer(&mut agreed, 1, Group::All, "norte");
     let only = |region: &str| Some(BTreeSet::from([region.to_string()]));
-    let heirs = |allowed: Option<BTreeSet<String>>| {
-        heirs(100, &agreed, work(&agreed).unwrap(), |_: &Orphan| allowed.clone())
+    let successors = |allowed: Option<BTreeSet<String>>| {
+        successors(100, &agreed, work(&agreed).unwrap(), |_: &Orphan| allowed.clone())
     };
-    assert_eq!(heirs(only("sur")).assignments, [("op-0".into(), 1, holder(3))]);
-    assert_eq!(heirs(Some(BTreeSet::new())).assignments, [("op-0".into(), 1, holder(2))]);
+    assert_eq!(successors(only("sur")).assignments, [("op-0".into(), 1, holder(3))]);
+    assert_eq!(successors(Some(BTreeSet::new())).assignments, [("op-0".into(), 1, holder(2))]);
     // Where nobody is nobody is an heir, and what has no route is given up.
-    assert!(heirs(only("este")).assignments.is_empty());
-    assert_eq!(heirs(None).given_up, [("op-0".into(), 1, jaspershunt_work::Why::NoRoute)]);
+    assert!(successors(only("este")).assignments.is_empty());
+    assert_eq!(successors(None).given_up, [("op-0".into(), 1, jaspershunt_work::Why::NoRoute)]);
 }
 
 /// Two that lead propose the same: the second changes nothing.
 #[test]
 fn what_two_propose_counts_once() {
     let mut agreed = lost(&[None]);
-    let twice = lead(100, &agreed);
-    assert!(matches!(led(100, &mut agreed)[..], [Outcome::Yours { token: 2 }]));
+    let twice = leader_entries(100, &agreed);
+    assert!(matches!(apply_leader_entries(100, &mut agreed)[..], [Outcome::Yours { token: 2 }]));
     let before = agreed.save();
     for (part, bytes) in twice {
         let outcome = Outcome::from_bytes(&apply(&mut agreed, &part, bytes)).unwrap();
         assert!(matches!(outcome, Outcome::Refused(_)), "{outcome:?}");
     }
-    assert!(agreed.save() == before && lead(100, &agreed).is_empty());
-    let again = Agreed::load(&before, parts()).unwrap();
+    assert!(agreed.save() == before && leader_entries(100, &agreed).is_empty());
+    let again = ReplicatedState::load(&before, parts()).unwrap();
     assert_eq!((again.save(), owner(&again, "op-0")), (before, owner(&agreed, "op-0")));
 }
 
 #[test]
 fn what_is_over_is_tidied_now_and_then_and_an_idle_fleet_says_nothing() {
-    let mut agreed = Agreed::new(parts());
-    assert_eq!(lead(1_000_000, &agreed), []);
-    assert_eq!(lead(1_000_000, &Agreed::new(Vec::new())), []);
-    agreed.apply(&OfFleet::Enrol { holder: holder(1) });
+    let mut agreed = ReplicatedState::new(parts());
+    assert_eq!(leader_entries(1_000_000, &agreed), []);
+    assert_eq!(leader_entries(1_000_000, &ReplicatedState::new(Vec::new())), []);
+    agreed.apply(&FleetEntry::Enrol { holder: holder(1) });
     offer(&mut agreed, 1, "op", None);
-    assert_eq!(led(1_000, &mut agreed), [Outcome::Done]);
-    assert_eq!(lead(1_000 + TIDY_EVERY_MS - 1, &agreed), []);
+    assert_eq!(apply_leader_entries(1_000, &mut agreed), [Outcome::Done]);
+    assert_eq!(leader_entries(1_000 + TIDY_EVERY_MS - 1, &agreed), []);
     // Its window and what it lingers are over.
-    led(60_000, &mut agreed);
-    led(120_000, &mut agreed);
-    led(180_000, &mut agreed);
+    apply_leader_entries(60_000, &mut agreed);
+    apply_leader_entries(120_000, &mut agreed);
+    apply_leader_entries(180_000, &mut agreed);
     assert!(work(&agreed).unwrap().items().next().is_none());
-    assert_eq!(lead(240_000, &agreed), []);
+    assert_eq!(leader_entries(240_000, &agreed), []);
 }
 
 /// Through the log from end to end: a team's edit is agreed, published on trial and to all, and only then narrows where lost work goes.
@@ -141,7 +141,8 @@
     let edit = jaspershunt_routes::parse_edit(edit).unwrap();
     let mut tell = |entry: jaspershunt_routes::Entry| {
         let outcome = apply(&mut agreed, "routes", entry.to_bytes());
-        let wants = heirs(100, &agreed, work(&agreed).unwrap(), |orphan| allowed(&agreed, orphan));
+        let wants =
+            successors(100, &agreed, work(&agreed).unwrap(), |orphan| allowed_regions(&agreed, orphan));
         (jaspershunt_routes::Outcome::from_bytes(&outcome).unwrap(), wants.assignments[0].2.member.clone())
     };
     let (taken, heir) = tell(jaspershunt_routes::Entry::Edit(edit));
@@ -167,57 +168,57 @@
 /// A share of the nodos first, by the one that leads; what they tell decides, whoever leads then and however its file has it.
 #[test]
 fn a_table_is_tried_and_judged_by_whoever_leads() {
-    use jaspershunt_routes::{Entry as OfRoutes, Outcome as OfTable, parse_edit};
-    let mut agreed = Agreed::new(parts());
+    use jaspershunt_routes::{Entry as RouteEntry, Outcome as RouteOutcome, parse_edit};
+    let mut agreed = ReplicatedState::new(parts());
     let holders = ["n1", "n2", "n3"].map(|name| Holder::new(name, 1));
     for holder in &holders {
-        agreed.apply(&OfFleet::Enrol { holder: holder.clone() });
+        agreed.apply(&FleetEntry::Enrol { holder: holder.clone() });
     }
     let edit = r#"{ "id": { "team": "pagos", "number": 1 }, "base": 0, "reason": "a place",
         "changes": [{ "add": { "thing": "region/norte", "fields": {} } }] }"#;
-    apply(&mut agreed, "routes", OfRoutes::Edit(parse_edit(edit).unwrap()).to_bytes());
-    for (part, bytes) in lead_by::<100>(100, &agreed) {
+    apply(&mut agreed, "routes", RouteEntry::Edit(parse_edit(edit).unwrap()).to_bytes());
+    for (part, bytes) in leader_entries_with_trial::<100>(100, &agreed) {
         apply(&mut agreed, &part, bytes);
     }
     let permille = routes(&agreed).unwrap().on_trial().unwrap().permille;
     let with = holders.iter().filter(|holder| in_stage(&holder.member, permille)).count();
     assert!((1..3).contains(&with), "{with} at {permille}");
     // Nobody tells: nothing is proposed before the longest wait is over.
-    assert_eq!(lead(100 + LONGEST_TRIAL_MS - 1, &agreed), []);
+    assert_eq!(leader_entries(100 + LONGEST_TRIAL_MS - 1, &agreed), []);
     for holder in &holders {
         let of = in_stage(&holder.member, permille);
         let failed = if of { LEAST_JUDGED / 2 } else { 0 };
         let counts = Counts { requests: LEAST_JUDGED, failed, slow: 0 };
-        let told = OfRoutes::Told { by: holder.clone(), trial: 1, revision: u64::from(of), counts };
+        let told = RouteEntry::Told { by: holder.clone(), trial: 1, revision: u64::from(of), counts };
         apply(&mut agreed, "routes", told.to_bytes());
     }
-    let step = lead(101, &agreed);
+    let step = leader_entries(101, &agreed);
     let outcomes = [&step[0], &step[0]].map(|(part, bytes)| apply(&mut agreed, part, bytes.clone()));
-    let outcomes = outcomes.map(|bytes| OfTable::from_bytes(&bytes).unwrap());
-    assert!(matches!(&outcomes, [OfTable::Published(2), OfTable::Refused(_)]), "{outcomes:?}");
-    assert_eq!(lead(102, &agreed), []);
+    let outcomes = outcomes.map(|bytes| RouteOutcome::from_bytes(&bytes).unwrap());
+    assert!(matches!(&outcomes, [RouteOutcome::Published(2), RouteOutcome::Refused(_)]), "{outcomes:?}");
+    assert_eq!(leader_entries(102, &agreed), []);
 }
 
 #[test]
 fn what_is_taken_is_published_by_the_one_that_leads_and_once() {
-    use jaspershunt_routes::{End, Entry as OfRoutes, Outcome as OfTable, parse_edit};
-    let mut agreed = Agreed::new(parts());
-    assert_eq!(lead(100, &agreed), []);
+    use jaspershunt_routes::{End, Entry as RouteEntry, Outcome as RouteOutcome, parse_edit};
+    let mut agreed = ReplicatedState::new(parts());
+    assert_eq!(leader_entries(100, &agreed), []);
     let edit = r#"{ "id": { "team": "pagos", "number": 1 }, "base": 0, "reason": "a place",
         "changes": [{ "add": { "thing": "region/norte", "fields": {} } }] }"#;
     let edit = parse_edit(edit).unwrap();
-    apply(&mut agreed, "routes", OfRoutes::Edit(edit.clone()).to_bytes());
-    let proposed = lead(100, &agreed);
+    apply(&mut agreed, "routes", RouteEntry::Edit(edit.clone()).to_bytes());
+    let proposed = leader_entries(100, &agreed);
     assert_eq!(proposed.len(), 1);
     // Two that lead propose the same: the second finds nothing new.
     let mut outcomes = Vec::new();
     for (part, bytes) in proposed.iter().chain(&proposed) {
-        outcomes.push(OfTable::from_bytes(&apply(&mut agreed, part, bytes.clone())).unwrap());
+        outcomes.push(RouteOutcome::from_bytes(&apply(&mut agreed, part, bytes.clone())).unwrap());
     }
-    assert_eq!(outcomes[0], OfTable::Published(1));
-    assert!(matches!(outcomes[1], OfTable::Refused(_)), "{outcomes:?}");
+    assert_eq!(outcomes[0], RouteOutcome::Published(1));
+    assert!(matches!(outcomes[1], RouteOutcome::Refused(_)), "{outcomes:?}");
     let of = routes(&agreed).unwrap();
-    assert_eq!(of.state(&edit.key()), Some(OfTable::Ended(End::Taken(1))));
+    assert_eq!(of.state(&edit.key()), Some(RouteOutcome::Ended(End::Taken(1))));
     // A clock that is behind takes back no time that was told.
-    assert_eq!((of.published_ms(), lead(50, &agreed)), (100, Vec::new()));
+    assert_eq!((of.published_ms(), leader_entries(50, &agreed)), (100, Vec::new()));
 }
--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/holder.rs
@@ -3,14 +3,14 @@
 //! It counts from before it *sent* its question, the leader from when it *heard* it, each with a margin for clocks that are off. So
 //! the holder is done before anybody else can be given the lease.
 
-use crate::mutants::{Mutant, left_out};
+use crate::mutants::{Mutant, is_active};
 use crate::state::Holder;
-use crate::time::Terms;
+use crate::timing::LeaseTiming;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Questions that may be on their way; the oldest is given up for a newer one.
-pub const MAX_ASKED: usize = 16;
+pub const MAX_OPEN_RENEWALS: usize = 16;
 
 /// How safe the acts under a lease are, and what has to be known for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -21,9 +21,9 @@
     /// out the longest act and the longest way. Safe within these bounds.
     Timed {
         /// The longest that an act takes, by a time-out of its own.
-        act: Duration,
+        max_act: Duration,
         /// The longest way to what is acted on, and the longest pause of this process between the look at its lease and the act.
-        way: Duration,
+        max_delay: Duration,
     },
     /// The act is nothing but an entry of the agreed state. Safe as that is.
     Agreed,
@@ -38,9 +38,9 @@
                  however clocks run"
                     .to_string()
             }
-            Grade::Timed { act, way } => format!(
-                "what is acted on checks nothing: safe as long as an act ends within {act:?}, nothing is on its way, or \
-                 paused between the look at the lease and the act, for over {way:?}, and clocks are off by no more than the \
+            Grade::Timed { max_act, max_delay } => format!(
+                "what is acted on checks nothing: safe as long as an act ends within {max_act:?}, nothing is on its way, or \
+                 paused between the look at the lease and the act, for over {max_delay:?}, and clocks are off by no more than the \
                  drift allowed. Beyond that two may act at once"
             ),
             Grade::Agreed => "the act is an entry of the agreed state: it counts once, or not at all".to_string(),
@@ -50,7 +50,7 @@
 
 /// A lease that this process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct HeldLease {
     /// Shown with every act.
     pub token: u64,
     /// When this process heard of it first.
@@ -76,7 +76,7 @@
     /// There is not enough time left in it; it may go on.
     TooLate,
     /// What the holder before may still have on its way is waited out; until then.
-    Settles {
+    PreviousHolderMayAct {
         /// By this process's clock.
         until: Duration,
     },
@@ -84,24 +84,33 @@
 
 /// What a process knows of its own leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Leases {
+pub struct HeldLeases {
     me: Holder,
-    terms: Terms,
+    timing: LeaseTiming,
     /// The number of the last question, and when those that are not answered were sent.
-    asked: u64,
-    sent: BTreeMap<u64, Duration>,
-    next: Duration,
-    answered: u64,
-    held: BTreeMap<String, Held>,
+    last_number: u64,
+    sent_at: BTreeMap<u64, Duration>,
+    next_renewal: Duration,
+    last_answered: u64,
+    held: BTreeMap<String, HeldLease>,
     /// Tokens that were given up, until no answer names them any more.
-    gave_up: BTreeMap<String, u64>,
+    released: BTreeMap<String, u64>,
 }
 
-impl Leases {
+impl HeldLeases {
     /// Of a start that holds nothing yet.
-    pub fn new(me: Holder, terms: Terms) -> Leases {
-        let (sent, held, gave_up) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Leases { me, terms, asked: 0, sent, next: Duration::ZERO, answered: 0, held, gave_up }
+    pub fn new(me: Holder, timing: LeaseTiming) -> HeldLeases {
+        let (sent_at, held, released) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        HeldLeases {
+            me,
+            timing,
+            last_number: 0,
+            sent_at,
+            next_renewal: Duration::ZERO,
+            last_answered: 0,
+            held,
+            released,
+        }
     }
 
     /// This start.
@@ -110,80 +119,80 @@
     }
 
     /// The number of the question to be sent now, if one is due; it counts from now, before it is sent.
-    pub fn ask(&mut self, now: Duration) -> Option<u64> {
-        if now < self.next {
+    pub fn start_renewal(&mut self, now: Duration) -> Option<u64> {
+        if now < self.next_renewal {
             return None;
         }
-        self.next = now + self.terms.ask_every();
-        self.asked += 1;
-        self.sent.insert(self.asked, now);
-        if self.sent.len() > MAX_ASKED {
-            self.sent.pop_first();
+        self.next_renewal = now + self.timing.renewal_interval();
+        self.last_number += 1;
+        self.sent_at.insert(self.last_number, now);
+        if self.sent_at.len() > MAX_OPEN_RENEWALS {
+            self.sent_at.pop_first();
         }
-        Some(self.asked)
+        Some(self.last_number)
     }
 
     /// The next question is due at once.
-    pub fn ask_soon(&mut self) {
-        self.next = Duration::ZERO;
+    pub fn renew_soon(&mut self) {
+        self.next_renewal = Duration::ZERO;
     }
 
     /// When the next question is due.
-    pub fn asks_at(&self) -> Duration {
-        self.next
+    pub fn next_renewal_at(&self) -> Duration {
+        self.next_renewal
     }
 
     /// A question was answered: these are held, and go on from when it was sent. Answers may come in any order, or twice.
-    pub fn answered(&mut self, now: Duration, number: u64, holds: &[(String, u64)]) {
-        let Some(sent) = self.sent.remove(&number) else { return };
-        let from = if left_out(Mutant::CountsFromReceipt) { now } else { sent };
-        let until = from + self.terms.held_for();
-        for (name, token) in holds {
+    pub fn renewed(&mut self, now: Duration, number: u64, leases: &[(String, u64)]) {
+        let Some(sent_at) = self.sent_at.remove(&number) else { return };
+        let from = if is_active(Mutant::CountsFromReceipt) { now } else { sent_at };
+        let until = from + self.timing.holder_ttl();
+        for (name, token) in leases {
             // Guards against a lease that was given up, and comes back by an answer from before the fleet heard so: by the time
             // it is counted on again it may be another's.
-            if self.gave_up.get(name) == Some(token) && !left_out(Mutant::GivenUpComesBack) {
+            if self.released.get(name) == Some(token) && !is_active(Mutant::GivenUpComesBack) {
                 continue;
             }
             let held = self.held.get(name).filter(|held| held.token == *token);
             match held {
                 Some(held) => {
                     let until = held.until.max(until);
-                    let held = Held { until, ..*held };
+                    let held = HeldLease { until, ..*held };
                     self.held.insert(name.clone(), held);
                 }
                 // Guards against an old answer that brings back a lease which was lost since.
-                None if number > self.answered
+                None if number > self.last_answered
                     && self.held.get(name).is_none_or(|held| held.token < *token) =>
                 {
-                    self.held.insert(name.clone(), Held { token: *token, since: now, until });
+                    self.held.insert(name.clone(), HeldLease { token: *token, since: now, until });
                 }
                 None => {}
             }
         }
-        if number > self.answered {
-            self.answered = number;
-            self.gave_up
-                .retain(|name, token| holds.iter().any(|(other, named)| other == name && named == token));
+        if number > self.last_answered {
+            self.last_answered = number;
+            self.released
+                .retain(|name, token| leases.iter().any(|(other, named)| other == name && named == token));
             self.held.retain(|name, held| {
-                holds.iter().any(|(other, token)| other == name && *token == held.token)
+                leases.iter().any(|(other, token)| other == name && *token == held.token)
             });
         }
     }
 
     /// This process gives a lease up: nothing more begins under it. Returns the token to release.
-    pub fn give_up(&mut self, lease: &str) -> Option<u64> {
+    pub fn release(&mut self, lease: &str) -> Option<u64> {
         let token = self.held.remove(lease)?.token;
-        self.gave_up.insert(lease.to_string(), token);
+        self.released.insert(lease.to_string(), token);
         Some(token)
     }
 
     /// What is held at this moment.
-    pub fn held(&self, now: Duration, lease: &str) -> Option<Held> {
+    pub fn held(&self, now: Duration, lease: &str) -> Option<HeldLease> {
         self.held.get(lease).copied().filter(|held| now < held.until)
     }
 
     /// All that is held at this moment.
-    pub fn all_held(&self, now: Duration) -> impl Iterator<Item = (&str, Held)> {
+    pub fn all_held(&self, now: Duration) -> impl Iterator<Item = (&str, HeldLease)> {
         self.held.iter().filter(move |(_, held)| now < held.until).map(|(name, held)| (name.as_str(), *held))
     }
 
@@ -193,19 +202,19 @@
     /// Why not.
     pub fn may_act(&self, now: Duration, lease: &str, grade: Grade) -> Result<Permit, NoPermit> {
         let held = self.held(now, lease).ok_or(NoPermit::NotHeld)?;
-        let Held { token, since, until } = held;
+        let HeldLease { token, since, until } = held;
         match grade {
             Grade::Checked | Grade::Agreed => Ok(Permit { token, until }),
-            Grade::Timed { act, way } => {
+            Grade::Timed { max_act, max_delay } => {
                 // Guards against an act of the holder before that is still on its way, or not over.
-                let settles = since + self.terms.outlast(act + way);
-                if now < settles && !left_out(Mutant::ActIsNotWaitedOut) {
-                    return Err(NoPermit::Settles { until: settles });
+                let wait_until = since + self.timing.wait_to_outlast(max_act + max_delay);
+                if now < wait_until && !is_active(Mutant::ActIsNotWaitedOut) {
+                    return Err(NoPermit::PreviousHolderMayAct { until: wait_until });
                 }
-                if now + act > until {
+                if now + max_act > until {
                     return Err(NoPermit::TooLate);
                 }
-                Ok(Permit { token, until: now + act })
+                Ok(Permit { token, until: now + max_act })
             }
         }
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -7,9 +7,9 @@
 //! - [`parts`]: what is agreed beside, each part a function of the log with entries of its own.
 //! - [`leader`]: when a lease has run out, seen from the one that leads, and whom it may tell that a lease goes on.
 //! - [`holder`]: what a process holds by its own clock, and whether an act may begin.
-//! - [`client`]: a member's side of all of this; [`places`]: who lines up for which lease.
-//! - [`lives`]: whether a voter's disk is older than what it once promised; [`seats`]: which disks have a vote.
-//! - [`wall`]: the time by which tasks are due, from all members' clocks.
+//! - [`client`]: a member's side of all of this; [`lease_queue`]: who lines up for which lease.
+//! - [`disk_rollback`]: whether a voter's disk is older than what it once promised; [`voter_slots`]: which disks have a vote.
+//! - [`wall_clock`]: the time by which tasks are due, from all members' clocks.
 //! - [`mutants`]: the rules left out one by one, to show that the checks find it.
 //! - [`tasks`]: what the holder of a task's lease does next; [`schedule`]: when a task is due.
 //!
@@ -23,25 +23,25 @@
 //! }
 //! let acquire = |holder: &Holder| Entry::Acquire { lease: "cierre".into(), holder: holder.clone() };
 //! assert_eq!(fleet.apply(&acquire(&one)), Outcome::Granted { token: 1 });
-//! assert_eq!(fleet.apply(&acquire(&two)), Outcome::Waits { place: 1 });
+//! assert_eq!(fleet.apply(&acquire(&two)), Outcome::Queued { position: 1 });
 //! // The next holder's token is higher, whatever happens in between.
 //! fleet.apply(&Entry::Release { lease: "cierre".into(), token: 1 });
 //! assert_eq!(fleet.lease("cierre").unwrap().token, 2);
 //! ```
 
 pub mod client;
+pub mod disk_rollback;
 pub mod holder;
 pub mod leader;
-pub mod lives;
+pub mod lease_queue;
 pub mod mutants;
 pub mod parts;
-pub mod places;
 pub mod schedule;
-pub mod seats;
 pub mod state;
 pub mod tasks;
-pub mod time;
-pub mod wall;
+pub mod timing;
+pub mod voter_slots;
+pub mod wall_clock;
 
 pub use state::{Entry, Fleet, Holder, Outcome, Refusal};
-pub use time::Terms;
+pub use timing::LeaseTiming;
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -7,45 +7,45 @@
 use std::time::Duration;
 
 /// Times that were missed and are made up for one by one, at most; older ones are let go.
-pub const MOST_MISSED: usize = 100;
+pub const MAX_MISSED_RUNS: usize = 100;
 
 /// When.
 #[derive(Clone, Debug, PartialEq)]
-pub enum When {
+pub enum Schedule {
     /// Every so often, counted from the start of 1970.
     Every(Duration),
     /// As a cron line says, in UTC.
     Cron(Box<Cron>),
 }
 
-impl When {
+impl Schedule {
     /// A time between runs.
     ///
     /// # Errors
     /// It is under a second.
-    pub fn every(time: Duration) -> Result<When, String> {
+    pub fn every(time: Duration) -> Result<Schedule, String> {
         if time < Duration::from_secs(1) {
             return Err(format!("{time:?} is under a second"));
         }
-        Ok(When::Every(time))
+        Ok(Schedule::Every(time))
     }
 
     /// A cron line.
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn cron(line: &str) -> Result<When, String> {
-        Cron::from_str(line).map(|cron| When::Cron(Box::new(cron))).map_err(|e| e.to_string())
+    pub fn cron(line: &str) -> Result<Schedule, String> {
+        Cron::from_str(line).map(|cron| Schedule::Cron(Box::new(cron))).map_err(|e| e.to_string())
     }
 
     /// The first time after this one; `None` if there is none.
     pub fn after(&self, time: i64) -> Option<i64> {
         match self {
-            When::Every(every) => {
+            Schedule::Every(every) => {
                 let every = i64::try_from(every.as_secs()).ok()?.max(1);
                 time.checked_div_euclid(every)?.checked_add(1)?.checked_mul(every)
             }
-            When::Cron(cron) => {
+            Schedule::Cron(cron) => {
                 let from: DateTime<Utc> = DateTime::from_timestamp(time, 0)?;
                 cron.find_next_occurrence(&from, false).ok().map(|next| next.timestamp())
             }
@@ -61,7 +61,7 @@
     /// All of them together are run once.
     #[default]
     Once,
-    /// Each is run, the oldest first, up to [`MOST_MISSED`].
+    /// Each is run, the oldest first, up to [`MAX_MISSED_RUNS`].
     Each,
 }
 
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
     /// Nothing before this time, if there ever is any.
-    Not(Option<i64>),
+    NotBefore(Option<i64>),
     /// This time is to be run.
     Run(i64),
     /// All times up to this one are let go.
@@ -78,22 +78,22 @@
 
 /// What is due at this time. `last` is the last time that was done or let go, or when the task was first heard of; `late` is for how
 /// long a time counts as met.
-pub fn due(when: &When, missed: Missed, last: i64, now: i64, late: Duration) -> Due {
-    let Some(first) = when.after(last) else { return Due::Not(None) };
+pub fn due(when: &Schedule, missed: Missed, last: i64, now: i64, max_lateness: Duration) -> Due {
+    let Some(first) = when.after(last) else { return Due::NotBefore(None) };
     if first > now {
-        return Due::Not(Some(first));
+        return Due::NotBefore(Some(first));
     }
-    let late = i64::try_from(late.as_secs()).unwrap_or(i64::MAX);
+    let max_lateness = i64::try_from(max_lateness.as_secs()).unwrap_or(i64::MAX);
     // The last few of the times up to now; more than these are never made up for.
     let mut times = std::collections::VecDeque::from([first]);
     let mut looked = 0;
     while let Some(next) = times.back().and_then(|time| when.after(*time)).filter(|next| *next <= now) {
         times.push_back(next);
-        if times.len() > MOST_MISSED {
+        if times.len() > MAX_MISSED_RUNS {
             times.pop_front();
         }
         looked += 1;
-        if looked > 10 * MOST_MISSED {
+        if looked > 10 * MAX_MISSED_RUNS {
             // After years of silence: straight to the present.
             return match missed {
                 Missed::Skip => Due::Skip(now),
@@ -103,7 +103,7 @@
     }
     let newest = times.back().copied().unwrap_or(first);
     match missed {
-        Missed::Skip if now - newest > late => Due::Skip(newest),
+        Missed::Skip if now - newest > max_lateness => Due::Skip(newest),
         Missed::Skip | Missed::Once => Due::Run(newest),
         Missed::Each => Due::Run(times.front().copied().unwrap_or(first)),
     }
@@ -117,24 +117,24 @@
 
     #[test]
     fn times_come_every_so_often_or_as_a_cron_line_says() {
-        let hourly = When::every(Duration::from_secs(3600)).unwrap();
+        let hourly = Schedule::every(Duration::from_secs(3600)).unwrap();
         assert_eq!(hourly.after(0), Some(HOUR));
         assert_eq!(hourly.after(HOUR - 1), Some(HOUR));
         assert_eq!(hourly.after(HOUR), Some(2 * HOUR));
-        let nightly = When::cron("30 2 * * *").unwrap();
+        let nightly = Schedule::cron("30 2 * * *").unwrap();
         assert_eq!(nightly.after(0), Some(2 * HOUR + 1800));
         assert_eq!(nightly.after(2 * HOUR + 1800), Some(26 * HOUR + 1800));
-        assert!(When::every(Duration::from_millis(10)).is_err());
-        assert!(When::cron("61 * * * *").is_err() && When::cron("").is_err());
+        assert!(Schedule::every(Duration::from_millis(10)).is_err());
+        assert!(Schedule::cron("61 * * * *").is_err() && Schedule::cron("").is_err());
     }
 
     #[test]
     fn what_was_missed_is_let_go_run_once_or_each() {
-        let hourly = When::every(Duration::from_secs(3600)).unwrap();
-        let late = Duration::from_secs(60);
-        let at = |missed, now| due(&hourly, missed, HOUR, now, late);
+        let hourly = Schedule::every(Duration::from_secs(3600)).unwrap();
+        let max_lateness = Duration::from_secs(60);
+        let at = |missed, now| due(&hourly, missed, HOUR, now, max_lateness);
         for missed in [Missed::Skip, Missed::Once, Missed::Each] {
-            assert_eq!(at(missed, 2 * HOUR - 1), Due::Not(Some(2 * HOUR)), "{missed:?}");
+            assert_eq!(at(missed, 2 * HOUR - 1), Due::NotBefore(Some(2 * HOUR)), "{missed:?}");
             assert_eq!(at(missed, 2 * HOUR + 5), Due::Run(2 * HOUR), "{missed:?}");
         }
         // Three were missed, the last of them by half an hour.
@@ -145,7 +145,7 @@
         // The last of them just now.
         assert_eq!(at(Missed::Skip, 4 * HOUR + 5), Due::Run(4 * HOUR));
         // More than are ever made up for, and a clock that was years off.
-        assert_eq!(at(Missed::Each, 1000 * HOUR), Due::Run((1000 - MOST_MISSED as i64 + 1) * HOUR));
+        assert_eq!(at(Missed::Each, 1000 * HOUR), Due::Run((1000 - MAX_MISSED_RUNS as i64 + 1) * HOUR));
         assert_eq!(at(Missed::Each, 1_000_000 * HOUR), Due::Run(1_000_000 * HOUR));
         assert_eq!(at(Missed::Skip, 1_000_000 * HOUR), Due::Skip(1_000_000 * HOUR));
     }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,7 +1,7 @@
 //! The agreed state: a function of the log alone, the same in every process that has read as far. Nothing in it is a time:
 //! when a lease has run out is judged by the one that leads, and becomes true with its entry.
 
-use crate::mutants::{Mutant, left_out};
+use crate::mutants::{Mutant, is_active};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,14 +14,14 @@
 /// Tasks of which anything is known.
 pub const MAX_TASKS: usize = 128;
 /// Bytes of a name.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Bytes of a task's cursor, and of its result.
-pub const MAX_CURSOR: usize = 1024;
+pub const MAX_CURSOR_BYTES: usize = 1024;
 /// Acts that are remembered for each lease whose acts are entries.
-pub const MAX_ACTS: usize = 16;
+pub const MAX_ACTS_PER_LEASE: usize = 16;
 /// A task that this many holders in turn have begun and none has ended is put aside. Ours: one death may be the machine's, two
 /// bad luck.
-pub const MAX_HOLDERS: u32 = 3;
+pub const MAX_HOLDERS_PER_RUN: u32 = 3;
 
 /// A process of the fleet: its name, and which start of it this is. Two starts of one name never have the same incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -58,20 +58,20 @@
     /// Operators have stopped it.
     pub paused: bool,
     /// Operators want it run at once.
-    pub asked: bool,
+    pub run_requested: bool,
     /// Why it is left alone, once too many holders have died of it or it has failed for good.
-    pub aside: Option<String>,
+    pub disabled_reason: Option<String>,
     /// The last time that was done or let go, in Unix seconds.
     pub last_due: Option<i64>,
     /// What is under way.
-    pub run: Option<Run>,
+    pub run: Option<TaskRun>,
     /// What the last run came to.
     pub result: Option<Vec<u8>>,
 }
 
 /// A run of a task, through all holders that work on it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Run {
+pub struct TaskRun {
     /// The time that it is for, in Unix seconds.
     pub due: i64,
     /// The same over retries and holders, so that what is called can tell a repeat.
@@ -81,7 +81,7 @@
     /// Who works on it, by the token.
     pub token: u64,
     /// How many holders have begun it.
-    pub holders: u32,
+    pub holder_count: u32,
 }
 
 /// An entry of the agreed log.
@@ -134,7 +134,7 @@
         note: Vec<u8>,
     },
     /// The holder of a task's lease begins a run, or goes on with one.
-    Begin {
+    BeginRun {
         /// The task.
         task: String,
         /// The token.
@@ -143,7 +143,7 @@
         due: i64,
     },
     /// It has come so far.
-    Reach {
+    SaveCursor {
         /// The task.
         task: String,
         /// The token.
@@ -152,7 +152,7 @@
         cursor: Vec<u8>,
     },
     /// It is done, or let go.
-    End {
+    EndRun {
         /// The task.
         task: String,
         /// The token.
@@ -161,7 +161,7 @@
         result: Result<Vec<u8>, String>,
     },
     /// A time is let go without a run.
-    Skip {
+    SkipDue {
         /// The task.
         task: String,
         /// The token.
@@ -174,10 +174,10 @@
         /// The task.
         task: String,
         /// Whether it is stopped.
-        on: bool,
+        paused: bool,
     },
     /// Operators want it run now.
-    Ask {
+    RequestRun {
         /// The task.
         task: String,
     },
@@ -185,7 +185,7 @@
     Part {
         /// The part's name.
         part: String,
-        /// What only that part reads; [`crate::parts::MAX_PART_ENTRY`] bytes at most.
+        /// What only that part reads; [`crate::parts::MAX_PART_ENTRY_BYTES`] bytes at most.
         bytes: Vec<u8>,
     },
 }
@@ -201,12 +201,12 @@
         token: u64,
     },
     /// The lease is another's; this is the place in the line, from 1.
-    Waits {
+    Queued {
         /// The place.
-        place: usize,
+        position: usize,
     },
     /// The run's key, and where it goes on.
-    Runs {
+    RunBegun {
         /// The key.
         key: u64,
         /// The cursor.
@@ -224,7 +224,7 @@
     /// A later start of that member is here.
     OldIncarnation,
     /// That start is not enrolled.
-    Unknown,
+    NotEnrolled,
     /// The token is not the present one.
     OldToken,
     /// There is no room.
@@ -234,19 +234,19 @@
     /// The task is paused, or put aside.
     Stopped,
     /// There is nothing of that name.
-    Nothing,
+    NotFound,
 }
 
 impl std::fmt::Display for Refusal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Refusal::OldIncarnation => "a later start of that member is here",
-            Refusal::Unknown => "that start is not enrolled",
+            Refusal::NotEnrolled => "that start is not enrolled",
             Refusal::OldToken => "the token is not the present one",
             Refusal::Full => "there is no room",
             Refusal::TooLong => "a name, a cursor or a result is too long",
             Refusal::Stopped => "the task is paused or put aside",
-            Refusal::Nothing => "there is nothing of that name",
+            Refusal::NotFound => "there is nothing of that name",
         })
     }
 }
@@ -259,7 +259,7 @@
     tasks: BTreeMap<String, Task>,
     acts: BTreeMap<String, VecDeque<(u64, Vec<u8>)>>,
     /// The last token or key that was given out. One count for all, so that none comes twice though leases come and go.
-    tokens: u64,
+    last_token: u64,
 }
 
 /// The lease under which a task runs.
@@ -299,8 +299,8 @@
     }
 
     /// The last token or key that was given out.
-    pub fn tokens(&self) -> u64 {
-        self.tokens
+    pub fn last_token(&self) -> u64 {
+        self.last_token
     }
 
     /// Whether this is the present start of that member.
@@ -309,15 +309,15 @@
     }
 
     /// The part that concerns one start: the leases that it holds, and the tasks that run under them.
-    pub fn seen_by(&self, holder: &Holder) -> Fleet {
+    pub fn view_for(&self, holder: &Holder) -> Fleet {
         let leases: BTreeMap<String, Lease> = (self.leases.iter())
             .filter(|(_, lease)| lease.holder == *holder)
             .map(|(name, lease)| (name.clone(), Lease { waiters: VecDeque::new(), ..lease.clone() }))
             .collect();
-        let seen = |task: &str| leases.contains_key(&lease_of_task(task));
-        let tasks = self.tasks.iter().filter(|(name, _)| seen(name));
+        let runs_here = |task: &str| leases.contains_key(&lease_of_task(task));
+        let tasks = self.tasks.iter().filter(|(name, _)| runs_here(name));
         let tasks = tasks.map(|(name, task)| (name.clone(), task.clone())).collect();
-        Fleet { leases, tasks, tokens: self.tokens, ..Fleet::default() }
+        Fleet { leases, tasks, last_token: self.last_token, ..Fleet::default() }
     }
 
     /// The whole state as bytes, the same for the same state.
@@ -329,8 +329,8 @@
     /// The state that was saved; `None` if these are not its bytes.
     pub fn load(bytes: &[u8]) -> Option<Fleet> {
         let (mut fleet, rest): (Fleet, _) = postcard::take_from_bytes(bytes).ok()?;
-        if left_out(Mutant::SnapshotForgetsTokens) {
-            fleet.tokens = 0;
+        if is_active(Mutant::SnapshotForgetsTokens) {
+            fleet.last_token = 0;
         }
         rest.is_empty().then_some(fleet)
     }
@@ -346,76 +346,76 @@
     fn try_apply(&mut self, entry: &Entry) -> Result<Outcome, Refusal> {
         match entry {
             Entry::Enrol { holder } => self.enrol(holder),
-            Entry::Gone { holder } => self.gone(holder),
+            Entry::Gone { holder } => self.leave(holder),
             Entry::Acquire { lease, holder } => self.acquire(lease, holder),
             Entry::Release { lease, token } | Entry::Expire { lease, token } => {
                 // Guards against a release that comes when the lease is another's already.
                 let honoured =
-                    left_out(Mutant::LateReleaseHonoured) && matches!(entry, Entry::Release { .. });
+                    is_active(Mutant::LateReleaseHonoured) && matches!(entry, Entry::Release { .. });
                 if !honoured {
-                    self.held(lease, *token)?;
+                    self.check_token(lease, *token)?;
                 }
-                self.pass_on(lease);
+                self.grant_next(lease);
                 Ok(Outcome::Done)
             }
             Entry::Revoke { lease } => {
-                self.leases.get_mut(lease).ok_or(Refusal::Nothing)?.revoked = true;
+                self.leases.get_mut(lease).ok_or(Refusal::NotFound)?.revoked = true;
                 Ok(Outcome::Done)
             }
             Entry::Act { lease, token, note } => {
-                short(note)?;
-                self.held(lease, *token)?;
+                check_length(note)?;
+                self.check_token(lease, *token)?;
                 let acts = self.acts.entry(lease.clone()).or_default();
                 acts.push_back((*token, note.clone()));
-                if acts.len() > MAX_ACTS {
+                if acts.len() > MAX_ACTS_PER_LEASE {
                     acts.pop_front();
                 }
                 Ok(Outcome::Done)
             }
-            Entry::Begin { task, token, due } => self.begin(task, *token, *due),
-            Entry::Reach { task, token, cursor } => {
-                short(cursor)?;
-                if left_out(Mutant::OldTokenWritesCursor)
+            Entry::BeginRun { task, token, due } => self.begin_run(task, *token, *due),
+            Entry::SaveCursor { task, token, cursor } => {
+                check_length(cursor)?;
+                if is_active(Mutant::OldTokenWritesCursor)
                     && let Some(run) = self.tasks.get_mut(task).and_then(|task| task.run.as_mut())
                 {
                     run.cursor.clone_from(cursor);
                     return Ok(Outcome::Done);
                 }
                 // Guards against a holder that wakes and sets the task back.
-                self.running(task, *token)?.cursor.clone_from(cursor);
+                self.run_mut(task, *token)?.cursor.clone_from(cursor);
                 Ok(Outcome::Done)
             }
-            Entry::End { task, token, result } => self.end(task, *token, result),
-            Entry::Skip { task, token, due } => {
-                self.held(&lease_of_task(task), *token)?;
+            Entry::EndRun { task, token, result } => self.end_run(task, *token, result),
+            Entry::SkipDue { task, token, due } => {
+                self.check_token(&lease_of_task(task), *token)?;
                 let task = self.task_mut(task)?;
                 task.last_due = task.last_due.max(Some(*due));
                 task.run.take_if(|run| run.due <= *due);
                 Ok(Outcome::Done)
             }
-            Entry::Pause { task, on } => {
+            Entry::Pause { task, paused } => {
                 let task = self.task_mut(task)?;
-                task.paused = *on;
-                if !on {
-                    task.aside = None;
+                task.paused = *paused;
+                if !paused {
+                    task.disabled_reason = None;
                 }
                 Ok(Outcome::Done)
             }
-            Entry::Ask { task } => {
+            Entry::RequestRun { task } => {
                 let task = self.task_mut(task)?;
-                if task.paused || task.aside.is_some() {
+                if task.paused || task.disabled_reason.is_some() {
                     return Err(Refusal::Stopped);
                 }
-                task.asked = true;
+                task.run_requested = true;
                 Ok(Outcome::Done)
             }
             // Its part is not here.
-            Entry::Part { .. } => Err(Refusal::Nothing),
+            Entry::Part { .. } => Err(Refusal::NotFound),
         }
     }
 
     fn enrol(&mut self, holder: &Holder) -> Result<Outcome, Refusal> {
-        named(&holder.member)?;
+        check_name(&holder.member)?;
         let full = self.members.len() >= MAX_MEMBERS;
         match self.members.get_mut(&holder.member) {
             Some(present) if *present > holder.incarnation => return Err(Refusal::OldIncarnation),
@@ -430,7 +430,7 @@
         Ok(Outcome::Done)
     }
 
-    fn gone(&mut self, holder: &Holder) -> Result<Outcome, Refusal> {
+    fn leave(&mut self, holder: &Holder) -> Result<Outcome, Refusal> {
         for lease in self.leases.values_mut() {
             lease.waiters.retain(|waiter| waiter != holder);
         }
@@ -442,9 +442,9 @@
     }
 
     fn acquire(&mut self, name: &str, holder: &Holder) -> Result<Outcome, Refusal> {
-        named(name)?;
+        check_name(name)?;
         match self.members.get(&holder.member) {
-            None => return Err(Refusal::Unknown),
+            None => return Err(Refusal::NotEnrolled),
             Some(present) if *present != holder.incarnation => return Err(Refusal::OldIncarnation),
             Some(_) => {}
         }
@@ -452,54 +452,54 @@
             if self.leases.len() >= MAX_LEASES {
                 return Err(Refusal::Full);
             }
-            self.tokens += 1;
+            self.last_token += 1;
             let lease = Lease {
                 holder: holder.clone(),
-                token: self.tokens,
+                token: self.last_token,
                 revoked: false,
                 waiters: VecDeque::new(),
             };
             self.leases.insert(name.to_string(), lease);
-            return Ok(Outcome::Granted { token: self.tokens });
+            return Ok(Outcome::Granted { token: self.last_token });
         };
         // Asked twice, as an answer may have been lost. Guards against a later start that takes the lease of an earlier one for its
         // own, which may act still.
         if lease.holder == *holder
-            || lease.holder.member == holder.member && left_out(Mutant::IncarnationIgnored)
+            || lease.holder.member == holder.member && is_active(Mutant::IncarnationIgnored)
         {
             lease.holder.clone_from(holder);
             return Ok(Outcome::Granted { token: lease.token });
         }
-        if let Some(place) = lease.waiters.iter().position(|waiter| waiter == holder) {
-            return Ok(Outcome::Waits { place: place + 1 });
+        if let Some(position) = lease.waiters.iter().position(|waiter| waiter == holder) {
+            return Ok(Outcome::Queued { position: position + 1 });
         }
         if lease.waiters.len() >= MAX_WAITERS {
             return Err(Refusal::Full);
         }
         lease.waiters.push_back(holder.clone());
-        Ok(Outcome::Waits { place: lease.waiters.len() })
+        Ok(Outcome::Queued { position: lease.waiters.len() })
     }
 
     /// The lease under its present token.
-    fn held(&self, name: &str, token: u64) -> Result<&Lease, Refusal> {
+    fn check_token(&self, name: &str, token: u64) -> Result<&Lease, Refusal> {
         let lease = self.leases.get(name).ok_or(Refusal::OldToken)?;
         if lease.token == token { Ok(lease) } else { Err(Refusal::OldToken) }
     }
 
     /// The lease goes to the next in line, or to nobody.
-    fn pass_on(&mut self, name: &str) {
+    fn grant_next(&mut self, name: &str) {
         let Some(lease) = self.leases.get_mut(name) else { return };
         match lease.waiters.pop_front() {
             Some(next) => {
-                self.tokens += 1;
-                (lease.holder, lease.token, lease.revoked) = (next, self.tokens, false);
+                self.last_token += 1;
+                (lease.holder, lease.token, lease.revoked) = (next, self.last_token, false);
             }
             None => drop(self.leases.remove(name)),
         }
     }
 
     fn task_mut(&mut self, name: &str) -> Result<&mut Task, Refusal> {
-        named(name)?;
+        check_name(name)?;
         if !self.tasks.contains_key(name) && self.tasks.len() >= MAX_TASKS {
             return Err(Refusal::Full);
         }
@@ -507,69 +507,75 @@
     }
 
     /// The run of a task, for the holder that works on it.
-    fn running(&mut self, name: &str, token: u64) -> Result<&mut Run, Refusal> {
-        self.held(&lease_of_task(name), token)?;
-        let run = self.tasks.get_mut(name).and_then(|task| task.run.as_mut()).ok_or(Refusal::Nothing)?;
+    fn run_mut(&mut self, name: &str, token: u64) -> Result<&mut TaskRun, Refusal> {
+        self.check_token(&lease_of_task(name), token)?;
+        let run = self.tasks.get_mut(name).and_then(|task| task.run.as_mut()).ok_or(Refusal::NotFound)?;
         if run.token == token { Ok(run) } else { Err(Refusal::OldToken) }
     }
 
-    fn begin(&mut self, name: &str, token: u64, due: i64) -> Result<Outcome, Refusal> {
-        self.held(&lease_of_task(name), token)?;
-        let key = self.tokens + 1;
+    fn begin_run(&mut self, name: &str, token: u64, due: i64) -> Result<Outcome, Refusal> {
+        self.check_token(&lease_of_task(name), token)?;
+        let key = self.last_token + 1;
         let task = self.task_mut(name)?;
-        if task.paused || task.aside.is_some() {
+        if task.paused || task.disabled_reason.is_some() {
             return Err(Refusal::Stopped);
         }
         if task.run.is_none() {
             // Guards against a time that was done, and whose holder did not hear so.
-            if task.last_due.is_some_and(|last| last >= due) && !task.asked {
-                return Err(Refusal::Nothing);
+            if task.last_due.is_some_and(|last| last >= due) && !task.run_requested {
+                return Err(Refusal::NotFound);
             }
-            task.run = Some(Run { due, key, cursor: Vec::new(), token, holders: 0 });
+            task.run = Some(TaskRun { due, key, cursor: Vec::new(), token, holder_count: 0 });
         }
-        let mut outcome = Err(Refusal::Nothing);
+        let mut outcome = Err(Refusal::NotFound);
         if let Some(run) = &mut task.run {
-            if run.holders == 0 || run.token != token {
-                run.holders += 1;
+            if run.holder_count == 0 || run.token != token {
+                run.holder_count += 1;
             }
             run.token = token;
-            outcome = Ok(Outcome::Runs { key: run.key, cursor: run.cursor.clone() });
-            if run.holders > MAX_HOLDERS {
+            outcome = Ok(Outcome::RunBegun { key: run.key, cursor: run.cursor.clone() });
+            if run.holder_count > MAX_HOLDERS_PER_RUN {
                 // Guards against a task that kills each holder in turn, until none is left.
-                task.aside = Some(format!("{MAX_HOLDERS} holders in turn began it and did not end it"));
-                (task.run, task.asked) = (None, false);
+                task.disabled_reason =
+                    Some(format!("{MAX_HOLDERS_PER_RUN} holders in turn began it and did not end it"));
+                (task.run, task.run_requested) = (None, false);
                 outcome = Err(Refusal::Stopped);
             }
         }
-        if matches!(outcome, Ok(Outcome::Runs { key: given, .. }) if given == key) {
-            self.tokens = key;
+        if matches!(outcome, Ok(Outcome::RunBegun { key: given, .. }) if given == key) {
+            self.last_token = key;
         }
         outcome
     }
 
-    fn end(&mut self, name: &str, token: u64, result: &Result<Vec<u8>, String>) -> Result<Outcome, Refusal> {
+    fn end_run(
+        &mut self,
+        name: &str,
+        token: u64,
+        result: &Result<Vec<u8>, String>,
+    ) -> Result<Outcome, Refusal> {
         match result {
-            Ok(result) => short(result)?,
-            Err(why) => short(why.as_bytes())?,
+            Ok(result) => check_length(result)?,
+            Err(why) => check_length(why.as_bytes())?,
         }
-        let due = self.running(name, token)?.due;
+        let due = self.run_mut(name, token)?.due;
         let task = self.task_mut(name)?;
         task.last_due = task.last_due.max(Some(due));
-        (task.run, task.asked) = (None, false);
+        (task.run, task.run_requested) = (None, false);
         match result {
             Ok(result) => task.result = Some(result.clone()),
-            Err(why) => task.aside = Some(why.clone()),
+            Err(why) => task.disabled_reason = Some(why.clone()),
         }
         Ok(Outcome::Done)
     }
 }
 
-fn named(name: &str) -> Result<(), Refusal> {
-    if name.is_empty() || name.len() > MAX_NAME { Err(Refusal::TooLong) } else { Ok(()) }
+fn check_name(name: &str) -> Result<(), Refusal> {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES { Err(Refusal::TooLong) } else { Ok(()) }
 }
 
-fn short(bytes: &[u8]) -> Result<(), Refusal> {
-    if bytes.len() > MAX_CURSOR { Err(Refusal::TooLong) } else { Ok(()) }
+fn check_length(bytes: &[u8]) -> Result<(), Refusal> {
+    if bytes.len() > MAX_CURSOR_BYTES { Err(Refusal::TooLong) } else { Ok(()) }
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/state/tests.rs
+++ b/crates/fleet/src/state/tests.rs
@@ -22,7 +22,7 @@
     Entry::Acquire { lease: "l".into(), holder: holder.clone() }
 }
 
-fn no(refusal: Refusal) -> Outcome {
+fn refused(refusal: Refusal) -> Outcome {
     Outcome::Refused(refusal)
 }
 
@@ -32,16 +32,16 @@
     let mut fleet = fleet(&[one(), two(), three.clone()]);
     assert_eq!(fleet.apply(&acquire(&one())), Outcome::Granted { token: 1 });
     assert_eq!(fleet.apply(&acquire(&one())), Outcome::Granted { token: 1 }, "said twice");
-    assert_eq!(fleet.apply(&acquire(&two())), Outcome::Waits { place: 1 });
-    assert_eq!(fleet.apply(&acquire(&three)), Outcome::Waits { place: 2 });
-    assert_eq!(fleet.apply(&acquire(&two())), Outcome::Waits { place: 1 }, "said twice");
+    assert_eq!(fleet.apply(&acquire(&two())), Outcome::Queued { position: 1 });
+    assert_eq!(fleet.apply(&acquire(&three)), Outcome::Queued { position: 2 });
+    assert_eq!(fleet.apply(&acquire(&two())), Outcome::Queued { position: 1 }, "said twice");
     assert_eq!(fleet.apply(&Entry::Release { lease: "l".into(), token: 1 }), Outcome::Done);
     assert_eq!((fleet.lease("l").unwrap().holder.clone(), fleet.lease("l").unwrap().token), (two(), 2));
     // What the first says late has no meaning any more.
     for late in
         [Entry::Release { lease: "l".into(), token: 1 }, Entry::Expire { lease: "l".into(), token: 1 }]
     {
-        assert_eq!(fleet.apply(&late), no(Refusal::OldToken));
+        assert_eq!(fleet.apply(&late), refused(Refusal::OldToken));
     }
     assert_eq!(fleet.apply(&Entry::Expire { lease: "l".into(), token: 2 }), Outcome::Done);
     assert_eq!(fleet.lease("l").unwrap().holder, three);
@@ -56,14 +56,14 @@
     let again = Holder::new("n1", 2);
     let mut fleet = fleet(&[one(), two()]);
     fleet.apply(&acquire(&one()));
-    assert_eq!(fleet.apply(&acquire(&again)), no(Refusal::OldIncarnation), "not enrolled yet");
+    assert_eq!(fleet.apply(&acquire(&again)), refused(Refusal::OldIncarnation), "not enrolled yet");
     assert_eq!(fleet.apply(&Entry::Enrol { holder: again.clone() }), Outcome::Done);
-    assert_eq!(fleet.apply(&Entry::Enrol { holder: one() }), no(Refusal::OldIncarnation));
+    assert_eq!(fleet.apply(&Entry::Enrol { holder: one() }), refused(Refusal::OldIncarnation));
     // The earlier one may act still: its lease runs out in its time.
     assert_eq!(fleet.lease("l").unwrap().holder, one());
-    assert_eq!(fleet.apply(&acquire(&again)), Outcome::Waits { place: 1 });
-    assert_eq!(fleet.apply(&acquire(&one())), no(Refusal::OldIncarnation));
-    assert_eq!(fleet.apply(&acquire(&Holder::new("n9", 1))), no(Refusal::Unknown));
+    assert_eq!(fleet.apply(&acquire(&again)), Outcome::Queued { position: 1 });
+    assert_eq!(fleet.apply(&acquire(&one())), refused(Refusal::OldIncarnation));
+    assert_eq!(fleet.apply(&acquire(&Holder::new("n9", 1))), refused(Refusal::NotEnrolled));
     fleet.apply(&Entry::Expire { lease: "l".into(), token: 1 });
     assert_eq!(fleet.lease("l").unwrap().holder, again);
     // One that waits and starts again has lost its place.
@@ -91,12 +91,12 @@
     let act = |token, note: &str| Entry::Act { lease: "l".into(), token, note: note.as_bytes().to_vec() };
     assert_eq!(fleet.apply(&act(1, "a")), Outcome::Done);
     fleet.apply(&Entry::Expire { lease: "l".into(), token: 1 });
-    assert_eq!(fleet.apply(&act(1, "b")), no(Refusal::OldToken));
+    assert_eq!(fleet.apply(&act(1, "b")), refused(Refusal::OldToken));
     assert_eq!(fleet.apply(&act(2, "c")), Outcome::Done);
-    for _ in 0..MAX_ACTS {
+    for _ in 0..MAX_ACTS_PER_LEASE {
         fleet.apply(&act(2, "d"));
     }
-    assert_eq!(fleet.acts("l").count(), MAX_ACTS);
+    assert_eq!(fleet.acts("l").count(), MAX_ACTS_PER_LEASE);
     assert!(fleet.acts("l").all(|(token, note)| (*token, &note[..]) == (2, b"d")));
 }
 
@@ -105,31 +105,31 @@
     let mut fleet = fleet(&[one(), two()]);
     let lease = lease_of_task("t");
     let acquire = |holder: Holder| Entry::Acquire { lease: lease.clone(), holder };
-    let begin = |token| Entry::Begin { task: "t".into(), token, due: 100 };
-    assert_eq!(fleet.apply(&begin(1)), no(Refusal::OldToken), "without the lease");
+    let begin = |token| Entry::BeginRun { task: "t".into(), token, due: 100 };
+    assert_eq!(fleet.apply(&begin(1)), refused(Refusal::OldToken), "without the lease");
     fleet.apply(&acquire(one()));
     fleet.apply(&acquire(two()));
-    let Outcome::Runs { key, cursor } = fleet.apply(&begin(1)) else { panic!() };
-    assert_eq!(fleet.apply(&begin(1)), Outcome::Runs { key, cursor: cursor.clone() }, "said twice");
+    let Outcome::RunBegun { key, cursor } = fleet.apply(&begin(1)) else { panic!() };
+    assert_eq!(fleet.apply(&begin(1)), Outcome::RunBegun { key, cursor: cursor.clone() }, "said twice");
     assert!(cursor.is_empty());
-    let reach = |token, cursor: &[u8]| Entry::Reach { task: "t".into(), token, cursor: cursor.to_vec() };
+    let reach = |token, cursor: &[u8]| Entry::SaveCursor { task: "t".into(), token, cursor: cursor.to_vec() };
     assert_eq!(fleet.apply(&reach(1, b"half")), Outcome::Done);
-    assert_eq!(fleet.apply(&reach(1, &[0; MAX_CURSOR + 1])), no(Refusal::TooLong));
+    assert_eq!(fleet.apply(&reach(1, &[0; MAX_CURSOR_BYTES + 1])), refused(Refusal::TooLong));
     fleet.apply(&Entry::Expire { lease: lease.clone(), token: 1 });
     let token = fleet.lease(&lease).unwrap().token;
     assert!(token > key, "one count for tokens and keys");
-    assert_eq!(fleet.apply(&reach(1, b"old")), no(Refusal::OldToken));
-    assert_eq!(fleet.apply(&reach(token, b"new")), no(Refusal::OldToken), "it has not begun");
-    assert_eq!(fleet.apply(&begin(token)), Outcome::Runs { key, cursor: b"half".to_vec() });
-    let end = |token, result: &[u8]| Entry::End { task: "t".into(), token, result: Ok(result.to_vec()) };
-    assert_eq!(fleet.apply(&end(1, b"old")), no(Refusal::OldToken));
+    assert_eq!(fleet.apply(&reach(1, b"old")), refused(Refusal::OldToken));
+    assert_eq!(fleet.apply(&reach(token, b"new")), refused(Refusal::OldToken), "it has not begun");
+    assert_eq!(fleet.apply(&begin(token)), Outcome::RunBegun { key, cursor: b"half".to_vec() });
+    let end = |token, result: &[u8]| Entry::EndRun { task: "t".into(), token, result: Ok(result.to_vec()) };
+    assert_eq!(fleet.apply(&end(1, b"old")), refused(Refusal::OldToken));
     assert_eq!(fleet.apply(&end(token, b"done")), Outcome::Done);
     let task = fleet.task("t").unwrap();
     assert_eq!((task.last_due, task.result.as_deref(), &task.run), (Some(100), Some(&b"done"[..]), &None));
-    assert_eq!(fleet.apply(&begin(token)), no(Refusal::Nothing), "that time is done");
+    assert_eq!(fleet.apply(&begin(token)), refused(Refusal::NotFound), "that time is done");
     // Asked for by operators, it runs once more, under another key.
-    fleet.apply(&Entry::Ask { task: "t".into() });
-    let Outcome::Runs { key: other, .. } = fleet.apply(&begin(token)) else { panic!() };
+    fleet.apply(&Entry::RequestRun { task: "t".into() });
+    let Outcome::RunBegun { key: other, .. } = fleet.apply(&begin(token)) else { panic!() };
     assert!(other > key);
 }
 
@@ -141,21 +141,21 @@
     for holder in &holders {
         fleet.apply(&Entry::Acquire { lease: lease.clone(), holder: holder.clone() });
     }
-    let begin = |token| Entry::Begin { task: "t".into(), token, due: 100 };
-    for _ in 0..MAX_HOLDERS {
+    let begin = |token| Entry::BeginRun { task: "t".into(), token, due: 100 };
+    for _ in 0..MAX_HOLDERS_PER_RUN {
         let token = fleet.lease(&lease).unwrap().token;
-        assert!(matches!(fleet.apply(&begin(token)), Outcome::Runs { .. }));
+        assert!(matches!(fleet.apply(&begin(token)), Outcome::RunBegun { .. }));
         fleet.apply(&Entry::Expire { lease: lease.clone(), token });
     }
     let token = fleet.lease(&lease).unwrap().token;
-    assert_eq!(fleet.apply(&begin(token)), no(Refusal::Stopped));
-    assert!(fleet.task("t").unwrap().aside.as_deref().unwrap().contains("3 holders in turn"));
-    assert_eq!(fleet.apply(&Entry::Ask { task: "t".into() }), no(Refusal::Stopped));
+    assert_eq!(fleet.apply(&begin(token)), refused(Refusal::Stopped));
+    assert!(fleet.task("t").unwrap().disabled_reason.as_deref().unwrap().contains("3 holders in turn"));
+    assert_eq!(fleet.apply(&Entry::RequestRun { task: "t".into() }), refused(Refusal::Stopped));
     // Until operators take it up again.
-    fleet.apply(&Entry::Pause { task: "t".into(), on: false });
-    assert!(matches!(fleet.apply(&begin(token)), Outcome::Runs { .. }));
-    fleet.apply(&Entry::Pause { task: "t".into(), on: true });
-    assert_eq!(fleet.apply(&begin(token)), no(Refusal::Stopped));
+    fleet.apply(&Entry::Pause { task: "t".into(), paused: false });
+    assert!(matches!(fleet.apply(&begin(token)), Outcome::RunBegun { .. }));
+    fleet.apply(&Entry::Pause { task: "t".into(), paused: true });
+    assert_eq!(fleet.apply(&begin(token)), refused(Refusal::Stopped));
 }
 
 #[test]
@@ -163,26 +163,26 @@
     let mut fleet = Fleet::default();
     for n in 0..MAX_MEMBERS + 1 {
         let holder = Holder::new(&format!("m{n}"), 1);
-        let expected = if n < MAX_MEMBERS { Outcome::Done } else { no(Refusal::Full) };
+        let expected = if n < MAX_MEMBERS { Outcome::Done } else { refused(Refusal::Full) };
         assert_eq!(fleet.apply(&Entry::Enrol { holder }), expected);
     }
     let holder = |n: usize| Holder::new(&format!("m{n}"), 1);
     for n in 0..MAX_LEASES + 1 {
         let outcome = fleet.apply(&Entry::Acquire { lease: format!("l{n}"), holder: holder(0) });
-        assert_eq!(outcome == no(Refusal::Full), n >= MAX_LEASES);
+        assert_eq!(outcome == refused(Refusal::Full), n >= MAX_LEASES);
     }
     for n in 0..MAX_TASKS + 1 {
-        let outcome = fleet.apply(&Entry::Ask { task: format!("t{n}") });
-        assert_eq!(outcome == no(Refusal::Full), n >= MAX_TASKS);
+        let outcome = fleet.apply(&Entry::RequestRun { task: format!("t{n}") });
+        assert_eq!(outcome == refused(Refusal::Full), n >= MAX_TASKS);
     }
     // A line as long as there are members: the next one is not enrolled, and so cannot wait.
     for n in 1..MAX_MEMBERS {
         fleet.apply(&Entry::Acquire { lease: "l0".into(), holder: holder(n) });
     }
     assert!(fleet.lease("l0").unwrap().waiters.len() <= MAX_WAITERS);
-    let long = "x".repeat(MAX_NAME + 1);
-    assert_eq!(fleet.apply(&Entry::Enrol { holder: Holder::new(&long, 1) }), no(Refusal::TooLong));
-    assert_eq!(fleet.apply(&Entry::Ask { task: String::new() }), no(Refusal::TooLong));
+    let long = "x".repeat(MAX_NAME_BYTES + 1);
+    assert_eq!(fleet.apply(&Entry::Enrol { holder: Holder::new(&long, 1) }), refused(Refusal::TooLong));
+    assert_eq!(fleet.apply(&Entry::RequestRun { task: String::new() }), refused(Refusal::TooLong));
 }
 
 fn entries() -> impl Strategy<Value = Entry> {
@@ -198,12 +198,12 @@
         (lease(), token()).prop_map(|(lease, token)| Entry::Expire { lease, token }),
         (lease(), token()).prop_map(|(lease, token)| Entry::Act { lease, token, note: vec![1] }),
         lease().prop_map(|lease| Entry::Revoke { lease }),
-        (task(), token(), 0i64..4).prop_map(|(task, token, due)| Entry::Begin { task, token, due }),
-        (task(), token()).prop_map(|(task, token)| Entry::Reach { task, token, cursor: vec![2] }),
-        (task(), token()).prop_map(|(task, token)| Entry::End { task, token, result: Ok(vec![]) }),
-        (task(), token(), 0i64..4).prop_map(|(task, token, due)| Entry::Skip { task, token, due }),
-        (task(), any::<bool>()).prop_map(|(task, on)| Entry::Pause { task, on }),
-        task().prop_map(|task| Entry::Ask { task }),
+        (task(), token(), 0i64..4).prop_map(|(task, token, due)| Entry::BeginRun { task, token, due }),
+        (task(), token()).prop_map(|(task, token)| Entry::SaveCursor { task, token, cursor: vec![2] }),
+        (task(), token()).prop_map(|(task, token)| Entry::EndRun { task, token, result: Ok(vec![]) }),
+        (task(), token(), 0i64..4).prop_map(|(task, token, due)| Entry::SkipDue { task, token, due }),
+        (task(), any::<bool>()).prop_map(|(task, paused)| Entry::Pause { task, paused }),
+        task().prop_map(|task| Entry::RequestRun { task }),
     ]
 }
 
@@ -238,7 +238,7 @@
                 }
             }
             held = fleet.leases().map(|(name, lease)| (name.to_string(), lease.token)).collect();
-            highest = fleet.tokens();
+            highest = fleet.last_token();
         }
         if cut < entries.len() {
             prop_assert_eq!(fleet.save(), other.save());
--- a/crates/fleet/src/tasks.rs
+++ b/crates/fleet/src/tasks.rs
@@ -1,23 +1,23 @@
 //! What the process that holds a task's lease does next: begins what is due, calls, tries again within its budget, and says what came
 //! of it. A result counts only once it is agreed.
 //!
-//! One [`Runner`] a task, in every process; all but the holder's have nothing to do.
+//! One [`TaskRunner`] a task, in every process; all but the holder's have nothing to do.
 
-use crate::holder::{Grade, Leases, NoPermit};
-use crate::schedule::{Due, Missed, When, due};
+use crate::holder::{Grade, HeldLeases, NoPermit};
+use crate::schedule::{Due, Missed, Schedule, due};
 use crate::state::{Entry, Fleet, Outcome, Refusal, lease_of_task};
 use std::time::Duration;
 
 /// An entry that was proposed and of which nothing is heard is proposed again after this. Entries of tasks are safe to say twice.
-pub const PROPOSE_AGAIN: Duration = Duration::from_secs(1);
+pub const PROPOSE_AGAIN_AFTER: Duration = Duration::from_secs(1);
 
 /// A task, as the operator's file has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
+pub struct TaskSpec {
     /// Its name.
     pub name: String,
     /// When it is due.
-    pub when: When,
+    pub when: Schedule,
     /// What happens to times that nobody ran.
     pub missed: Missed,
     /// How safe its acts are.
@@ -27,25 +27,25 @@
     /// Calls for one time, the first included, by each holder.
     pub tries: u32,
     /// Between two of them; twice as long each time.
-    pub wait: Duration,
+    pub backoff: Duration,
     /// For so long after its time a run counts as in time, where what was missed is let go.
-    pub late: Duration,
+    pub max_lateness: Duration,
 }
 
 /// The longest wait between two calls.
-const MAX_WAIT: Duration = Duration::from_secs(300);
+const MAX_BACKOFF: Duration = Duration::from_secs(300);
 
 /// What came of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Called {
+pub enum CallOutcome {
     /// All is done, with this result.
     Done(Vec<u8>),
     /// It has come so far; there is more.
-    More(Vec<u8>),
+    Partial(Vec<u8>),
     /// It failed, and may be tried again.
     Failed(String),
     /// What is called has seen a higher token: this process has lost the lease.
-    TurnedAway,
+    OldToken,
 }
 
 /// What is to be done.
@@ -75,34 +75,34 @@
     /// Nothing is under way here.
     Idle,
     /// The run was begun here, under this token.
-    Runs { token: u64, key: u64, cursor: Vec<u8>, tries: u32, next: Duration },
+    Ready { token: u64, key: u64, cursor: Vec<u8>, tries: u32, next_call: Duration },
     /// A call is out.
-    Calls { token: u64, key: u64, cursor: Vec<u8>, tries: u32, number: u64, until: Duration },
+    Calling { token: u64, key: u64, cursor: Vec<u8>, tries: u32, number: u64, until: Duration },
     /// Something is on its way into the log.
-    Says { entry: Entry, token: u64, key: u64, again: Duration, tries: u32 },
+    Proposing { entry: Entry, token: u64, key: u64, retry_at: Duration, tries: u32 },
 }
 
 /// The holder's side of one task.
 #[derive(Clone, Debug)]
-pub struct Runner {
-    spec: Spec,
+pub struct TaskRunner {
+    spec: TaskSpec,
     lease: String,
     state: State,
     /// When this process first heard of the task, in Unix seconds: what was due before is not missed.
-    since: i64,
+    first_seen: i64,
     calls: u64,
 }
 
-impl Runner {
+impl TaskRunner {
     /// A task, first heard of at this time.
-    pub fn new(spec: Spec, unix: i64) -> Runner {
+    pub fn new(spec: TaskSpec, unix: i64) -> TaskRunner {
         let lease = lease_of_task(&spec.name);
-        Runner { spec, lease, state: State::Idle, since: unix, calls: 0 }
+        TaskRunner { spec, lease, state: State::Idle, first_seen: unix, calls: 0 }
     }
 
     /// The fleet's time when this process first heard it.
-    pub fn begins(&mut self, unix: i64) {
-        self.since = unix;
+    pub fn set_first_seen(&mut self, unix: i64) {
+        self.first_seen = unix;
     }
 
     /// The lease under which it runs.
@@ -111,30 +111,30 @@
     }
 
     /// What the operator's file has of it.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &TaskSpec {
         &self.spec
     }
 
     /// Takes up what the file has of it now. What is under way goes on.
-    pub fn respecify(&mut self, spec: Spec) {
+    pub fn set_spec(&mut self, spec: TaskSpec) {
         self.spec = spec;
     }
 
     /// Time has passed, or the agreed state is another: what is to be done now.
-    pub fn step(&mut self, now: Duration, unix: i64, leases: &Leases, fleet: &Fleet) -> Vec<Action> {
+    pub fn step(&mut self, now: Duration, unix: i64, leases: &HeldLeases, fleet: &Fleet) -> Vec<Action> {
         let Some(held) = leases.held(now, &self.lease) else {
             // A call that is out ends by its own time-out.
             self.state = State::Idle;
             return Vec::new();
         };
         match &self.state {
-            State::Calls { token, until, .. } if *token == held.token && now < *until => {
+            State::Calling { token, until, .. } if *token == held.token && now < *until => {
                 return vec![Action::Wake(*until)];
             }
-            State::Calls { token, key, cursor, tries, .. } if *token == held.token => {
+            State::Calling { token, key, cursor, tries, .. } if *token == held.token => {
                 // Nothing was heard of it in its time.
                 let (key, cursor, tries) = (*key, cursor.clone(), *tries);
-                return self.failed(
+                return self.on_failure(
                     now,
                     held.token,
                     key,
@@ -143,16 +143,16 @@
                     "nothing came of it in its time".into(),
                 );
             }
-            State::Says { token, again, entry, .. } if *token == held.token => {
-                if now < *again {
-                    return vec![Action::Wake(*again)];
+            State::Proposing { token, retry_at, entry, .. } if *token == held.token => {
+                if now < *retry_at {
+                    return vec![Action::Wake(*retry_at)];
                 }
                 let entry = entry.clone();
-                return self.again(now, entry);
+                return self.propose_again(now, entry);
             }
-            State::Runs { token, next, .. } if *token == held.token => {
-                let next = *next;
-                return if now < next { vec![Action::Wake(next)] } else { self.call(now, leases) };
+            State::Ready { token, next_call, .. } if *token == held.token => {
+                let next_call = *next_call;
+                return if now < next_call { vec![Action::Wake(next_call)] } else { self.call(now, leases) };
             }
             _ => self.state = State::Idle,
         }
@@ -162,57 +162,59 @@
     /// What is due, if anything is.
     fn begin(&mut self, now: Duration, unix: i64, token: u64, fleet: &Fleet) -> Vec<Action> {
         let task = fleet.task(&self.spec.name);
-        if task.is_some_and(|task| task.paused || task.aside.is_some()) {
+        if task.is_some_and(|task| task.paused || task.disabled_reason.is_some()) {
             return Vec::new();
         }
         let name = self.spec.name.clone();
         // One that was begun is ended first, whoever began it.
         if let Some(run) = task.and_then(|task| task.run.as_ref()) {
-            return self.say(now, token, 0, 0, Entry::Begin { task: name, token, due: run.due });
+            return self.propose(now, token, 0, 0, Entry::BeginRun { task: name, token, due: run.due });
         }
-        if task.is_some_and(|task| task.asked) {
-            return self.say(now, token, 0, 0, Entry::Begin { task: name, token, due: unix });
+        if task.is_some_and(|task| task.run_requested) {
+            return self.propose(now, token, 0, 0, Entry::BeginRun { task: name, token, due: unix });
         }
-        let last = task.and_then(|task| task.last_due).unwrap_or(self.since);
-        match due(&self.spec.when, self.spec.missed, last, unix, self.spec.late) {
-            Due::Run(due) => self.say(now, token, 0, 0, Entry::Begin { task: name, token, due }),
-            Due::Skip(due) => self.say(now, token, 0, 0, Entry::Skip { task: name, token, due }),
-            Due::Not(Some(at)) => {
+        let last = task.and_then(|task| task.last_due).unwrap_or(self.first_seen);
+        match due(&self.spec.when, self.spec.missed, last, unix, self.spec.max_lateness) {
+            Due::Run(due) => self.propose(now, token, 0, 0, Entry::BeginRun { task: name, token, due }),
+            Due::Skip(due) => self.propose(now, token, 0, 0, Entry::SkipDue { task: name, token, due }),
+            Due::NotBefore(Some(at)) => {
                 let wait = Duration::from_secs(u64::try_from(at - unix).unwrap_or(0).min(60));
                 vec![Action::Wake(now + wait)]
             }
-            Due::Not(None) => Vec::new(),
+            Due::NotBefore(None) => Vec::new(),
         }
     }
 
-    fn say(&mut self, now: Duration, token: u64, key: u64, tries: u32, entry: Entry) -> Vec<Action> {
-        let again = now + PROPOSE_AGAIN;
-        self.state = State::Says { entry: entry.clone(), token, key, again, tries };
-        vec![Action::Propose(entry), Action::Wake(again)]
+    fn propose(&mut self, now: Duration, token: u64, key: u64, tries: u32, entry: Entry) -> Vec<Action> {
+        let retry_at = now + PROPOSE_AGAIN_AFTER;
+        self.state = State::Proposing { entry: entry.clone(), token, key, retry_at, tries };
+        vec![Action::Propose(entry), Action::Wake(retry_at)]
     }
 
-    fn again(&mut self, now: Duration, said: Entry) -> Vec<Action> {
-        let State::Says { token, key, tries, .. } = self.state else { return Vec::new() };
-        self.say(now, token, key, tries, said)
+    fn propose_again(&mut self, now: Duration, proposed: Entry) -> Vec<Action> {
+        let State::Proposing { token, key, tries, .. } = self.state else { return Vec::new() };
+        self.propose(now, token, key, tries, proposed)
     }
 
     /// An entry of this task was agreed, with this outcome. Those of other holders are heard too.
-    pub fn agreed(&mut self, now: Duration, entry: &Entry, outcome: &Outcome) -> Vec<Action> {
-        let State::Says { entry: said, token, key, tries, .. } = &self.state else { return Vec::new() };
-        if said != entry {
+    pub fn on_outcome(&mut self, now: Duration, entry: &Entry, outcome: &Outcome) -> Vec<Action> {
+        let State::Proposing { entry: proposed, token, key, tries, .. } = &self.state else {
+            return Vec::new();
+        };
+        if proposed != entry {
             return Vec::new();
         }
         let (token, key, tries) = (*token, *key, *tries);
         match (entry, outcome) {
-            (Entry::Begin { .. }, Outcome::Runs { key, cursor }) => {
+            (Entry::BeginRun { .. }, Outcome::RunBegun { key, cursor }) => {
                 let (key, cursor) = (*key, cursor.clone());
-                self.state = State::Runs { token, key, cursor, tries: 0, next: now };
+                self.state = State::Ready { token, key, cursor, tries: 0, next_call: now };
                 vec![Action::Wake(now)]
             }
-            (Entry::Reach { cursor, .. }, Outcome::Done) => {
+            (Entry::SaveCursor { cursor, .. }, Outcome::Done) => {
                 // What has come further has the whole budget again.
                 let _ = tries;
-                self.state = State::Runs { token, key, cursor: cursor.clone(), tries: 0, next: now };
+                self.state = State::Ready { token, key, cursor: cursor.clone(), tries: 0, next_call: now };
                 vec![Action::Wake(now)]
             }
             (_, Outcome::Refused(Refusal::OldToken)) => {
@@ -226,20 +228,20 @@
         }
     }
 
-    fn call(&mut self, now: Duration, leases: &Leases) -> Vec<Action> {
-        let State::Runs { token, key, cursor, tries, .. } = &self.state else { return Vec::new() };
+    fn call(&mut self, now: Duration, leases: &HeldLeases) -> Vec<Action> {
+        let State::Ready { token, key, cursor, tries, .. } = &self.state else { return Vec::new() };
         let (token, key, cursor, tries) = (*token, *key, cursor.clone(), *tries);
         match leases.may_act(now, &self.lease, self.spec.grade) {
             Ok(permit) if permit.token == token => {
                 self.calls += 1;
                 let (number, until) = (self.calls, (now + self.spec.timeout).min(permit.until));
                 self.state =
-                    State::Calls { token, key, cursor: cursor.clone(), tries: tries + 1, number, until };
+                    State::Calling { token, key, cursor: cursor.clone(), tries: tries + 1, number, until };
                 vec![Action::Call { number, token, key, cursor, until }, Action::Wake(until)]
             }
-            Err(NoPermit::Settles { until }) => vec![Action::Wake(until)],
+            Err(NoPermit::PreviousHolderMayAct { until }) => vec![Action::Wake(until)],
             // The lease may go on: it is looked at again.
-            Err(NoPermit::TooLate) => vec![Action::Wake(now + self.spec.wait.min(MAX_WAIT))],
+            Err(NoPermit::TooLate) => vec![Action::Wake(now + self.spec.backoff.min(MAX_BACKOFF))],
             _ => {
                 self.state = State::Idle;
                 Vec::new()
@@ -248,8 +250,8 @@
     }
 
     /// What came of a call.
-    pub fn called(&mut self, now: Duration, number: u64, came: Called) -> Vec<Action> {
-        let State::Calls { token, key, cursor, tries, number: out, .. } = &self.state else {
+    pub fn on_call_outcome(&mut self, now: Duration, number: u64, outcome: CallOutcome) -> Vec<Action> {
+        let State::Calling { token, key, cursor, tries, number: out, .. } = &self.state else {
             return Vec::new();
         };
         // Guards against what came of a call that was given up.
@@ -258,20 +260,22 @@
         }
         let (token, key, cursor, tries) = (*token, *key, cursor.clone(), *tries);
         let task = self.spec.name.clone();
-        match came {
-            Called::Done(result) => {
-                self.say(now, token, key, tries, Entry::End { task, token, result: Ok(result) })
+        match outcome {
+            CallOutcome::Done(result) => {
+                self.propose(now, token, key, tries, Entry::EndRun { task, token, result: Ok(result) })
+            }
+            CallOutcome::Partial(cursor) => {
+                self.propose(now, token, key, tries, Entry::SaveCursor { task, token, cursor })
             }
-            Called::More(cursor) => self.say(now, token, key, tries, Entry::Reach { task, token, cursor }),
-            Called::Failed(why) => self.failed(now, token, key, cursor, tries, why),
-            Called::TurnedAway => {
+            CallOutcome::Failed(why) => self.on_failure(now, token, key, cursor, tries, why),
+            CallOutcome::OldToken => {
                 self.state = State::Idle;
                 Vec::new()
             }
         }
     }
 
-    fn failed(
+    fn on_failure(
         &mut self,
         now: Duration,
         token: u64,
@@ -283,12 +287,12 @@
         if tries >= self.spec.tries {
             let why: String = format!("{tries} calls failed, the last: {why}").chars().take(200).collect();
             let task = self.spec.name.clone();
-            return self.say(now, token, key, tries, Entry::End { task, token, result: Err(why) });
+            return self.propose(now, token, key, tries, Entry::EndRun { task, token, result: Err(why) });
         }
-        let wait = self.spec.wait.saturating_mul(1 << (tries.saturating_sub(1)).min(16)).min(MAX_WAIT);
-        let next = now + wait;
-        self.state = State::Runs { token, key, cursor, tries, next };
-        vec![Action::Wake(next)]
+        let wait = self.spec.backoff.saturating_mul(1 << (tries.saturating_sub(1)).min(16)).min(MAX_BACKOFF);
+        let next_call = now + wait;
+        self.state = State::Ready { token, key, cursor, tries, next_call };
+        vec![Action::Wake(next_call)]
     }
 }
 
--- a/crates/fleet/src/time.rs
+++ b/crates/fleet/src/timing.rs
@@ -1,47 +1,47 @@
 //! The terms on which leases are given: how long they last, and how far clocks may differ.
 
-use crate::mutants::{Mutant, left_out};
+use crate::mutants::{Mutant, is_active};
 use std::time::Duration;
 
 /// Parts of a thousand.
-const MILLE: u32 = 1000;
+const PERMILLE: u32 = 1000;
 
 /// What all members have agreed on beforehand; it comes from the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTiming {
     /// How long a lease lasts from the moment at which the holder asked for it, or for it to go on.
     pub ttl: Duration,
     /// How far the rate of a clock may be off, in thousandths, to either side. Two clocks that are both off still keep the
     /// promise.
-    pub drift: u32,
+    pub drift_permille: u32,
 }
 
-impl Terms {
+impl LeaseTiming {
     /// For how long by its own clock a holder counts on what it was given.
-    pub fn held_for(&self) -> Duration {
-        if left_out(Mutant::NoDriftMargin) {
+    pub fn holder_ttl(&self) -> Duration {
+        if is_active(Mutant::NoDriftMargin) {
             return self.ttl;
         }
-        self.ttl * (MILLE - self.drift.min(MILLE)) / MILLE
+        self.ttl * (PERMILLE - self.drift_permille.min(PERMILLE)) / PERMILLE
     }
 
     /// How long by its own clock the leader waits before it gives the lease to another.
-    pub fn waited_for(&self) -> Duration {
-        if left_out(Mutant::NoDriftMargin) {
+    pub fn expiry_wait(&self) -> Duration {
+        if is_active(Mutant::NoDriftMargin) {
             return self.ttl;
         }
-        self.ttl * (MILLE + self.drift) / MILLE
+        self.ttl * (PERMILLE + self.drift_permille) / PERMILLE
     }
 
     /// How long by its own clock a process waits so that another one's `time` is over.
-    pub fn outlast(&self, time: Duration) -> Duration {
+    pub fn wait_to_outlast(&self, time: Duration) -> Duration {
         // Twice: the other clock may be slow, and this one fast.
-        time * (MILLE + self.drift) / MILLE.saturating_sub(self.drift).max(1)
+        time * (PERMILLE + self.drift_permille) / PERMILLE.saturating_sub(self.drift_permille).max(1)
     }
 
     /// How often a holder asks for its leases to go on: three times may be lost.
-    pub fn ask_every(&self) -> Duration {
-        self.held_for() / 4
+    pub fn renewal_interval(&self) -> Duration {
+        self.holder_ttl() / 4
     }
 }
 
@@ -52,14 +52,15 @@
     /// In true time a holder with the slowest clock is done before a leader with the fastest one gives the lease away.
     #[test]
     fn clocks_that_are_off_to_either_side_keep_the_promise() {
-        for drift in [0, 1, 50, 100, 200] {
-            let terms = Terms { ttl: Duration::from_secs(10), drift };
-            let (slow, fast) = (f64::from(1000 - drift) / 1000.0, f64::from(1000 + drift) / 1000.0);
-            let held = terms.held_for().as_secs_f64() / slow;
-            let waited = terms.waited_for().as_secs_f64() / fast;
-            assert!(held <= waited + 1e-9, "{drift}: {held} {waited}");
+        for drift_permille in [0, 1, 50, 100, 200] {
+            let terms = LeaseTiming { ttl: Duration::from_secs(10), drift_permille };
+            let (slow, fast) =
+                (f64::from(1000 - drift_permille) / 1000.0, f64::from(1000 + drift_permille) / 1000.0);
+            let held = terms.holder_ttl().as_secs_f64() / slow;
+            let waited = terms.expiry_wait().as_secs_f64() / fast;
+            assert!(held <= waited + 1e-9, "{drift_permille}: {held} {waited}");
             let other = 3.0 / slow;
-            assert!(terms.outlast(Duration::from_secs(3)).as_secs_f64() / fast >= other - 1e-6);
+            assert!(terms.wait_to_outlast(Duration::from_secs(3)).as_secs_f64() / fast >= other - 1e-6);
         }
     }
 }
--- a/crates/fleet/src/wall.rs
+++ b/crates/fleet/src/wall_clock.rs
@@ -8,85 +8,88 @@
 pub const MAX_CLOCKS: usize = 1024;
 
 /// A second, in milliseconds.
-const SECOND: i64 = 1000;
+const MS_PER_SECOND: i64 = 1000;
 /// What is said is a whole second, and may have been on its way for half of one: what is known is kept while it is no further off.
-const OFF: i64 = SECOND + SECOND / 2;
+const MAX_ERROR_MS: i64 = MS_PER_SECOND + MS_PER_SECOND / 2;
 /// What is known fades by this part of the time that passes: more than clocks differ in their rates.
-const FADES: i64 = 20;
+const DECAY_DIVISOR: i64 = 20;
 
 /// A clock that says whole seconds. What it says is true at some moment of a second, so each word gives a bound; the best of late is
 /// kept. Guards against a time that is missed: whoever went by the last word alone was off by up to a second, another one with each
 /// who leads, and where the time jumped over a second nothing was run for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Clock {
+pub struct SecondsClock {
     /// By how much it is ahead of this process's monotone clock, at least, in milliseconds.
-    ahead: i64,
-    heard: Duration,
+    offset_ms: i64,
+    updated: Duration,
 }
 
-impl Clock {
+impl SecondsClock {
     /// One that shows this many seconds.
-    pub fn new(now: Duration, unix: i64) -> Clock {
-        Clock { ahead: unix.saturating_mul(SECOND).saturating_sub(millis(now)), heard: now }
+    pub fn new(now: Duration, unix: i64) -> SecondsClock {
+        SecondsClock {
+            offset_ms: unix.saturating_mul(MS_PER_SECOND).saturating_sub(millis(now)),
+            updated: now,
+        }
     }
 
     /// It shows this now.
-    pub fn heard(&mut self, now: Duration, unix: i64) {
-        let least = Clock::new(now, unix);
-        let known = self.ahead.saturating_sub(millis(now.saturating_sub(self.heard)) / FADES);
-        let holds = (least.ahead..least.ahead.saturating_add(OFF)).contains(&known);
-        *self = if holds { Clock { ahead: known, heard: now } } else { least };
+    pub fn observe(&mut self, now: Duration, unix: i64) {
+        let least = SecondsClock::new(now, unix);
+        let known = self.offset_ms.saturating_sub(millis(now.saturating_sub(self.updated)) / DECAY_DIVISOR);
+        let holds = (least.offset_ms..least.offset_ms.saturating_add(MAX_ERROR_MS)).contains(&known);
+        *self = if holds { SecondsClock { offset_ms: known, updated: now } } else { least };
     }
 
     /// What it shows at this moment, in Unix seconds.
-    pub fn unix(&self, now: Duration) -> i64 {
-        self.ahead.saturating_add(millis(now)).div_euclid(SECOND)
+    pub fn unix_seconds(&self, now: Duration) -> i64 {
+        self.offset_ms.saturating_add(millis(now)).div_euclid(MS_PER_SECOND)
     }
 }
 
 /// What the one that leads has heard of members' clocks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Walls {
-    clocks: BTreeMap<String, Clock>,
+pub struct MemberClocks {
+    clocks: BTreeMap<String, SecondsClock>,
 }
 
 fn millis(time: Duration) -> i64 {
     i64::try_from(time.as_millis()).unwrap_or(i64::MAX)
 }
 
-impl Walls {
+impl MemberClocks {
     /// A member's clock shows this. Several starts of it have one clock, which counts once.
-    pub fn heard(&mut self, now: Duration, member: &str, unix: i64) {
+    pub fn observe(&mut self, now: Duration, member: &str, unix: i64) {
         if let Some(clock) = self.clocks.get_mut(member) {
-            clock.heard(now, unix);
+            clock.observe(now, unix);
         } else if self.clocks.len() < MAX_CLOCKS {
-            self.clocks.insert(member.to_string(), Clock::new(now, unix));
+            self.clocks.insert(member.to_string(), SecondsClock::new(now, unix));
         }
     }
 
     /// Clocks that were not heard of for so long count no more.
-    pub fn forget(&mut self, now: Duration, after: Duration) {
-        self.clocks.retain(|_, clock| now.saturating_sub(clock.heard) < after);
+    pub fn forget_silent(&mut self, now: Duration, after: Duration) {
+        self.clocks.retain(|_, clock| now.saturating_sub(clock.updated) < after);
     }
 
     /// The middle one, in Unix seconds, once so many were heard: of fewer it might be the wrong one.
-    pub fn unix(&self, now: Duration, least: usize) -> Option<i64> {
-        Some(self.middle(least)?.unix(now))
+    pub fn unix_seconds(&self, now: Duration, least: usize) -> Option<i64> {
+        Some(self.median(least)?.unix_seconds(now))
     }
 
     /// The same in Unix milliseconds, by this process's own clock on the wall as far as that agrees with the middle one.
     pub fn unix_ms(&self, now: Duration, own: Duration, least: usize) -> Option<u64> {
-        let middle = self.middle(least)?.ahead.saturating_add(millis(now));
-        let unix = millis(own).clamp(middle, middle.saturating_add(OFF));
+        let median = self.median(least)?.offset_ms.saturating_add(millis(now));
+        let unix = millis(own).clamp(median, median.saturating_add(MAX_ERROR_MS));
         Some(u64::try_from(unix).unwrap_or(0))
     }
 
-    fn middle(&self, least: usize) -> Option<&Clock> {
+    fn median(&self, least: usize) -> Option<&SecondsClock> {
         if self.clocks.len() < least {
             return None;
         }
-        let mut all: Vec<&Clock> = self.clocks.values().collect();
-        all.sort_unstable_by_key(|clock| clock.ahead);
+        let mut all: Vec<&SecondsClock> = self.clocks.values().collect();
+        all.sort_unstable_by_key(|clock| clock.offset_ms);
         // Of an even number the lower one: early tasks cannot be undone.
         all.get(all.len().checked_sub(1)? / 2).copied()
     }
@@ -98,35 +101,35 @@
 
     #[test]
     fn one_clock_that_jumps_changes_nothing() {
-        let mut walls = Walls::default();
+        let mut clocks = MemberClocks::default();
         let holder = |n: u64| format!("n{n}");
         let now = Duration::from_secs(50);
-        assert_eq!(walls.unix(now, 1), None);
+        assert_eq!(clocks.unix_seconds(now, 1), None);
         for n in 0..3 {
-            walls.heard(now, &holder(n), 1000 + n as i64);
+            clocks.observe(now, &holder(n), 1000 + n as i64);
         }
-        assert_eq!(walls.unix(now, 3), Some(1001));
+        assert_eq!(clocks.unix_seconds(now, 3), Some(1001));
         for jump in [-100_000, 100_000, i64::MIN, i64::MAX] {
-            walls.heard(now, &holder(1), jump);
-            let shown = walls.unix(now, 2).unwrap();
+            clocks.observe(now, &holder(1), jump);
+            let shown = clocks.unix_seconds(now, 2).unwrap();
             assert!((1000..=1002).contains(&shown), "{shown}");
         }
         // It goes on by the monotone clock.
-        walls.heard(now, &holder(1), 1001);
-        assert_eq!(walls.unix(now + Duration::from_secs(9), 1), Some(1010));
+        clocks.observe(now, &holder(1), 1001);
+        assert_eq!(clocks.unix_seconds(now + Duration::from_secs(9), 1), Some(1010));
         // Of two the earlier one counts.
-        walls.heard(now + Duration::from_secs(100), &holder(0), 1100);
-        walls.heard(now + Duration::from_secs(100), &holder(2), 1200);
-        walls.forget(now + Duration::from_secs(100), Duration::from_secs(60));
-        assert_eq!(walls.unix(now + Duration::from_secs(100), 3), None);
-        assert_eq!(walls.unix(now + Duration::from_secs(100), 2), Some(1100));
+        clocks.observe(now + Duration::from_secs(100), &holder(0), 1100);
+        clocks.observe(now + Duration::from_secs(100), &holder(2), 1200);
+        clocks.forget_silent(now + Duration::from_secs(100), Duration::from_secs(60));
+        assert_eq!(clocks.unix_seconds(now + Duration::from_secs(100), 3), None);
+        assert_eq!(clocks.unix_seconds(now + Duration::from_secs(100), 2), Some(1100));
     }
 
     #[test]
     fn clocks_are_bounded() {
-        let mut walls = Walls::default();
-        (0..2000).for_each(|n| walls.heard(Duration::ZERO, &format!("n{n}"), 5));
-        assert_eq!(walls.clocks.len(), MAX_CLOCKS);
+        let mut clocks = MemberClocks::default();
+        (0..2000).for_each(|n| clocks.observe(Duration::ZERO, &format!("n{n}"), 5));
+        assert_eq!(clocks.clocks.len(), MAX_CLOCKS);
     }
 
     /// Three members, asked four times a second by one that leads and then by another, and what one of them takes for the time: it
@@ -137,8 +140,8 @@
         for phase in 0..50 {
             // All times in milliseconds; each process's monotone clock begins elsewhere.
             let (begin, since, lost) = (1_000_000, [350 + 20 * phase, 7_130, 990], 6_000 + 20 * phase);
-            let mut walls = [Walls::default(), Walls::default()];
-            let (mut clock, mut shown) = (None::<Clock>, None);
+            let mut clocks = [MemberClocks::default(), MemberClocks::default()];
+            let (mut clock, mut shown) = (None::<SecondsClock>, None);
             for time in (0..12_000).step_by(10) {
                 // For 800 ms nobody leads.
                 let leads = if time < lost { Some(0) } else { (time >= lost + 800).then_some(1) };
@@ -147,14 +150,14 @@
                 if let Some(leads) = leads {
                     let there = ms(since[leads] + time);
                     for member in (0..3).filter(|n| (time + 80 * n) % 250 == 0) {
-                        walls[leads].heard(there, &format!("n{member}"), truth);
-                        if let (0, Some(unix)) = (member, walls[leads].unix(there, 2)) {
-                            clock.get_or_insert(Clock::new(here, unix)).heard(here, unix);
+                        clocks[leads].observe(there, &format!("n{member}"), truth);
+                        if let (0, Some(unix)) = (member, clocks[leads].unix_seconds(there, 2)) {
+                            clock.get_or_insert(SecondsClock::new(here, unix)).observe(here, unix);
                         }
                     }
                 }
                 let Some(clock) = &clock else { continue };
-                let unix = clock.unix(here);
+                let unix = clock.unix_seconds(here);
                 assert!(unix <= truth, "{phase}: at {time} it is early");
                 if time > 2_000 {
                     assert!(begin + time < unix as u64 * 1000 + 1_400, "{phase}: at {time} it is late");
@@ -169,14 +172,14 @@
     /// A process whose own clock is off leads by the middle one.
     #[test]
     fn an_own_clock_counts_as_far_as_it_agrees() {
-        let mut walls = Walls::default();
+        let mut clocks = MemberClocks::default();
         let now = Duration::from_millis(50_300);
-        (0..3).for_each(|n| walls.heard(now, &format!("n{n}"), 1000));
-        let at = |own| walls.unix_ms(now, Duration::from_millis(own), 2);
+        (0..3).for_each(|n| clocks.observe(now, &format!("n{n}"), 1000));
+        let at = |own| clocks.unix_ms(now, Duration::from_millis(own), 2);
         assert_eq!(
             (at(1_000_700), at(7_000_000), at(5)),
             (Some(1_000_700), Some(1_001_500), Some(1_000_000))
         );
-        assert_eq!(walls.unix_ms(now, now, 4), None);
+        assert_eq!(clocks.unix_ms(now, now, 4), None);
     }
 }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -5,26 +5,27 @@
 //! terms allow. Messages are lost, doubled, late and out of order; any process may do nothing for any time, also between its look at
 //! the lease and the act.
 
-use jaspershunt_fleet::holder::{Grade, Leases};
-use jaspershunt_fleet::leader::{Leader, Question};
+use jaspershunt_fleet::holder::{Grade, HeldLeases};
+use jaspershunt_fleet::leader::{Leader, RenewalRequest};
 use jaspershunt_fleet::state::lease_of_task;
-use jaspershunt_fleet::{Entry, Fleet, Holder, Outcome, Terms};
+use jaspershunt_fleet::{Entry, Fleet, Holder, LeaseTiming, Outcome};
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-const TERMS: Terms = Terms { ttl: Duration::from_millis(40), drift: 100 };
+const TIMING: LeaseTiming = LeaseTiming { ttl: Duration::from_millis(40), drift_permille: 100 };
 /// Of a clock: milliseconds that it shows for each tick.
 const SLOW: u32 = 9;
 const FAST: u32 = 11;
 /// An act lasts a tick at most, and is paused or on its way for three at most, by any of these clocks.
-const GRADE: Grade = Grade::Timed { act: Duration::from_millis(11), way: Duration::from_millis(33) };
+const GRADE: Grade =
+    Grade::Timed { max_act: Duration::from_millis(11), max_delay: Duration::from_millis(33) };
 const ACT_TICKS: u8 = 1;
-const WAY_TICKS: u8 = 3;
+const DELAY_TICKS: u8 = 3;
 
 /// How far a search goes, and what it has in it.
 #[derive(Clone, Copy, Debug)]
-pub struct Rig {
+pub struct Search {
     pub ticks: u8,
     /// Questions of the first process, and of the second.
     pub asks: [u64; 2],
@@ -51,7 +52,7 @@
 }
 
 /// Nothing but what is in every search.
-pub const PLAIN: Rig = Rig {
+pub const BASE_SEARCH: Search = Search {
     ticks: 6,
     asks: [1, 1],
     changes: 0,
@@ -70,18 +71,18 @@
 type Answered = (usize, u64, Vec<(String, u64)>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World {
+pub struct ModelState {
     tick: u8,
     fleet: Fleet,
     processes: Vec<Process>,
     leading: usize,
-    leaders: [Option<Lead>; 2],
+    leaders: [Option<ModelLeader>; 2],
     changes: u8,
     snapshots: u8,
     questions: BTreeSet<(usize, u64)>,
     answers: BTreeSet<Answered>,
     /// Entries of processes on their way, which may come at any time.
-    said: BTreeSet<Said>,
+    in_flight: BTreeSet<InFlight>,
     /// What the one that leads has in its log, not agreed yet.
     pending: Vec<Entry>,
     highest: u64,
@@ -93,14 +94,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Said {
+enum InFlight {
     Release(u64),
     Reach(u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    leases: Leases,
+    leases: HeldLeases,
     rate: u32,
     asks: u64,
     /// It looked at its lease then, and may act.
@@ -112,7 +113,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Lead {
+struct ModelLeader {
     leader: Leader,
     rate: u32,
     /// What it knew when it was replaced, of which it has not heard.
@@ -120,7 +121,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum Event {
     Tick,
     Ask(usize),
     /// A question reaches a leader.
@@ -145,13 +146,13 @@
     Duration::from_millis(u64::from(rate) * u64::from(tick))
 }
 
-impl Rig {
+impl Search {
     fn rates(&self) -> [u32; 2] {
         if self.slow_first { [SLOW, FAST] } else { [FAST, SLOW] }
     }
 }
 
-impl World {
+impl ModelState {
     fn lease() -> String {
         lease_of_task("t")
     }
@@ -165,12 +166,13 @@
     }
 
     fn holds(&self, at: usize) -> bool {
-        self.processes[at].leases.held(self.now(at), &World::lease()).is_some()
+        self.processes[at].leases.held(self.now(at), &ModelState::lease()).is_some()
     }
 
     fn agree(&mut self, entry: &Entry) -> Outcome {
-        let held =
-            |fleet: &Fleet| fleet.lease(&World::lease()).map(|lease| (lease.holder.clone(), lease.token));
+        let held = |fleet: &Fleet| {
+            fleet.lease(&ModelState::lease()).map(|lease| (lease.holder.clone(), lease.token))
+        };
         let before = held(&self.fleet);
         let outcome = self.fleet.apply(entry);
         let after = held(&self.fleet);
@@ -181,7 +183,7 @@
             self.highest = self.highest.max(*token);
         }
         let after = after.map(|(_, token)| token);
-        if let (Entry::Reach { token, .. }, Outcome::Done) = (entry, &outcome)
+        if let (Entry::SaveCursor { token, .. }, Outcome::Done) = (entry, &outcome)
             && after != Some(*token)
         {
             self.wrong = Some("a cursor was written under an old token");
@@ -191,10 +193,10 @@
 
     fn confirm(&mut self, at: usize, fleet: &Fleet) {
         let Some(lead) = &mut self.leaders[at] else { return };
-        let answers = lead.leader.confirmed(fleet);
+        let answers = lead.leader.confirmation_succeeded(fleet);
         for answer in answers {
-            let asked = self.processes.iter().position(|one| *one.leases.me() == answer.question.holder);
-            self.answers.extend(asked.map(|asked| (asked, answer.question.number, answer.holds)));
+            let asker = self.processes.iter().position(|one| *one.leases.me() == answer.request.holder);
+            self.answers.extend(asker.map(|asker| (asker, answer.request.number, answer.leases)));
         }
     }
 
@@ -212,14 +214,14 @@
     }
 }
 
-impl Model for Rig {
-    type State = World;
-    type Action = Step;
+impl Model for Search {
+    type State = ModelState;
+    type Action = Event;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ModelState> {
         let rates = self.rates();
         let process = |n: usize| Process {
-            leases: Leases::new(Holder::new(&format!("n{n}"), 1), TERMS),
+            leases: HeldLeases::new(Holder::new(&format!("n{n}"), 1), TIMING),
             rate: rates[n],
             asks: 0,
             ready: None,
@@ -232,14 +234,15 @@
         for process in &processes {
             let holder = process.leases.me().clone();
             fleet.apply(&Entry::Enrol { holder: holder.clone() });
-            fleet.apply(&Entry::Acquire { lease: World::lease(), holder });
+            fleet.apply(&Entry::Acquire { lease: ModelState::lease(), holder });
         }
         if self.cursors {
-            fleet.apply(&Entry::Begin { task: "t".into(), token: 1, due: 1 });
+            fleet.apply(&Entry::BeginRun { task: "t".into(), token: 1, due: 1 });
         }
-        let highest = fleet.tokens();
-        let lead = Lead { leader: Leader::new(Duration::ZERO, TERMS), rate: rates[1], last_known: None };
-        vec![World {
+        let highest = fleet.last_token();
+        let lead =
+            ModelLeader { leader: Leader::new(Duration::ZERO, TIMING), rate: rates[1], last_known: None };
+        vec![ModelState {
             tick: 0,
             fleet,
             processes,
@@ -249,7 +252,7 @@
             snapshots: 0,
             questions: BTreeSet::new(),
             answers: BTreeSet::new(),
-            said: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             pending: vec![],
             highest,
             acts: vec![],
@@ -258,76 +261,77 @@
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+    fn actions(&self, world: &ModelState, steps: &mut Vec<Event>) {
         if world.wrong.is_some() {
             return;
         }
         if world.tick < self.ticks {
-            steps.push(Step::Tick);
+            steps.push(Event::Tick);
         }
         for (at, process) in world.processes.iter().enumerate() {
             // A question of one that holds nothing changes nothing but what the leader remembers of it.
-            let holder = world.fleet.lease(&World::lease()).map(|lease| &lease.holder);
+            let holder = world.fleet.lease(&ModelState::lease()).map(|lease| &lease.holder);
             let reason = holder == Some(process.leases.me()) || world.holds(at) || self.doubles;
-            if reason && process.asks < self.asks[at % 2] && process.leases.asks_at() <= world.now(at) {
-                steps.push(Step::Ask(at));
+            if reason && process.asks < self.asks[at % 2] && process.leases.next_renewal_at() <= world.now(at)
+            {
+                steps.push(Event::Ask(at));
             }
             if self.releases && !process.released && world.holds(at) {
-                steps.push(Step::GiveUp(at));
+                steps.push(Event::GiveUp(at));
             }
             if process.may_want {
-                steps.push(Step::Want(at));
+                steps.push(Event::Want(at));
             }
             if self.cursors && world.holds(at) {
-                steps.push(Step::Say(at));
+                steps.push(Event::Say(at));
             }
             if self.acts && !process.acted && process.ready.is_none() && world.holds(at) {
-                steps.push(Step::Look(at));
+                steps.push(Event::Look(at));
             }
-            if process.ready.is_some_and(|looked| world.tick <= looked + WAY_TICKS) {
-                steps.push(Step::Act(at));
+            if process.ready.is_some_and(|looked| world.tick <= looked + DELAY_TICKS) {
+                steps.push(Event::Act(at));
             }
         }
         for (at, number) in &world.questions {
             for (leader, lead) in world.leaders.iter().enumerate() {
                 if lead.is_some() {
-                    steps.push(Step::Hear(*at, *number, leader));
+                    steps.push(Event::Hear(*at, *number, leader));
                 }
             }
         }
         // One that is lost is one that is never heard.
         if self.slow_majority {
-            steps.push(Step::Confirm);
+            steps.push(Event::Confirm);
         }
         steps.extend(
-            world.answers.iter().map(|(at, number, holds)| Step::Answer(*at, *number, holds.clone())),
+            world.answers.iter().map(|(at, number, holds)| Event::Answer(*at, *number, holds.clone())),
         );
         if !world.pending.is_empty() {
-            steps.push(Step::Agree);
+            steps.push(Event::Agree);
         }
         if world.changes < self.changes {
-            steps.push(Step::Change(true));
+            steps.push(Event::Change(true));
             if !world.pending.is_empty() {
-                steps.push(Step::Change(false));
+                steps.push(Event::Change(false));
             }
         }
         if world.snapshots < self.snapshots {
-            steps.push(Step::Snapshot);
+            steps.push(Event::Snapshot);
         }
         if world.processes.len() < 2 + usize::from(self.starts) {
-            steps.push(Step::SecondStart);
+            steps.push(Event::SecondStart);
         }
-        steps.extend(world.said.iter().map(|said| match said {
-            Said::Release(token) => Step::Arrives(0, *token),
-            Said::Reach(token) => Step::Arrives(1, *token),
+        steps.extend(world.in_flight.iter().map(|said| match said {
+            InFlight::Release(token) => Event::Arrives(0, *token),
+            InFlight::Reach(token) => Event::Arrives(1, *token),
         }));
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
+    fn next_state(&self, last: &ModelState, step: Event) -> Option<ModelState> {
         let mut world = last.clone();
         match step {
             // The leader looks as soon as it can: the worst for those who hold.
-            Step::Tick => {
+            Event::Tick => {
                 world.tick += 1;
                 let (tick, fleet) = (world.tick, &world.fleet);
                 if let Some(lead) = world.leaders[world.leading].as_mut() {
@@ -337,50 +341,50 @@
                     world.pending.extend(ends);
                 }
             }
-            Step::Ask(at) => {
+            Event::Ask(at) => {
                 let now = world.now(at);
-                let number = world.processes[at].leases.ask(now)?;
+                let number = world.processes[at].leases.start_renewal(now)?;
                 world.processes[at].asks += 1;
                 world.questions.insert((at, number));
                 if self.prompt {
-                    let mut heard = self.next_state(&world, Step::Hear(at, number, world.leading))?;
+                    let mut heard = self.next_state(&world, Event::Hear(at, number, world.leading))?;
                     let (_, _, holds) = heard.answers.iter().find(|answer| answer.0 == at)?.clone();
-                    heard = self.next_state(&heard, Step::Answer(at, number, holds))?;
+                    heard = self.next_state(&heard, Event::Answer(at, number, holds))?;
                     return Some(heard);
                 }
             }
-            Step::Hear(at, number, leader) => {
+            Event::Hear(at, number, leader) => {
                 if !self.doubles {
                     world.questions.remove(&(at, number));
                 }
                 let (holder, tick) = (world.holder(at), world.tick);
                 let lead = world.leaders[leader].as_mut()?;
-                lead.leader.asks(clock(lead.rate, tick), Question { holder, number });
+                lead.leader.request_renewal(clock(lead.rate, tick), RenewalRequest { holder, number });
                 // One that was replaced hears of no majority, and its answers are never given.
                 let hears_at_once = leader == world.leading && !self.slow_majority;
                 let known = lead.last_known.clone().unwrap_or_else(|| world.fleet.clone());
-                if (hears_at_once || Leader::answers_alone()) && lead.leader.wants_confirmation() {
+                if (hears_at_once || Leader::answers_without_majority()) && lead.leader.begin_confirmation() {
                     world.confirm(leader, &known);
                 }
             }
-            Step::Confirm => {
+            Event::Confirm => {
                 // Only the one that leads hears a majority.
                 let (leading, fleet) = (world.leading, world.fleet.clone());
-                if !world.leaders[leading].as_mut()?.leader.wants_confirmation() {
+                if !world.leaders[leading].as_mut()?.leader.begin_confirmation() {
                     return None;
                 }
                 world.confirm(leading, &fleet);
             }
-            Step::Answer(at, number, holds) => {
+            Event::Answer(at, number, holds) => {
                 let now = world.now(at);
-                world.processes[at].leases.answered(now, number, &holds);
+                world.processes[at].leases.renewed(now, number, &holds);
                 world.answers.remove(&(at, number, holds));
             }
-            Step::Agree => {
+            Event::Agree => {
                 let entry = world.pending.remove(0);
                 world.agree(&entry);
             }
-            Step::Change(kept) => {
+            Event::Change(kept) => {
                 let pending = std::mem::take(&mut world.pending);
                 let known = world.fleet.clone();
                 if kept {
@@ -393,53 +397,53 @@
                     lead.last_known = Some(known);
                 }
                 let rate = self.rates()[before];
-                let leader = Leader::new(clock(rate, world.tick), TERMS);
-                world.leaders[after] = Some(Lead { leader, rate, last_known: None });
+                let leader = Leader::new(clock(rate, world.tick), TIMING);
+                world.leaders[after] = Some(ModelLeader { leader, rate, last_known: None });
                 world.leading = after;
                 world.changes += 1;
             }
-            Step::Snapshot => {
+            Event::Snapshot => {
                 world.fleet = Fleet::load(&world.fleet.save())?;
                 world.snapshots += 1;
             }
-            Step::SecondStart => {
+            Event::SecondStart => {
                 let holder = Holder::new("n0", 2);
                 world.agree(&Entry::Enrol { holder: holder.clone() });
-                world.agree(&Entry::Acquire { lease: World::lease(), holder: holder.clone() });
-                let leases = Leases::new(holder, TERMS);
+                world.agree(&Entry::Acquire { lease: ModelState::lease(), holder: holder.clone() });
+                let leases = HeldLeases::new(holder, TIMING);
                 let rate = self.rates()[0];
                 let (ready, acted, released, may_want) = (None, false, false, false);
                 world.processes.push(Process { leases, rate, asks: 0, ready, acted, released, may_want });
             }
-            Step::GiveUp(at) => {
-                let token = world.processes[at].leases.give_up(&World::lease())?;
+            Event::GiveUp(at) => {
+                let token = world.processes[at].leases.release(&ModelState::lease())?;
                 world.processes[at].released = true;
                 world.processes[at].may_want = true;
-                world.said.insert(Said::Release(token));
+                world.in_flight.insert(InFlight::Release(token));
             }
-            Step::Want(at) => {
+            Event::Want(at) => {
                 world.processes[at].may_want = false;
                 let holder = world.holder(at);
-                world.agree(&Entry::Acquire { lease: World::lease(), holder });
+                world.agree(&Entry::Acquire { lease: ModelState::lease(), holder });
             }
-            Step::Say(at) => {
-                let token = world.processes[at].leases.held(world.now(at), &World::lease())?.token;
-                world.said.insert(Said::Reach(token));
+            Event::Say(at) => {
+                let token = world.processes[at].leases.held(world.now(at), &ModelState::lease())?.token;
+                world.in_flight.insert(InFlight::Reach(token));
             }
-            Step::Arrives(kind, token) => {
+            Event::Arrives(kind, token) => {
                 let entry = if kind == 0 {
-                    world.said.remove(&Said::Release(token));
-                    Entry::Release { lease: World::lease(), token }
+                    world.in_flight.remove(&InFlight::Release(token));
+                    Entry::Release { lease: ModelState::lease(), token }
                 } else {
-                    Entry::Reach { task: "t".into(), token, cursor: vec![1] }
+                    Entry::SaveCursor { task: "t".into(), token, cursor: vec![1] }
                 };
                 world.agree(&entry);
             }
-            Step::Look(at) => {
-                world.processes[at].leases.may_act(world.now(at), &World::lease(), GRADE).ok()?;
+            Event::Look(at) => {
+                world.processes[at].leases.may_act(world.now(at), &ModelState::lease(), GRADE).ok()?;
                 world.processes[at].ready = Some(world.tick);
             }
-            Step::Act(at) => {
+            Event::Act(at) => {
                 world.processes[at].ready = None;
                 world.processes[at].acted = true;
                 world.acts.push((at, world.tick + ACT_TICKS));
@@ -451,27 +455,27 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is wrong", |_, world: &World| world.wrong.is_none()),
+            Property::always("nothing is wrong", |_, world: &ModelState| world.wrong.is_none()),
             // Else the search says nothing.
-            Property::sometimes("the lease passes on", |_, world: &World| world.passed_on),
+            Property::sometimes("the lease passes on", |_, world: &ModelState| world.passed_on),
         ]
     }
 }
 
 /// All searches: what each has in it, and the rules that only it can show to be needed.
-pub fn searches() -> Vec<(&'static str, Rig)> {
+pub fn searches() -> Vec<(&'static str, Search)> {
     let mut all = Vec::new();
     for slow_first in [true, false] {
-        let plain = Rig { slow_first, ..PLAIN };
-        all.push(("plain", Rig { ticks: 8, asks: [2, 2], ..plain }));
-        all.push(("slow majority", Rig { ticks: 8, asks: [2, 1], slow_majority: true, ..plain }));
-        all.push(("doubled", Rig { doubles: true, ..plain }));
-        all.push(("change of leader", Rig { ticks: 8, asks: [2, 1], changes: 1, ..plain }));
-        all.push(("second start", Rig { ticks: 7, asks: [2, 1], starts: 1, ..plain }));
-        all.push(("snapshot", Rig { ticks: 8, asks: [2, 1], snapshots: 1, ..plain }));
-        all.push(("given up", Rig { asks: [2, 1], releases: true, ..plain }));
-        all.push(("acts", Rig { ticks: 16, asks: [3, 3], acts: true, prompt: true, ..plain }));
-        all.push(("cursors", Rig { ticks: 7, asks: [2, 1], cursors: true, ..plain }));
+        let plain = Search { slow_first, ..BASE_SEARCH };
+        all.push(("plain", Search { ticks: 8, asks: [2, 2], ..plain }));
+        all.push(("slow majority", Search { ticks: 8, asks: [2, 1], slow_majority: true, ..plain }));
+        all.push(("doubled", Search { doubles: true, ..plain }));
+        all.push(("change of leader", Search { ticks: 8, asks: [2, 1], changes: 1, ..plain }));
+        all.push(("second start", Search { ticks: 7, asks: [2, 1], starts: 1, ..plain }));
+        all.push(("snapshot", Search { ticks: 8, asks: [2, 1], snapshots: 1, ..plain }));
+        all.push(("given up", Search { asks: [2, 1], releases: true, ..plain }));
+        all.push(("acts", Search { ticks: 16, asks: [3, 3], acts: true, prompt: true, ..plain }));
+        all.push(("cursors", Search { ticks: 7, asks: [2, 1], cursors: true, ..plain }));
     }
     all
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -8,11 +8,11 @@
 #[test]
 fn nothing_that_may_happen_gives_a_lease_to_two() {
     let mut states = 0;
-    for (name, rig) in searches() {
+    for (name, search) in searches() {
         let began = std::time::Instant::now();
-        let checked = rig.checker().threads(4).spawn_dfs().join();
+        let checked = search.checker().threads(4).spawn_dfs().join();
         let found = checked.discovery("nothing is wrong").map(|path| path.into_actions());
-        assert!(found.is_none(), "{name}, {rig:?}: {found:?}");
+        assert!(found.is_none(), "{name}, {search:?}: {found:?}");
         let passes_on = checked.discovery("the lease passes on").is_some();
         println!("passes on {passes_on}");
         println!("{name}: {} states, {:?}", checked.unique_state_count(), began.elapsed());
--- a/crates/fleet/tests/mutants.rs
+++ b/crates/fleet/tests/mutants.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::searches;
-use jaspershunt_fleet::mutants::{ALL, Mutant, leave_out};
+use jaspershunt_fleet::mutants::{ALL, Mutant, activate};
 use stateright::{Checker, HasDiscoveries, Model};
 
 /// The search that is there for a rule; `None` for what is found by the simulation of whole fleets in the lab.
@@ -27,12 +27,12 @@
     let mut found = 0;
     for mutant in ALL {
         let Some(search) = search_for(mutant) else { continue };
-        leave_out(Some(mutant));
-        let path = searches().into_iter().filter(|(name, _)| *name == search).find_map(|(_, rig)| {
+        activate(Some(mutant));
+        let path = searches().into_iter().filter(|(name, _)| *name == search).find_map(|(_, model)| {
             let only = HasDiscoveries::AnyOf(std::collections::BTreeSet::from(["nothing is wrong"]));
-            rig.checker().threads(4).finish_when(only).spawn_dfs().join().discovery("nothing is wrong")
+            model.checker().threads(4).finish_when(only).spawn_dfs().join().discovery("nothing is wrong")
         });
-        leave_out(None);
+        activate(None);
         let Some(path) = path else { panic!("{mutant:?} lives") };
         let wrong = path.last_state().wrong;
         println!("| {mutant:?} | {search} | {} | {} |", wrong.unwrap_or_default(), path.into_actions().len());
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -7,7 +7,7 @@
 pub mod torment;
 pub mod world;
 
-use jaspershunt_fleet::mutants::{ALL, Mutant, leave_out};
+use jaspershunt_fleet::mutants::{ALL, Mutant, activate};
 use schedule::{AIMED, Sketch};
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -171,7 +171,7 @@
 /// Leaves a rule out and plays schedules until something is that must never be, or so many are played: first aimed ones, then such that
 /// are not. Returns how many were played, the first seed that found it, and what was found.
 pub fn mutant(mutant: Mutant, schedules: u64, threads: usize) -> (u64, Found) {
-    leave_out(Some(mutant));
+    activate(Some(mutant));
     let found = |sum: &Sum| !sum.violations.is_empty();
     let mut sum = soak(AIMED..AIMED + schedules, threads, found);
     let aimed = sum.schedules;
@@ -179,7 +179,7 @@
         sum = soak(0..schedules, threads, found);
         sum.schedules += aimed;
     }
-    leave_out(None);
+    activate(None);
     (sum.schedules, sum.violations.first().cloned())
 }
 
--- a/crates/lab/src/fleet/tests.rs
+++ b/crates/lab/src/fleet/tests.rs
@@ -59,9 +59,9 @@
         Mutant::OldTokenWritesCursor,
     ];
     for rule in rules {
-        leave_out(Some(rule));
+        activate(Some(rule));
         let sum = soak(AIMED..AIMED + 100, THREADS, |sum| !sum.violations.is_empty());
-        leave_out(None);
+        activate(None);
         println!("{rule:?}: {:?} after {} schedules", sum.violations.first(), sum.schedules);
         assert!(!sum.violations.is_empty(), "{rule:?} was not found in {} schedules", sum.schedules);
     }
@@ -72,9 +72,9 @@
 fn rules_left_out_are_found() {
     let _alone = RULES.write().unwrap();
     for mutant in [Mutant::SaidBeforeSynced, Mutant::SeatsNotWritten, Mutant::RevokedEndsAtOnce] {
-        leave_out(Some(mutant));
+        activate(Some(mutant));
         let sum = soak(0..20_000, THREADS, |sum| !sum.violations.is_empty());
-        leave_out(None);
+        activate(None);
         println!("{mutant:?}: {:?} after {} schedules", sum.violations.first(), sum.schedules);
         assert!(!sum.violations.is_empty(), "{mutant:?} was not found in {} schedules", sum.schedules);
     }
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -4,10 +4,10 @@
 use super::schedule::{At, FOUNDED, Fault, Sketch};
 use jaspershunt_fleet::client;
 use jaspershunt_fleet::holder::Grade;
-use jaspershunt_fleet::schedule::{Missed, When};
+use jaspershunt_fleet::schedule::{Missed, Schedule};
 use jaspershunt_fleet::state::lease_of_task;
-use jaspershunt_fleet::tasks::{Called, Spec};
-use jaspershunt_fleet::{Entry, Holder, Terms};
+use jaspershunt_fleet::tasks::{CallOutcome, TaskSpec};
+use jaspershunt_fleet::{Entry, Holder, LeaseTiming};
 use jaspershunt_member::frame::{self, Envelope};
 use jaspershunt_member::member::{Disk as MemberDisk, no_lead, no_parts, tick};
 use jaspershunt_member::store::{Store, StoreError};
@@ -298,22 +298,22 @@
         store.found(found.identity.disk, state).expect("a disk that works is written");
     }
 
-    fn spec(&self, task: usize) -> Spec {
+    fn spec(&self, task: usize) -> TaskSpec {
         let Sketch { act, way, .. } = self.sketch;
-        Spec {
+        TaskSpec {
             name: task_name(task),
-            when: When::Every(Duration::from_secs(1)),
+            when: Schedule::Every(Duration::from_secs(1)),
             missed: Missed::Once,
-            grade: if checks(task) { Grade::Checked } else { Grade::Timed { act, way } },
+            grade: if checks(task) { Grade::Checked } else { Grade::Timed { max_act: act, max_delay: way } },
             timeout: act,
             tries: 1000,
-            wait: Duration::from_millis(if self.sketch.hard { 1 } else { 20 }),
-            late: Duration::from_secs(1),
+            backoff: Duration::from_millis(if self.sketch.hard { 1 } else { 20 }),
+            max_lateness: Duration::from_secs(1),
         }
     }
 
-    fn terms(&self) -> Terms {
-        Terms { ttl: self.sketch.ttl, drift: self.sketch.drift }
+    fn terms(&self) -> LeaseTiming {
+        LeaseTiming { ttl: self.sketch.ttl, drift_permille: self.sketch.drift }
     }
 
     fn tell(&mut self, what: impl FnOnce() -> String) {
@@ -681,19 +681,19 @@
     }
 
     /// What an act comes to: where that is hard mostly a cursor, which has to be agreed, or a failure.
-    fn came_of(&mut self, call: &Call) -> Called {
+    fn came_of(&mut self, call: &Call) -> CallOutcome {
         if !self.sketch.hard {
-            return Called::Done(b"ok".to_vec());
+            return CallOutcome::Done(b"ok".to_vec());
         }
         let fails = if self.is_stubborn() { 0.8 } else { 0.2 };
         if self.rng.random_bool(fails) && self.failed[call.task] < MOST_FAILURES {
-            return Called::Failed("it fails".into());
+            return CallOutcome::Failed("it fails".into());
         }
         self.failed[call.task] = 0;
         if self.rng.random_bool(0.2) {
-            Called::Done(b"ok".to_vec())
+            CallOutcome::Done(b"ok".to_vec())
         } else {
-            Called::More(cursor_of(call.token))
+            CallOutcome::Partial(cursor_of(call.token))
         }
     }
 
@@ -909,7 +909,7 @@
                 // As the program does before the first byte leaves.
                 if self.clock(process) > call.send_by {
                     let (task, number) = (task_name(call.task), call.number);
-                    let came = Called::Failed("too late to be sent".into());
+                    let came = CallOutcome::Failed("too late to be sent".into());
                     return self.step(process, Input::Called { task, number, came });
                 }
                 // What is left of the longest way.
@@ -927,7 +927,7 @@
                 if self.until(process, call.until).is_zero() {
                     return;
                 }
-                let came = if turned_away { Called::TurnedAway } else { self.came_of(&call) };
+                let came = if turned_away { CallOutcome::OldToken } else { self.came_of(&call) };
                 let (task, number) = (task_name(call.task), call.number);
                 self.step(process, Input::Called { task, number, came });
             }
@@ -1061,7 +1061,7 @@
         let here =
             (0..self.sketch.members).flat_map(|place| self.alive(place)).find(|n| !self.processes[*n].frozen);
         for task in 0..self.sketch.tasks {
-            let entry = Entry::Pause { task: task_name(task), on: false };
+            let entry = Entry::Pause { task: task_name(task), paused: false };
             if let Some(process) = here {
                 self.step(process, Input::Propose { ticket: 0, entry });
             }
--- a/crates/member/src/driver.rs
+++ b/crates/member/src/driver.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use jaspershunt_fleet::client::Call;
-use jaspershunt_fleet::tasks::Called;
+use jaspershunt_fleet::tasks::CallOutcome;
 use jaspershunt_fleet::{Entry, Holder, Outcome};
 use redb::StorageBackend;
 use redb::backends::FileBackend;
@@ -400,7 +400,7 @@
 ///
 /// # Errors
 /// The address cannot be had.
-pub async fn run<C: Future<Output = Called> + 'static>(
+pub async fn run<C: Future<Output = CallOutcome> + 'static>(
     setup: Setup,
     place: Place,
     mut orders: mpsc::Receiver<Order>,
@@ -472,7 +472,7 @@
             }
         };
         let outputs = member.step(now(), unix(), input);
-        if let (Some(heard), Some(at)) = (&place.heard, member.client().answered()) {
+        if let (Some(heard), Some(at)) = (&place.heard, member.client().last_answer_at()) {
             heard.store(u64::try_from(at.as_millis()).unwrap_or(u64::MAX), Ordering::Relaxed);
         }
         for output in outputs {
@@ -488,7 +488,7 @@
                     spawn_local(async move {
                         let left = until.saturating_sub(now());
                         let came = timeout(left, made).await;
-                        let came = came.unwrap_or_else(|_| Called::Failed("it took too long".into()));
+                        let came = came.unwrap_or_else(|_| CallOutcome::Failed("it took too long".into()));
                         let _ = back.send(Input::Called { task, number, came }).await;
                     });
                 }
--- a/crates/member/src/frame.rs
+++ b/crates/member/src/frame.rs
@@ -1,9 +1,9 @@
 //! What members say to each other, as bytes: the version first, then the fleet's name, who speaks, and what is said, in postcard. The
 //! frame round it, with its length, is a library's ([`crate::driver`]). Nothing here waits or reads.
 
-use jaspershunt_fleet::client::Answer;
-use jaspershunt_fleet::lives::{Life, Old};
-use jaspershunt_fleet::parts::Sight;
+use jaspershunt_fleet::client::RenewalAnswer;
+use jaspershunt_fleet::disk_rollback::{RolledBack, VoterIncarnation};
+use jaspershunt_fleet::parts::PartView;
 use jaspershunt_fleet::{Entry, Holder, Outcome};
 use raft::eraftpb;
 use serde::{Deserialize, Serialize};
@@ -30,7 +30,7 @@
     /// A member is here: said first on each connection, and now and then where nothing else is.
     Here,
     /// A voter says which start of its disk it is, and asks to be welcomed.
-    Life(Life),
+    Life(VoterIncarnation),
     /// That start is written down; or its disk is older than what it once promised.
     Welcome {
         /// The disk of the one that says so.
@@ -40,7 +40,7 @@
         /// What was drawn for it.
         nonce: u64,
         /// Whether it is welcome.
-        verdict: Result<(), Old>,
+        verdict: Result<(), RolledBack>,
     },
     /// Agreement among voters.
     Raft(RaftMessage),
@@ -58,7 +58,7 @@
         answered: u64,
     },
     /// The one that leads answers.
-    Answer(Answer),
+    Answer(RenewalAnswer),
     /// This voter does not lead.
     NotLeader {
         /// Who does, if that is known.
@@ -98,7 +98,7 @@
     /// The one that leads says what parts show this start, as far as that is new.
     Parts {
         /// What they show.
-        sights: Vec<Sight>,
+        sights: Vec<PartView>,
     },
 }
 
@@ -121,7 +121,7 @@
     pub heard_ms: Vec<(String, u64)>,
     /// The agreed state ([`jaspershunt_fleet::Fleet::save`]).
     pub fleet: Vec<u8>,
-    /// Its parts ([`jaspershunt_fleet::parts::Agreed::save_parts`]).
+    /// Its parts ([`jaspershunt_fleet::parts::ReplicatedState::save_parts`]).
     pub parts: Vec<u8>,
 }
 
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -4,10 +4,10 @@
 use crate::frame::{Said, Shown};
 use crate::store::StoreError;
 use crate::voter::{Fault, Place, Voter};
-use jaspershunt_fleet::client::{Action, Call, Client, Told};
-use jaspershunt_fleet::parts::{Agreed, MAX_PARTS, Part, Sight};
-use jaspershunt_fleet::tasks::{Called, Spec};
-use jaspershunt_fleet::{Entry, Holder, Outcome, Terms};
+use jaspershunt_fleet::client::{Action, Call, Client, Event};
+use jaspershunt_fleet::parts::{MAX_PARTS, Part, PartView, ReplicatedState};
+use jaspershunt_fleet::tasks::{CallOutcome, TaskSpec};
+use jaspershunt_fleet::{Entry, Holder, LeaseTiming, Outcome};
 use redb::StorageBackend;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -42,9 +42,9 @@
     /// The members that are to vote.
     pub voters: Vec<String>,
     /// The terms of leases, the same for all.
-    pub terms: Terms,
+    pub terms: LeaseTiming,
     /// The tasks of this member.
-    pub tasks: Vec<Spec>,
+    pub tasks: Vec<TaskSpec>,
     /// Makes the parts of the agreed state, each of them empty. The same for all voters: one that does not know a part that the
     /// others have takes no part in it. See [`no_parts`].
     pub parts: fn() -> Vec<Box<dyn Part>>,
@@ -54,7 +54,7 @@
 }
 
 /// See [`Setup::lead`]; the first is the time by the wall clock, in Unix milliseconds.
-pub type Lead = fn(u64, &Agreed) -> Vec<(String, Vec<u8>)>;
+pub type Lead = fn(u64, &ReplicatedState) -> Vec<(String, Vec<u8>)>;
 
 /// No parts: nothing is said or saved of any.
 pub fn no_parts() -> Vec<Box<dyn Part>> {
@@ -62,12 +62,12 @@
 }
 
 /// Nothing is proposed for parts.
-pub fn no_lead(_: u64, _: &Agreed) -> Vec<(String, Vec<u8>)> {
+pub fn no_lead(_: u64, _: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
     Vec::new()
 }
 
 /// The time of a tick of all members of a fleet: a hundredth of a lease's, within bounds that a machine can keep.
-pub fn tick(terms: Terms) -> Duration {
+pub fn tick(terms: LeaseTiming) -> Duration {
     (terms.ttl / 100).clamp(Duration::from_millis(10), Duration::from_millis(100))
 }
 
@@ -104,7 +104,7 @@
         /// Which call.
         number: u64,
         /// What came of it.
-        came: Called,
+        came: CallOutcome,
     },
     /// An operator has an entry.
     Propose {
@@ -229,15 +229,15 @@
                 self.voter_said(said, &mut own, &mut outputs);
             }
             Input::Heard { from, said } => self.hear(now, from, said, &mut own, &mut outputs),
-            Input::LostSight { voter } => self.client.lost_sight(now, &voter),
-            Input::Called { task, number, came } => self.client.called(now, &task, number, came),
+            Input::LostSight { voter } => self.client.on_connection_lost(now, &voter),
+            Input::Called { task, number, came } => self.client.call_ended(now, &task, number, came),
             Input::Propose { ticket, entry } => match self.client.propose(now, entry, true) {
                 Some(id) => self.tickets.push((id, ticket)),
                 None => outputs.push(Output::Settled { ticket, outcome: None, again: false }),
             },
             Input::Show { ticket } => {
                 let me = self.setup.me.member.clone();
-                let asks = if self.voter.is_some() { Some(me.as_str()) } else { self.client.asks() };
+                let asks = if self.voter.is_some() { Some(me.as_str()) } else { self.client.current_voter() };
                 if let Some(asks) = asks.map(str::to_string) {
                     self.send(To::Voter(asks), Said::Show { id: ticket }, &mut own, &mut outputs);
                 }
@@ -305,17 +305,17 @@
         outputs: &mut Vec<Output>,
     ) {
         match said {
-            Said::Answer(answer) => self.client.heard_answer(now, &from.member, &answer),
+            Said::Answer(answer) => self.client.on_answer(now, &from.member, &answer),
             Said::NotLeader { leader } => {
-                self.client.heard_not_leader(now, &from.member, leader.as_deref());
+                self.client.on_not_leader(now, &from.member, leader.as_deref());
             }
             Said::Proposed { id, outcome } => {
-                let actions = self.client.heard_outcome(now, id, outcome);
+                let actions = self.client.on_outcome(now, id, outcome);
                 self.take_up(actions, own, outputs);
             }
             Said::Parts { sights } if self.setup.voters.contains(&from.member) => {
                 let Some(epochs) = &mut self.epochs else { return };
-                for Sight { name, epoch, bytes } in sights {
+                for PartView { name, epoch, bytes } in sights {
                     let room = epochs.len() < MAX_PARTS || epochs.contains_key(&name);
                     // Guards against one that led and does not know that it does not any more.
                     if room && epochs.get(&name).is_none_or(|known| *known < epoch) {
@@ -382,32 +382,37 @@
     fn take_up(&mut self, actions: Vec<Action>, own: &mut VecDeque<Said>, outputs: &mut Vec<Output>) {
         for action in actions {
             match action {
-                Action::Ask { to, number, wants, unix, answered } => {
+                Action::Renew { to, number, wanted, unix, answered } => {
                     let disk = self.voter.as_ref().map(Voter::disk);
                     if let Some(epochs) = &self.epochs {
                         let epochs = epochs.clone().into_iter().collect();
                         self.send(To::Voter(to.clone()), Said::Knows { epochs }, own, outputs);
                     }
-                    self.send(To::Voter(to), Said::Ask { number, wants, disk, unix, answered }, own, outputs);
+                    self.send(
+                        To::Voter(to),
+                        Said::Ask { number, wants: wanted, disk, unix, answered },
+                        own,
+                        outputs,
+                    );
                 }
                 Action::Propose { to, id, entry } => {
                     self.send(To::Voter(to), Said::Propose { id, entry }, own, outputs);
                 }
                 Action::Call(call) => outputs.push(Output::Call(call)),
-                Action::Settled { id, outcome, again } => {
+                Action::Settled { id, outcome, sent_again } => {
                     if let Some(place) = self.tickets.iter().position(|(other, _)| *other == id) {
                         let (_, ticket) = self.tickets.swap_remove(place);
-                        outputs.push(Output::Settled { ticket, outcome, again });
+                        outputs.push(Output::Settled { ticket, outcome, again: sent_again });
                     }
                 }
-                Action::Tell(Told::Holds { lease, token }) => {
+                Action::Report(Event::Acquired { lease, token }) => {
                     outputs.push(Output::Log(format!("holds {lease} under token {token}"), false));
                 }
-                Action::Tell(Told::Lost { lease, token }) => {
+                Action::Report(Event::Lost { lease, token }) => {
                     outputs
                         .push(Output::Log(format!("does not hold {lease} any more, token {token}"), false));
                 }
-                Action::Tell(Told::Outdated) => {
+                Action::Report(Event::Superseded) => {
                     let what = "a later start of this member is in the fleet, or its folder is an older copy: \
                                 this one holds nothing until that one has gone";
                     outputs.push(Output::Log(what.to_string(), true));
--- a/crates/member/src/member/parts_tests.rs
+++ b/crates/member/src/member/parts_tests.rs
@@ -6,7 +6,7 @@
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What shows everyone [`jaspershunt_fleet::parts::MAX_SEEN`] bytes.
+/// What shows everyone [`jaspershunt_fleet::parts::MAX_VIEW_BYTES`] bytes.
 const WIDE: &[u8] = b"wide";
 
 /// Keeps its entries and the members as it heard of them; shows everyone the last entry.
@@ -34,9 +34,9 @@
         self.entries.len() as u64
     }
 
-    fn seen_by(&self, _: &Holder) -> Vec<u8> {
+    fn view_for(&self, _: &Holder) -> Vec<u8> {
         let last = self.entries.last().cloned().unwrap_or_default();
-        if last == WIDE { vec![7; jaspershunt_fleet::parts::MAX_SEEN] } else { last }
+        if last == WIDE { vec![7; jaspershunt_fleet::parts::MAX_VIEW_BYTES] } else { last }
     }
 
     fn save(&self) -> Vec<u8> {
@@ -61,12 +61,12 @@
     board_of(member.voter().unwrap().agreed())
 }
 
-fn board_of(agreed: &Agreed) -> &Board {
+fn board_of(agreed: &ReplicatedState) -> &Board {
     agreed.part("board").unwrap().as_any().downcast_ref().unwrap()
 }
 
 /// Says who was last seen to be missing, once for each; and more than is taken in one go.
-fn tells_of_two(unix_ms: u64, agreed: &Agreed) -> Vec<(String, Vec<u8>)> {
+fn tells_of_two(unix_ms: u64, agreed: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
     let board = board_of(agreed);
     if board.members.len() != 3 || board.entries.len() > 1 {
         return Vec::new();
@@ -203,7 +203,7 @@
         assert!(*name == leader || shown.last().unwrap().0 == 6, "{name}: {shown:?}");
     }
     // What an earlier leader still says is passed over.
-    let sights = vec![Sight { name: "board".into(), epoch: 3, bytes: b"more".to_vec() }];
+    let sights = vec![PartView { name: "board".into(), epoch: 3, bytes: b"more".to_vec() }];
     net.step("n4", Input::Heard { from: Holder::new(&leader, 1), said: Said::Parts { sights } });
     assert_eq!(net.last_shown("n4").unwrap().0, 6);
 }
@@ -244,7 +244,7 @@
     net.members.remove("n1");
     net.play(3 * LEASE);
     assert!(matches!(net.leader(), Some("n2" | "n3")));
-    assert_eq!(net.propose("n4", b"two"), Some(Outcome::Refused(jaspershunt_fleet::Refusal::Nothing)));
+    assert_eq!(net.propose("n4", b"two"), Some(Outcome::Refused(jaspershunt_fleet::Refusal::NotFound)));
     for name in ["n1", "n2", "n3"] {
         net.start(name, boards, no_lead);
         net.play(5 * LEASE);
@@ -292,7 +292,7 @@
     let names: Vec<String> = (1..=20).map(|n| format!("n{n}")).collect();
     let mut net = Net::new(&names.iter().map(String::as_str).collect::<Vec<_>>());
     net.play(5 * LEASE);
-    let most = crate::voter::MAX_SAID / jaspershunt_fleet::parts::MAX_SEEN;
+    let most = crate::voter::MAX_SAID / jaspershunt_fleet::parts::MAX_VIEW_BYTES;
     let entry = Entry::Part { part: "board".into(), bytes: WIDE.to_vec() };
     net.step("n20", Input::Propose { ticket: 1, entry });
     let mut ticks = Vec::new();
@@ -311,8 +311,8 @@
 #[test]
 fn a_member_counts_so_many_parts() {
     let mut net = Net::new(&["n4"]);
-    let sight = |n| Sight { name: format!("p{n}"), epoch: 1, bytes: Vec::new() };
-    let sights: Vec<Sight> = (0..2 * MAX_PARTS).map(sight).collect();
+    let sight = |n| PartView { name: format!("p{n}"), epoch: 1, bytes: Vec::new() };
+    let sights: Vec<PartView> = (0..2 * MAX_PARTS).map(sight).collect();
     let said = Said::Parts { sights };
     net.step("n4", Input::Heard { from: Holder::new("n5", 1), said: said.clone() });
     assert!(net.shown.is_empty(), "only voters say so");
--- a/crates/member/src/member/tests.rs
+++ b/crates/member/src/member/tests.rs
@@ -2,7 +2,7 @@
 use crate::store::Store;
 use crate::voter::Agreed as Founded;
 use jaspershunt_fleet::holder::Grade;
-use jaspershunt_fleet::schedule::{Missed, When};
+use jaspershunt_fleet::schedule::{Missed, Schedule};
 use redb::backends::InMemoryBackend;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -53,18 +53,18 @@
     }
 }
 
-pub const TERMS: Terms = Terms { ttl: Duration::from_secs(1), drift: 50 };
+pub const TERMS: LeaseTiming = LeaseTiming { ttl: Duration::from_secs(1), drift_permille: 50 };
 
 pub fn setup(name: &str, incarnation: u64) -> Setup {
-    let task = Spec {
+    let task = TaskSpec {
         name: "cierre".into(),
-        when: When::every(Duration::from_secs(5)).unwrap(),
+        when: Schedule::every(Duration::from_secs(5)).unwrap(),
         missed: Missed::Once,
         grade: Grade::Checked,
         timeout: Duration::from_secs(1),
         tries: 3,
-        wait: Duration::from_millis(100),
-        late: Duration::from_secs(5),
+        backoff: Duration::from_millis(100),
+        max_lateness: Duration::from_secs(5),
     };
     Setup {
         fleet: "cordoba".into(),
@@ -110,7 +110,7 @@
         let mut outputs = member.step(now, unix, Input::Woke);
         while let Some(output) = outputs.pop() {
             if let Output::Call(Call { task, number, .. }) = &output {
-                let came = Called::Done(b"done".to_vec());
+                let came = CallOutcome::Done(b"done".to_vec());
                 let (task, number) = (task.clone(), *number);
                 outputs.extend(member.step(now, unix, Input::Called { task, number, came }));
             }
@@ -131,12 +131,12 @@
     assert_eq!(calls(&came), 2, "at 1005 and 1010: {came:?}");
     let voter = first.voter().unwrap();
     assert!(voter.leads() && voter.fleet().task("cierre").unwrap().last_due == Some(1010));
-    let tokens = voter.fleet().tokens();
+    let tokens = voter.fleet().last_token();
     drop(first);
     let (mut second, _) = member(disk, 2);
     let came = play(&mut second, Duration::from_secs(12), Duration::from_secs(6));
     assert_eq!(calls(&came), 1, "at 1015: {came:?}");
-    assert!(second.voter().unwrap().fleet().tokens() > tokens);
+    assert!(second.voter().unwrap().fleet().last_token() > tokens);
     // One that leaves says when it has.
     let now = Duration::from_secs(19);
     second.step(now, Duration::from_secs(1019), Input::Leave);
@@ -158,7 +158,7 @@
         panic!("{shown:?}")
     };
     assert_eq!((shown.leader.as_deref(), shown.age_ms, shown.seats.len()), (Some("n1"), Some(0), 1));
-    let entry = Entry::Pause { task: "cierre".into(), on: true };
+    let entry = Entry::Pause { task: "cierre".into(), paused: true };
     let settled = alone.step(now, Duration::from_secs(1002), Input::Propose { ticket: 8, entry });
     assert!(
         settled.contains(&Output::Settled { ticket: 8, outcome: Some(Outcome::Done), again: false }),
--- a/crates/member/src/store.rs
+++ b/crates/member/src/store.rs
@@ -5,8 +5,8 @@
 //! is not known until it is opened anew.
 
 use crate::frame::{Conf, LogEntry, Snapshot};
-use jaspershunt_fleet::lives::Known;
-use jaspershunt_fleet::mutants::{Mutant, left_out};
+use jaspershunt_fleet::disk_rollback::KnownIncarnation;
+use jaspershunt_fleet::mutants::{Mutant, is_active};
 use raft::eraftpb::{Entry, HardState};
 use redb::{Database, Durability, ReadableTable, StorageBackend, TableDefinition};
 use serde::de::DeserializeOwned;
@@ -94,7 +94,7 @@
     /// The log behind it.
     pub entries: Vec<Entry>,
     /// What is known of the lives of other disks.
-    pub lives: BTreeMap<u64, Known>,
+    pub lives: BTreeMap<u64, KnownIncarnation>,
     /// There was nothing there: the disk is founded now.
     pub is_new: bool,
 }
@@ -109,7 +109,7 @@
     /// The log begins anew at this, and what it covers is let go; with `true` all of the log goes.
     pub snapshot: Option<(Snapshot, bool)>,
     /// What is known of the lives of other disks.
-    pub lives: Option<BTreeMap<u64, Known>>,
+    pub lives: Option<BTreeMap<u64, KnownIncarnation>>,
 }
 
 /// A store that is open.
@@ -257,7 +257,7 @@
 
     fn try_write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let mut write = self.database.begin_write().map_err(disk)?;
-        if left_out(Mutant::SaidBeforeSynced) {
+        if is_active(Mutant::SaidBeforeSynced) {
             write.set_durability(Durability::None);
         }
         let mut last = self.last;
--- a/crates/member/src/voter.rs
+++ b/crates/member/src/voter.rs
@@ -7,15 +7,17 @@
 use crate::log::Log;
 use crate::member::To;
 use crate::store::{Batch, Found, Identity, Store, StoreError};
-use jaspershunt_fleet::client::Answer;
-use jaspershunt_fleet::leader::{Leader, Question};
-use jaspershunt_fleet::lives::{Admission, Life, Lives, MAX_DISKS, Old};
-use jaspershunt_fleet::mutants::{Mutant, left_out};
-use jaspershunt_fleet::parts::{self, MAX_PARTS, Part, Unfit};
-use jaspershunt_fleet::places::Places;
-use jaspershunt_fleet::seats::{Change, Seat, Seats, Sight};
-use jaspershunt_fleet::wall::Walls;
-use jaspershunt_fleet::{Entry, Fleet, Holder, Outcome, Refusal, Terms};
+use jaspershunt_fleet::client::RenewalAnswer;
+use jaspershunt_fleet::disk_rollback::{
+    Admission, MAX_DISKS, RolledBack, VoterIncarnation, VoterIncarnations,
+};
+use jaspershunt_fleet::leader::{Leader, RenewalRequest};
+use jaspershunt_fleet::lease_queue::LeaseQueue;
+use jaspershunt_fleet::mutants::{Mutant, is_active};
+use jaspershunt_fleet::parts::{self, LoadError, MAX_PARTS, Part};
+use jaspershunt_fleet::voter_slots::{Observed, VoterSlot, VoterSlotChange, VoterSlots};
+use jaspershunt_fleet::wall_clock::MemberClocks;
+use jaspershunt_fleet::{Entry, Fleet, Holder, LeaseTiming, Outcome, Refusal};
 use raft::eraftpb::{self, EntryType};
 use raft::{Config, ProgressState, RawNode, ReadOnlyOption, SnapshotStatus, StateRole};
 use redb::StorageBackend;
@@ -64,7 +66,7 @@
     /// Its disk failed: what is on it is not known until it is opened anew.
     Disk(StoreError),
     /// Its disk is older than what it once promised: it must not vote with it again.
-    Old(Old),
+    Old(RolledBack),
 }
 
 impl From<StoreError> for Fault {
@@ -76,22 +78,22 @@
 /// All that is agreed.
 #[derive(Debug, Default)]
 pub struct Agreed {
-    state: parts::Agreed,
-    seats: Seats,
+    state: parts::ReplicatedState,
+    seats: VoterSlots,
 }
 
 /// What of it every program knows: the first bytes of what is saved. Parts follow, where there are any.
 #[derive(Serialize, Deserialize)]
 struct Core {
     fleet: Fleet,
-    seats: Seats,
+    seats: VoterSlots,
 }
 
 impl Agreed {
     /// What a fleet begins with: one voter.
     pub fn founded(disk: u64, member: &str) -> Agreed {
-        let seat = Seat { member: member.to_string(), votes: true };
-        Agreed { seats: Seats { disks: [(disk, seat)].into() }, ..Agreed::default() }
+        let seat = VoterSlot { member: member.to_string(), votes: true };
+        Agreed { seats: VoterSlots { disks: [(disk, seat)].into() }, ..Agreed::default() }
     }
 
     /// As bytes, the same for the same state.
@@ -103,7 +105,7 @@
     }
 
     /// Members, leases, tasks and parts.
-    pub fn state(&self) -> &parts::Agreed {
+    pub fn state(&self) -> &parts::ReplicatedState {
         &self.state
     }
 
@@ -113,15 +115,15 @@
     /// It cannot be read, or is not what is agreed.
     pub fn load(bytes: &[u8], parts: Vec<Box<dyn Part>>) -> Result<Agreed, StoreError> {
         if bytes.is_empty() {
-            return Ok(Agreed { state: parts::Agreed::new(parts), ..Agreed::default() });
+            return Ok(Agreed { state: parts::ReplicatedState::new(parts), ..Agreed::default() });
         }
         let spoilt = || StoreError::Disk("the agreed state cannot be read".to_string());
         let (core, rest): (Core, _) = postcard::take_from_bytes(bytes).map_err(|_| spoilt())?;
         // By the one way in which states are loaded.
         let fleet = Fleet::load(&core.fleet.save()).ok_or_else(spoilt)?;
-        let state = parts::Agreed::load_parts(fleet, rest, parts).map_err(|why| match why {
-            Unfit::Spoilt => spoilt(),
-            Unfit::Behind(part) => StoreError::Behind(part),
+        let state = parts::ReplicatedState::load_parts(fleet, rest, parts).map_err(|why| match why {
+            LoadError::Corrupt => spoilt(),
+            LoadError::Outdated(part) => StoreError::Behind(part),
         })?;
         Ok(Agreed { state, seats: core.seats })
     }
@@ -135,7 +137,7 @@
     /// The members that are to vote, in the order of the file.
     pub named: Vec<String>,
     /// The terms of leases.
-    pub terms: Terms,
+    pub terms: LeaseTiming,
     /// The time of a tick.
     pub tick: Duration,
     /// The parts of the agreed state, each of them empty.
@@ -147,8 +149,8 @@
 /// What this voter keeps while it leads.
 struct Leading {
     leader: Leader,
-    places: Places,
-    walls: Walls,
+    places: LeaseQueue,
+    walls: MemberClocks,
     /// The disk that each member was heard with last.
     here: BTreeMap<String, (u64, Duration)>,
     /// The question to a majority that is under way, and since which tick.
@@ -177,7 +179,7 @@
     agreed: Agreed,
     conf: Conf,
     applied: (u64, u64),
-    lives: Lives,
+    lives: VoterIncarnations,
     admission: Admission,
     leading: Option<Leading>,
     /// Whose entries are on their way, by the number that goes with each.
@@ -241,7 +243,7 @@
             agreed,
             conf,
             applied,
-            lives: Lives::new(lives),
+            lives: VoterIncarnations::new(lives),
             admission: Admission::default(),
             leading: None,
             proposals: BTreeMap::new(),
@@ -267,12 +269,12 @@
     }
 
     /// The same with its parts.
-    pub fn agreed(&self) -> &parts::Agreed {
+    pub fn agreed(&self) -> &parts::ReplicatedState {
         &self.agreed.state
     }
 
     /// Who takes part, as far as it has applied.
-    pub fn seats(&self) -> &Seats {
+    pub fn seats(&self) -> &VoterSlots {
         &self.agreed.seats
     }
 
@@ -296,10 +298,10 @@
         self.trace.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    fn life(&self) -> Life {
+    fn life(&self) -> VoterIncarnation {
         let Identity { disk, life, nonce, .. } = self.identity;
         let log = self.node.store();
-        Life { disk, life, nonce, term: log.hard.term, last: log.position() }
+        VoterIncarnation { disk, number: life, nonce, term: log.hard.term, last_position: log.position() }
     }
 
     fn is_admitted(&self) -> bool {
@@ -351,26 +353,26 @@
     pub fn hear(&mut self, now: Duration, from: &Holder, said: Said) -> Result<Vec<(To, Said)>, Fault> {
         match said {
             Said::Life(life) if self.place.named.contains(&from.member) => {
-                let verdict = self.lives.greet(&life);
+                let verdict = self.lives.check_incarnation(&life);
                 if let Ok(Some(_)) = verdict {
                     let lives = Some(self.lives.known().clone());
                     self.store.write(&Batch { lives, ..Batch::default() })?;
                 }
                 let (by, verdict) = (self.identity.disk, verdict.map(|_| ()));
-                let welcome = Said::Welcome { by, life: life.life, nonce: life.nonce, verdict };
+                let welcome = Said::Welcome { by, life: life.number, nonce: life.nonce, verdict };
                 self.out.push((To::Holder(from.clone()), welcome));
             }
             Said::Welcome { by, life, nonce, verdict }
                 if (life, nonce) == (self.identity.life, self.identity.nonce) =>
             {
                 verdict.map_err(Fault::Old)?;
-                self.admission.welcomed(by);
+                self.admission.acknowledged(by);
             }
             Said::Raft(message) => self.hear_raft(now, from, message)?,
             Said::Ask { number, wants, disk, unix, answered } => {
                 if let Some(leading) = &mut self.leading {
-                    leading.walls.heard(now, &from.member, unix);
-                    leading.leader.acknowledged(now, from, answered);
+                    leading.walls.observe(now, &from.member, unix);
+                    leading.leader.acknowledge_answer(now, from, answered);
                 }
                 self.asked(now, from, number, wants, disk);
             }
@@ -392,13 +394,13 @@
     }
 
     fn hear_raft(&mut self, now: Duration, sender: &Holder, message: RaftMessage) -> Result<(), Fault> {
-        // Guards against a vote by a voter that may have forgotten one: see `lives`.
+        // Guards against a vote by a voter that may have forgotten one: see `disk_rollback`.
         if message.to != self.identity.disk || !self.is_admitted() {
             return Ok(());
         }
         // The one that leads knows that this disk had it once.
         if message.has_promised() > self.node.store().last() {
-            return Err(Fault::Old(Old::LongerLog));
+            return Err(Fault::Old(RolledBack::LongerLog));
         }
         self.spoke.insert(message.from, sender.member.clone());
         while self.spoke.len() > MAX_DISKS {
@@ -408,13 +410,13 @@
         let Some(message) = message.into_raft() else { return Ok(()) };
         use eraftpb::MessageType::{MsgRequestPreVote, MsgRequestPreVoteResponse};
         if !matches!(message.msg_type, MsgRequestPreVote | MsgRequestPreVoteResponse) {
-            self.lives.said(from, life, message.term);
+            self.lives.record_term(from, life, message.term);
         }
         if let Some(index) = written
             && self.leading.is_some()
             && let Ok(term) = raft::Storage::term(self.node.store(), index)
         {
-            self.lives.wrote(from, life, (term, index));
+            self.lives.record_position(from, life, (term, index));
         }
         // An error means that it is from one that takes no part any more.
         let _ = self.node.step(message);
@@ -437,13 +439,13 @@
             return self.out.push((To::Holder(from.clone()), Said::NotLeader { leader }));
         };
         if let Some(wants) = wants {
-            leading.places.wants(from, wants);
+            leading.places.set_wanted(from, wants);
         }
         if let Some(disk) = disk {
             leading.here.insert(from.member.clone(), (disk, now));
         }
         // One that finds no room asks again.
-        let _ = leading.leader.asks(now, Question { holder: from.clone(), number });
+        let _ = leading.leader.request_renewal(now, RenewalRequest { holder: from.clone(), number });
     }
 
     fn proposed(&mut self, from: &Holder, id: u64, entry: &Entry) {
@@ -452,8 +454,8 @@
             return self.out.push((To::Holder(from.clone()), Said::NotLeader { leader }));
         }
         // Guards against entries in the log that this voter passes over and another takes in.
-        if !self.agreed.state.knows(entry) {
-            let outcome = Some(Outcome::Refused(Refusal::Nothing));
+        if !self.agreed.state.knows_part_of(entry) {
+            let outcome = Some(Outcome::Refused(Refusal::NotFound));
             return self.out.push((To::Holder(from.clone()), Said::Proposed { id, outcome }));
         }
         self.count += 1;
@@ -508,10 +510,10 @@
         let Some(leading) = &mut self.leading else { return };
         let state = &self.agreed.state;
         let fleet = &state.fleet;
-        leading.walls.forget(now, 2 * self.place.terms.waited_for());
-        let mut entries = leading.leader.tick_where(now, fleet, |holder| state.shows(holder));
+        leading.walls.forget_silent(now, 2 * self.place.terms.expiry_wait());
+        let mut entries = leading.leader.tick_with_parts(now, fleet, |holder| state.has_view_for(holder));
         let leader = &leading.leader;
-        entries.extend(leading.places.tick(fleet, |holder| !leader.is_deaf(now, holder)));
+        entries.extend(leading.places.tick(fleet, |holder| !leader.receives_no_answers(now, holder)));
         let mut all = true;
         for entry in entries {
             all &= self.propose(0, &entry);
@@ -530,7 +532,7 @@
             && self.ticks - since > CONFIRM_AGAIN
         {
             (leading.reading, leading.read) = (None, None);
-            leading.leader.unconfirmed();
+            leading.leader.confirmation_failed();
         }
     }
 
@@ -571,7 +573,7 @@
         let mut said = 0;
         for holder in in_turn {
             let Some(knows) = leading.knows.get_mut(&holder) else { continue };
-            let sights = state.seen_by(&holder, knows);
+            let sights = state.view_for(&holder, knows);
             if sights.is_empty() {
                 continue;
             }
@@ -614,15 +616,15 @@
         let caught_up = progress.iter().filter(|(id, progress)| {
             **id == self.identity.disk || progress.recent_active && progress.matched >= near
         });
-        let sight = Sight {
-            named: self.place.named.iter().cloned().collect(),
-            here: (leading.here.iter())
+        let sight = Observed {
+            configured: self.place.named.iter().cloned().collect(),
+            last_heard: (leading.here.iter())
                 .map(|(name, (disk, heard))| (name.clone(), (*disk, now.saturating_sub(*heard))))
                 .collect(),
             caught_up: caught_up.map(|(id, _)| *id).collect(),
-            gone_after: self.place.terms.waited_for(),
+            silent_after: self.place.terms.expiry_wait(),
         };
-        if let Some(change) = self.agreed.seats.next(self.identity.disk, &sight) {
+        if let Some(change) = self.agreed.seats.next_change(self.identity.disk, &sight) {
             let context = postcard::to_stdvec(&change).unwrap_or_default();
             // An error means that it does not lead any more.
             let _ = self.node.propose_conf_change(context, conf_change(&change));
@@ -632,9 +634,9 @@
     /// Has a majority say that this one leads, if a question waits for it; and answers those that waited.
     fn confirm(&mut self, now: Duration) {
         let Some(leading) = &mut self.leading else { return };
-        if leading.leader.wants_confirmation() {
+        if leading.leader.begin_confirmation() {
             self.count += 1;
-            if Leader::answers_alone() {
+            if Leader::answers_without_majority() {
                 leading.read = Some(self.applied.1);
             } else {
                 leading.reading = Some((self.count, self.ticks));
@@ -643,15 +645,15 @@
         }
         if leading.read.is_some_and(|read| read <= self.applied.1) {
             (leading.read, leading.reading) = (None, None);
-            for answer in leading.leader.confirmed(&self.agreed.state.fleet) {
-                let holder = answer.question.holder;
-                let said = Answer {
-                    number: answer.question.number,
-                    holds: answer.holds,
+            for answer in leading.leader.confirmation_succeeded(&self.agreed.state.fleet) {
+                let holder = answer.request.holder;
+                let said = RenewalAnswer {
+                    number: answer.request.number,
+                    leases: answer.leases,
                     enrolled: answer.enrolled,
-                    unix: leading.walls.unix(now, self.place.named.len() / 2 + 1),
-                    say_wants: !leading.places.knows(&holder),
-                    view: self.agreed.state.fleet.seen_by(&holder).save(),
+                    unix: leading.walls.unix_seconds(now, self.place.named.len() / 2 + 1),
+                    send_wanted: !leading.places.has_wanted(&holder),
+                    view: self.agreed.state.fleet.view_for(&holder).save(),
                 };
                 self.out.push((To::Holder(holder), Said::Answer(said)));
             }
@@ -757,8 +759,8 @@
                 // The first entry of its own term: all that was agreed before is applied.
                 self.leading = Some(Leading {
                     leader: Leader::new(now, self.place.terms),
-                    places: Places::default(),
-                    walls: Walls::default(),
+                    places: LeaseQueue::default(),
+                    walls: MemberClocks::default(),
                     here: [(self.me.member.clone(), (self.identity.disk, now))].into(),
                     reading: None,
                     read: None,
@@ -788,7 +790,7 @@
     }
 
     fn apply_change(&mut self, entry: &eraftpb::Entry) {
-        let Ok(change) = postcard::from_bytes::<Change>(&entry.context) else { return };
+        let Ok(change) = postcard::from_bytes::<VoterSlotChange>(&entry.context) else { return };
         self.agreed.seats.apply(&change);
         // A change that the library does not take is taken by no voter.
         if let Ok(conf) = self.node.apply_conf_change(&conf_change(&change)) {
@@ -802,7 +804,7 @@
         let (term, index) = self.applied;
         // Guards against a voter that starts again and takes itself for one of those that took part before: alone, perhaps. What it
         // does from here on rests on who takes part now, so that has to be on disk before any of it leaves.
-        let changed = std::mem::take(&mut self.seats_changed) && !left_out(Mutant::SeatsNotWritten);
+        let changed = std::mem::take(&mut self.seats_changed) && !is_active(Mutant::SeatsNotWritten);
         let full = self.node.store().len() >= MOST_ENTRIES && index > self.node.store().snapshot.index;
         if !changed && !full {
             return Ok(());
@@ -817,13 +819,13 @@
 }
 
 /// The change as the library has it.
-fn conf_change(change: &Change) -> eraftpb::ConfChange {
+fn conf_change(change: &VoterSlotChange) -> eraftpb::ConfChange {
     use eraftpb::ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
     let mut into = eraftpb::ConfChange::default();
     (into.change_type, into.node_id) = match change {
-        Change::Learn { disk, .. } => (AddLearnerNode, *disk),
-        Change::Vote { disk } => (AddNode, *disk),
-        Change::Remove { disk } => (RemoveNode, *disk),
+        VoterSlotChange::AddLearner { disk, .. } => (AddLearnerNode, *disk),
+        VoterSlotChange::Promote { disk } => (AddNode, *disk),
+        VoterSlotChange::Remove { disk } => (RemoveNode, *disk),
     };
     into
 }
--- a/crates/member/src/voter/tests.rs
+++ b/crates/member/src/voter/tests.rs
@@ -7,7 +7,7 @@
     let place = Place {
         fleet: "cordoba".into(),
         named: vec!["n1".into()],
-        terms: Terms { ttl: Duration::from_secs(1), drift: 50 },
+        terms: LeaseTiming { ttl: Duration::from_secs(1), drift_permille: 50 },
         tick: Duration::from_millis(10),
         parts: crate::member::no_parts,
         lead: crate::member::no_lead,
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -12,11 +12,11 @@
 use crate::{http, log};
 use jaspershunt_fleet::client::Call;
 use jaspershunt_fleet::holder::Grade;
-use jaspershunt_fleet::parts::Agreed;
-use jaspershunt_fleet::schedule::{Missed, When};
-use jaspershunt_fleet::state::{MAX_CURSOR, lease_of_task};
-use jaspershunt_fleet::tasks::{Called, Spec};
-use jaspershunt_fleet::{Entry, Fleet, Holder, Outcome, Terms};
+use jaspershunt_fleet::parts::ReplicatedState;
+use jaspershunt_fleet::schedule::{Missed, Schedule};
+use jaspershunt_fleet::state::{MAX_CURSOR_BYTES, lease_of_task};
+use jaspershunt_fleet::tasks::{CallOutcome, TaskSpec};
+use jaspershunt_fleet::{Entry, Fleet, Holder, LeaseTiming, Outcome};
 use jaspershunt_member::Setup;
 use jaspershunt_member::driver::{self, Newest, Order, Place, Settled, now};
 use jaspershunt_member::frame::Shown;
@@ -111,10 +111,10 @@
     wrong.collect()
 }
 
-fn when(task: &operator::Task) -> Result<When, String> {
+fn when(task: &operator::Task) -> Result<Schedule, String> {
     match (&task.every, &task.cron) {
-        (Some(every), _) => When::every(every.0),
-        (None, Some(line)) => When::cron(line),
+        (Some(every), _) => Schedule::every(every.0),
+        (None, Some(line)) => Schedule::cron(line),
         (None, None) => Err("needs every or cron, to say when".to_string()),
     }
 }
@@ -123,12 +123,12 @@
 pub fn grade(task: &operator::Task) -> Grade {
     match task.grade {
         operator::Grade::Checked => Grade::Checked,
-        operator::Grade::Timed => Grade::Timed { act: task.timeout.0, way: task.way.0 },
+        operator::Grade::Timed => Grade::Timed { max_act: task.timeout.0, max_delay: task.way.0 },
     }
 }
 
-fn spec(name: &str, task: &operator::Task) -> Result<Spec, String> {
-    Ok(Spec {
+fn spec(name: &str, task: &operator::Task) -> Result<TaskSpec, String> {
+    Ok(TaskSpec {
         name: name.to_string(),
         when: when(task)?,
         missed: match task.missed {
@@ -139,8 +139,8 @@
         grade: grade(task),
         timeout: task.timeout.0,
         tries: task.tries,
-        wait: task.wait.0,
-        late: task.late.0,
+        backoff: task.wait.0,
+        max_lateness: task.late.0,
     })
 }
 
@@ -148,16 +148,16 @@
 fn lead(file: &File, trial: operator::Trial) -> Lead {
     match trial {
         _ if !has_parts(file) => no_lead,
-        operator::Trial::None => jaspershunt_agreed::lead,
-        operator::Trial::Tenth => jaspershunt_agreed::lead_by::<100>,
-        operator::Trial::Quarter => jaspershunt_agreed::lead_by::<250>,
-        operator::Trial::Half => jaspershunt_agreed::lead_by::<500>,
+        operator::Trial::None => jaspershunt_agreed::leader_entries,
+        operator::Trial::Tenth => jaspershunt_agreed::leader_entries_with_trial::<100>,
+        operator::Trial::Quarter => jaspershunt_agreed::leader_entries_with_trial::<250>,
+        operator::Trial::Half => jaspershunt_agreed::leader_entries_with_trial::<500>,
     }
 }
 
 /// What all members have agreed on beforehand.
-pub fn terms(fleet: &operator::Fleet) -> Terms {
-    Terms { ttl: fleet.ttl.0, drift: (fleet.drift.0 * 1000.0).round() as u32 }
+pub fn terms(fleet: &operator::Fleet) -> LeaseTiming {
+    LeaseTiming { ttl: fleet.ttl.0, drift_permille: (fleet.drift.0 * 1000.0).round() as u32 }
 }
 
 /// Runs the member while this process `serves`, and leaves the fleet when it does not any more; ends once the nodo `leaves`. Whoever
@@ -306,7 +306,7 @@
             async move {
                 match targets.get(&call.task) {
                     Some((address, path)) => act(*address, path, &holder, &call).await,
-                    None => Called::Failed("the task is not in this nodo's file".into()),
+                    None => CallOutcome::Failed("the task is not in this nodo's file".into()),
                 }
             }
         };
@@ -331,7 +331,7 @@
 }
 
 /// One call of a task.
-async fn act(address: SocketAddr, path: &str, holder: &Holder, call: &Call) -> Called {
+async fn act(address: SocketAddr, path: &str, holder: &Holder, call: &Call) -> CallOutcome {
     let called = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -353,13 +353,15 @@
         http::call(&mut stream, &request).await
     };
     match called.await {
-        Err(e) => Called::Failed(e.to_string()),
-        Ok(reply) if reply.body.len() > MAX_CURSOR => Called::Failed("its answer is over 1 KiB".into()),
+        Err(e) => CallOutcome::Failed(e.to_string()),
+        Ok(reply) if reply.body.len() > MAX_CURSOR_BYTES => {
+            CallOutcome::Failed("its answer is over 1 KiB".into())
+        }
         Ok(reply) => match reply.head.status {
-            200 | 204 => Called::Done(reply.body),
-            202 => Called::More(reply.body),
-            412 => Called::TurnedAway,
-            status => Called::Failed(format!("it answers with status {status}")),
+            200 | 204 => CallOutcome::Done(reply.body),
+            202 => CallOutcome::Partial(reply.body),
+            412 => CallOutcome::OldToken,
+            status => CallOutcome::Failed(format!("it answers with status {status}")),
         },
     }
 }
@@ -431,9 +433,9 @@
     }
     let entry = match what {
         Wanted::Show => return late(),
-        Wanted::Run(task) => Entry::Ask { task },
-        Wanted::Pause(task) => Entry::Pause { task, on: true },
-        Wanted::Resume(task) => Entry::Pause { task, on: false },
+        Wanted::Run(task) => Entry::RequestRun { task },
+        Wanted::Pause(task) => Entry::Pause { task, paused: true },
+        Wanted::Resume(task) => Entry::Pause { task, paused: false },
         Wanted::Release(lease) => Entry::Revoke { lease },
     };
     let (answer, outcome) = oneshot::channel();
@@ -485,11 +487,11 @@
         .map(|(name, task)| {
             let result = task.result.as_ref().map(|result| String::from_utf8_lossy(result).into_owned());
             let run = task.run.as_ref().map(|run| {
-                json!({"due": run.due, "key": run.key, "token": run.token, "holders": run.holders,
+                json!({"due": run.due, "key": run.key, "token": run.token, "holders": run.holder_count,
                     "cursor_bytes": run.cursor.len()})
             });
             let holder = fleet.lease(&lease_of_task(name)).map(|lease| lease.holder.member.as_str());
-            json!({"name": name, "holder": holder, "paused": task.paused, "asked": task.asked, "aside": task.aside,
+            json!({"name": name, "holder": holder, "paused": task.paused, "asked": task.run_requested, "aside": task.disabled_reason,
                 "last_due": task.last_due, "run": run, "result": result})
         })
         .collect();
@@ -498,9 +500,9 @@
             |(member, votes, disk)| json!({"member": member, "votes": votes, "disk": format!("{disk:016x}")}),
         )
         .collect();
-    let agreed = Agreed::load_parts(Fleet::default(), &shown.parts, jaspershunt_agreed::parts());
+    let agreed = ReplicatedState::load_parts(Fleet::default(), &shown.parts, jaspershunt_agreed::parts());
     let work = agreed.ok().map(|agreed| jaspershunt_agreed::work(&agreed).map(items).unwrap_or_default());
     json!({"work": work, "by": shown.by, "leader": shown.leader, "age_ms": shown.age_ms, "term": shown.term,
-        "applied": shown.applied, "tokens": fleet.tokens(), "seats": seats, "members": members, "leases": leases,
+        "applied": shown.applied, "tokens": fleet.last_token(), "seats": seats, "members": members, "leases": leases,
         "tasks": tasks})
 }
--- a/crates/node/src/fleet/routes.rs
+++ b/crates/node/src/fleet/routes.rs
@@ -8,7 +8,7 @@
 use crate::admin::line::Answer;
 use crate::engine::input::Input;
 use crate::log;
-use jaspershunt_fleet::parts::Agreed;
+use jaspershunt_fleet::parts::ReplicatedState;
 use jaspershunt_fleet::{Entry as OfFleet, Fleet, Outcome as OfAgreed};
 use jaspershunt_member::driver::{Newest, Order, Settled, now};
 use jaspershunt_member::frame::Shown;
@@ -350,7 +350,7 @@
         let (Some(fleet), Some(table)) = (&self.file.fleet, &way.table) else { return false };
         let heard = table.heard.load(Ordering::Relaxed);
         let ago = now().saturating_sub(Duration::from_millis(heard));
-        heard > 0 && ago <= 2 * terms(fleet).ask_every()
+        heard > 0 && ago <= 2 * terms(fleet).renewal_interval()
     }
 
     /// Whether the file of this nodo lets a team say this. What the agreed table says of owners is for the fleet to judge.
@@ -444,7 +444,8 @@
 }
 
 fn agreed_of(shown: &Shown) -> Option<Routes> {
-    let agreed = Agreed::load_parts(Fleet::default(), &shown.parts, jaspershunt_agreed::parts()).ok()?;
+    let agreed =
+        ReplicatedState::load_parts(Fleet::default(), &shown.parts, jaspershunt_agreed::parts()).ok()?;
     jaspershunt_agreed::routes(&agreed).cloned()
 }
 
--- a/crates/node/src/history/tests.rs
+++ b/crates/node/src/history/tests.rs
@@ -176,7 +176,7 @@
         let asked = history.begin_edit(format!("brio/{n}")).await;
         history.end_edit(asked, came.as_ref());
     }
-    let seen = jaspershunt_fleet::parts::Part::seen_by(&Routes::default(), &Holder::new("n1", 7));
+    let seen = jaspershunt_fleet::parts::Part::view_for(&Routes::default(), &Holder::new("n1", 7));
     let newest = Newest::from([("routes".to_string(), (1, Arc::from(seen)))]);
     Shown::default().note(&newest, &history);
     let records = ended(&folder, history, |records| records.len() > came.len()).await;
--- a/crates/routes/src/part.rs
+++ b/crates/routes/src/part.rs
@@ -778,7 +778,7 @@
         self.kept.epoch
     }
 
-    fn seen_by(&self, holder: &Holder) -> Vec<u8> {
+    fn view_for(&self, holder: &Holder) -> Vec<u8> {
         let (base, on_trial) = self.table_of(&holder.member);
         let shown = self.merged.conflicts.iter().take(MAX_SHOWN);
         let seen = Seen {
--- a/crates/routes/src/tests.rs
+++ b/crates/routes/src/tests.rs
@@ -334,7 +334,7 @@
     }
     assert_eq!(routes.merged().conflicts.len(), MAX_CONFLICTS);
     assert!(routes.merged().states.values().all(|state| matches!(state, State::InConflict(_))));
-    let seen = Seen::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("its own bytes");
+    let seen = Seen::from_bytes(&routes.view_for(&Holder::new("n1", 1))).expect("its own bytes");
     assert_eq!(seen.conflicts.len(), MAX_SHOWN);
 
     let mut routes = self::routes();
@@ -406,7 +406,7 @@
     let norte = Value::Names(["norte".to_string()].into());
     send(&mut routes, &edit("brio", 1, 0, vec![set(Thing::new(Kind::Route, "r1"), Field::Regions, norte)]));
     publish(&mut routes, WHOLE);
-    let seen = Seen::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("its own bytes");
+    let seen = Seen::from_bytes(&routes.view_for(&Holder::new("n1", 1))).expect("its own bytes");
     let snapshot = seen.snapshot(1000);
     assert_eq!(snapshot.allows("alta", "uno"), ["norte".to_string()].into());
     assert_eq!(snapshot.allows("baja", "uno"), Default::default());
--- a/crates/routes/src/trials.rs
+++ b/crates/routes/src/trials.rs
@@ -7,7 +7,7 @@
 use crate::soak::Dice;
 use crate::stage::{self, Counts, Ended, LEAST_JUDGED, LONGEST_TRIAL_MS, SHORTEST_TRIAL_MS, Tally, Why};
 use crate::table::{Field, Kind, Table, Thing, Value, WHOLE};
-use jaspershunt_fleet::parts::{Agreed, Part};
+use jaspershunt_fleet::parts::{Part, ReplicatedState};
 use jaspershunt_fleet::{Entry as OfFleet, Holder, Outcome as OfAgreed};
 use std::collections::BTreeMap;
 
@@ -52,18 +52,18 @@
 }
 
 struct World {
-    agreed: Agreed,
+    agreed: ReplicatedState,
     nodos: Vec<Nodo>,
     /// Words on the way, with when they come.
     way: Vec<(u64, Entry)>,
 }
 
-fn routes(agreed: &Agreed) -> Result<&Routes, String> {
+fn routes(agreed: &ReplicatedState) -> Result<&Routes, String> {
     let part = agreed.part(NAME).and_then(|part| part.as_any().downcast_ref());
     part.ok_or_else(|| "no routes".to_string())
 }
 
-fn say(agreed: &mut Agreed, entry: &Entry) -> Option<Outcome> {
+fn say(agreed: &mut ReplicatedState, entry: &Entry) -> Option<Outcome> {
     match agreed.apply(&OfFleet::Part { part: NAME.to_string(), bytes: entry.to_bytes() }) {
         OfAgreed::Part(bytes) => Outcome::from_bytes(&bytes),
         _ => None,
@@ -76,7 +76,7 @@
         let padron = Thing::new(Kind::Dependency, "padron");
         table.things.insert(padron.clone(), [(Field::Budget, Value::Number(10))].into());
         let routes = Routes::new(table).ok_or("the table is not valid")?;
-        let mut agreed = Agreed::new(vec![Box::new(routes)]);
+        let mut agreed = ReplicatedState::new(vec![Box::new(routes)]);
         let rates = [0, 1, 10, 60];
         let nodos: Vec<Nodo> = (0..3 + dice.below(7))
             .map(|n| Nodo {
@@ -111,7 +111,7 @@
     fn serve(&mut self, now_ms: u64, truth: Truth, dice: &mut Dice) -> Result<(), String> {
         for nodo in &mut self.nodos {
             let routes = routes(&self.agreed)?;
-            let seen = Seen::from_bytes(&routes.seen_by(&nodo.start)).ok_or("nothing is shown")?;
+            let seen = Seen::from_bytes(&routes.view_for(&nodo.start)).ok_or("nothing is shown")?;
             let (of, table) = (if seen.on_trial { truth } else { Truth::Good }, seen.snapshot(0));
             let [mut fails, mut late] = USUAL;
             match of {
@@ -259,7 +259,7 @@
         (Some(End::Refused(Reason::TakenBack { revision: 1, why, .. })), 2) => Some(*why),
         other => return Err(format!("it ended as {other:?}")),
     };
-    let uses = |nodo: &Nodo| Seen::from_bytes(&routes.seen_by(&nodo.start)).map(|seen| seen.revision);
+    let uses = |nodo: &Nodo| Seen::from_bytes(&routes.view_for(&nodo.start)).map(|seen| seen.revision);
     if world.nodos.iter().any(|nodo| uses(nodo) != Some(revision)) {
         return Err("not all use what was decided".to_string());
     }
--- a/crates/steering/src/part.rs
+++ b/crates/steering/src/part.rs
@@ -230,7 +230,7 @@
         self.tables.epoch
     }
 
-    fn seen_by(&self, _: &Holder) -> Vec<u8> {
+    fn view_for(&self, _: &Holder) -> Vec<u8> {
         postcard::to_stdvec(&Seen { tables: self.tables.clone() }).unwrap_or_default()
     }
 
--- a/crates/steering/src/part/tests.rs
+++ b/crates/steering/src/part/tests.rs
@@ -64,6 +64,6 @@
     assert_eq!(other, part);
     assert!(!other.load(&[255; 9]));
     let one = Holder::new("n1", 1);
-    assert_eq!(Seen::from_bytes(&other.seen_by(&one)).unwrap().tables, *part.tables());
+    assert_eq!(Seen::from_bytes(&other.view_for(&one)).unwrap().tables, *part.tables());
     assert_eq!(other.epoch(&one), entries.len() as u64);
 }
--- a/crates/work/src/part.rs
+++ b/crates/work/src/part.rs
@@ -76,7 +76,7 @@
         self.epochs.get(holder).copied().unwrap_or_default()
     }
 
-    fn seen_by(&self, holder: &Holder) -> Vec<u8> {
+    fn view_for(&self, holder: &Holder) -> Vec<u8> {
         self.seen(holder).to_bytes()
     }
 
--- a/crates/work/src/sim.rs
+++ b/crates/work/src/sim.rs
@@ -468,7 +468,7 @@
     }
 
     fn show(&mut self, at: usize) {
-        let bytes = self.work.seen_by(&self.processes[at].holder);
+        let bytes = self.work.view_for(&self.processes[at].holder);
         self.processes[at].shown = Seen::from_bytes(&bytes).unwrap_or_default();
     }
 
