--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -1,5 +1,6 @@
-//! A member's side of the fleet: finds the voter that leads, asks it whether its leases go on, has what it proposes agreed, and runs the
-//! tasks that its operator's file names. One keep-alive covers all its leases.
+//! The member's side of the fleet: finds the leader among the voters, renews the member's leases there, has
+//! entries committed, and runs the tasks of the operator's file. One keep-alive covers all leases of a
+//! member.
 
 use crate::holder::{Grade, HeldLeases, NoPermit, Permit};
 use crate::state::{Entry, Fleet, Holder, Outcome, Refusal};
@@ -9,92 +10,94 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Entries that wait to be agreed.
+/// Proposed entries that are not yet committed.
 pub const MAX_PROPOSALS: usize = 1024;
-/// An entry of which nothing is heard for so many leases' time is given up.
+/// A proposed entry without an outcome is given up after this many lease TTLs.
 const GIVE_UP_AFTER_TTLS: u32 = 3;
-/// After so many questions in a row without an answer another voter is asked.
+/// Renewal requests in a row without an answer, after which another voter is asked.
 const MAX_UNANSWERED: u32 = 1;
-/// Within the time between two questions a member follows so many words about who leads. Ours: two voters may each name the other.
+/// Redirects to another voter followed within one renewal interval. Guards against two voters that each name
+/// the other as leader.
 const MAX_REDIRECTS: u32 = 2;
 
-/// What is to be done.
+/// What the caller has to do for the client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask this voter whether all leases go on.
+    /// Send this voter a request to renew all leases.
     Renew {
-        /// Its name.
+        /// The voter's name.
         to: String,
-        /// Which question.
+        /// The number of the request.
         number: u64,
-        /// What this member would hold, where that has to be said.
+        /// The leases that this member wants, if the leader does not know them.
         wanted: Option<Vec<String>>,
-        /// What its clock on the wall shows.
+        /// This member's wall clock, in Unix seconds.
         unix: i64,
-        /// The last question that was answered.
+        /// The last request that was answered.
         answered: u64,
     },
-    /// Have this voter see to it that an entry is agreed.
+    /// Send this voter an entry to commit.
     Propose {
-        /// Its name.
+        /// The voter's name.
         to: String,
-        /// Which of this member's entries; comes back with what came of it.
+        /// This member's number for the entry, returned with its outcome.
         id: u64,
         /// The entry.
         entry: Entry,
     },
-    /// Call for a task.
+    /// Make a call for a task.
     Call(Call),
-    /// An entry of an operator's came to this; `None` if nobody knows.
+    /// An operator's entry was applied with this outcome; `None` if the outcome is unknown.
     Settled {
-        /// The entry's number.
+        /// The number of the entry.
         id: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: Option<Outcome>,
-        /// It was said more than once: where this outcome is a refusal, another copy may be agreed yet.
+        /// The entry was sent more than once: where the outcome is a refusal, another copy may still be
+        /// committed.
         sent_again: bool,
     },
-    /// To be said to operators.
+    /// Report to operators.
     Report(Event),
 }
 
-/// A call for a task. Times are by this process's clock.
+/// A call for a task. Times are those of this process's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// The task.
     pub task: String,
-    /// Which call; comes back with what came of it.
+    /// The number of the call, returned with its outcome.
     pub number: u64,
-    /// Shown to what is called.
+    /// Fencing token, sent with the call.
     pub token: u64,
-    /// The same over retries and holders.
+    /// Idempotency key, the same for all retries and holders.
     pub key: u64,
-    /// Where it goes on.
+    /// Where the run continues.
     pub cursor: Vec<u8>,
-    /// It has to leave this process by then, or not at all.
+    /// The latest time to send the call; after that it must not be sent.
     pub send_by: Duration,
-    /// It has to be over by then.
+    /// When the call has to be over.
     pub until: Duration,
 }
 
-/// What operators are told.
+/// An event reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A lease is held here.
+    /// This process now holds a lease.
     Acquired {
-        /// Its name.
+        /// The lease.
         lease: String,
-        /// Its token.
+        /// The token.
         token: u64,
     },
-    /// It is not any more.
+    /// This process no longer holds a lease.
     Lost {
-        /// Its name.
+        /// The lease.
         lease: String,
-        /// Its token.
+        /// The token.
         token: u64,
     },
-    /// This start counts for nothing, as a later one of its name does.
+    /// A later incarnation of this member is enrolled, so this one can hold nothing.
     Superseded,
 }
 
@@ -102,39 +105,40 @@
 struct Proposal {
     entry: Entry,
     since: Duration,
-    /// When it is said again.
+    /// When the entry is sent again.
     resend_at: Duration,
-    /// An operator waits.
+    /// An operator waits for the outcome.
     report: bool,
-    /// How often it was said.
+    /// How often the entry was sent.
     times_sent: u32,
 }
 
-/// A member's side.
+/// The state of a member.
 #[derive(Clone, Debug)]
 pub struct Client {
     timing: LeaseTiming,
     leases: HeldLeases,
-    /// The voters, by name, in the order of the file.
+    /// The voters' names, in the order of the operator's file.
     voters: Vec<String>,
-    /// Which of them is asked.
+    /// Index of the voter that requests are sent to.
     current_voter: usize,
     unanswered: u32,
-    /// Words about who leads that were followed, since when.
+    /// Redirects followed, and since when they are counted.
     redirects: (u32, Duration),
-    /// The last question that was answered, and when.
+    /// The last request that was answered, and when.
     last_answer: Option<(u64, Duration)>,
-    /// The fleet's time, by the answers.
+    /// The fleet's wall clock, as reported by the leader.
     fleet_clock: Option<SecondsClock>,
     enrolled: bool,
     superseded: bool,
     wanted: BTreeSet<String>,
-    /// The one that leads has to hear what this member wants.
+    /// The leader does not know yet what this member wants.
     send_wanted: bool,
-    /// The part of the agreed state that concerns this member, as the last answer had it, with what was agreed since.
+    /// The part of the replicated state that this member needs, as of the last answer, with the entries
+    /// committed since.
     view: Fleet,
     runners: BTreeMap<String, TaskRunner>,
-    /// Tasks whose part of the view turned out to be old: they wait for the next answer.
+    /// Tasks whose view proved out of date; they wait for the next answer.
     stale_tasks: BTreeSet<String>,
     proposals: BTreeMap<u64, Proposal>,
     last_proposal: u64,
@@ -143,7 +147,7 @@
 }
 
 impl Client {
-    /// A start that has heard nothing yet.
+    /// Creates the state of an incarnation that has received nothing yet.
     pub fn new(me: Holder, timing: LeaseTiming, voters: Vec<String>, tasks: Vec<TaskSpec>) -> Client {
         let runners: BTreeMap<String, TaskRunner> =
             tasks.into_iter().map(|spec| (spec.name.clone(), TaskRunner::new(spec, i64::MAX))).collect();
@@ -171,35 +175,35 @@
         }
     }
 
-    /// This start.
+    /// This incarnation.
     pub fn me(&self) -> &Holder {
         self.leases.me()
     }
 
-    /// Its leases.
+    /// The leases of this member.
     pub fn leases(&self) -> &HeldLeases {
         &self.leases
     }
 
-    /// The voter that is asked.
+    /// The voter that requests are sent to.
     pub fn current_voter(&self) -> Option<&str> {
         self.voters.get(self.current_voter).map(String::as_str)
     }
 
-    /// When the last question was answered.
+    /// When the last request was answered.
     pub fn last_answer_at(&self) -> Option<Duration> {
         self.last_answer.map(|(_, at)| at)
     }
 
-    /// A later start of this member is here.
+    /// Whether a later incarnation of this member is enrolled.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Leave to begin an act now, for whoever acts by another way than a task.
+    /// Checks whether an act may begin now, for callers other than tasks.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn may_act(&self, now: Duration, lease: &str, grade: Grade) -> Result<Permit, NoPermit> {
         if self.leaving {
             return Err(NoPermit::NotHeld);
@@ -207,12 +211,12 @@
         self.leases.may_act(now, lease, grade)
     }
 
-    /// This member would hold a lease.
+    /// Requests a lease.
     pub fn want(&mut self, lease: &str) {
         self.send_wanted |= self.wanted.insert(lease.to_string());
     }
 
-    /// It does not any more; if it holds it, it gives it up.
+    /// Stops requesting a lease, and releases it if it is held.
     pub fn unwant(&mut self, now: Duration, lease: &str) {
         self.send_wanted |= self.wanted.remove(lease);
         self.release(now, lease);
@@ -224,7 +228,7 @@
         }
     }
 
-    /// This start is about to end: nothing begins any more, and what it holds is given up.
+    /// Prepares the end of this incarnation: nothing new begins, and all leases are released.
     pub fn leave(&mut self, now: Duration) {
         if std::mem::replace(&mut self.leaving, true) {
             return;
@@ -237,12 +241,13 @@
         self.propose(now, gone, false);
     }
 
-    /// It has left, as far as that can be known.
+    /// Whether this incarnation has left, as far as it can know.
     pub fn has_left(&self) -> bool {
         self.leaving && self.proposals.is_empty()
     }
 
-    /// Has an entry agreed; its number comes back with [`Action::Settled`] if `told`. One that is on its way already is not said twice.
+    /// Has an entry committed. Its outcome is returned with [`Action::Settled`] if `report` is set. Without
+    /// `report`, an entry that is already proposed is not proposed twice.
     pub fn propose(&mut self, now: Duration, entry: Entry, report: bool) -> Option<u64> {
         if let Some((id, _)) = self.proposals.iter().find(|(_, other)| other.entry == entry && !report) {
             return Some(*id);
@@ -258,7 +263,8 @@
         Some(self.last_proposal)
     }
 
-    /// Time has passed, or something was heard: what is to be done. `unix` is the time by the wall clock.
+    /// Returns what has to be done, after time has passed or a message has arrived. `unix` is this member's
+    /// wall clock, in Unix seconds.
     pub fn step(&mut self, now: Duration, unix: i64) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(unix) = self.unix_seconds(now)
@@ -311,12 +317,12 @@
         actions
     }
 
-    /// The fleet's time by the wall, once that is known.
+    /// The fleet's wall clock in Unix seconds, once it is known.
     pub fn unix_seconds(&self, now: Duration) -> Option<i64> {
         self.fleet_clock.map(|fleet_clock| fleet_clock.unix_seconds(now))
     }
 
-    /// Says which leases came and went.
+    /// Reports the leases acquired and lost since the last report.
     fn report_leases(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let held: BTreeMap<String, u64> =
             self.leases.all_held(now).map(|(name, held)| (name.to_string(), held.token)).collect();
@@ -351,7 +357,8 @@
                 TaskAction::Propose(entry) => drop(self.propose(now, entry, false)),
                 TaskAction::Call { number, token, key, cursor, until } => {
                     let grade = self.runners.get(task).map(|runner| runner.spec().grade);
-                    // Guards against a pause of this process between the look at the lease and the act: it counts as way.
+                    // Guards against a pause of this process between its check of the lease and the act,
+                    // which counts as delay.
                     let send_by = match grade {
                         Some(Grade::Timed { max_delay, .. }) => now + max_delay,
                         _ => until,
@@ -359,13 +366,13 @@
                     let task = task.to_string();
                     actions.push(Action::Call(Call { task, number, token, key, cursor, send_by, until }));
                 }
-                // This is stepped often enough.
+                // The caller steps often enough.
                 TaskAction::Wake(_) => {}
             }
         }
     }
 
-    /// What came of a call for a task.
+    /// Records the outcome of a task's call.
     pub fn call_ended(&mut self, now: Duration, task: &str, number: u64, outcome: CallOutcome) {
         if let Some(runner) = self.runners.get_mut(task) {
             let rejected = outcome == CallOutcome::OldToken;
@@ -378,7 +385,7 @@
         }
     }
 
-    /// The voter that leads has answered a question.
+    /// Applies the leader's answer to a renewal request.
     pub fn on_answer(&mut self, now: Duration, from: &str, answer: &RenewalAnswer) {
         self.switch_to(from);
         self.unanswered = 0;
@@ -392,7 +399,7 @@
                 match &mut self.fleet_clock {
                     Some(fleet_clock) => fleet_clock.observe(now, unix),
                     None => {
-                        // What was due before this start is not missed.
+                        // Due times before this incarnation's start are not missed runs.
                         self.runners.values_mut().for_each(|runner| runner.set_first_seen(unix));
                         self.fleet_clock = Some(SecondsClock::new(now, unix));
                     }
@@ -403,7 +410,7 @@
                 self.stale_tasks.clear();
             }
         }
-        // What is held and not wanted any more.
+        // Releases leases that are held but no longer wanted.
         let unwanted: Vec<String> = answer
             .leases
             .iter()
@@ -422,7 +429,7 @@
         }
     }
 
-    /// The voter that was asked does not lead; perhaps it knows who does.
+    /// The voter that was asked is not the leader; it may know who is.
     pub fn on_not_leader(&mut self, now: Duration, from: &str, leader: Option<&str>) {
         if self.current_voter() != Some(from) {
             return;
@@ -436,10 +443,11 @@
                 self.redirects.0 += 1;
                 self.unanswered = 0;
                 self.switch_to(leader);
-                // The question is due again at once: it counts from now.
+                // Makes the request due again at once, counted from now.
                 self.leases.renew_soon();
             }
-            // Guards against a storm while nobody leads: the next one is asked when the next question is due.
+            // Guards against a retry storm while there is no leader: the next voter is asked only when the
+            // next request is due.
             None => {
                 self.current_voter = (self.current_voter + 1) % self.voters.len().max(1);
                 self.unanswered = 0;
@@ -447,7 +455,8 @@
         }
     }
 
-    /// The connection to a voter broke: if that one is asked, the next one is, at once and not at the next question.
+    /// The connection to a voter broke: if it is the current voter, requests go to the next one at once, not
+    /// only at the next renewal.
     pub fn on_connection_lost(&mut self, now: Duration, voter: &str) {
         if self.current_voter() != Some(voter) || self.voters.len() < 2 {
             return;
@@ -456,11 +465,11 @@
         self.on_not_leader(now, voter, Some(&next));
     }
 
-    /// An entry of this member was agreed, or came to nothing (`None`).
+    /// Records the outcome of an entry of this member, or that the entry was not committed (`None`).
     pub fn on_outcome(&mut self, now: Duration, id: u64, outcome: Option<Outcome>) -> Vec<Action> {
         let mut actions = Vec::new();
         let Some(outcome) = outcome else {
-            // Nobody knows what became of it: it is said again, as all entries may be.
+            // The outcome is unknown: the entry is sent again, which is safe for all entries.
             if let Some(proposal) = self.proposals.get_mut(&id) {
                 proposal.resend_at = proposal.resend_at.min(now + self.timing.renewal_interval() / 4);
             }
@@ -485,7 +494,7 @@
             | Entry::SkipDue { task, .. } => {
                 let task = task.clone();
                 if matches!(outcome, Outcome::Refused(_)) {
-                    // Guards against saying the same again and again, as the view that it comes from is old.
+                    // Guards against repeated proposals from a view that is out of date.
                     self.stale_tasks.insert(task.clone());
                     self.leases.renew_soon();
                 } else {
@@ -505,20 +514,20 @@
     }
 }
 
-/// The answer of the one that leads to a question.
+/// The leader's answer to a renewal request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RenewalAnswer {
-    /// Which question.
+    /// The number of the request.
     pub number: u64,
-    /// What goes on: leases and tokens.
+    /// The leases and tokens that are renewed.
     pub leases: Vec<(String, u64)>,
-    /// This start is the present one of its member.
+    /// Whether this incarnation is the current one of its member.
     pub enrolled: bool,
-    /// The next question has to say what this member would hold.
+    /// The next request has to list the leases that this member wants.
     pub send_wanted: bool,
-    /// The fleet's time by the wall, in Unix seconds, where enough clocks were heard.
+    /// The fleet's wall clock in Unix seconds, if enough clocks are known.
     pub unix: Option<i64>,
-    /// The part of the agreed state that concerns this member ([`Fleet::view_for`]).
+    /// The part of the replicated state that this member needs ([`Fleet::view_for`]).
     pub view: Vec<u8>,
 }
 
--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/holder.rs
@@ -1,7 +1,8 @@
-//! A holder's rules: what it holds by its own clock, and whether an act may begin.
+//! A holder's rules: which leases a process holds by its own clock, and whether an act may begin.
 //!
-//! It counts from before it *sent* its question, the leader from when it *heard* it, each with a margin for clocks that are off. So
-//! the holder is done before anybody else can be given the lease.
+//! The holder counts from before it *sends* the renewal request, the leader from when it *receives* the
+//! request, each with a margin for clock drift. A lease therefore ends for its holder before any other
+//! process can be granted it.
 
 use crate::mutants::{Mutant, is_active};
 use crate::state::Holder;
@@ -9,41 +10,46 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Questions that may be on their way; the oldest is given up for a newer one.
+/// Renewal requests without an answer; beyond this the oldest is forgotten.
 pub const MAX_OPEN_RENEWALS: usize = 16;
 
-/// How safe the acts under a lease are, and what has to be known for it.
+/// How acts under a lease are protected from overlapping acts of another holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Grade {
-    /// What is acted on turns away every token under one that it has seen. Safe whatever is paused and however clocks run.
+    /// The resource rejects every token lower than one it has seen. Safe whatever processes are paused and
+    /// however clocks run.
     Checked,
-    /// It cannot. An act begins only if it ends inside the lease by its own time-out, and who is given the lease next first waits
-    /// out the longest act and the longest way. Safe within these bounds.
+    /// The resource cannot check tokens. An act begins only if it ends before the lease does, by a timeout of
+    /// its own, and the next holder first waits for the longest act and the longest delay. Safe within these
+    /// bounds.
     Timed {
-        /// The longest that an act takes, by a time-out of its own.
+        /// The longest duration of an act, enforced by a timeout.
         max_act: Duration,
-        /// The longest way to what is acted on, and the longest pause of this process between the look at its lease and the act.
+        /// The longest delay of a request to the resource, and the longest pause of this process between its
+        /// check of the lease and the act.
         max_delay: Duration,
     },
-    /// The act is nothing but an entry of the agreed state. Safe as that is.
+    /// The act is an entry of the replicated log, and as safe as the log.
     Agreed,
 }
 
 impl Grade {
-    /// What this promises, in plain words.
+    /// Describes the protection for operators.
     pub fn explain(&self) -> String {
         match self {
             Grade::Checked => {
-                "what is acted on checks the token: an act under an old one is turned away, whatever is paused and \
-                 however clocks run"
+                "the resource checks the token: an act under an old one is rejected, whatever processes are paused \
+                 and however clocks run"
                     .to_string()
             }
             Grade::Timed { max_act, max_delay } => format!(
-                "what is acted on checks nothing: safe as long as an act ends within {max_act:?}, nothing is on its way, or \
-                 paused between the look at the lease and the act, for over {max_delay:?}, and clocks are off by no more than the \
-                 drift allowed. Beyond that two may act at once"
+                "the resource checks no token: safe as long as an act ends within {max_act:?}, no request is delayed, \
+                 and no process paused between its check of the lease and the act, for over {max_delay:?}, and clocks \
+                 drift by no more than the setting allows. Beyond that two may act at once"
             ),
-            Grade::Agreed => "the act is an entry of the agreed state: it counts once, or not at all".to_string(),
+            Grade::Agreed => {
+                "the act is an entry of the replicated state: it takes effect once or not at all".to_string()
+            }
         }
     }
 }
@@ -51,54 +57,54 @@
 /// A lease that this process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
-    /// Shown with every act.
+    /// Fencing token sent with every act.
     pub token: u64,
-    /// When this process heard of it first.
+    /// When this process first learned that it holds the lease.
     pub since: Duration,
-    /// Until when it counts on it.
+    /// When the lease ends by this process's clock.
     pub until: Duration,
 }
 
-/// Leave to begin an act.
+/// A permission to begin an act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Permit {
-    /// To be shown with it.
+    /// The token to send with the act.
     pub token: u64,
-    /// It has to be over by then, by this process's clock.
+    /// When the act has to be over, by this process's clock.
     pub until: Duration,
 }
 
 /// Why an act may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NoPermit {
-    /// Another has the lease, or nobody, as far as is known here.
+    /// This process does not hold the lease, as far as it knows.
     NotHeld,
-    /// There is not enough time left in it; it may go on.
+    /// The lease ends too soon, unless it is renewed.
     TooLate,
-    /// What the holder before may still have on its way is waited out; until then.
+    /// An act of the previous holder may still be running.
     PreviousHolderMayAct {
-        /// By this process's clock.
+        /// When it must have ended, by this process's clock.
         until: Duration,
     },
 }
 
-/// What a process knows of its own leases.
+/// The leases that this process holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLeases {
     me: Holder,
     timing: LeaseTiming,
-    /// The number of the last question, and when those that are not answered were sent.
+    /// The number of the last renewal request, and the send times of those without an answer.
     last_number: u64,
     sent_at: BTreeMap<u64, Duration>,
     next_renewal: Duration,
     last_answered: u64,
     held: BTreeMap<String, HeldLease>,
-    /// Tokens that were given up, until no answer names them any more.
+    /// Released tokens, until no answer names them any more.
     released: BTreeMap<String, u64>,
 }
 
 impl HeldLeases {
-    /// Of a start that holds nothing yet.
+    /// Creates the state of an incarnation that holds nothing yet.
     pub fn new(me: Holder, timing: LeaseTiming) -> HeldLeases {
         let (sent_at, held, released) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         HeldLeases {
@@ -113,12 +119,13 @@
         }
     }
 
-    /// This start.
+    /// This incarnation.
     pub fn me(&self) -> &Holder {
         &self.me
     }
 
-    /// The number of the question to be sent now, if one is due; it counts from now, before it is sent.
+    /// The number of the renewal request to send now, if one is due. Its answer counts from now, before it is
+    /// sent.
     pub fn start_renewal(&mut self, now: Duration) -> Option<u64> {
         if now < self.next_renewal {
             return None;
@@ -132,24 +139,25 @@
         Some(self.last_number)
     }
 
-    /// The next question is due at once.
+    /// Makes the next renewal request due at once.
     pub fn renew_soon(&mut self) {
         self.next_renewal = Duration::ZERO;
     }
 
-    /// When the next question is due.
+    /// When the next renewal request is due.
     pub fn next_renewal_at(&self) -> Duration {
         self.next_renewal
     }
 
-    /// A question was answered: these are held, and go on from when it was sent. Answers may come in any order, or twice.
+    /// Applies a renewal answer: these leases are held, counted from when the request was sent. Answers may
+    /// arrive in any order, or twice.
     pub fn renewed(&mut self, now: Duration, number: u64, leases: &[(String, u64)]) {
         let Some(sent_at) = self.sent_at.remove(&number) else { return };
         let from = if is_active(Mutant::CountsFromReceipt) { now } else { sent_at };
         let until = from + self.timing.holder_ttl();
         for (name, token) in leases {
-            // Guards against a lease that was given up, and comes back by an answer from before the fleet heard so: by the time
-            // it is counted on again it may be another's.
+            // Guards against an answer sent before the release was committed, which would bring back a
+            // released lease: by the time it is used another process may hold it.
             if self.released.get(name) == Some(token) && !is_active(Mutant::GivenUpComesBack) {
                 continue;
             }
@@ -160,7 +168,7 @@
                     let held = HeldLease { until, ..*held };
                     self.held.insert(name.clone(), held);
                 }
-                // Guards against an old answer that brings back a lease which was lost since.
+                // Guards against an old answer that brings back a lease lost since.
                 None if number > self.last_answered
                     && self.held.get(name).is_none_or(|held| held.token < *token) =>
                 {
@@ -179,34 +187,34 @@
         }
     }
 
-    /// This process gives a lease up: nothing more begins under it. Returns the token to release.
+    /// Gives up a lease: no act begins under it any more. Returns the token to release.
     pub fn release(&mut self, lease: &str) -> Option<u64> {
         let token = self.held.remove(lease)?.token;
         self.released.insert(lease.to_string(), token);
         Some(token)
     }
 
-    /// What is held at this moment.
+    /// A lease, if it is held at this time.
     pub fn held(&self, now: Duration, lease: &str) -> Option<HeldLease> {
         self.held.get(lease).copied().filter(|held| now < held.until)
     }
 
-    /// All that is held at this moment.
+    /// All leases held at this time.
     pub fn all_held(&self, now: Duration) -> impl Iterator<Item = (&str, HeldLease)> {
         self.held.iter().filter(move |(_, held)| now < held.until).map(|(name, held)| (name.as_str(), *held))
     }
 
-    /// Leave to begin an act now.
+    /// Checks whether an act may begin now.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn may_act(&self, now: Duration, lease: &str, grade: Grade) -> Result<Permit, NoPermit> {
         let held = self.held(now, lease).ok_or(NoPermit::NotHeld)?;
         let HeldLease { token, since, until } = held;
         match grade {
             Grade::Checked | Grade::Agreed => Ok(Permit { token, until }),
             Grade::Timed { max_act, max_delay } => {
-                // Guards against an act of the holder before that is still on its way, or not over.
+                // Guards against an act of the previous holder that is still running or delayed.
                 let wait_until = since + self.timing.wait_to_outlast(max_act + max_delay);
                 if now < wait_until && !is_active(Mutant::ActIsNotWaitedOut) {
                     return Err(NoPermit::PreviousHolderMayAct { until: wait_until });
--- a/crates/fleet/src/leader.rs
+++ b/crates/fleet/src/leader.rs
@@ -1,8 +1,9 @@
-//! The leader's rules: when a lease has run out, and whom it may tell that a lease goes on.
+//! The leader's rules: when a lease has expired, and which holders may be sent a renewal.
 //!
-//! A leader that was replaced does not know so. It therefore tells nobody that a lease goes on before a majority has said, after it
-//! heard the question, that it still leads ([`Leader::request_renewal`], [`Leader::confirmation_succeeded`]). A new leader counts the time of every lease
-//! from its own beginning, whatever the one before it had counted.
+//! A replaced leader does not know that it was replaced. It therefore confirms no renewal before a majority
+//! has acknowledged, after the request arrived, that it still leads ([`Leader::request_renewal`],
+//! [`Leader::confirmation_succeeded`]). A new leader counts the time of every lease from the start of its own
+//! term, whatever its predecessor had counted.
 
 use crate::mutants::{Mutant, is_active};
 use crate::state::{Entry, Fleet, Holder};
@@ -10,56 +11,58 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Questions that wait for a majority; more are not answered, and are asked again.
+/// Renewal requests waiting for a majority; further ones are dropped, and their senders retry.
 pub const MAX_RENEWAL_REQUESTS: usize = 4096;
-/// A member that holds nothing and was not heard of for so many times the lease's is forgotten.
+/// A member that holds nothing is removed after this many lease TTLs of silence.
 const FORGET_AFTER_TTLS: u32 = 10;
 
-/// A holder's question whether its leases go on.
+/// A holder's request to renew all its leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RenewalRequest {
-    /// Who asks.
+    /// The requester.
     pub holder: Holder,
-    /// Which of its questions; comes back with the answer.
+    /// The requester's number for it, returned with the answer.
     pub number: u64,
 }
 
-/// The answer to it.
+/// A renewal that a majority has confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConfirmedRenewal {
-    /// Whose question.
+    /// The request.
     pub request: RenewalRequest,
-    /// What that start holds: leases and tokens. These go on from when it asked; nothing else does.
+    /// The leases and tokens held by the requester, renewed as of the time it sent the request. No other
+    /// lease is renewed.
     pub leases: Vec<(String, u64)>,
-    /// Whether it is the present start of its member.
+    /// Whether the requester is the current incarnation of its member.
     pub enrolled: bool,
 }
 
-/// What a leader keeps beside the agreed state. Made anew with each term, once the first entry of the term is applied.
+/// The leader's own state beside the replicated state. Created anew in each term, once the first entry of the
+/// term is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leader {
     timing: LeaseTiming,
     leader_since: Duration,
     heard_at: BTreeMap<Holder, Duration>,
-    /// When it saw a token first.
+    /// When this leader first saw each token.
     first_seen: BTreeMap<u64, Duration>,
-    /// The last answer that each holder said it has had, and when that was news.
+    /// The last answer that each holder has acknowledged, and when that number last grew.
     last_acknowledged: BTreeMap<Holder, (u64, Duration)>,
-    /// Tokens that do not go on, as operators took them back or their holder hears no answers; with when that one was heard last
-    /// before this was seen.
+    /// Tokens that are not renewed, because the lease was revoked or the holder receives no answers, with the
+    /// start of the wait for their expiry.
     not_renewed: BTreeMap<u64, Duration>,
-    /// Tokens whose end is on its way into the log.
+    /// Tokens whose `Expire` entry is proposed and not yet applied.
     expiring: BTreeSet<u64>,
-    /// Holders whose end is on its way.
+    /// Holders whose `Gone` entry is proposed and not yet applied.
     leaving: BTreeSet<Holder>,
-    /// Waits for a majority, in the order in which it came.
+    /// Requests waiting for a majority, in order of arrival.
     requests: Vec<RenewalRequest>,
-    /// How many of them are covered by the confirmation that is under way.
+    /// How many of them the confirmation in progress covers.
     being_confirmed: usize,
 }
 
 impl Leader {
-    /// A leader from now on, by this process's clock.
+    /// Starts a leader at this time of the process's clock.
     pub fn new(now: Duration, timing: LeaseTiming) -> Leader {
         Leader {
             timing,
@@ -75,10 +78,10 @@
         }
     }
 
-    /// A holder asks whether its leases go on. Returns whether there is room for the question.
+    /// Records a renewal request. Returns whether it was accepted.
     pub fn request_renewal(&mut self, now: Duration, request: RenewalRequest) -> bool {
         self.heard_at.insert(request.holder.clone(), now);
-        // A later question makes an earlier one needless.
+        // A later request replaces an earlier one of the same holder.
         let waiting = self.requests.iter_mut().skip(self.being_confirmed);
         for other in waiting {
             if other.holder == request.holder {
@@ -93,7 +96,8 @@
         true
     }
 
-    /// A holder says which answer it has had last. Where nobody says so all count as heard.
+    /// Records the last answer that a holder has received. Holders that never report one count as receiving
+    /// all.
     pub fn acknowledge_answer(&mut self, now: Duration, holder: &Holder, answer: u64) {
         let last = self.last_acknowledged.entry(holder.clone()).or_insert((answer, now));
         if answer > last.0 {
@@ -101,18 +105,20 @@
         }
     }
 
-    /// Whether a holder asks, and has had no answer for a lease's time: what it holds is of no use to it.
+    /// Whether a holder sends requests but has received no answer for a whole lease TTL, so that it cannot
+    /// use its leases.
     pub fn receives_no_answers(&self, now: Duration, holder: &Holder) -> bool {
         let last = self.last_acknowledged.get(holder);
         last.is_some_and(|(_, at)| now.saturating_sub(*at) > self.timing.expiry_wait())
     }
 
-    /// Whether questions are answered without a majority: never, but where that rule is left out.
+    /// Whether requests are answered without a majority; only under the mutant that removes this rule.
     pub fn answers_without_majority() -> bool {
         is_active(Mutant::RenewedByAMinority)
     }
 
-    /// Whether a majority is to be asked now: questions wait, and no confirmation is under way that began before them.
+    /// Whether a confirmation has to start now: requests are waiting and no confirmation is in progress.
+    /// Marks the waiting requests as covered by it.
     pub fn begin_confirmation(&mut self) -> bool {
         if self.being_confirmed > 0 || self.requests.is_empty() {
             return false;
@@ -121,18 +127,18 @@
         true
     }
 
-    /// The confirmation that was under way will not come: this asks anew.
+    /// Drops the confirmation in progress, so that the next one is started at once.
     pub fn confirmation_failed(&mut self) {
         self.being_confirmed = 0;
     }
 
-    /// A majority said that this is the leader, and said so after the questions were heard. `fleet` is the agreed state at least as
-    /// far as it was agreed then.
+    /// Returns the answers, after a majority has confirmed that this is the leader since the covered requests
+    /// arrived. `fleet` is the replicated state at least as far as it was committed at that time.
     pub fn confirmation_succeeded(&mut self, fleet: &Fleet) -> Vec<ConfirmedRenewal> {
         let confirmed: Vec<RenewalRequest> = self.requests.drain(..self.being_confirmed).collect();
         self.being_confirmed = 0;
         let answer = |request: RenewalRequest| {
-            // Guards against a lease that goes on here while its end is on its way into the log.
+            // Guards against renewing a lease whose expiry is already proposed.
             let goes_on = |token: &u64| {
                 (!self.expiring.contains(token) || is_active(Mutant::EndingGoesOn))
                     && !self.not_renewed.contains_key(token)
@@ -146,15 +152,16 @@
         confirmed.into_iter().map(answer).collect()
     }
 
-    /// What is to become agreed as time has passed: leases that have run out, waiters and members that are silent. To be called
-    /// often; each is said once.
+    /// Returns the entries that have become due with time: expired leases, and silent candidates and members.
+    /// To be called often; each entry is returned once.
     pub fn tick(&mut self, now: Duration, fleet: &Fleet) -> Vec<Entry> {
         self.tick_with_parts(now, fleet, |_| false)
     }
 
-    /// The same, where parts of the agreed state have something for some starts: when such a one is silent for a lease's time it is
-    /// said to be gone, so that others take up what it had. Safe whether it lives or not: what is taken over has a token of its own,
-    /// and one that was only cut off takes part again.
+    /// Does the same where parts of the replicated state have data for some incarnations. Such an incarnation
+    /// is removed after one lease TTL of silence, so that others can take over its data. This is safe even if
+    /// it is alive: what is taken over gets a token of its own, and an incarnation that was only partitioned
+    /// off enrols again.
     pub fn tick_with_parts(
         &mut self,
         now: Duration,
@@ -172,18 +179,22 @@
         self.last_acknowledged.retain(|holder, _| known(holder));
         let waits: BTreeSet<&Holder> = fleet.leases().flat_map(|(_, lease)| &lease.waiters).collect();
         let holds = |holder: &Holder| fleet.leases().any(|(_, lease)| lease.holder == *holder);
-        // One that holds was left a member, and waits for nothing any more: its end is said again once it holds nothing.
+        // A silent holder stays a member until its last lease is passed on; then its `Gone` entry is proposed
+        // again.
         self.leaving.retain(|holder| known(holder) && (waits.contains(holder) || !holds(holder)));
         let mut entries = Vec::new();
         for (name, lease) in fleet.leases() {
             let first_seen = *self.first_seen.entry(lease.token).or_insert(now);
             let first_seen =
                 if is_active(Mutant::NewLeaderGrantsAtOnce) { Duration::ZERO } else { first_seen };
-            // Guards against an early end under a new leader, which has not heard what the one before it told.
+            // Guards against an early expiry under a new leader, which does not know its predecessor's
+            // answers.
             let mut since = first_seen.max(self.last_heard(&lease.holder));
-            // Guards against a holder whose questions arrive and whose answers do not: it would keep a lease that it cannot use.
+            // Guards against a holder whose requests arrive but whose answers are lost: it would keep a lease
+            // that it cannot use.
             if lease.revoked || self.receives_no_answers(now, &lease.holder) {
-                // It does not go on from here on, and was told that it does until now: what it was told last is waited out.
+                // The lease is not renewed from now on. The holder was sent renewals until now, so the last
+                // one is waited out.
                 since = *self.not_renewed.entry(lease.token).or_insert(since);
                 if lease.revoked && is_active(Mutant::RevokedEndsAtOnce) {
                     since = first_seen;
@@ -195,7 +206,7 @@
                 entries.push(Entry::Expire { lease: name.to_string(), token: lease.token });
             }
         }
-        // One that is silent for a lease's time would hold up those behind it for as long again.
+        // A silent candidate would delay those queued behind it by another lease TTL.
         let members: Vec<Holder> =
             fleet.members().map(|(member, incarnation)| Holder::new(member, incarnation)).collect();
         for holder in &members {
@@ -212,7 +223,7 @@
         entries
     }
 
-    /// When a holder was heard last, as far as that counts: not before this one led.
+    /// When a holder was last heard from, but no earlier than the start of this leader's term.
     fn last_heard(&self, holder: &Holder) -> Duration {
         let heard_at = self.heard_at.get(holder).copied();
         if is_active(Mutant::NewLeaderGrantsAtOnce) {
@@ -221,7 +232,7 @@
         heard_at.unwrap_or(self.leader_since).max(self.leader_since)
     }
 
-    /// How long ago a member was heard, for operators.
+    /// How long ago a member was last heard from, for operators.
     pub fn heard_ago(&self, now: Duration, holder: &Holder) -> Option<Duration> {
         self.heard_at.get(holder).map(|heard_at| now.saturating_sub(*heard_at))
     }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,279 +1,284 @@
-//! The agreed state: a function of the log alone, the same in every process that has read as far. Nothing in it is a time:
-//! when a lease has run out is judged by the one that leads, and becomes true with its entry.
+//! The replicated state: a deterministic function of the log alone, so every process that has applied the
+//! same entries has the same state. It contains no clock times: the leader decides when a lease has expired,
+//! and the expiry takes effect when its entry is applied.
 
 use crate::mutants::{Mutant, is_active};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bounds of the agreed state.
+/// Members of a fleet.
 pub const MAX_MEMBERS: usize = 1024;
-/// Leases at once.
+/// Leases held at one time.
 pub const MAX_LEASES: usize = 512;
-/// Those that wait for one lease. With the bounds beside it the whole state has 8 MB at most: far beyond three in each line.
+/// Candidates queued for one lease. With the other bounds this limits the whole state to 8 MB; the leader
+/// normally queues two candidates per lease.
 pub const MAX_WAITERS: usize = 64;
-/// Tasks of which anything is known.
+/// Tasks with any recorded state.
 pub const MAX_TASKS: usize = 128;
-/// Bytes of a name.
+/// Bytes of a member's, lease's or task's name.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Bytes of a task's cursor, and of its result.
+/// Bytes of a task's cursor and of its result.
 pub const MAX_CURSOR_BYTES: usize = 1024;
-/// Acts that are remembered for each lease whose acts are entries.
+/// Acts kept for each lease whose acts are log entries.
 pub const MAX_ACTS_PER_LEASE: usize = 16;
-/// A task that this many holders in turn have begun and none has ended is put aside. Ours: one death may be the machine's, two
-/// bad luck.
+/// A task is disabled once more than this many holders in turn have begun one run without ending it: a single
+/// crash may be the machine's fault.
 pub const MAX_HOLDERS_PER_RUN: u32 = 3;
 
-/// A process of the fleet: its name, and which start of it this is. Two starts of one name never have the same incarnation.
+/// A process of the fleet: a member's name and the incarnation of that member. Two incarnations of one member
+/// never share a number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holder {
     /// The member's name.
     pub member: String,
-    /// Grows with each start.
+    /// Increases with each restart.
     pub incarnation: u64,
 }
 
 impl Holder {
-    /// A start of a member.
+    /// Builds the identity of one incarnation of a member.
     pub fn new(member: &str, incarnation: u64) -> Holder {
         Holder { member: member.to_string(), incarnation }
     }
 }
 
-/// A lease that somebody holds or waits for.
+/// A lease that is currently held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Who holds it.
+    /// The current holder.
     pub holder: Holder,
-    /// Shown with every act. No two grants of any lease have the same, and a later one has a higher.
+    /// Fencing token sent with every act. Each grant of any lease has a token of its own, higher than all
+    /// earlier ones.
     pub token: u64,
-    /// Operators want it back: it does not go on, and runs out.
+    /// Revoked by an operator: the lease is no longer renewed and expires.
     pub revoked: bool,
-    /// Those that come next, in the order in which they asked.
+    /// Candidates for the lease, in the order of their requests.
     pub waiters: VecDeque<Holder>,
 }
 
-/// What is agreed of a task.
+/// The replicated state of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Task {
-    /// Operators have stopped it.
+    /// Paused by an operator.
     pub paused: bool,
-    /// Operators want it run at once.
+    /// An operator has requested a run at once.
     pub run_requested: bool,
-    /// Why it is left alone, once too many holders have died of it or it has failed for good.
+    /// Why the task is disabled: too many holders failed during one run, or a run failed permanently.
     pub disabled_reason: Option<String>,
-    /// The last time that was done or let go, in Unix seconds.
+    /// The last due time that was run or skipped, in Unix seconds.
     pub last_due: Option<i64>,
-    /// What is under way.
+    /// The run in progress.
     pub run: Option<TaskRun>,
-    /// What the last run came to.
+    /// The result of the last run.
     pub result: Option<Vec<u8>>,
 }
 
-/// A run of a task, through all holders that work on it.
+/// A run of a task, continued by successive holders if one fails.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TaskRun {
-    /// The time that it is for, in Unix seconds.
+    /// The due time of the run, in Unix seconds.
     pub due: i64,
-    /// The same over retries and holders, so that what is called can tell a repeat.
+    /// Idempotency key: the same for all retries and holders, so that the called service can detect a repeat.
     pub key: u64,
-    /// Where the next one goes on.
+    /// Where the next call continues.
     pub cursor: Vec<u8>,
-    /// Who works on it, by the token.
+    /// Token of the holder that works on the run.
     pub token: u64,
-    /// How many holders have begun it.
+    /// How many holders have begun the run.
     pub holder_count: u32,
 }
 
-/// An entry of the agreed log.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// A start of a member is here.
+    /// Adds an incarnation of a member to the fleet.
     Enrol {
-        /// Which.
+        /// The incarnation.
         holder: Holder,
     },
-    /// A start of a member has gone, or was not heard of for long: it waits for nothing any more, and if it holds nothing it is
-    /// forgotten.
+    /// An incarnation has left or was silent for too long: it is removed from all queues, and from the
+    /// members unless it holds a lease.
     Gone {
-        /// Which.
+        /// The incarnation.
         holder: Holder,
     },
-    /// Somebody wants a lease.
+    /// Requests a lease.
     Acquire {
         /// The lease.
         lease: String,
-        /// Who.
+        /// The requester.
         holder: Holder,
     },
-    /// The holder gives it up.
+    /// The holder releases the lease.
     Release {
         /// The lease.
         lease: String,
-        /// Under which token it holds it.
+        /// The token under which it is held.
         token: u64,
     },
-    /// The leader has waited for all of its time.
+    /// The leader has waited until the lease must have expired.
     Expire {
         /// The lease.
         lease: String,
-        /// Whose time.
+        /// The token that has expired.
         token: u64,
     },
-    /// Operators want it back.
+    /// An operator revokes the lease.
     Revoke {
         /// The lease.
         lease: String,
     },
-    /// An act that is nothing but this entry: it counts if the token is the present one.
+    /// An act that consists of this entry alone: it takes effect if the token is the current one.
     Act {
         /// The lease.
         lease: String,
         /// The token.
         token: u64,
-        /// What is done.
+        /// The content of the act.
         note: Vec<u8>,
     },
-    /// The holder of a task's lease begins a run, or goes on with one.
+    /// The holder of a task's lease begins a run or takes over the one in progress.
     BeginRun {
         /// The task.
         task: String,
         /// The token.
         token: u64,
-        /// The time that it is for.
+        /// The due time of the run.
         due: i64,
     },
-    /// It has come so far.
+    /// Saves the progress of a run.
     SaveCursor {
         /// The task.
         task: String,
         /// The token.
         token: u64,
-        /// Where the next one goes on.
+        /// Where the next call continues.
         cursor: Vec<u8>,
     },
-    /// It is done, or let go.
+    /// Ends a run.
     EndRun {
         /// The task.
         task: String,
         /// The token.
         token: u64,
-        /// What it came to, or why it failed for good.
+        /// The result, or why the run failed permanently.
         result: Result<Vec<u8>, String>,
     },
-    /// A time is let go without a run.
+    /// Skips a due time without a run.
     SkipDue {
         /// The task.
         task: String,
         /// The token.
         token: u64,
-        /// The time.
+        /// The due time.
         due: i64,
     },
-    /// Operators stop a task, or let it go on; that also takes up one that was put aside.
+    /// An operator pauses or resumes a task. Resuming also enables a disabled task.
     Pause {
         /// The task.
         task: String,
-        /// Whether it is stopped.
+        /// Whether the task is to be paused.
         paused: bool,
     },
-    /// Operators want it run now.
+    /// An operator requests a run at once.
     RequestRun {
         /// The task.
         task: String,
     },
-    /// Of a part of the agreed state beside this one ([`crate::parts`]).
+    /// An entry of another part of the replicated state ([`crate::parts`]).
     Part {
         /// The part's name.
         part: String,
-        /// What only that part reads; [`crate::parts::MAX_PART_ENTRY_BYTES`] bytes at most.
+        /// The part's own encoding, at most [`crate::parts::MAX_PART_ENTRY_BYTES`] bytes.
         bytes: Vec<u8>,
     },
 }
 
-/// What came of an entry.
+/// The result of applying an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is so.
+    /// Applied.
     Done,
-    /// The lease is held, under this token.
+    /// The lease is held under this token.
     Granted {
         /// The token.
         token: u64,
     },
-    /// The lease is another's; this is the place in the line, from 1.
+    /// Another process holds the lease; the requester is queued.
     Queued {
-        /// The place.
+        /// The position in the queue, from 1.
         position: usize,
     },
-    /// The run's key, and where it goes on.
+    /// A run was begun or continued.
     RunBegun {
-        /// The key.
+        /// The run's idempotency key.
         key: u64,
-        /// The cursor.
+        /// Where the run continues.
         cursor: Vec<u8>,
     },
-    /// Nothing has changed.
+    /// Rejected; the state is unchanged.
     Refused(Refusal),
-    /// What a part of the agreed state has to say to its entry, as only that part reads it.
+    /// The outcome of a part's entry, in the part's own encoding.
     Part(Vec<u8>),
 }
 
-/// Why an entry changed nothing.
+/// Why an entry was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// A later start of that member is here.
+    /// A later incarnation of the member is enrolled.
     OldIncarnation,
-    /// That start is not enrolled.
+    /// The incarnation is not enrolled.
     NotEnrolled,
-    /// The token is not the present one.
+    /// The token is not the current one.
     OldToken,
-    /// There is no room.
+    /// A bound of the state is reached.
     Full,
-    /// A name or what comes with it is too long.
+    /// A name, cursor, result or entry is too long.
     TooLong,
-    /// The task is paused, or put aside.
+    /// The task is paused or disabled.
     Stopped,
-    /// There is nothing of that name.
+    /// No lease, task, run or part of this name, or nothing to do for it.
     NotFound,
 }
 
 impl std::fmt::Display for Refusal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Refusal::OldIncarnation => "a later start of that member is here",
-            Refusal::NotEnrolled => "that start is not enrolled",
-            Refusal::OldToken => "the token is not the present one",
-            Refusal::Full => "there is no room",
+            Refusal::OldIncarnation => "a later incarnation of that member is enrolled",
+            Refusal::NotEnrolled => "this incarnation is not enrolled",
+            Refusal::OldToken => "the token is not the current one",
+            Refusal::Full => "the replicated state is full",
             Refusal::TooLong => "a name, a cursor or a result is too long",
-            Refusal::Stopped => "the task is paused or put aside",
+            Refusal::Stopped => "the task is paused or disabled",
             Refusal::NotFound => "there is nothing of that name",
         })
     }
 }
 
-/// The agreed state.
+/// The replicated state of members, leases and tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fleet {
     members: BTreeMap<String, u64>,
     leases: BTreeMap<String, Lease>,
     tasks: BTreeMap<String, Task>,
     acts: BTreeMap<String, VecDeque<(u64, Vec<u8>)>>,
-    /// The last token or key that was given out. One count for all, so that none comes twice though leases come and go.
+    /// The last token or key issued. All leases share one counter, so no token is issued twice even when a
+    /// lease is removed and created again.
     last_token: u64,
 }
 
-/// The lease under which a task runs.
+/// The name of the lease under which a task runs.
 pub fn lease_of_task(task: &str) -> String {
     format!("task/{task}")
 }
 
 impl Fleet {
-    /// The members, with the incarnation of the present start of each.
+    /// The members, each with its current incarnation.
     pub fn members(&self) -> impl Iterator<Item = (&str, u64)> {
         self.members.iter().map(|(name, incarnation)| (name.as_str(), *incarnation))
     }
 
-    /// All leases that are held.
+    /// All held leases.
     pub fn leases(&self) -> impl Iterator<Item = (&str, &Lease)> {
         self.leases.iter().map(|(name, lease)| (name.as_str(), lease))
     }
@@ -283,32 +288,32 @@
         self.leases.get(name)
     }
 
-    /// All tasks of which anything is known.
+    /// All tasks with recorded state.
     pub fn tasks(&self) -> impl Iterator<Item = (&str, &Task)> {
         self.tasks.iter().map(|(name, task)| (name.as_str(), task))
     }
 
-    /// A task, if anything is known of it.
+    /// A task, if it has recorded state.
     pub fn task(&self, name: &str) -> Option<&Task> {
         self.tasks.get(name)
     }
 
-    /// The last acts under a lease that were entries of the log, with their tokens.
+    /// The latest acts under a lease that were log entries, with their tokens.
     pub fn acts(&self, lease: &str) -> impl Iterator<Item = &(u64, Vec<u8>)> {
         self.acts.get(lease).into_iter().flatten()
     }
 
-    /// The last token or key that was given out.
+    /// The last token or key issued.
     pub fn last_token(&self) -> u64 {
         self.last_token
     }
 
-    /// Whether this is the present start of that member.
+    /// Whether this is the current incarnation of its member.
     pub fn is_present(&self, holder: &Holder) -> bool {
         self.members.get(&holder.member) == Some(&holder.incarnation)
     }
 
-    /// The part that concerns one start: the leases that it holds, and the tasks that run under them.
+    /// The part of the state that one incarnation needs: the leases that it holds, and their tasks.
     pub fn view_for(&self, holder: &Holder) -> Fleet {
         let leases: BTreeMap<String, Lease> = (self.leases.iter())
             .filter(|(_, lease)| lease.holder == *holder)
@@ -320,13 +325,13 @@
         Fleet { leases, tasks, last_token: self.last_token, ..Fleet::default() }
     }
 
-    /// The whole state as bytes, the same for the same state.
+    /// Encodes the whole state; equal states have equal bytes.
     pub fn save(&self) -> Vec<u8> {
-        // Writing into memory fails for nothing that the state holds.
+        // Serialising this state into memory cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The state that was saved; `None` if these are not its bytes.
+    /// Decodes a saved state; `None` if the bytes are not valid.
     pub fn load(bytes: &[u8]) -> Option<Fleet> {
         let (mut fleet, rest): (Fleet, _) = postcard::take_from_bytes(bytes).ok()?;
         if is_active(Mutant::SnapshotForgetsTokens) {
@@ -335,7 +340,7 @@
         rest.is_empty().then_some(fleet)
     }
 
-    /// Takes in the next entry of the log.
+    /// Applies the next entry of the log.
     pub fn apply(&mut self, entry: &Entry) -> Outcome {
         match self.try_apply(entry) {
             Ok(outcome) => outcome,
@@ -349,7 +354,7 @@
             Entry::Gone { holder } => self.leave(holder),
             Entry::Acquire { lease, holder } => self.acquire(lease, holder),
             Entry::Release { lease, token } | Entry::Expire { lease, token } => {
-                // Guards against a release that comes when the lease is another's already.
+                // Guards against a release that is applied after the lease has passed to another holder.
                 let honoured =
                     is_active(Mutant::LateReleaseHonoured) && matches!(entry, Entry::Release { .. });
                 if !honoured {
@@ -381,7 +386,7 @@
                     run.cursor.clone_from(cursor);
                     return Ok(Outcome::Done);
                 }
-                // Guards against a holder that wakes and sets the task back.
+                // Guards against a holder that resumes after a long pause and moves the cursor back.
                 self.run_mut(task, *token)?.cursor.clone_from(cursor);
                 Ok(Outcome::Done)
             }
@@ -409,7 +414,7 @@
                 task.run_requested = true;
                 Ok(Outcome::Done)
             }
-            // Its part is not here.
+            // Parts are applied by [`crate::parts::ReplicatedState`].
             Entry::Part { .. } => Err(Refusal::NotFound),
         }
     }
@@ -423,7 +428,8 @@
             None if full => return Err(Refusal::Full),
             None => drop(self.members.insert(holder.member.clone(), holder.incarnation)),
         }
-        // What an earlier start holds runs out in its time: it may be frozen, and wake in the middle of an act.
+        // A lease of an earlier incarnation is left to expire: that process may be paused and resume in the
+        // middle of an act.
         for lease in self.leases.values_mut() {
             lease.waiters.retain(|waiter| waiter.member != holder.member || waiter == holder);
         }
@@ -462,8 +468,8 @@
             self.leases.insert(name.to_string(), lease);
             return Ok(Outcome::Granted { token: self.last_token });
         };
-        // Asked twice, as an answer may have been lost. Guards against a later start that takes the lease of an earlier one for its
-        // own, which may act still.
+        // A repeated request, as the response may have been lost. Guards against a later incarnation that
+        // takes over the lease of an earlier one while that one may still act.
         if lease.holder == *holder
             || lease.holder.member == holder.member && is_active(Mutant::IncarnationIgnored)
         {
@@ -480,13 +486,13 @@
         Ok(Outcome::Queued { position: lease.waiters.len() })
     }
 
-    /// The lease under its present token.
+    /// Returns the lease if the token is its current one.
     fn check_token(&self, name: &str, token: u64) -> Result<&Lease, Refusal> {
         let lease = self.leases.get(name).ok_or(Refusal::OldToken)?;
         if lease.token == token { Ok(lease) } else { Err(Refusal::OldToken) }
     }
 
-    /// The lease goes to the next in line, or to nobody.
+    /// Grants the lease to the next candidate, or removes it.
     fn grant_next(&mut self, name: &str) {
         let Some(lease) = self.leases.get_mut(name) else { return };
         match lease.waiters.pop_front() {
@@ -521,7 +527,7 @@
             return Err(Refusal::Stopped);
         }
         if task.run.is_none() {
-            // Guards against a time that was done, and whose holder did not hear so.
+            // Guards against a second run for a due time whose end the holder was not notified of.
             if task.last_due.is_some_and(|last| last >= due) && !task.run_requested {
                 return Err(Refusal::NotFound);
             }
@@ -535,9 +541,9 @@
             run.token = token;
             outcome = Ok(Outcome::RunBegun { key: run.key, cursor: run.cursor.clone() });
             if run.holder_count > MAX_HOLDERS_PER_RUN {
-                // Guards against a task that kills each holder in turn, until none is left.
+                // Guards against a task that crashes each holder in turn, until none is left.
                 task.disabled_reason =
-                    Some(format!("{MAX_HOLDERS_PER_RUN} holders in turn began it and did not end it"));
+                    Some(format!("{MAX_HOLDERS_PER_RUN} holders in turn began the run and did not end it"));
                 (task.run, task.run_requested) = (None, false);
                 outcome = Err(Refusal::Stopped);
             }
--- a/crates/fleet/src/tasks.rs
+++ b/crates/fleet/src/tasks.rs
@@ -1,129 +1,129 @@
-//! What the process that holds a task's lease does next: begins what is due, calls, tries again within its budget, and says what came
-//! of it. A result counts only once it is agreed.
+//! What the holder of a task's lease does next: it begins a due run, makes calls, retries them within a
+//! budget, and proposes the result. A result counts only once it is committed.
 //!
-//! One [`TaskRunner`] a task, in every process; all but the holder's have nothing to do.
+//! Every process has one [`TaskRunner`] for each task; only the holder's does anything.
 
 use crate::holder::{Grade, HeldLeases, NoPermit};
 use crate::schedule::{Due, Missed, Schedule, due};
 use crate::state::{Entry, Fleet, Outcome, Refusal, lease_of_task};
 use std::time::Duration;
 
-/// An entry that was proposed and of which nothing is heard is proposed again after this. Entries of tasks are safe to say twice.
+/// An entry without an outcome is proposed again after this. Entries of tasks may safely be committed twice.
 pub const PROPOSE_AGAIN_AFTER: Duration = Duration::from_secs(1);
 
-/// A task, as the operator's file has it.
+/// A task as configured in the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskSpec {
-    /// Its name.
+    /// The task's name.
     pub name: String,
     /// When it is due.
     pub when: Schedule,
-    /// What happens to times that nobody ran.
+    /// How due times that were missed are made up for.
     pub missed: Missed,
-    /// How safe its acts are.
+    /// How its acts are protected against those of another holder.
     pub grade: Grade,
-    /// For one call.
+    /// The timeout of one call.
     pub timeout: Duration,
-    /// Calls for one time, the first included, by each holder.
+    /// Calls for one due time by each holder, the first included.
     pub tries: u32,
-    /// Between two of them; twice as long each time.
+    /// The wait before the first retry; doubled for each further one.
     pub backoff: Duration,
-    /// For so long after its time a run counts as in time, where what was missed is let go.
+    /// How long after its due time a run still counts as on time, where missed runs are skipped.
     pub max_lateness: Duration,
 }
 
 /// The longest wait between two calls.
 const MAX_BACKOFF: Duration = Duration::from_secs(300);
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// All is done, with this result.
+    /// The run is complete, with this result.
     Done(Vec<u8>),
-    /// It has come so far; there is more.
+    /// Part of the run is done up to this cursor.
     Partial(Vec<u8>),
-    /// It failed, and may be tried again.
+    /// The call failed and may be retried.
     Failed(String),
-    /// What is called has seen a higher token: this process has lost the lease.
+    /// The called service has seen a higher token: this process has lost the lease.
     OldToken,
 }
 
-/// What is to be done.
+/// What the caller has to do for the runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Say this to the fleet.
+    /// Have this entry committed.
     Propose(Entry),
-    /// Call, with token, key and cursor; it has to be over by then.
+    /// Make a call, which has to be over at `until`.
     Call {
-        /// Which call this is; comes back with what came of it.
+        /// The number of the call, returned with its outcome.
         number: u64,
-        /// Shown to what is called.
+        /// Fencing token, sent with the call.
         token: u64,
-        /// The same over retries and holders.
+        /// Idempotency key, the same for all retries and holders.
         key: u64,
-        /// Where it goes on.
+        /// Where the run continues.
         cursor: Vec<u8>,
         /// By this process's clock.
         until: Duration,
     },
-    /// Wake this up again then.
+    /// Step the runner again at this time.
     Wake(Duration),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing is under way here.
+    /// No run is in progress here.
     Idle,
-    /// The run was begun here, under this token.
+    /// A run was begun under this token; its next call is due at `next_call`.
     Ready { token: u64, key: u64, cursor: Vec<u8>, tries: u32, next_call: Duration },
-    /// A call is out.
+    /// A call is in flight.
     Calling { token: u64, key: u64, cursor: Vec<u8>, tries: u32, number: u64, until: Duration },
-    /// Something is on its way into the log.
+    /// An entry is proposed and has no outcome yet.
     Proposing { entry: Entry, token: u64, key: u64, retry_at: Duration, tries: u32 },
 }
 
-/// The holder's side of one task.
+/// The state of one task in one process.
 #[derive(Clone, Debug)]
 pub struct TaskRunner {
     spec: TaskSpec,
     lease: String,
     state: State,
-    /// When this process first heard of the task, in Unix seconds: what was due before is not missed.
+    /// When this process first saw the task, in Unix seconds: earlier due times are not missed runs.
     first_seen: i64,
     calls: u64,
 }
 
 impl TaskRunner {
-    /// A task, first heard of at this time.
+    /// Creates the runner of a task first seen at this time.
     pub fn new(spec: TaskSpec, unix: i64) -> TaskRunner {
         let lease = lease_of_task(&spec.name);
         TaskRunner { spec, lease, state: State::Idle, first_seen: unix, calls: 0 }
     }
 
-    /// The fleet's time when this process first heard it.
+    /// Sets the fleet's time at which this process first saw the task.
     pub fn set_first_seen(&mut self, unix: i64) {
         self.first_seen = unix;
     }
 
-    /// The lease under which it runs.
+    /// The lease under which the task runs.
     pub fn lease(&self) -> &str {
         &self.lease
     }
 
-    /// What the operator's file has of it.
+    /// The task's configuration.
     pub fn spec(&self) -> &TaskSpec {
         &self.spec
     }
 
-    /// Takes up what the file has of it now. What is under way goes on.
+    /// Replaces the configuration. A run in progress continues.
     pub fn set_spec(&mut self, spec: TaskSpec) {
         self.spec = spec;
     }
 
-    /// Time has passed, or the agreed state is another: what is to be done now.
+    /// Returns what has to be done, after time has passed or the replicated state has changed.
     pub fn step(&mut self, now: Duration, unix: i64, leases: &HeldLeases, fleet: &Fleet) -> Vec<Action> {
         let Some(held) = leases.held(now, &self.lease) else {
-            // A call that is out ends by its own time-out.
+            // A call in flight ends by its own timeout.
             self.state = State::Idle;
             return Vec::new();
         };
@@ -132,16 +132,9 @@
                 return vec![Action::Wake(*until)];
             }
             State::Calling { token, key, cursor, tries, .. } if *token == held.token => {
-                // Nothing was heard of it in its time.
+                // The call has timed out.
                 let (key, cursor, tries) = (*key, cursor.clone(), *tries);
-                return self.on_failure(
-                    now,
-                    held.token,
-                    key,
-                    cursor,
-                    tries,
-                    "nothing came of it in its time".into(),
-                );
+                return self.on_failure(now, held.token, key, cursor, tries, "the call timed out".into());
             }
             State::Proposing { token, retry_at, entry, .. } if *token == held.token => {
                 if now < *retry_at {
@@ -159,14 +152,14 @@
         self.begin(now, unix, held.token, fleet)
     }
 
-    /// What is due, if anything is.
+    /// Begins the next due run, if any.
     fn begin(&mut self, now: Duration, unix: i64, token: u64, fleet: &Fleet) -> Vec<Action> {
         let task = fleet.task(&self.spec.name);
         if task.is_some_and(|task| task.paused || task.disabled_reason.is_some()) {
             return Vec::new();
         }
         let name = self.spec.name.clone();
-        // One that was begun is ended first, whoever began it.
+        // A run in progress is ended first, whichever holder began it.
         if let Some(run) = task.and_then(|task| task.run.as_ref()) {
             return self.propose(now, token, 0, 0, Entry::BeginRun { task: name, token, due: run.due });
         }
@@ -196,7 +189,7 @@
         self.propose(now, token, key, tries, proposed)
     }
 
-    /// An entry of this task was agreed, with this outcome. Those of other holders are heard too.
+    /// Records the outcome of an entry of this task. Those proposed by other holders are ignored.
     pub fn on_outcome(&mut self, now: Duration, entry: &Entry, outcome: &Outcome) -> Vec<Action> {
         let State::Proposing { entry: proposed, token, key, tries, .. } = &self.state else {
             return Vec::new();
@@ -212,7 +205,7 @@
                 vec![Action::Wake(now)]
             }
             (Entry::SaveCursor { cursor, .. }, Outcome::Done) => {
-                // What has come further has the whole budget again.
+                // A call that made progress restores the whole budget of tries.
                 let _ = tries;
                 self.state = State::Ready { token, key, cursor: cursor.clone(), tries: 0, next_call: now };
                 vec![Action::Wake(now)]
@@ -240,7 +233,7 @@
                 vec![Action::Call { number, token, key, cursor, until }, Action::Wake(until)]
             }
             Err(NoPermit::PreviousHolderMayAct { until }) => vec![Action::Wake(until)],
-            // The lease may go on: it is looked at again.
+            // The lease may be renewed, so this is checked again later.
             Err(NoPermit::TooLate) => vec![Action::Wake(now + self.spec.backoff.min(MAX_BACKOFF))],
             _ => {
                 self.state = State::Idle;
@@ -249,12 +242,12 @@
         }
     }
 
-    /// What came of a call.
+    /// Records the outcome of a call.
     pub fn on_call_outcome(&mut self, now: Duration, number: u64, outcome: CallOutcome) -> Vec<Action> {
         let State::Calling { token, key, cursor, tries, number: out, .. } = &self.state else {
             return Vec::new();
         };
-        // Guards against what came of a call that was given up.
+        // Guards against the late outcome of a call that was given up.
         if *out != number {
             return Vec::new();
         }
