--- a/crates/fleet/src/disk_rollback.rs
+++ b/crates/fleet/src/disk_rollback.rs
@@ -1,49 +1,52 @@
-//! What voters know of each other's disks, so that one which is older than what it once promised does not vote.
+//! Detection of voters' disks that were rolled back to an earlier state, so that such a disk does not vote.
 //!
-//! A vote belongs to a disk, not to a name: a disk is founded with a number of its own, so an empty one is another voter, which has
-//! promised nothing, and has a vote only once the others have given it one. A disk that was put back to an earlier state still has the
-//! number, and may have forgotten a promise. Each start of a voter therefore raises its *life* on the disk, draws a *nonce* for it, and
-//! says nothing of agreement before as many others as make a majority with it have written down that life ([`Admission`]). They turn
-//! it away ([`VoterIncarnations::check_incarnation`]) if they know a later life of that disk, the same one with another nonce, or a promise beyond what it has.
+//! A vote belongs to a disk, not to a name. Each disk gets a random number when it is created, so an empty
+//! disk is a new voter, which has acknowledged nothing and gets a vote only from the others. A disk restored
+//! to an earlier state still has its number, but may have lost votes or entries that it acknowledged. Each
+//! incarnation of a voter therefore increments an incarnation number on its disk and draws a nonce, and takes
+//! no part in consensus before so many other voters have stored that number that they are a majority with it
+//! ([`Admission`]). They reject it ([`VoterIncarnations::check_incarnation`]) if they know a later
+//! incarnation of that disk, the same one with another nonce, or a term or log position beyond what the disk
+//! has.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A voter waits so many ticks for a word from all others; then a majority with it is enough. Ours: some ways to and fro, so that one
-/// that knows better and is up is heard.
+/// Ticks for which a voter waits for all others; after that a majority with it is enough. Long enough for
+/// several round trips, so that a voter that is up and knows of a later incarnation is heard.
 pub const WAIT_FOR_ALL_TICKS: u64 = 20;
-/// Disks of which a voter remembers anything.
+/// Disks that a voter keeps data of.
 pub const MAX_DISKS: usize = 64;
 
-/// How far a log goes: the term of its last entry, and that entry's place. It never gets less on a disk that forgets nothing: what is
-/// cut off makes way for an entry of a later term.
+/// The end of a log: the term of its last entry, and that entry's index. It never decreases on an intact
+/// disk, as entries are truncated only in favour of entries of a later term.
 pub type Position = (u64, u64);
 
-/// A voter's start, as it says of itself.
+/// An incarnation of a voter, as announced by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterIncarnation {
     /// The number of its disk.
     pub disk: u64,
-    /// Which start on that disk; raised, and written, before anything is said.
+    /// Number of the incarnation on that disk; incremented and stored before any message is sent.
     pub number: u64,
-    /// Drawn for this start.
+    /// Drawn at random for this incarnation.
     pub nonce: u64,
-    /// The last term that it has on its disk.
+    /// The last term stored on the disk.
     pub term: u64,
-    /// How far its log goes.
+    /// The end of the log on the disk.
     pub last_position: Position,
 }
 
-/// What is remembered of a start on disk.
+/// What is stored of another voter's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownIncarnation {
-    /// Which start.
+    /// The number of the incarnation.
     pub number: u64,
-    /// What was drawn for it.
+    /// Its nonce.
     pub nonce: u64,
 }
 
-/// What a voter has promised to this process since that started.
+/// The term and log position that a voter has acknowledged to this process since this process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Progress {
     term: u64,
@@ -59,13 +62,13 @@
     }
 }
 
-/// The same, told apart by lives: what a start says of itself may come late, when it has promised more already.
+/// The same, by incarnation: an announcement may arrive late, when its sender has already acknowledged more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct DiskProgress {
-    /// In the latest life that was heard of.
+    /// The latest known incarnation.
     number: u64,
     current: Progress,
-    /// In all before.
+    /// In all incarnations before it.
     earlier: Progress,
 }
 
@@ -82,31 +85,31 @@
     }
 }
 
-/// Why a disk is known to be older than what it once promised.
+/// The evidence that a disk was rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolledBack {
-    /// A later start on it is known.
+    /// A later incarnation of the disk is known.
     LaterIncarnation,
-    /// Another start with the same count is known.
+    /// Another incarnation with the same number is known.
     OtherNonce,
-    /// It took part in a later term.
+    /// The disk took part in a later term.
     LaterTerm,
-    /// Its log went further.
+    /// The log on the disk was longer.
     LongerLog,
 }
 
 impl std::fmt::Display for RolledBack {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            RolledBack::LaterIncarnation => "a later start on this disk is known",
-            RolledBack::OtherNonce => "another start on this disk with the same count is known",
-            RolledBack::LaterTerm => "a voter on this disk took part in a later term",
-            RolledBack::LongerLog => "the log on this disk went further once",
+            RolledBack::LaterIncarnation => "a later incarnation of this disk is known",
+            RolledBack::OtherNonce => "another incarnation of this disk with the same number is known",
+            RolledBack::LaterTerm => "this disk took part in a later term",
+            RolledBack::LongerLog => "the log on this disk was longer",
         })
     }
 }
 
-/// What a voter knows of the disks of others.
+/// What a voter knows of the other voters' disks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VoterIncarnations {
     known: BTreeMap<u64, KnownIncarnation>,
@@ -114,15 +117,15 @@
 }
 
 impl VoterIncarnations {
-    /// What was written down by earlier starts of this voter.
+    /// Starts with what earlier incarnations of this voter have stored.
     pub fn new(known: BTreeMap<u64, KnownIncarnation>) -> VoterIncarnations {
         VoterIncarnations { known, heard: BTreeMap::new() }
     }
 
-    /// A voter says which start it is. Where this returns something to remember it has to be on disk before the welcome is said.
+    /// Checks an announced incarnation. A returned value has to be stored before the acknowledgement is sent.
     ///
     /// # Errors
-    /// Its disk is older than what it once promised.
+    /// The disk was rolled back.
     pub fn check_incarnation(
         &mut self,
         announced: &VoterIncarnation,
@@ -140,7 +143,7 @@
             if heard.number > announced.number {
                 return Err(RolledBack::LaterIncarnation);
             }
-            // What it has promised in this life already it did not know yet when it said this.
+            // Progress within this incarnation came after the announcement, which cannot include it.
             let progress = if heard.number == announced.number {
                 heard.earlier
             } else {
@@ -164,7 +167,7 @@
         Ok(Some(now))
     }
 
-    /// A voter said something of this term in this life: its disk has it.
+    /// Records that a voter has sent a message of this term, which its disk therefore has.
     pub fn record_term(&mut self, disk: u64, number: u64, term: u64) {
         if let Some(progress) = self.heard.entry(disk).or_default().in_incarnation(number) {
             progress.term = progress.term.max(term);
@@ -174,45 +177,47 @@
         }
     }
 
-    /// A voter said in this life that its log goes so far.
+    /// Records that a voter has reported this end of its log.
     pub fn record_position(&mut self, disk: u64, number: u64, last_position: Position) {
         if let Some(progress) = self.heard.get_mut(&disk).and_then(|heard| heard.in_incarnation(number)) {
             progress.last_position = progress.last_position.max(last_position);
         }
     }
 
-    /// What is known of each disk.
+    /// The known incarnation of each disk.
     pub fn known(&self) -> &BTreeMap<u64, KnownIncarnation> {
         &self.known
     }
 }
 
-/// Whether a voter may take part: once enough others have written down its life.
+/// Whether a voter may take part: once enough others have stored its incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Admission {
     acknowledged_by: BTreeSet<u64>,
 }
 
 impl Admission {
-    /// A voter on this disk has written down this one's life.
+    /// Records that the voter on this disk has stored this voter's incarnation.
     pub fn acknowledged(&mut self, by: u64) {
         if self.acknowledged_by.len() < MAX_DISKS {
             self.acknowledged_by.insert(by);
         }
     }
 
-    /// Whether that one has.
+    /// Whether the voter on this disk has stored it.
     pub fn is_acknowledged_by(&self, disk: u64) -> bool {
         self.acknowledged_by.contains(&disk)
     }
 
-    /// Whether this voter may take part, where these have a vote, so many ticks after its start: once all others have written down its
-    /// life, or, after a while, as many as make a majority with it. So a majority that is up is enough, and who knows better is heard
-    /// if it can be. `named` is how many the file names: what this disk has of who votes may be as old as the disk.
-    pub fn is_admitted(&self, me: u64, voters: &BTreeSet<u64>, named: usize, ticks: u64) -> bool {
+    /// Whether this voter may take part, given the current voters and the ticks since its start: once all
+    /// others have stored its incarnation or, after a wait, as many as are a majority with it. A majority
+    /// that is up is thus enough, and a voter that knows of a later incarnation is heard if possible.
+    /// `configured` is the number of voters in the operator's file, as the list of voters on this disk may be
+    /// as old as the disk.
+    pub fn is_admitted(&self, me: u64, voters: &BTreeSet<u64>, configured: usize, ticks: u64) -> bool {
         let others = voters.iter().filter(|disk| **disk != me);
         let acknowledgements = others.filter(|disk| self.acknowledged_by.contains(disk)).count();
-        let all = self.acknowledged_by.iter().filter(|disk| **disk != me).count() + 1 >= named;
+        let all = self.acknowledged_by.iter().filter(|disk| **disk != me).count() + 1 >= configured;
         acknowledgements >= voters.len() / 2 && (all || ticks >= WAIT_FOR_ALL_TICKS)
     }
 }
@@ -225,17 +230,17 @@
         VoterIncarnation { disk: 7, number: 3, nonce: 11, term: 5, last_position: (4, 90) };
 
     #[test]
-    fn a_disk_that_was_put_back_is_told_from_one_that_goes_on() {
+    fn a_rolled_back_disk_is_detected() {
         let mut incarnations = VoterIncarnations::default();
         assert_eq!(
             incarnations.check_incarnation(&INCARNATION),
             Ok(Some(KnownIncarnation { number: 3, nonce: 11 }))
         );
-        // Said again, as the welcome was lost.
+        // Announced again, as the acknowledgement was lost.
         assert_eq!(incarnations.check_incarnation(&INCARNATION), Ok(None));
         incarnations.record_term(7, 3, 6);
         incarnations.record_position(7, 3, (6, 95));
-        // What it said at its start comes once more, late: it has promised more since.
+        // The announcement arrives once more, late: the voter has made progress since.
         assert_eq!(incarnations.check_incarnation(&INCARNATION), Ok(None));
         let next = VoterIncarnation { number: 4, nonce: 12, term: 6, last_position: (6, 95), ..INCARNATION };
         assert!(incarnations.clone().check_incarnation(&next).is_ok());
@@ -255,29 +260,29 @@
             incarnations.check_incarnation(&VoterIncarnation { last_position: (5, 200), ..next }),
             Err(RolledBack::LongerLog)
         );
-        // A log that was cut and went on in a later term is no older one.
+        // A log that was truncated and continued in a later term is not an older one.
         assert!(
             incarnations
                 .check_incarnation(&VoterIncarnation { term: 7, last_position: (7, 80), ..next })
                 .is_ok()
         );
-        // It may promise before its first word arrives.
+        // Progress may arrive before the announcement of its incarnation.
         incarnations.record_term(7, 4, 9);
         assert!(incarnations.clone().check_incarnation(&next).is_ok());
         assert_eq!(incarnations.check_incarnation(&INCARNATION), Err(RolledBack::LaterIncarnation));
-        // This process starts anew, and knows what it wrote down.
+        // This process restarts with what it has stored.
         let mut later = VoterIncarnations::new(incarnations.known().clone());
         assert_eq!(later.check_incarnation(&INCARNATION), Err(RolledBack::LaterIncarnation));
         assert_eq!(later.check_incarnation(&next), Ok(None));
     }
 
     #[test]
-    fn a_voter_takes_part_once_a_majority_with_it_has_written_down_its_life() {
+    fn a_voter_is_admitted_once_a_majority_with_it_has_stored_its_incarnation() {
         let voters = |n| (1..=n).collect::<BTreeSet<u64>>();
         let mut admission = Admission::default();
         let late = WAIT_FOR_ALL_TICKS;
         assert!(admission.is_admitted(1, &voters(1), 1, 0));
-        // Alone for all that its disk says, which may be old: others may know better.
+        // Alone according to its own disk, which may be old: others may know better.
         assert!(
             !admission.is_admitted(1, &voters(1), 3, late - 1)
                 && admission.is_admitted(1, &voters(1), 3, late)
@@ -285,7 +290,7 @@
         assert!(
             !admission.is_admitted(1, &voters(2), 2, late) && !admission.is_admitted(1, &voters(3), 3, late)
         );
-        // One that has no vote says nothing of its life, and its own welcome is none.
+        // An acknowledgement by a disk without a vote or by itself does not count.
         admission.acknowledged(9);
         admission.acknowledged(1);
         assert!(!admission.is_admitted(1, &voters(3), 3, late));
@@ -294,14 +299,14 @@
         assert!(
             admission.is_admitted(1, &voters(3), 3, late) && !admission.is_admitted(1, &voters(5), 5, late)
         );
-        // The third may know better.
+        // The third voter may know of a later incarnation.
         assert!(!admission.is_admitted(1, &voters(3), 3, late - 1));
         admission.acknowledged(3);
         assert!(admission.is_admitted(1, &voters(3), 3, 0) && admission.is_admitted(1, &voters(5), 5, late));
     }
 
     #[test]
-    fn what_is_remembered_is_bounded() {
+    fn stored_incarnations_are_bounded() {
         let mut incarnations = VoterIncarnations::default();
         for disk in 0..1000 {
             incarnations.record_term(disk, 1, 1);
--- a/crates/fleet/src/lease_queue.rs
+++ b/crates/fleet/src/lease_queue.rs
@@ -1,46 +1,48 @@
-//! Who lines up for which lease. Members say what they would hold; the leader puts as few of them into each line as are needed, so
-//! that fifty leases and three hundred members make few entries, and spreads leases over members.
+//! Who is queued for which lease. Members report the leases that they want; the leader queues only as many
+//! candidates for each lease as are needed, so that fifty leases and three hundred members need few entries,
+//! and spreads the leases over the members.
 
 use crate::state::{Entry, Fleet, Holder};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A lease has a holder and this many behind it, less one: ours, so that two deaths at once leave one that takes over by the entry
-/// that ends the lease.
+/// Length of a lease's queue, its holder included. With two candidates behind the holder, one takes over by
+/// the entry that expires the lease even if two processes fail at once.
 pub const QUEUE_LENGTH: usize = 3;
-/// Leases that a member may want.
+/// Leases that one member may want.
 pub const MAX_WANTED_LEASES: usize = 256;
-/// Entries said in one go.
+/// Entries proposed in one tick.
 pub const MAX_ENTRIES_PER_TICK: usize = 64;
-/// What was said and is not agreed is said again after so many ticks.
+/// A proposed entry that is not committed after this is proposed again.
 const PROPOSE_AGAIN_TICKS: u64 = 50;
 
-/// What members want, as far as the leader has heard.
+/// The leases that members want, as far as the leader knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseQueue {
     wanted: BTreeMap<Holder, BTreeSet<String>>,
-    /// What is on its way into the log, and since which tick.
+    /// Entries proposed and not yet committed, with the tick of the proposal.
     proposed: BTreeMap<(String, Holder), u64>,
     ticks: u64,
 }
 
 impl LeaseQueue {
-    /// A member says what it would hold, all of it.
+    /// Sets all the leases that a member wants.
     pub fn set_wanted(&mut self, holder: &Holder, names: impl IntoIterator<Item = String>) {
         self.wanted.insert(holder.clone(), names.into_iter().take(MAX_WANTED_LEASES).collect());
     }
 
-    /// Whether a member has said so since this leader began.
+    /// Whether a member has reported its wanted leases to this leader.
     pub fn has_wanted(&self, holder: &Holder) -> bool {
         self.wanted.contains_key(holder)
     }
 
-    /// Who is to line up now, of those that are fit for it. To be called often.
+    /// Returns the requests to propose now, for `eligible` candidates only. To be called often.
     pub fn tick(&mut self, fleet: &Fleet, eligible: impl Fn(&Holder) -> bool) -> Vec<Entry> {
         self.ticks += 1;
         let now = self.ticks;
         self.wanted.retain(|holder, _| fleet.is_present(holder));
         self.proposed.retain(|_, since| now - *since < PROPOSE_AGAIN_TICKS);
-        // What each member holds or waits for: the one with the least is next.
+        // The number of leases that each member holds or is queued for; the least loaded member is queued
+        // next.
         let mut load: BTreeMap<&Holder, usize> = BTreeMap::new();
         for (_, lease) in fleet.leases() {
             for holder in std::iter::once(&lease.holder).chain(&lease.waiters) {
@@ -104,9 +106,9 @@
         (fleet, lease_queue, holders)
     }
 
-    /// Fifty leases that three hundred members want make three entries each, and are spread.
+    /// Fifty leases wanted by three hundred members need three entries each and are spread over the members.
     #[test]
-    fn few_line_up_and_leases_are_spread() {
+    fn few_candidates_are_queued_and_leases_are_spread() {
         let (mut fleet, mut lease_queue, holders) = fleet(300);
         let mut proposed = 0;
         for _ in 0..10 {
@@ -121,9 +123,9 @@
         assert!(holders.into_iter().all(|holder| held(holder) <= 1));
     }
 
-    /// What is on its way is not said twice, and said again once it must have been lost.
+    /// A proposed entry is not proposed twice, until it must have been lost.
     #[test]
-    fn what_was_lost_on_the_way_is_said_again() {
+    fn a_lost_proposal_is_proposed_again() {
         let (fleet, mut lease_queue, _) = fleet(2);
         let first = lease_queue.tick(&fleet, |_| true).len();
         assert_eq!(first, MAX_ENTRIES_PER_TICK);
@@ -135,9 +137,9 @@
         assert_eq!(lease_queue.tick(&fleet, |_| true).len(), MAX_ENTRIES_PER_TICK);
     }
 
-    /// A start that has gone lines up for nothing.
+    /// An earlier incarnation is queued for nothing.
     #[test]
-    fn an_earlier_start_lines_up_no_more() {
+    fn an_earlier_incarnation_is_not_queued() {
         let (mut fleet, mut lease_queue, holders) = fleet(1);
         fleet.apply(&Entry::Enrol { holder: Holder::new(&holders[0].member, 2) });
         assert_eq!(lease_queue.tick(&fleet, |_| true), []);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,17 +1,19 @@
-//! What the nodos of a fleet agree on, and what each of them may do by it: leases, and the tasks that run under them.
+//! What the nodos of a fleet decide together, and what each of them may do as a result: leases, and the tasks that
+//! run under them.
 //!
-//! Decides and does nothing: no clock, socket, file, thread or random source. Time comes in as `now`, read from a monotone clock
-//! of the process, entries of the agreed log come in through [`Fleet::apply`], and what is to be said or proposed goes out.
+//! Pure decision logic: no clock, socket, file, thread or random source. Time is passed in as `now`, read from a
+//! monotonic clock of the process; committed entries of the replicated log are passed to [`Fleet::apply`]; messages to
+//! send and entries to propose are returned.
 //!
-//! - [`state`]: the agreed state, a function of the log alone: members, leases with their tokens and waiters, tasks.
-//! - [`parts`]: what is agreed beside, each part a function of the log with entries of its own.
-//! - [`leader`]: when a lease has run out, seen from the one that leads, and whom it may tell that a lease goes on.
-//! - [`holder`]: what a process holds by its own clock, and whether an act may begin.
-//! - [`client`]: a member's side of all of this; [`lease_queue`]: who lines up for which lease.
-//! - [`disk_rollback`]: whether a voter's disk is older than what it once promised; [`voter_slots`]: which disks have a vote.
-//! - [`wall_clock`]: the time by which tasks are due, from all members' clocks.
-//! - [`mutants`]: the rules left out one by one, to show that the checks find it.
+//! - [`state`]: the replicated state, a function of the log alone: members, leases with tokens and candidates, tasks.
+//! - [`parts`]: further parts of the replicated state, each with entries of its own.
+//! - [`leader`]: when a lease has expired, and which renewals the leader may confirm.
+//! - [`holder`]: which leases a process holds by its own clock, and whether an act may begin.
+//! - [`client`]: a member's side of the protocol; [`lease_queue`]: who is queued for which lease.
+//! - [`disk_rollback`]: whether a voter's disk was rolled back; [`voter_slots`]: which disks have a vote.
+//! - [`timing`]: how long leases last; [`wall_clock`]: the time by which tasks are due, from all members' clocks.
 //! - [`tasks`]: what the holder of a task's lease does next; [`schedule`]: when a task is due.
+//! - [`mutants`]: mutations of the rules, to show that the checks detect them.
 //!
 //! ```
 //! use jaspershunt_fleet::{Entry, Fleet, Holder, Outcome};
@@ -24,7 +26,7 @@
 //! let acquire = |holder: &Holder| Entry::Acquire { lease: "cierre".into(), holder: holder.clone() };
 //! assert_eq!(fleet.apply(&acquire(&one)), Outcome::Granted { token: 1 });
 //! assert_eq!(fleet.apply(&acquire(&two)), Outcome::Queued { position: 1 });
-//! // The next holder's token is higher, whatever happens in between.
+//! // The next holder's token is always higher.
 //! fleet.apply(&Entry::Release { lease: "cierre".into(), token: 1 });
 //! assert_eq!(fleet.lease("cierre").unwrap().token, 2);
 //! ```
--- a/crates/fleet/src/mutants.rs
+++ b/crates/fleet/src/mutants.rs
@@ -1,41 +1,41 @@
-//! Ways in which the rules could be wrong, for those who show that their checks find each. There is none in a program that is built
-//! without the feature `mutants`: the question is answered when it is compiled.
+//! Mutations of the rules, for tests that show that the checks detect each one. A program built without the
+//! feature `mutants` has none: [`is_active`] is then a constant.
 
-/// A rule left out.
+/// A mutation that removes one rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// A holder counts from when it heard the answer.
+    /// A holder counts a lease from when it received the answer.
     CountsFromReceipt = 1,
-    /// Clocks are taken to run alike.
+    /// No margin for clock drift.
     NoDriftMargin,
-    /// A new leader goes by what it never heard: leases run out at once.
+    /// A new leader does not wait for renewals that its predecessor sent: leases expire at once.
     NewLeaderGrantsAtOnce,
-    /// A snapshot forgets the count of tokens.
+    /// A snapshot loses the counter of tokens.
     SnapshotForgetsTokens,
-    /// A leader answers without asking whether it still leads.
+    /// A leader renews leases without confirming with a majority that it still leads.
     RenewedByAMinority,
-    /// A later start of a member is taken for the one that holds.
+    /// A later incarnation of a member is taken for the holder.
     IncarnationIgnored,
-    /// A release counts whoever holds by now.
+    /// A release takes effect even when another process holds the lease by then.
     LateReleaseHonoured,
-    /// A holder begins at once, though the one before it may still act.
+    /// A holder begins at once, though an act of the previous holder may still be running.
     ActIsNotWaitedOut,
-    /// A lease goes on while its end is on its way into the log.
+    /// A lease is renewed while its expiry is being committed.
     EndingGoesOn,
-    /// A cursor counts under an old token.
+    /// A cursor is accepted under an old token.
     OldTokenWritesCursor,
-    /// A lease that was given up comes back by an old answer.
+    /// A released lease is held again after an old answer.
     GivenUpComesBack,
-    /// A voter says that it has written what it has not yet.
+    /// A voter acknowledges data that it has not yet synced to disk.
     SaidBeforeSynced,
-    /// A lease that operators take back ends at once, whatever its holder was told.
+    /// A revoked lease expires at once, whatever was sent to its holder.
     RevokedEndsAtOnce,
-    /// A voter forgets at its end who takes part.
+    /// A voter does not store a change of the voter slots, and restarts with the old ones.
     SeatsNotWritten,
 }
 
-/// All of them.
+/// All mutations.
 pub const ALL: [Mutant; 14] = [
     Mutant::CountsFromReceipt,
     Mutant::NoDriftMargin,
@@ -56,19 +56,19 @@
 #[cfg(feature = "mutants")]
 static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// From now on this rule is left out in the whole process; or none.
+/// Activates a mutation in the whole process, or none.
 #[cfg(feature = "mutants")]
 pub fn activate(mutant: Option<Mutant>) {
     ACTIVE.store(mutant.map_or(0, |mutant| mutant as u8), std::sync::atomic::Ordering::SeqCst);
 }
 
-/// Whether this rule is left out.
+/// Whether this mutation is active.
 #[cfg(feature = "mutants")]
 pub fn is_active(mutant: Mutant) -> bool {
     ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == mutant as u8
 }
 
-/// Whether this rule is left out: never.
+/// Whether this mutation is active: never.
 #[cfg(not(feature = "mutants"))]
 pub const fn is_active(_: Mutant) -> bool {
     false
--- a/crates/fleet/src/parts.rs
+++ b/crates/fleet/src/parts.rs
@@ -1,4 +1,5 @@
-//! Parts of the agreed state beside leases and tasks: each a function of the log alone, with its own entries, outcomes and bounds.
+//! Parts of the replicated state beside leases and tasks. Each is a deterministic function of the log alone,
+//! with its own entries, outcomes and bounds.
 
 use crate::state::MAX_NAME_BYTES;
 use crate::{Entry, Fleet, Holder, Outcome, Refusal};
@@ -7,83 +8,88 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// Bytes of one entry of a part: small enough that one is no burden on the log's way.
+/// Bytes of one entry of a part; small enough not to delay other entries of the log.
 pub const MAX_PART_ENTRY_BYTES: usize = 8 * 1024;
-/// Parts of one agreed state, those that only another program knows with them.
+/// Parts of one replicated state, including those that this program does not know.
 pub const MAX_PARTS: usize = 16;
-/// Bytes of parts that are shown to a start in one go, as far as one part is not more. The rest comes with the next.
+/// Bytes of views sent to an incarnation at once, unless a single view is larger. The rest follows with the
+/// next answer.
 pub const MAX_VIEW_BYTES: usize = 256 * 1024;
 
-/// A part of the agreed state. Parts do not know each other.
+/// A part of the replicated state. Parts are independent of each other.
 pub trait Part: Debug {
-    /// The name under which the log has its entries.
+    /// The name of the part in log entries.
     fn name(&self) -> &'static str;
-    /// Takes in the next of its entries; the same in every process. Returns what came of it, as bytes of the part's own.
+    /// Applies the next of the part's entries, with the same result in every process. Returns the outcome in
+    /// the part's own encoding.
     fn apply(&mut self, fleet: &Fleet, entry: &[u8]) -> Vec<u8>;
-    /// A start of a member has come or gone, as the log has it.
+    /// Notifies the part that an incarnation was added to or removed from the members.
     fn members_changed(&mut self, fleet: &Fleet);
-    /// Grows whenever [`Part::view_for`] would give this start something else; 0 while there is nothing to see.
+    /// Version of this incarnation's view: grows whenever [`Part::view_for`] would return something else; 0
+    /// while there is nothing to show.
     fn epoch(&self, holder: &Holder) -> u64;
-    /// What a start of a member is shown.
+    /// What one incarnation needs of the part.
     fn view_for(&self, holder: &Holder) -> Vec<u8>;
-    /// The whole part as bytes, the same for the same state.
+    /// Encodes the whole part; equal states have equal bytes.
     fn save(&self) -> Vec<u8>;
-    /// Takes up what was saved; whether these are its bytes. If not, nothing changes.
+    /// Replaces the state by a saved one. Returns whether the bytes are valid; if not, the state is
+    /// unchanged.
     fn load(&mut self, bytes: &[u8]) -> bool;
-    /// The part itself, for what joins parts above them.
+    /// The concrete part, for code that joins several parts.
     fn as_any(&self) -> &dyn Any;
 }
 
-/// A part that this program does not know, as it was saved.
+/// The saved state of a part that this program does not know.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct UnknownPart {
     bytes: Vec<u8>,
-    /// Entries of it were passed over since: these bytes are not what is agreed any more.
+    /// Entries of the part have been committed since, so these bytes are no longer its state.
     outdated: bool,
 }
 
-/// A part as one start is shown it.
+/// An incarnation's view of one part.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartView {
-    /// The part.
+    /// The name of the part.
     pub name: String,
-    /// Of what it shows ([`Part::epoch`]).
+    /// Version of the view ([`Part::epoch`]).
     pub epoch: u64,
-    /// What it shows ([`Part::view_for`]).
+    /// The view itself ([`Part::view_for`]).
     pub bytes: Vec<u8>,
 }
 
-/// Why saved parts cannot be taken up.
+/// Why saved parts cannot be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadError {
-    /// These are no such bytes.
+    /// The bytes are not valid.
     Corrupt,
-    /// Entries of this part went by while the program did not know it: what was saved is not what is agreed.
+    /// Entries of this part were committed while the program did not know it, so the saved state is out of
+    /// date.
     Outdated(String),
 }
 
-/// The agreed state with its parts.
+/// The replicated state with all its parts.
 #[derive(Debug, Default)]
 pub struct ReplicatedState {
     /// Members, leases and tasks.
     pub fleet: Fleet,
-    /// The parts that this program knows, each with a name of its own.
+    /// The parts that this program knows, each with a different name.
     pub parts: Vec<Box<dyn Part>>,
     unknown_parts: BTreeMap<String, UnknownPart>,
 }
 
 impl ReplicatedState {
-    /// What a log begins with, with these parts, each of them empty.
+    /// The initial state, with these parts, each of them empty.
     pub fn new(parts: Vec<Box<dyn Part>>) -> ReplicatedState {
         ReplicatedState { fleet: Fleet::default(), parts, unknown_parts: BTreeMap::new() }
     }
 
-    /// A part, if this program knows it.
+    /// A part by name, if this program knows it.
     pub fn part(&self, name: &str) -> Option<&dyn Part> {
         self.parts.iter().find(|part| part.name() == name).map(AsRef::as_ref)
     }
 
-    /// Whether an entry finds its part here.
+    /// Whether this program can apply the entry.
     pub fn knows_part_of(&self, entry: &Entry) -> bool {
         match entry {
             Entry::Part { part, .. } => self.part(part).is_some(),
@@ -91,11 +97,11 @@
         }
     }
 
-    /// Takes in the next entry of the log.
+    /// Applies the next entry of the log.
     pub fn apply(&mut self, entry: &Entry) -> Outcome {
         match entry {
             Entry::Part { part, bytes } => self.apply_part(part, bytes),
-            // These alone change who is a member.
+            // Only these entries change the members.
             Entry::Enrol { holder } | Entry::Gone { holder } => {
                 let was = self.fleet.is_present(holder);
                 let outcome = self.fleet.apply(entry);
@@ -115,7 +121,8 @@
         if let Some(part) = self.parts.iter_mut().find(|part| part.name() == name) {
             return Outcome::Part(part.apply(&self.fleet, bytes));
         }
-        // Guards against a program that learns this part later, and takes for agreed what it had before these entries went by.
+        // Guards against a program that learns of this part later and takes its state from before these
+        // entries for the current one.
         let room = self.parts.len() + self.unknown_parts.len() < MAX_PARTS && name.len() <= MAX_NAME_BYTES;
         if room || self.unknown_parts.contains_key(name) {
             self.unknown_parts.entry(name.to_string()).or_default().outdated = true;
@@ -123,7 +130,7 @@
         Outcome::Refused(Refusal::NotFound)
     }
 
-    /// What a start of a member is shown that it does not know yet, `knows` being the epochs that it has; of more than
+    /// The views that an incarnation does not have yet, where `known_epochs` are the versions it has. Beyond
     /// [`MAX_VIEW_BYTES`] the later parts wait.
     pub fn view_for(&self, holder: &Holder, known_epochs: &BTreeMap<String, u64>) -> Vec<PartView> {
         let mut views = Vec::new();
@@ -134,7 +141,7 @@
                 continue;
             }
             let bytes = part.view_for(holder);
-            // One that is larger goes alone.
+            // A view larger than the bound is sent alone.
             if bytes.len() > room && !views.is_empty() {
                 continue;
             }
@@ -144,28 +151,28 @@
         views
     }
 
-    /// Whether some part shows this start something.
+    /// Whether some part has a view for this incarnation.
     pub fn has_view_for(&self, holder: &Holder) -> bool {
         self.parts.iter().any(|part| part.epoch(holder) > 0)
     }
 
-    /// The parts as bytes, the same for the same state; none where there is no part.
+    /// Encodes the parts; equal states have equal bytes, and no parts give no bytes.
     pub fn save_parts(&self) -> Vec<u8> {
         let known = self.parts.iter();
         let known =
             known.map(|part| (part.name().to_string(), UnknownPart { bytes: part.save(), outdated: false }));
         let all: BTreeMap<String, UnknownPart> =
             self.unknown_parts.clone().into_iter().chain(known).collect();
-        // Writing into memory fails for nothing that is kept here. An agreed state without parts is saved as it was before there
-        // were any.
+        // Serialising into memory cannot fail here. Without parts, the encoding is the one used before parts
+        // existed.
         if all.is_empty() { Vec::new() } else { postcard::to_stdvec(&all).unwrap_or_default() }
     }
 
-    /// The state of `fleet`, with the parts that were saved beside it. A part that was not saved is empty; one that this program
-    /// does not know is kept, and saved again.
+    /// Builds the state from `fleet` and the parts that were saved with it. A part that was not saved is
+    /// empty; one that this program does not know is kept and saved again.
     ///
     /// # Errors
-    /// These are not the bytes of parts, or not of what is agreed.
+    /// The bytes are not valid, or a part is out of date.
     pub fn load_parts(
         fleet: Fleet,
         bytes: &[u8],
@@ -193,14 +200,14 @@
         Ok(state)
     }
 
-    /// The whole state as bytes, the same for the same state.
+    /// Encodes the whole state; equal states have equal bytes.
     pub fn save(&self) -> Vec<u8> {
         let mut bytes = self.fleet.save();
         bytes.extend(self.save_parts());
         bytes
     }
 
-    /// The state that was saved, with these parts, which are empty until then.
+    /// Decodes a saved state into these parts, which have to be empty.
     ///
     /// # Errors
     /// See [`ReplicatedState::load_parts`].
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -1,28 +1,28 @@
-//! When a task is due. Times here are Unix seconds by the wall clock, since people say when: a clock that jumps moves a due time,
-//! and never has anything to do with who holds a lease.
+//! When a task is due. Times are Unix seconds of the wall clock, as operators specify them: a clock that
+//! jumps moves a due time, but never affects who holds a lease.
 
 use chrono::{DateTime, Utc};
 use croner::Cron;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Times that were missed and are made up for one by one, at most; older ones are let go.
+/// Missed due times that are run one by one, at most; older ones are skipped.
 pub const MAX_MISSED_RUNS: usize = 100;
 
-/// When.
+/// A schedule of due times.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Schedule {
-    /// Every so often, counted from the start of 1970.
+    /// At a fixed interval, counted from the Unix epoch.
     Every(Duration),
-    /// As a cron line says, in UTC.
+    /// By a cron expression, in UTC.
     Cron(Box<Cron>),
 }
 
 impl Schedule {
-    /// A time between runs.
+    /// Creates a schedule with a fixed interval.
     ///
     /// # Errors
-    /// It is under a second.
+    /// The interval is under a second.
     pub fn every(time: Duration) -> Result<Schedule, String> {
         if time < Duration::from_secs(1) {
             return Err(format!("{time:?} is under a second"));
@@ -30,15 +30,15 @@
         Ok(Schedule::Every(time))
     }
 
-    /// A cron line.
+    /// Creates a schedule from a cron expression.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// What is wrong with the expression.
     pub fn cron(line: &str) -> Result<Schedule, String> {
         Cron::from_str(line).map(|cron| Schedule::Cron(Box::new(cron))).map_err(|e| e.to_string())
     }
 
-    /// The first time after this one; `None` if there is none.
+    /// The first due time after this time; `None` if there is none.
     pub fn after(&self, time: i64) -> Option<i64> {
         match self {
             Schedule::Every(every) => {
@@ -53,38 +53,38 @@
     }
 }
 
-/// What happens to times that nobody ran.
+/// How due times that were missed are made up for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Missed {
-    /// They are let go.
+    /// They are skipped.
     Skip,
-    /// All of them together are run once.
+    /// All of them together are made up for by one run.
     #[default]
     Once,
     /// Each is run, the oldest first, up to [`MAX_MISSED_RUNS`].
     Each,
 }
 
-/// What is due.
+/// What is due at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
-    /// Nothing before this time, if there ever is any.
+    /// Nothing before this time, if there is a next time at all.
     NotBefore(Option<i64>),
-    /// This time is to be run.
+    /// This due time is to be run.
     Run(i64),
-    /// All times up to this one are let go.
+    /// All due times up to this one are to be skipped.
     Skip(i64),
 }
 
-/// What is due at this time. `last` is the last time that was done or let go, or when the task was first heard of; `late` is for how
-/// long a time counts as met.
+/// What is due now. `last` is the last due time that was run or skipped, or the time when the task was first
+/// seen; `max_lateness` is how long after its due time a run still counts as on time.
 pub fn due(when: &Schedule, missed: Missed, last: i64, now: i64, max_lateness: Duration) -> Due {
     let Some(first) = when.after(last) else { return Due::NotBefore(None) };
     if first > now {
         return Due::NotBefore(Some(first));
     }
     let max_lateness = i64::try_from(max_lateness.as_secs()).unwrap_or(i64::MAX);
-    // The last few of the times up to now; more than these are never made up for.
+    // The latest due times up to now; no more than these are ever made up for.
     let mut times = std::collections::VecDeque::from([first]);
     let mut looked = 0;
     while let Some(next) = times.back().and_then(|time| when.after(*time)).filter(|next| *next <= now) {
@@ -94,7 +94,7 @@
         }
         looked += 1;
         if looked > 10 * MAX_MISSED_RUNS {
-            // After years of silence: straight to the present.
+            // After very many missed times, such as years: goes straight to the present.
             return match missed {
                 Missed::Skip => Due::Skip(now),
                 Missed::Once | Missed::Each => Due::Run(now),
@@ -116,7 +116,7 @@
     const HOUR: i64 = 3600;
 
     #[test]
-    fn times_come_every_so_often_or_as_a_cron_line_says() {
+    fn due_times_follow_an_interval_or_a_cron_expression() {
         let hourly = Schedule::every(Duration::from_secs(3600)).unwrap();
         assert_eq!(hourly.after(0), Some(HOUR));
         assert_eq!(hourly.after(HOUR - 1), Some(HOUR));
@@ -129,7 +129,7 @@
     }
 
     #[test]
-    fn what_was_missed_is_let_go_run_once_or_each() {
+    fn missed_times_are_skipped_run_once_or_run_each() {
         let hourly = Schedule::every(Duration::from_secs(3600)).unwrap();
         let max_lateness = Duration::from_secs(60);
         let at = |missed, now| due(&hourly, missed, HOUR, now, max_lateness);
@@ -142,7 +142,7 @@
         assert_eq!(at(Missed::Skip, now), Due::Skip(4 * HOUR));
         assert_eq!(at(Missed::Once, now), Due::Run(4 * HOUR));
         assert_eq!(at(Missed::Each, now), Due::Run(2 * HOUR));
-        // The last of them just now.
+        // The last of them is only just due.
         assert_eq!(at(Missed::Skip, 4 * HOUR + 5), Due::Run(4 * HOUR));
         // More than are ever made up for, and a clock that was years off.
         assert_eq!(at(Missed::Each, 1000 * HOUR), Due::Run((1000 - MAX_MISSED_RUNS as i64 + 1) * HOUR));
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -1,23 +1,23 @@
-//! The terms on which leases are given: how long they last, and how far clocks may differ.
+//! The timing of leases: how long they last, and how far clocks may drift.
 
 use crate::mutants::{Mutant, is_active};
 use std::time::Duration;
 
-/// Parts of a thousand.
+/// Thousandths in a whole.
 const PERMILLE: u32 = 1000;
 
-/// What all members have agreed on beforehand; it comes from the operator's file.
+/// The timing that all members share; set in the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTiming {
-    /// How long a lease lasts from the moment at which the holder asked for it, or for it to go on.
+    /// How long a lease lasts, counted from when the holder requested it or its renewal.
     pub ttl: Duration,
-    /// How far the rate of a clock may be off, in thousandths, to either side. Two clocks that are both off still keep the
-    /// promise.
+    /// How far the rate of a clock may be off to either side, in thousandths. Leases stay exclusive even if
+    /// two clocks are off in opposite directions.
     pub drift_permille: u32,
 }
 
 impl LeaseTiming {
-    /// For how long by its own clock a holder counts on what it was given.
+    /// How long a holder uses a lease after requesting it, by its own clock.
     pub fn holder_ttl(&self) -> Duration {
         if is_active(Mutant::NoDriftMargin) {
             return self.ttl;
@@ -25,7 +25,7 @@
         self.ttl * (PERMILLE - self.drift_permille.min(PERMILLE)) / PERMILLE
     }
 
-    /// How long by its own clock the leader waits before it gives the lease to another.
+    /// How long the leader waits before it grants the lease to another process, by its own clock.
     pub fn expiry_wait(&self) -> Duration {
         if is_active(Mutant::NoDriftMargin) {
             return self.ttl;
@@ -33,13 +33,13 @@
         self.ttl * (PERMILLE + self.drift_permille) / PERMILLE
     }
 
-    /// How long by its own clock a process waits so that another one's `time` is over.
+    /// How long a process has to wait, by its own clock, until `time` has passed on another process's clock.
     pub fn wait_to_outlast(&self, time: Duration) -> Duration {
-        // Twice: the other clock may be slow, and this one fast.
+        // Both margins apply: the other clock may be slow, and this one fast.
         time * (PERMILLE + self.drift_permille) / PERMILLE.saturating_sub(self.drift_permille).max(1)
     }
 
-    /// How often a holder asks for its leases to go on: three times may be lost.
+    /// How often a holder renews its leases; three requests in a row may be lost.
     pub fn renewal_interval(&self) -> Duration {
         self.holder_ttl() / 4
     }
@@ -49,9 +49,10 @@
 mod tests {
     use super::*;
 
-    /// In true time a holder with the slowest clock is done before a leader with the fastest one gives the lease away.
+    /// In true time, a holder with the slowest clock stops using a lease before a leader with the fastest
+    /// clock grants it to another process.
     #[test]
-    fn clocks_that_are_off_to_either_side_keep_the_promise() {
+    fn leases_stay_exclusive_with_drift_to_either_side() {
         for drift_permille in [0, 1, 50, 100, 200] {
             let terms = LeaseTiming { ttl: Duration::from_secs(10), drift_permille };
             let (slow, fast) =
--- a/crates/fleet/src/voter_slots.rs
+++ b/crates/fleet/src/voter_slots.rs
@@ -1,78 +1,79 @@
-//! Which disks have a vote: the next change, one at a time, decided by the one that leads.
+//! Which disks have a vote. The leader decides on one change at a time.
 //!
-//! The operator's file names the members that are to vote. A vote belongs to a disk ([`crate::disk_rollback`]), so a member whose disk was
-//! lost comes back as another voter: it learns first, then the old disk loses its vote, then the new one is given one.
+//! The operator's file names the members that are to vote. A vote belongs to a disk
+//! ([`crate::disk_rollback`]), so a member that lost its disk comes back as a new voter: the new disk is
+//! added as a learner, the old one is removed, and the new one is given a vote.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Voters at most, as many as anybody needs.
+/// Voters at most.
 pub const MAX_VOTERS: usize = 7;
 
-/// A disk that takes part.
+/// A disk that takes part in consensus.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterSlot {
-    /// The member that has it.
+    /// The member that has the disk.
     pub member: String,
-    /// It has a vote; else it learns.
+    /// Whether it has a vote; otherwise it is a learner.
     pub votes: bool,
 }
 
-/// The disks that take part, as agreed.
+/// The committed set of disks that take part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterSlots {
-    /// By the disk's number.
+    /// The slots by disk number.
     pub disks: BTreeMap<u64, VoterSlot>,
 }
 
-/// A change of them.
+/// A change of the voter slots.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum VoterSlotChange {
-    /// A disk learns what is agreed.
+    /// Adds a disk as a learner.
     AddLearner {
-        /// Its number.
+        /// The disk.
         disk: u64,
-        /// Whose it is.
+        /// Its member.
         member: String,
     },
-    /// A disk that has learned is given a vote.
+    /// Gives a learner a vote.
     Promote {
-        /// Its number.
+        /// The disk.
         disk: u64,
     },
-    /// A disk takes part no more.
+    /// Removes a disk.
     Remove {
-        /// Its number.
+        /// The disk.
         disk: u64,
     },
 }
 
-/// What the one that leads knows beside that.
+/// What the leader knows beside the committed slots.
 #[derive(Clone, Debug, Default)]
 pub struct Observed {
-    /// The members that are to vote.
+    /// The members that are to vote, by the operator's file.
     pub configured: BTreeSet<String>,
-    /// The disk that each was heard with last, and how long ago.
+    /// The disk that each member last sent a message with, and how long ago.
     pub last_heard: BTreeMap<String, (u64, Duration)>,
-    /// Disks that were heard from lately and have nearly all that is agreed.
+    /// Disks that were active lately and have nearly the whole log.
     pub caught_up: BTreeSet<u64>,
-    /// Who is silent for so long has gone.
+    /// After this time without a message a member counts as silent.
     pub silent_after: Duration,
 }
 
 impl VoterSlots {
-    /// The numbers of those that vote.
+    /// The disks that have a vote.
     pub fn voters(&self) -> BTreeSet<u64> {
         self.disks.iter().filter(|(_, slot)| slot.votes).map(|(disk, _)| *disk).collect()
     }
 
-    /// The member of a disk.
+    /// The member that has a disk.
     pub fn member_of(&self, disk: u64) -> Option<&str> {
         self.disks.get(&disk).map(|slot| slot.member.as_str())
     }
 
-    /// Takes in a change that was agreed.
+    /// Applies a committed change.
     pub fn apply(&mut self, change: &VoterSlotChange) {
         match change {
             VoterSlotChange::AddLearner { disk, member } => {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The next change, if one is due; `me` is the disk of the one that leads.
+    /// The next change, if one is due; `me` is the leader's disk.
     pub fn next_change(&self, me: u64, observed: &Observed) -> Option<VoterSlotChange> {
         let is_here = |disk: &u64, slot: &VoterSlot| {
             observed
@@ -95,7 +96,7 @@
                 .get(&slot.member)
                 .is_some_and(|(other, ago)| other == disk && *ago < observed.silent_after)
         };
-        // A disk that learns and whose member has another one by now, or is not to vote, is of no use.
+        // A learner is of no use once its member has another disk or is no longer to vote.
         for (disk, slot) in self.disks.iter().filter(|(_, slot)| !slot.votes) {
             let replaced = observed.last_heard.get(&slot.member).is_some_and(|(other, _)| other != disk);
             if !observed.configured.contains(&slot.member) || replaced {
@@ -106,7 +107,8 @@
             if !observed.caught_up.contains(disk) {
                 continue;
             }
-            // Its member's old disk loses its vote first: between the two changes a majority of the others decides, which is up.
+            // The member's old disk is removed first: between the two changes the quorum consists of other
+            // voters, which are up.
             let old =
                 |(other, old): &(&u64, &VoterSlot)| *other != disk && old.votes && old.member == slot.member;
             return Some(match self.disks.iter().find(old) {
@@ -114,7 +116,8 @@
                 None => VoterSlotChange::Promote { disk: *disk },
             });
         }
-        // A voter that the file names no more goes, unless it is the one that leads: that leads until another does.
+        // A voter that the file no longer names is removed, unless it is the leader, which goes on until
+        // another one is elected.
         for (disk, slot) in self.disks.iter().filter(|(disk, slot)| slot.votes && **disk != me) {
             let rest: Vec<_> =
                 self.disks.iter().filter(|(other, slot)| *other != disk && slot.votes).collect();
@@ -126,8 +129,9 @@
         let mut learns = observed.configured.iter().filter_map(|name| {
             let (disk, ago) = observed.last_heard.get(name)?;
             let has_one = self.disks.contains_key(disk);
-            // Guards against a cloned folder: two processes of one name that take each other's seat without end. Whose disk is here
-            // is whoever was heard last, so the old one has to be silent for a while.
+            // Guards against a cloned folder, where two processes of one name would replace each other's slot
+            // endlessly. The last disk heard from counts as the member's, so the old one has to be silent for
+            // a while first.
             let old_disk_votes = self.disks.iter().any(|(other, slot)| {
                 slot.member == *name && slot.votes && (*other == me || observed.caught_up.contains(other))
             });
@@ -145,7 +149,7 @@
 
     const LONG: Duration = Duration::from_secs(10);
 
-    /// A fleet that was founded by one and is to have three voters.
+    /// A fleet founded by one voter that is to have three.
     fn founded() -> (VoterSlots, Observed) {
         let mut voter_slots = VoterSlots::default();
         voter_slots.disks.insert(1, VoterSlot { member: "a".into(), votes: true });
@@ -158,72 +162,72 @@
         )
     }
 
-    fn settle(voter_slots: &mut VoterSlots, observed: &Observed) -> Vec<VoterSlotChange> {
+    fn apply_all_changes(voter_slots: &mut VoterSlots, observed: &Observed) -> Vec<VoterSlotChange> {
         let mut changes = Vec::new();
         while let Some(change) = voter_slots.next_change(1, observed) {
             voter_slots.apply(&change);
             changes.push(change);
-            assert!(changes.len() < 20, "it never settles: {changes:?}");
+            assert!(changes.len() < 20, "it does not converge: {changes:?}");
         }
         changes
     }
 
     #[test]
-    fn those_that_are_named_learn_and_then_vote() {
+    fn configured_members_become_learners_and_then_voters() {
         let (mut voter_slots, mut observed) = founded();
-        settle(&mut voter_slots, &observed);
+        apply_all_changes(&mut voter_slots, &observed);
         assert_eq!(voter_slots.voters(), [1].into());
         observed.caught_up = [1, 3].into();
-        settle(&mut voter_slots, &observed);
+        apply_all_changes(&mut voter_slots, &observed);
         assert_eq!(voter_slots.voters(), [1, 3].into());
         observed.caught_up = [1, 2, 3].into();
-        assert_eq!(settle(&mut voter_slots, &observed), [VoterSlotChange::Promote { disk: 2 }]);
+        assert_eq!(apply_all_changes(&mut voter_slots, &observed), [VoterSlotChange::Promote { disk: 2 }]);
         assert_eq!(voter_slots.voters(), [1, 2, 3].into());
     }
 
     #[test]
-    fn a_member_that_lost_its_disk_learns_again_and_only_then_its_old_disk_goes() {
+    fn the_old_disk_of_a_member_is_removed_only_after_its_new_one_has_caught_up() {
         let (mut voter_slots, mut observed) = founded();
         observed.caught_up = [1, 2, 3].into();
-        settle(&mut voter_slots, &observed);
+        apply_all_changes(&mut voter_slots, &observed);
         observed.last_heard.insert("b".into(), (4, Duration::ZERO));
-        // The old disk was heard a moment ago: it may be another process of the same name.
-        assert_eq!(settle(&mut voter_slots, &observed), []);
+        // The old disk was heard a moment ago: it may belong to another process of the same name.
+        assert_eq!(apply_all_changes(&mut voter_slots, &observed), []);
         observed.caught_up = [1, 3].into();
         assert_eq!(
-            settle(&mut voter_slots, &observed),
+            apply_all_changes(&mut voter_slots, &observed),
             [VoterSlotChange::AddLearner { disk: 4, member: "b".into() }]
         );
         observed.caught_up = [1, 3, 4].into();
         assert_eq!(
-            settle(&mut voter_slots, &observed),
+            apply_all_changes(&mut voter_slots, &observed),
             [VoterSlotChange::Remove { disk: 2 }, VoterSlotChange::Promote { disk: 4 }]
         );
         assert_eq!(voter_slots.voters(), [1, 3, 4].into());
     }
 
     #[test]
-    fn who_is_named_no_more_goes_if_a_majority_of_the_rest_is_up() {
+    fn a_voter_no_longer_configured_is_removed_if_a_majority_of_the_rest_is_up() {
         let (mut voter_slots, mut observed) = founded();
         observed.caught_up = [1, 2, 3].into();
-        settle(&mut voter_slots, &observed);
+        apply_all_changes(&mut voter_slots, &observed);
         observed.configured.remove("c");
         observed.last_heard.insert("b".into(), (2, LONG));
-        assert_eq!(settle(&mut voter_slots, &observed), [], "one of two is no majority");
+        assert_eq!(apply_all_changes(&mut voter_slots, &observed), [], "one of two is no majority");
         observed.last_heard.insert("b".into(), (2, Duration::ZERO));
-        assert_eq!(settle(&mut voter_slots, &observed), [VoterSlotChange::Remove { disk: 3 }]);
-        // The one that leads stays.
+        assert_eq!(apply_all_changes(&mut voter_slots, &observed), [VoterSlotChange::Remove { disk: 3 }]);
+        // The leader stays.
         observed.configured.remove("a");
-        assert_eq!(settle(&mut voter_slots, &observed), []);
+        assert_eq!(apply_all_changes(&mut voter_slots, &observed), []);
     }
 
     #[test]
-    fn a_disk_that_learns_for_nobody_goes() {
+    fn a_learner_whose_member_has_another_disk_is_removed() {
         let (mut voter_slots, mut observed) = founded();
-        settle(&mut voter_slots, &observed);
+        apply_all_changes(&mut voter_slots, &observed);
         assert_eq!(voter_slots.disks.len(), 3);
         observed.last_heard.insert("c".into(), (9, Duration::ZERO));
-        let changes = settle(&mut voter_slots, &observed);
+        let changes = apply_all_changes(&mut voter_slots, &observed);
         assert_eq!(
             changes,
             [
--- a/crates/fleet/src/wall_clock.rs
+++ b/crates/fleet/src/wall_clock.rs
@@ -1,31 +1,32 @@
-//! The time by which tasks are due: the middle one of the members' clocks on the wall, so that one which jumps or is wrong changes
-//! nothing. It has nothing to do with who holds a lease.
+//! The fleet's wall clock, by which tasks are due: the median of the members' clocks, so that one clock that
+//! jumps or is wrong changes nothing. It has no influence on who holds a lease.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Clocks that count.
+/// Members' clocks that are kept.
 pub const MAX_CLOCKS: usize = 1024;
 
-/// A second, in milliseconds.
 const MS_PER_SECOND: i64 = 1000;
-/// What is said is a whole second, and may have been on its way for half of one: what is known is kept while it is no further off.
+/// A reported time is a whole second and may have been delayed by half a second; the estimate is kept while
+/// it is within this distance of the report.
 const MAX_ERROR_MS: i64 = MS_PER_SECOND + MS_PER_SECOND / 2;
-/// What is known fades by this part of the time that passes: more than clocks differ in their rates.
+/// The estimate decays by this fraction of the time passed, which is more than the rates of clocks differ.
 const DECAY_DIVISOR: i64 = 20;
 
-/// A clock that says whole seconds. What it says is true at some moment of a second, so each word gives a bound; the best of late is
-/// kept. Guards against a time that is missed: whoever went by the last word alone was off by up to a second, another one with each
-/// who leads, and where the time jumped over a second nothing was run for it.
+/// An estimate of a remote clock that reports whole seconds. A report is exact at some moment of its second,
+/// so each one is a lower bound; the highest recent bound is kept. Guards against a due time that is missed:
+/// an estimate from the last report alone was off by up to a second and differed from leader to leader, and
+/// where it jumped over a second, nothing was run for that second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SecondsClock {
-    /// By how much it is ahead of this process's monotone clock, at least, in milliseconds.
+    /// Lower bound of the clock's lead over this process's monotonic clock, in milliseconds.
     offset_ms: i64,
     updated: Duration,
 }
 
 impl SecondsClock {
-    /// One that shows this many seconds.
+    /// Starts the estimate with a report of this time, in Unix seconds.
     pub fn new(now: Duration, unix: i64) -> SecondsClock {
         SecondsClock {
             offset_ms: unix.saturating_mul(MS_PER_SECOND).saturating_sub(millis(now)),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// It shows this now.
+    /// Updates the estimate with a report received now.
     pub fn observe(&mut self, now: Duration, unix: i64) {
         let least = SecondsClock::new(now, unix);
         let known = self.offset_ms.saturating_sub(millis(now.saturating_sub(self.updated)) / DECAY_DIVISOR);
@@ -41,13 +42,13 @@
         *self = if holds { SecondsClock { offset_ms: known, updated: now } } else { least };
     }
 
-    /// What it shows at this moment, in Unix seconds.
+    /// The estimated time of the clock, in Unix seconds.
     pub fn unix_seconds(&self, now: Duration) -> i64 {
         self.offset_ms.saturating_add(millis(now)).div_euclid(MS_PER_SECOND)
     }
 }
 
-/// What the one that leads has heard of members' clocks.
+/// The leader's estimates of the members' clocks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberClocks {
     clocks: BTreeMap<String, SecondsClock>,
@@ -58,7 +59,8 @@
 }
 
 impl MemberClocks {
-    /// A member's clock shows this. Several starts of it have one clock, which counts once.
+    /// Records the time reported by a member. All incarnations of a member share one clock, which counts
+    /// once.
     pub fn observe(&mut self, now: Duration, member: &str, unix: i64) {
         if let Some(clock) = self.clocks.get_mut(member) {
             clock.observe(now, unix);
@@ -67,17 +69,19 @@
         }
     }
 
-    /// Clocks that were not heard of for so long count no more.
+    /// Removes clocks without a report for this long.
     pub fn forget_silent(&mut self, now: Duration, after: Duration) {
         self.clocks.retain(|_, clock| now.saturating_sub(clock.updated) < after);
     }
 
-    /// The middle one, in Unix seconds, once so many were heard: of fewer it might be the wrong one.
+    /// The median in Unix seconds, once at least `least` clocks are known; the median of fewer might be a
+    /// wrong clock.
     pub fn unix_seconds(&self, now: Duration, least: usize) -> Option<i64> {
         Some(self.median(least)?.unix_seconds(now))
     }
 
-    /// The same in Unix milliseconds, by this process's own clock on the wall as far as that agrees with the middle one.
+    /// The median in Unix milliseconds, refined by this process's own wall clock as far as that agrees with
+    /// it.
     pub fn unix_ms(&self, now: Duration, own: Duration, least: usize) -> Option<u64> {
         let median = self.median(least)?.offset_ms.saturating_add(millis(now));
         let unix = millis(own).clamp(median, median.saturating_add(MAX_ERROR_MS));
@@ -90,7 +94,7 @@
         }
         let mut all: Vec<&SecondsClock> = self.clocks.values().collect();
         all.sort_unstable_by_key(|clock| clock.offset_ms);
-        // Of an even number the lower one: early tasks cannot be undone.
+        // Of an even number, the lower one: a task that runs early cannot be undone.
         all.get(all.len().checked_sub(1)? / 2).copied()
     }
 }
@@ -114,10 +118,10 @@
             let shown = clocks.unix_seconds(now, 2).unwrap();
             assert!((1000..=1002).contains(&shown), "{shown}");
         }
-        // It goes on by the monotone clock.
+        // The estimate advances with the monotonic clock.
         clocks.observe(now, &holder(1), 1001);
         assert_eq!(clocks.unix_seconds(now + Duration::from_secs(9), 1), Some(1010));
-        // Of two the earlier one counts.
+        // Of two clocks the earlier one counts.
         clocks.observe(now + Duration::from_secs(100), &holder(0), 1100);
         clocks.observe(now + Duration::from_secs(100), &holder(2), 1200);
         clocks.forget_silent(now + Duration::from_secs(100), Duration::from_secs(60));
@@ -132,18 +136,18 @@
         assert_eq!(clocks.clocks.len(), MAX_CLOCKS);
     }
 
-    /// Three members, asked four times a second by one that leads and then by another, and what one of them takes for the time: it
-    /// jumps over no second, is never early, and late by no more than the time between two words.
+    /// Three members report four times a second to one leader and then to another. The time estimated by one
+    /// member skips no second, is never early, and is late by no more than the time between two reports.
     #[test]
-    fn no_second_is_passed_over_when_another_one_leads() {
+    fn no_second_is_skipped_when_the_leader_changes() {
         let ms = |time: u64| Duration::from_millis(time);
         for phase in 0..50 {
-            // All times in milliseconds; each process's monotone clock begins elsewhere.
+            // Times are in milliseconds; each process's monotonic clock has another origin.
             let (begin, since, lost) = (1_000_000, [350 + 20 * phase, 7_130, 990], 6_000 + 20 * phase);
             let mut clocks = [MemberClocks::default(), MemberClocks::default()];
             let (mut clock, mut shown) = (None::<SecondsClock>, None);
             for time in (0..12_000).step_by(10) {
-                // For 800 ms nobody leads.
+                // There is no leader for 800 ms.
                 let leads = if time < lost { Some(0) } else { (time >= lost + 800).then_some(1) };
                 let truth = i64::try_from((begin + time) / 1000).unwrap();
                 let here = ms(since[2] + time);
@@ -163,15 +167,15 @@
                     assert!(begin + time < unix as u64 * 1000 + 1_400, "{phase}: at {time} it is late");
                 }
                 let next = shown.map_or(unix, |last: i64| last + 1);
-                assert!(unix <= next, "{phase}: at {time} {unix} comes behind {shown:?}");
+                assert!(unix <= next, "{phase}: at {time} {unix} follows {shown:?}");
                 shown = shown.max(Some(unix));
             }
         }
     }
 
-    /// A process whose own clock is off leads by the middle one.
+    /// A leader whose own clock is wrong uses the median.
     #[test]
-    fn an_own_clock_counts_as_far_as_it_agrees() {
+    fn the_own_clock_refines_the_median_only_where_they_agree() {
         let mut clocks = MemberClocks::default();
         let now = Duration::from_millis(50_300);
         (0..3).for_each(|n| clocks.observe(now, &format!("n{n}"), 1000));
