--- a/crates/agreed/src/lib.rs
+++ b/crates/agreed/src/lib.rs
@@ -11,9 +11,9 @@
 //! use jaspershunt_work::{Effect, Entry as WorkEntry, Offer};
 //!
 //! let (one, two) = (Holder::new("n1", 7), Holder::new("n2", 8));
-//! let mut agreed = ReplicatedState::new(parts());
+//! let mut state = ReplicatedState::new(parts());
 //! for holder in [&one, &two] {
-//!     agreed.apply(&Entry::Enrol { holder: holder.clone() });
+//!     state.apply(&Entry::Enrol { holder: holder.clone() });
 //! }
 //! let offer = Offer {
 //!     key: "op-1".into(), class: "firma".into(), tenant: None, body: b"sign".to_vec(),
@@ -21,14 +21,14 @@
 //! };
 //! let room = WorkEntry::Room { holder: two.clone(), region: "sur".into(), room: 3 };
 //! for entry in [WorkEntry::Offer { by: one.clone(), offer, begin: true, now_ms: 0 }, room] {
-//!     agreed.apply(&Entry::Part { part: "work".into(), bytes: entry.to_bytes() });
+//!     state.apply(&Entry::Part { part: "work".into(), bytes: entry.to_bytes() });
 //! }
 //! // Its nodo is lost; the leader proposes who takes it over.
-//! agreed.apply(&Entry::Gone { holder: one });
-//! for (part, bytes) in leader_entries(100, &agreed) {
-//!     assert!(matches!(agreed.apply(&Entry::Part { part, bytes }), Outcome::Part(_)));
+//! state.apply(&Entry::Gone { holder: one });
+//! for (part, bytes) in leader_entries(100, &state) {
+//!     assert!(matches!(state.apply(&Entry::Part { part, bytes }), Outcome::Part(_)));
 //! }
-//! assert_eq!(work(&agreed).unwrap().item("op-1").unwrap().owner, two);
+//! assert_eq!(work(&state).unwrap().item("op-1").unwrap().owner, two);
 //! ```
 
 use jaspershunt_fleet::parts::{Part, ReplicatedState};
@@ -49,18 +49,18 @@
 }
 
 /// The in-flight work, if this replicated state has that part.
-pub fn work(agreed: &ReplicatedState) -> Option<&Work> {
-    agreed.part(jaspershunt_work::part::NAME)?.as_any().downcast_ref()
+pub fn work(state: &ReplicatedState) -> Option<&Work> {
+    state.part(jaspershunt_work::part::NAME)?.as_any().downcast_ref()
 }
 
 /// The route table, if this replicated state has that part.
-pub fn routes(agreed: &ReplicatedState) -> Option<&Routes> {
-    agreed.part(jaspershunt_routes::part::NAME)?.as_any().downcast_ref()
+pub fn routes(state: &ReplicatedState) -> Option<&Routes> {
+    state.part(jaspershunt_routes::part::NAME)?.as_any().downcast_ref()
 }
 
 /// The steering tables, which map groups of clients to regions, if this replicated state has that part.
-pub fn tables(agreed: &ReplicatedState) -> Option<&Tables> {
-    let part: &steering::Part = agreed.part(steering::part::NAME)?.as_any().downcast_ref()?;
+pub fn tables(state: &ReplicatedState) -> Option<&Tables> {
+    let part: &steering::Part = state.part(steering::part::NAME)?.as_any().downcast_ref()?;
     Some(part.tables())
 }
 
@@ -68,32 +68,32 @@
 /// name of its part. Nothing while no work is in flight, no edit is accepted and no edge reports
 /// measurements. Two processes that both act as leader do no harm: takeovers are fenced by the token, and a
 /// repeated removal or publication changes nothing. A new table goes to all nodos at once.
-pub fn leader_entries(now_ms: u64, agreed: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
-    leader_entries_with_trial::<WHOLE>(now_ms, agreed)
+pub fn leader_entries(now_ms: u64, state: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
+    leader_entries_with_trial::<WHOLE>(now_ms, state)
 }
 
 /// Does the same, but puts a new table on trial with this many thousandths of the nodos first.
 pub fn leader_entries_with_trial<const PERMILLE: u32>(
     now_ms: u64,
-    agreed: &ReplicatedState,
+    state: &ReplicatedState,
 ) -> Vec<(String, Vec<u8>)> {
-    let mut entries = work_entries(now_ms, agreed);
-    entries.extend(route_table_entry(now_ms, agreed, PERMILLE));
+    let mut entries = work_entries(now_ms, state);
+    entries.extend(route_table_entry(now_ms, state, PERMILLE));
     // Last, as work is urgent and the next steering table can wait.
-    entries.extend(steering_entries(now_ms, agreed));
+    entries.extend(steering_entries(now_ms, state));
     entries
 }
 
 /// Publishes a new table once there are accepted edits, and ends the trial of a table once it can be judged.
-fn route_table_entry(now_ms: u64, agreed: &ReplicatedState, permille: u32) -> Option<(String, Vec<u8>)> {
-    let routes = routes(agreed)?;
+fn route_table_entry(now_ms: u64, state: &ReplicatedState, permille: u32) -> Option<(String, Vec<u8>)> {
+    let routes = routes(state)?;
     let entry = match routes.on_trial() {
         Some(trial) => {
             let judged = trial.verdict(now_ms) != Verdict::Wait;
             judged.then_some(jaspershunt_routes::Entry::Step { revision: trial.revision, now_ms })?
         }
         None if routes.ready() => {
-            let members = agreed.fleet.members().map(|(name, _)| name);
+            let members = state.fleet.members().map(|(name, _)| name);
             let permille = if permille < WHOLE { share(members, permille) } else { WHOLE };
             jaspershunt_routes::Entry::Publish { permille, now_ms: now_ms.max(routes.published_ms()) }
         }
@@ -102,9 +102,9 @@
     Some((jaspershunt_routes::part::NAME.to_string(), entry.to_bytes()))
 }
 
-fn work_entries(now_ms: u64, agreed: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
-    let Some(work) = work(agreed) else { return Vec::new() };
-    let mut entries = successors(now_ms, agreed, work, |orphan| allowed_regions(agreed, orphan)).entries();
+fn work_entries(now_ms: u64, state: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
+    let Some(work) = work(state) else { return Vec::new() };
+    let mut entries = successors(now_ms, state, work, |orphan| allowed_regions(state, orphan)).entries();
     // After the takeovers: only so many entries are accepted at once, and removing ended work can wait.
     if work.items().next().is_some() && now_ms >= work.clock_ms().saturating_add(TIDY_EVERY_MS) {
         entries.push(Entry::Tidy { now_ms });
@@ -115,11 +115,11 @@
 
 /// What the leader proposes for steering: a tenant's group is served only in regions that the route table
 /// allows.
-fn steering_entries(now_ms: u64, agreed: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
-    let Some(steering) = agreed.part(steering::part::NAME) else { return Vec::new() };
+fn steering_entries(now_ms: u64, state: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
+    let Some(steering) = state.part(steering::part::NAME) else { return Vec::new() };
     let Some(part) = steering.as_any().downcast_ref::<steering::Part>() else { return Vec::new() };
-    let present: BTreeSet<&str> = agreed.fleet.members().map(|(name, _)| name).collect();
-    let allowed = |group: &Group| match (group, routes(agreed)) {
+    let present: BTreeSet<&str> = state.fleet.members().map(|(name, _)| name).collect();
+    let allowed = |group: &Group| match (group, routes(state)) {
         (Group::Field(tenant), Some(routes)) => routes.allows("", tenant),
         _ => BTreeSet::new(),
     };
@@ -129,9 +129,9 @@
 
 /// The regions that may run this work, by the published route table; an empty set where the table sets no
 /// limit.
-fn allowed_regions(agreed: &ReplicatedState, orphan: &Orphan) -> Option<BTreeSet<String>> {
+fn allowed_regions(state: &ReplicatedState, orphan: &Orphan) -> Option<BTreeSet<String>> {
     let tenant = orphan.tenant.as_deref().unwrap_or_default();
-    Some(routes(agreed).map(|routes| routes.allows(&orphan.class, tenant)).unwrap_or_default())
+    Some(routes(state).map(|routes| routes.allows(&orphan.class, tenant)).unwrap_or_default())
 }
 
 /// Plans who takes over orphaned work: an incarnation with capacity, in a region that `allowed` returns (an
@@ -139,23 +139,23 @@
 /// work's clients come first.
 pub fn successors(
     now_ms: u64,
-    agreed: &ReplicatedState,
+    state: &ReplicatedState,
     work: &Work,
     allowed: impl Fn(&Orphan) -> Option<BTreeSet<String>>,
 ) -> Spread {
-    let orphans = work.orphans(&agreed.fleet);
+    let orphans = work.orphans(&state.fleet);
     // The usual case; nothing else needs to be examined.
     if orphans.is_empty() {
         return Spread::default();
     }
-    let prefers = |orphan: &Orphan, regions: Vec<String>| match tables(agreed) {
+    let prefers = |orphan: &Orphan, regions: Vec<String>| match tables(state) {
         // An empty set would select all regions of the table.
         Some(tables) if !regions.is_empty() => {
             tables.prefers(&group_of(orphan), &regions.into_iter().collect())
         }
         _ => regions,
     };
-    spread(&orphans, &work.places(&agreed.fleet), now_ms, allowed, prefers)
+    spread(&orphans, &work.places(&state.fleet), now_ms, allowed, prefers)
 }
 
 /// The steering group of the clients whose work it is: the tenant's group, if the operator's file defines
--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -421,10 +421,10 @@
     }
 
     fn switch_to(&mut self, name: &str) {
-        if let Some(place) = self.voters.iter().position(|voter| voter == name)
-            && place != self.current_voter
+        if let Some(index) = self.voters.iter().position(|voter| voter == name)
+            && index != self.current_voter
         {
-            self.current_voter = place;
+            self.current_voter = index;
             self.proposals.values_mut().for_each(|proposal| proposal.resend_at = Duration::ZERO);
         }
     }
--- a/crates/fleet/src/client/tests.rs
+++ b/crates/fleet/src/client/tests.rs
@@ -206,9 +206,15 @@
     test.members[0].step(now, 0);
     test.members[0].on_connection_lost(now, "v2");
     assert_eq!(test.members[0].current_voter(), Some("v1"));
-    let said = test.members[0].step(now, 0);
-    assert!(said.iter().any(|action| matches!(action, Action::Renew { to, .. } if to == "v1")), "{said:?}");
-    assert!(said.iter().any(|action| matches!(action, Action::Propose { to, .. } if to == "v1")), "{said:?}");
+    let actions = test.members[0].step(now, 0);
+    assert!(
+        actions.iter().any(|action| matches!(action, Action::Renew { to, .. } if to == "v1")),
+        "{actions:?}"
+    );
+    assert!(
+        actions.iter().any(|action| matches!(action, Action::Propose { to, .. } if to == "v1")),
+        "{actions:?}"
+    );
     for _ in 0..20 {
         let asks = test.members[0].current_voter().unwrap().to_string();
         test.members[0].on_connection_lost(now, &asks);
@@ -230,8 +236,10 @@
     test.pass(TIMING.renewal_interval() * 2);
     test.silent = false;
     test.pass(TIMING.ttl);
-    let settled =
-        test.reported.iter().find(|action| matches!(action, Action::Settled { id: told, .. } if *told == id));
+    let settled = test
+        .reported
+        .iter()
+        .find(|action| matches!(action, Action::Settled { id: settled_id, .. } if *settled_id == id));
     assert!(
         matches!(settled, Some(Action::Settled { outcome: Some(_), sent_again: true, .. })),
         "{:?}",
--- a/crates/fleet/src/disk_rollback.rs
+++ b/crates/fleet/src/disk_rollback.rs
@@ -113,13 +113,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VoterIncarnations {
     known: BTreeMap<u64, KnownIncarnation>,
-    heard: BTreeMap<u64, DiskProgress>,
+    progress: BTreeMap<u64, DiskProgress>,
 }
 
 impl VoterIncarnations {
     /// Starts with what earlier incarnations of this voter have stored.
     pub fn new(known: BTreeMap<u64, KnownIncarnation>) -> VoterIncarnations {
-        VoterIncarnations { known, heard: BTreeMap::new() }
+        VoterIncarnations { known, progress: BTreeMap::new() }
     }
 
     /// Checks an announced incarnation. A returned value has to be stored before the acknowledgement is sent.
@@ -139,16 +139,13 @@
                 return Err(RolledBack::OtherNonce);
             }
         }
-        if let Some(heard) = self.heard.get(&announced.disk) {
-            if heard.number > announced.number {
+        if let Some(seen) = self.progress.get(&announced.disk) {
+            if seen.number > announced.number {
                 return Err(RolledBack::LaterIncarnation);
             }
             // Progress within this incarnation came after the announcement, which cannot include it.
-            let progress = if heard.number == announced.number {
-                heard.earlier
-            } else {
-                heard.earlier.max(heard.current)
-            };
+            let progress =
+                if seen.number == announced.number { seen.earlier } else { seen.earlier.max(seen.current) };
             if progress.term > announced.term {
                 return Err(RolledBack::LaterTerm);
             }
@@ -169,17 +166,17 @@
 
     /// Records that a voter has sent a message of this term, which its disk therefore has.
     pub fn record_term(&mut self, disk: u64, number: u64, term: u64) {
-        if let Some(progress) = self.heard.entry(disk).or_default().in_incarnation(number) {
+        if let Some(progress) = self.progress.entry(disk).or_default().in_incarnation(number) {
             progress.term = progress.term.max(term);
         }
-        while self.heard.len() > MAX_DISKS {
-            self.heard.pop_first();
+        while self.progress.len() > MAX_DISKS {
+            self.progress.pop_first();
         }
     }
 
     /// Records that a voter has reported this end of its log.
     pub fn record_position(&mut self, disk: u64, number: u64, last_position: Position) {
-        if let Some(progress) = self.heard.get_mut(&disk).and_then(|heard| heard.in_incarnation(number)) {
+        if let Some(progress) = self.progress.get_mut(&disk).and_then(|seen| seen.in_incarnation(number)) {
             progress.last_position = progress.last_position.max(last_position);
         }
     }
@@ -312,6 +309,6 @@
             incarnations.record_term(disk, 1, 1);
             incarnations.check_incarnation(&VoterIncarnation { disk, ..INCARNATION }).unwrap();
         }
-        assert_eq!((incarnations.known.len(), incarnations.heard.len()), (MAX_DISKS, MAX_DISKS));
+        assert_eq!((incarnations.known.len(), incarnations.progress.len()), (MAX_DISKS, MAX_DISKS));
     }
 }
--- a/crates/fleet/src/leader.rs
+++ b/crates/fleet/src/leader.rs
@@ -139,12 +139,12 @@
         self.being_confirmed = 0;
         let answer = |request: RenewalRequest| {
             // Guards against renewing a lease whose expiry is already proposed.
-            let goes_on = |token: &u64| {
+            let is_renewed = |token: &u64| {
                 (!self.expiring.contains(token) || is_active(Mutant::EndingGoesOn))
                     && !self.not_renewed.contains_key(token)
             };
             let leases = fleet.leases().filter(|(_, lease)| {
-                lease.holder == request.holder && !lease.revoked && goes_on(&lease.token)
+                lease.holder == request.holder && !lease.revoked && is_renewed(&lease.token)
             });
             let leases = leases.map(|(name, lease)| (name.to_string(), lease.token)).collect();
             ConfirmedRenewal { leases, enrolled: fleet.is_present(&request.holder), request }
@@ -166,7 +166,7 @@
         &mut self,
         now: Duration,
         fleet: &Fleet,
-        has: impl Fn(&Holder) -> bool,
+        has_data: impl Fn(&Holder) -> bool,
     ) -> Vec<Entry> {
         let waited = self.timing.expiry_wait();
         self.first_seen.retain(|token, _| fleet.leases().any(|(_, lease)| lease.token == *token));
@@ -177,11 +177,11 @@
             |holder: &Holder| present(holder) || fleet.leases().any(|(_, lease)| lease.holder == *holder);
         self.heard_at.retain(|holder, _| known(holder));
         self.last_acknowledged.retain(|holder, _| known(holder));
-        let waits: BTreeSet<&Holder> = fleet.leases().flat_map(|(_, lease)| &lease.waiters).collect();
+        let candidates: BTreeSet<&Holder> = fleet.leases().flat_map(|(_, lease)| &lease.candidates).collect();
         let holds = |holder: &Holder| fleet.leases().any(|(_, lease)| lease.holder == *holder);
         // A silent holder stays a member until its last lease is passed on; then its `Gone` entry is proposed
         // again.
-        self.leaving.retain(|holder| known(holder) && (waits.contains(holder) || !holds(holder)));
+        self.leaving.retain(|holder| known(holder) && (candidates.contains(holder) || !holds(holder)));
         let mut entries = Vec::new();
         for (name, lease) in fleet.leases() {
             let first_seen = *self.first_seen.entry(lease.token).or_insert(now);
@@ -210,11 +210,11 @@
         let members: Vec<Holder> =
             fleet.members().map(|(member, incarnation)| Holder::new(member, incarnation)).collect();
         for holder in &members {
-            let silent = now.saturating_sub(self.last_heard(holder));
-            let soon = waits.contains(holder) || silent > waited && has(holder);
+            let silence = now.saturating_sub(self.last_heard(holder));
+            let soon = candidates.contains(holder) || silence > waited && has_data(holder);
             let bound = if soon { waited } else { waited * FORGET_AFTER_TTLS };
-            if silent > bound
-                && (!holds(holder) || waits.contains(holder))
+            if silence > bound
+                && (!holds(holder) || candidates.contains(holder))
                 && self.leaving.insert(holder.clone())
             {
                 entries.push(Entry::Gone { holder: holder.clone() });
--- a/crates/fleet/src/leader/tests.rs
+++ b/crates/fleet/src/leader/tests.rs
@@ -39,7 +39,7 @@
     assert!(leader.tick(at(114.5), &fleet).is_empty());
     let end = Entry::Expire { lease: "l".into(), token: 1 };
     assert_eq!(leader.tick(at(114.6), &fleet), std::slice::from_ref(&end));
-    assert!(leader.tick(at(114.7), &fleet).is_empty(), "said once");
+    assert!(leader.tick(at(114.7), &fleet).is_empty(), "proposed once");
     // The expiry is proposed: the lease is not renewed.
     leader.request_renewal(at(114.8), request(one(), 2));
     assert!(leader.begin_confirmation());
@@ -81,9 +81,9 @@
     leader.request_renewal(at(1.3), request(two(), 2));
     assert!(leader.begin_confirmation());
     let answers = leader.confirmation_succeeded(&fleet);
-    let told: Vec<(&str, u64, usize)> =
+    let renewed: Vec<(&str, u64, usize)> =
         answers.iter().map(|a| (&*a.request.holder.member, a.request.number, a.leases.len())).collect();
-    assert_eq!(told, [("n2", 2, 0), ("n1", 2, 1)]);
+    assert_eq!(renewed, [("n2", 2, 0), ("n1", 2, 1)]);
     // An earlier incarnation keeps its lease, and is told that it is no longer the current one.
     let mut fleet = fleet;
     fleet.apply(&Entry::Enrol { holder: Holder::new("n1", 2) });
@@ -91,9 +91,9 @@
         leader.request_renewal(at(2.0), request(holder, 3));
     }
     assert!(leader.begin_confirmation());
-    let told: Vec<(bool, usize)> =
+    let renewed: Vec<(bool, usize)> =
         leader.confirmation_succeeded(&fleet).iter().map(|a| (a.enrolled, a.leases.len())).collect();
-    assert_eq!(told, [(false, 1), (true, 0)]);
+    assert_eq!(renewed, [(false, 1), (true, 0)]);
 }
 
 #[test]
@@ -125,8 +125,8 @@
         let now = at(f64::from(tenth) / 10.0);
         if tenth % 20 == 0 {
             // Until 6 it receives the answers.
-            let heard = u64::from(tenth.min(60) / 20);
-            leader.acknowledge_answer(now, &one(), heard);
+            let received = u64::from(tenth.min(60) / 20);
+            leader.acknowledge_answer(now, &one(), received);
             leader.acknowledge_answer(now, &two(), u64::from(tenth));
             leader.request_renewal(now, request(one(), u64::from(tenth)));
             leader.request_renewal(now, request(two(), u64::from(tenth)));
--- a/crates/fleet/src/lease_queue.rs
+++ b/crates/fleet/src/lease_queue.rs
@@ -45,7 +45,7 @@
         // next.
         let mut load: BTreeMap<&Holder, usize> = BTreeMap::new();
         for (_, lease) in fleet.leases() {
-            for holder in std::iter::once(&lease.holder).chain(&lease.waiters) {
+            for holder in std::iter::once(&lease.holder).chain(&lease.candidates) {
                 *load.entry(holder).or_default() += 1;
             }
         }
@@ -59,9 +59,9 @@
         for (name, holders) in wanted {
             let lease = fleet.lease(name);
             let is_queued = |holder: &Holder| {
-                lease.is_some_and(|lease| lease.holder == *holder || lease.waiters.contains(holder))
+                lease.is_some_and(|lease| lease.holder == *holder || lease.candidates.contains(holder))
             };
-            let queued = lease.map_or(0, |lease| 1 + lease.waiters.len());
+            let queued = lease.map_or(0, |lease| 1 + lease.candidates.len());
             let being_proposed = holders
                 .iter()
                 .filter(|holder| {
@@ -118,7 +118,7 @@
             entries.iter().for_each(|entry| drop(fleet.apply(entry)));
         }
         assert_eq!((proposed, fleet.leases().count()), (50 * QUEUE_LENGTH, 50));
-        assert!(fleet.leases().all(|(_, lease)| lease.waiters.len() == QUEUE_LENGTH - 1));
+        assert!(fleet.leases().all(|(_, lease)| lease.candidates.len() == QUEUE_LENGTH - 1));
         let held = |holder| fleet.leases().filter(|(_, lease)| lease.holder == holder).count();
         assert!(holders.into_iter().all(|holder| held(holder) <= 1));
     }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -12,7 +12,7 @@
 pub const MAX_LEASES: usize = 512;
 /// Candidates queued for one lease. With the other bounds this limits the whole state to 8 MB; the leader
 /// normally queues two candidates per lease.
-pub const MAX_WAITERS: usize = 64;
+pub const MAX_CANDIDATES: usize = 64;
 /// Tasks with any recorded state.
 pub const MAX_TASKS: usize = 128;
 /// Bytes of a member's, lease's or task's name.
@@ -21,8 +21,8 @@
 pub const MAX_CURSOR_BYTES: usize = 1024;
 /// Acts kept for each lease whose acts are log entries.
 pub const MAX_ACTS_PER_LEASE: usize = 16;
-/// A task is disabled once more than this many holders in turn have begun one run without ending it: a single
-/// crash may be the machine's fault.
+/// A task is disabled once more than this many holders in turn have begun one run without ending it: one crash
+/// may be the machine's fault, and two a coincidence.
 pub const MAX_HOLDERS_PER_RUN: u32 = 3;
 
 /// A process of the fleet: a member's name and the incarnation of that member. Two incarnations of one member
@@ -53,7 +53,7 @@
     /// Revoked by an operator: the lease is no longer renewed and expires.
     pub revoked: bool,
     /// Candidates for the lease, in the order of their requests.
-    pub waiters: VecDeque<Holder>,
+    pub candidates: VecDeque<Holder>,
 }
 
 /// The replicated state of a task.
@@ -317,7 +317,7 @@
     pub fn view_for(&self, holder: &Holder) -> Fleet {
         let leases: BTreeMap<String, Lease> = (self.leases.iter())
             .filter(|(_, lease)| lease.holder == *holder)
-            .map(|(name, lease)| (name.clone(), Lease { waiters: VecDeque::new(), ..lease.clone() }))
+            .map(|(name, lease)| (name.clone(), Lease { candidates: VecDeque::new(), ..lease.clone() }))
             .collect();
         let runs_here = |task: &str| leases.contains_key(&lease_of_task(task));
         let tasks = self.tasks.iter().filter(|(name, _)| runs_here(name));
@@ -431,14 +431,14 @@
         // A lease of an earlier incarnation is left to expire: that process may be paused and resume in the
         // middle of an act.
         for lease in self.leases.values_mut() {
-            lease.waiters.retain(|waiter| waiter.member != holder.member || waiter == holder);
+            lease.candidates.retain(|candidate| candidate.member != holder.member || candidate == holder);
         }
         Ok(Outcome::Done)
     }
 
     fn leave(&mut self, holder: &Holder) -> Result<Outcome, Refusal> {
         for lease in self.leases.values_mut() {
-            lease.waiters.retain(|waiter| waiter != holder);
+            lease.candidates.retain(|candidate| candidate != holder);
         }
         let holds = self.leases.values().any(|lease| lease.holder == *holder);
         if self.is_present(holder) && !holds {
@@ -463,7 +463,7 @@
                 holder: holder.clone(),
                 token: self.last_token,
                 revoked: false,
-                waiters: VecDeque::new(),
+                candidates: VecDeque::new(),
             };
             self.leases.insert(name.to_string(), lease);
             return Ok(Outcome::Granted { token: self.last_token });
@@ -476,14 +476,14 @@
             lease.holder.clone_from(holder);
             return Ok(Outcome::Granted { token: lease.token });
         }
-        if let Some(position) = lease.waiters.iter().position(|waiter| waiter == holder) {
+        if let Some(position) = lease.candidates.iter().position(|candidate| candidate == holder) {
             return Ok(Outcome::Queued { position: position + 1 });
         }
-        if lease.waiters.len() >= MAX_WAITERS {
+        if lease.candidates.len() >= MAX_CANDIDATES {
             return Err(Refusal::Full);
         }
-        lease.waiters.push_back(holder.clone());
-        Ok(Outcome::Queued { position: lease.waiters.len() })
+        lease.candidates.push_back(holder.clone());
+        Ok(Outcome::Queued { position: lease.candidates.len() })
     }
 
     /// Returns the lease if the token is its current one.
@@ -495,7 +495,7 @@
     /// Grants the lease to the next candidate, or removes it.
     fn grant_next(&mut self, name: &str) {
         let Some(lease) = self.leases.get_mut(name) else { return };
-        match lease.waiters.pop_front() {
+        match lease.candidates.pop_front() {
             Some(next) => {
                 self.last_token += 1;
                 (lease.holder, lease.token, lease.revoked) = (next, self.last_token, false);
@@ -543,7 +543,7 @@
             if run.holder_count > MAX_HOLDERS_PER_RUN {
                 // Guards against a task that crashes each holder in turn, until none is left.
                 task.disabled_reason =
-                    Some(format!("{MAX_HOLDERS_PER_RUN} holders in turn began the run and did not end it"));
+                    Some(format!("{MAX_HOLDERS_PER_RUN} holders in turn began it and did not end it"));
                 (task.run, task.run_requested) = (None, false);
                 outcome = Err(Refusal::Stopped);
             }
--- a/crates/fleet/src/state/tests.rs
+++ b/crates/fleet/src/state/tests.rs
@@ -69,7 +69,7 @@
     // A candidate that restarts loses its place in the queue.
     fleet.apply(&acquire(&two()));
     fleet.apply(&Entry::Enrol { holder: Holder::new("n2", 2) });
-    assert!(fleet.lease("l").unwrap().waiters.is_empty());
+    assert!(fleet.lease("l").unwrap().candidates.is_empty());
 }
 
 #[test]
@@ -80,7 +80,7 @@
     fleet.apply(&Entry::Gone { holder: one() });
     fleet.apply(&Entry::Gone { holder: two() });
     assert_eq!(fleet.members().collect::<Vec<_>>(), [("n1", 1)]);
-    assert!(fleet.lease("l").unwrap().waiters.is_empty());
+    assert!(fleet.lease("l").unwrap().candidates.is_empty());
 }
 
 #[test]
@@ -179,7 +179,7 @@
     for n in 1..MAX_MEMBERS {
         fleet.apply(&Entry::Acquire { lease: "l0".into(), holder: holder(n) });
     }
-    assert!(fleet.lease("l0").unwrap().waiters.len() <= MAX_WAITERS);
+    assert!(fleet.lease("l0").unwrap().candidates.len() <= MAX_CANDIDATES);
     let long = "x".repeat(MAX_NAME_BYTES + 1);
     assert_eq!(fleet.apply(&Entry::Enrol { holder: Holder::new(&long, 1) }), refused(Refusal::TooLong));
     assert_eq!(fleet.apply(&Entry::RequestRun { task: String::new() }), refused(Refusal::TooLong));
--- a/crates/fleet/src/tasks.rs
+++ b/crates/fleet/src/tasks.rs
@@ -134,7 +134,14 @@
             State::Calling { token, key, cursor, tries, .. } if *token == held.token => {
                 // The call has timed out.
                 let (key, cursor, tries) = (*key, cursor.clone(), *tries);
-                return self.on_failure(now, held.token, key, cursor, tries, "the call timed out".into());
+                return self.on_failure(
+                    now,
+                    held.token,
+                    key,
+                    cursor,
+                    tries,
+                    "nothing came of it in its time".into(),
+                );
             }
             State::Proposing { token, retry_at, entry, .. } if *token == held.token => {
                 if now < *retry_at {
--- a/crates/fleet/src/tasks/tests.rs
+++ b/crates/fleet/src/tasks/tests.rs
@@ -90,7 +90,7 @@
     let mut test = TestRunner::new();
     assert_eq!(test.step(), None, "nothing is due");
     test.pass(50);
-    assert_eq!(test.step(), None, "its beginning is agreed first");
+    assert_eq!(test.step(), None, "its beginning is committed first");
     let (number, key, cursor) = test.step().expect("a call");
     assert!(cursor.is_empty());
     assert_eq!(test.step(), None, "one call at a time");
--- a/crates/fleet/src/wall_clock.rs
+++ b/crates/fleet/src/wall_clock.rs
@@ -148,14 +148,14 @@
             let (mut clock, mut shown) = (None::<SecondsClock>, None);
             for time in (0..12_000).step_by(10) {
                 // There is no leader for 800 ms.
-                let leads = if time < lost { Some(0) } else { (time >= lost + 800).then_some(1) };
+                let leader = if time < lost { Some(0) } else { (time >= lost + 800).then_some(1) };
                 let truth = i64::try_from((begin + time) / 1000).unwrap();
                 let here = ms(since[2] + time);
-                if let Some(leads) = leads {
-                    let there = ms(since[leads] + time);
+                if let Some(leader) = leader {
+                    let there = ms(since[leader] + time);
                     for member in (0..3).filter(|n| (time + 80 * n) % 250 == 0) {
-                        clocks[leads].observe(there, &format!("n{member}"), truth);
-                        if let (0, Some(unix)) = (member, clocks[leads].unix_seconds(there, 2)) {
+                        clocks[leader].observe(there, &format!("n{member}"), truth);
+                        if let (0, Some(unix)) = (member, clocks[leader].unix_seconds(there, 2)) {
                             clock.get_or_insert(SecondsClock::new(here, unix)).observe(here, unix);
                         }
                     }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -326,7 +326,7 @@
         if model.processes.len() < 2 + usize::from(self.restarts) {
             steps.push(Event::Restart);
         }
-        steps.extend(model.in_flight.iter().map(|said| match said {
+        steps.extend(model.in_flight.iter().map(|message| match message {
             InFlight::Release(token) => Event::EntryArrives(0, *token),
             InFlight::SaveCursor(token) => Event::EntryArrives(1, *token),
         }));
@@ -352,11 +352,11 @@
                 model.processes[at].renewals += 1;
                 model.requests.insert((at, number));
                 if self.instant_answers {
-                    let mut heard =
+                    let mut answered =
                         self.next_state(&model, Event::RequestArrives(at, number, model.current_leader))?;
-                    let (_, _, holds) = heard.answers.iter().find(|answer| answer.0 == at)?.clone();
-                    heard = self.next_state(&heard, Event::AnswerArrives(at, number, holds))?;
-                    return Some(heard);
+                    let (_, _, holds) = answered.answers.iter().find(|answer| answer.0 == at)?.clone();
+                    answered = self.next_state(&answered, Event::AnswerArrives(at, number, holds))?;
+                    return Some(answered);
                 }
             }
             Event::RequestArrives(at, number, leader) => {
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -478,7 +478,7 @@
         .collect();
     let leases: Vec<Value> = (fleet.leases())
         .map(|(name, lease)| {
-            let waiters: Vec<&str> = lease.waiters.iter().map(|waiter| waiter.member.as_str()).collect();
+            let waiters: Vec<&str> = lease.candidates.iter().map(|waiter| waiter.member.as_str()).collect();
             json!({"name": name, "holder": lease.holder.member, "token": lease.token, "revoked": lease.revoked,
                 "waiters": waiters})
         })
