--- a/crates/agreed/src/tests.rs
+++ b/crates/agreed/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use jaspershunt_fleet::{Entry as OfFleet, Holder, Outcome as OfAgreed};
+use jaspershunt_fleet::{Entry as FleetEntry, Holder, Outcome as FleetOutcome};
 use jaspershunt_routes::trial::{
     Counts, MAX_TRIAL_MS, MIN_REQUESTS_PER_SIDE, MIN_TRIAL_MS, in_trial, trial_permille,
 };
@@ -10,18 +10,18 @@
     Holder::new(&format!("n{n}"), n)
 }
 
-fn apply(agreed: &mut Agreed, part: &str, bytes: Vec<u8>) -> Vec<u8> {
-    match agreed.apply(&OfFleet::Part { part: part.into(), bytes }) {
-        OfAgreed::Part(outcome) => outcome,
+fn apply(state: &mut ReplicatedState, part: &str, bytes: Vec<u8>) -> Vec<u8> {
+    match state.apply(&FleetEntry::Part { part: part.into(), bytes }) {
+        FleetOutcome::Part(outcome) => outcome,
         other => panic!("{other:?}"),
     }
 }
 
-fn of_work(agreed: &mut Agreed, entry: &Entry) -> Outcome {
-    Outcome::from_bytes(&apply(agreed, "work", entry.to_bytes())).unwrap()
+fn apply_work(state: &mut ReplicatedState, entry: &Entry) -> Outcome {
+    Outcome::from_bytes(&apply(state, "work", entry.to_bytes())).unwrap()
 }
 
-fn offer(agreed: &mut Agreed, by: u64, key: &str, tenant: Option<&str>) {
+fn offer(state: &mut ReplicatedState, by: u64, key: &str, tenant: Option<&str>) {
     let offer = Offer {
         key: key.into(),
         class: "firma".into(),
@@ -32,194 +32,196 @@
         worth_milli: 1_000,
         effect: Effect::Fenced,
     };
-    let outcome = of_work(agreed, &Entry::Offer { by: holder(by), offer, begin: true, now_ms: 0 });
+    let outcome = apply_work(state, &Entry::Offer { by: holder(by), offer, begin: true, now_ms: 0 });
     assert!(matches!(outcome, Outcome::Yours { .. }), "{outcome:?}");
 }
 
-/// The first has work and is then lost; the second is in norte, the third in sur, with more room.
-fn lost(tenants: &[Option<&str>]) -> Agreed {
-    let mut agreed = Agreed::new(parts());
+/// The first member has work and is then lost; the second is in norte, the third in sur, with more capacity.
+fn fleet_with_orphans(tenants: &[Option<&str>]) -> ReplicatedState {
+    let mut state = ReplicatedState::new(parts());
     for n in 1..=3 {
-        agreed.apply(&OfFleet::Enrol { holder: holder(n) });
+        state.apply(&FleetEntry::Enrol { holder: holder(n) });
     }
     for (n, region, room) in [(2, "norte", 1), (3, "sur", 9)] {
-        of_work(&mut agreed, &Entry::Capacity { holder: holder(n), region: region.into(), capacity: room });
+        apply_work(&mut state, &Entry::Capacity { holder: holder(n), region: region.into(), capacity: room });
     }
     for (n, tenant) in tenants.iter().enumerate() {
-        offer(&mut agreed, 1, &format!("op-{n}"), *tenant);
+        offer(&mut state, 1, &format!("op-{n}"), *tenant);
     }
-    agreed.apply(&OfFleet::Gone { holder: holder(1) });
-    agreed
+    state.apply(&FleetEntry::Gone { holder: holder(1) });
+    state
 }
 
-/// Steering has this group in this region, and in no other.
-fn steer(agreed: &mut Agreed, epoch: u64, group: Group, region: &str) {
+/// Steering serves this group in this region only.
+fn steer(state: &mut ReplicatedState, epoch: u64, group: Group, region: &str) {
     let place = Place { region: region.into(), share: 1000, delay_ms: Some(9) };
     let row = Row { places: vec![place], why: Why::Found, moved_ms: 0, before: None };
     let step = steering::Entry::Step { epoch, rows: vec![(group, Some(row))] };
-    let outcome = steering::Outcome::from_bytes(&apply(agreed, "steering", step.to_bytes())).unwrap();
+    let outcome = steering::Outcome::from_bytes(&apply(state, "steering", step.to_bytes())).unwrap();
     assert_eq!(outcome, steering::Outcome::Taken { epoch });
 }
 
-fn led(now_ms: u64, agreed: &mut Agreed) -> Vec<Outcome> {
-    let entries = lead(now_ms, agreed);
-    let apply = |(part, bytes): (String, Vec<u8>)| Outcome::from_bytes(&apply(agreed, &part, bytes)).unwrap();
+fn apply_leader_entries(now_ms: u64, state: &mut ReplicatedState) -> Vec<Outcome> {
+    let entries = leader_entries(now_ms, state);
+    let apply = |(part, bytes): (String, Vec<u8>)| Outcome::from_bytes(&apply(state, &part, bytes)).unwrap();
     entries.into_iter().map(apply).collect()
 }
 
-fn owner(agreed: &Agreed, key: &str) -> String {
-    work(agreed).unwrap().item(key).unwrap().owner.member.clone()
+fn owner(state: &ReplicatedState, key: &str) -> String {
+    work(state).unwrap().item(key).unwrap().owner.member.clone()
 }
 
 #[test]
-fn an_heir_is_where_steering_prefers_and_has_room() {
-    let mut agreed = lost(&[Some("pagos"), Some("firmas"), None]);
-    steer(&mut agreed, 1, Group::All, "norte");
-    steer(&mut agreed, 2, Group::named("pagos"), "sur");
-    led(100, &mut agreed);
-    assert_eq!(owner(&agreed, "op-0"), "n3");
-    // All others are preferred in norte, where there is room for one.
-    assert_eq!((owner(&agreed, "op-1"), owner(&agreed, "op-2")), ("n2".into(), "n3".into()));
+fn a_successor_is_where_steering_prefers_and_has_capacity() {
+    let mut state = fleet_with_orphans(&[Some("pagos"), Some("firmas"), None]);
+    steer(&mut state, 1, Group::All, "norte");
+    steer(&mut state, 2, Group::named("pagos"), "sur");
+    apply_leader_entries(100, &mut state);
+    assert_eq!(owner(&state, "op-0"), "n3");
+    // All others are preferred in norte, which has capacity for one.
+    assert_eq!((owner(&state, "op-1"), owner(&state, "op-2")), ("n2".into(), "n3".into()));
 }
 
 #[test]
-fn an_heir_is_where_it_may_be_whatever_is_preferred() {
-    let mut agreed = lost(&[None]);
-    steer(&mut agreed, 1, Group::All, "norte");
+fn a_successor_is_only_in_an_allowed_region() {
+    let mut state = fleet_with_orphans(&[None]);
+    steer(&mut state, 1, Group::All, "norte");
     let only = |region: &str| Some(BTreeSet::from([region.to_string()]));
-    let heirs = |allowed: Option<BTreeSet<String>>| {
-        heirs(100, &agreed, work(&agreed).unwrap(), |_: &Orphan| allowed.clone())
+    let successors = |allowed: Option<BTreeSet<String>>| {
+        successors(100, &state, work(&state).unwrap(), |_: &Orphan| allowed.clone())
     };
-    assert_eq!(heirs(only("sur")).assignments, [("op-0".into(), 1, holder(3))]);
-    assert_eq!(heirs(Some(BTreeSet::new())).assignments, [("op-0".into(), 1, holder(2))]);
-    // Where nobody is nobody is an heir, and what has no route is given up.
-    assert!(heirs(only("este")).assignments.is_empty());
-    assert_eq!(heirs(None).given_up, [("op-0".into(), 1, jaspershunt_work::GiveUpReason::NoRoute)]);
+    assert_eq!(successors(only("sur")).assignments, [("op-0".into(), 1, holder(3))]);
+    assert_eq!(successors(Some(BTreeSet::new())).assignments, [("op-0".into(), 1, holder(2))]);
+    // A region without members has no successor, and work without a route is given up.
+    assert!(successors(only("este")).assignments.is_empty());
+    assert_eq!(successors(None).given_up, [("op-0".into(), 1, jaspershunt_work::GiveUpReason::NoRoute)]);
 }
 
-/// Two that lead propose the same: the second changes nothing.
+/// Two leaders propose the same entries: the second copy changes nothing.
 #[test]
-fn what_two_propose_counts_once() {
-    let mut agreed = lost(&[None]);
-    let twice = lead(100, &agreed);
-    assert!(matches!(led(100, &mut agreed)[..], [Outcome::Yours { token: 2 }]));
-    let before = agreed.save();
+fn entries_proposed_by_two_leaders_take_effect_once() {
+    let mut state = fleet_with_orphans(&[None]);
+    let twice = leader_entries(100, &state);
+    assert!(matches!(apply_leader_entries(100, &mut state)[..], [Outcome::Yours { token: 2 }]));
+    let before = state.save();
     for (part, bytes) in twice {
-        let outcome = Outcome::from_bytes(&apply(&mut agreed, &part, bytes)).unwrap();
+        let outcome = Outcome::from_bytes(&apply(&mut state, &part, bytes)).unwrap();
         assert!(matches!(outcome, Outcome::Refused(_)), "{outcome:?}");
     }
-    assert!(agreed.save() == before && lead(100, &agreed).is_empty());
-    let again = Agreed::load(&before, parts()).unwrap();
-    assert_eq!((again.save(), owner(&again, "op-0")), (before, owner(&agreed, "op-0")));
+    assert!(state.save() == before && leader_entries(100, &state).is_empty());
+    let again = ReplicatedState::load(&before, parts()).unwrap();
+    assert_eq!((again.save(), owner(&again, "op-0")), (before, owner(&state, "op-0")));
 }
 
 #[test]
-fn what_is_over_is_tidied_now_and_then_and_an_idle_fleet_says_nothing() {
-    let mut agreed = Agreed::new(parts());
-    assert_eq!(lead(1_000_000, &agreed), []);
-    assert_eq!(lead(1_000_000, &Agreed::new(Vec::new())), []);
-    agreed.apply(&OfFleet::Enrol { holder: holder(1) });
-    offer(&mut agreed, 1, "op", None);
-    assert_eq!(led(1_000, &mut agreed), [Outcome::Done]);
-    assert_eq!(lead(1_000 + TIDY_EVERY_MS - 1, &agreed), []);
-    // Its window and what it lingers are over.
-    led(60_000, &mut agreed);
-    led(120_000, &mut agreed);
-    led(180_000, &mut agreed);
-    assert!(work(&agreed).unwrap().items().next().is_none());
-    assert_eq!(lead(240_000, &agreed), []);
+fn ended_work_is_removed_and_an_idle_fleet_proposes_nothing() {
+    let mut state = ReplicatedState::new(parts());
+    assert_eq!(leader_entries(1_000_000, &state), []);
+    assert_eq!(leader_entries(1_000_000, &ReplicatedState::new(Vec::new())), []);
+    state.apply(&FleetEntry::Enrol { holder: holder(1) });
+    offer(&mut state, 1, "op", None);
+    assert_eq!(apply_leader_entries(1_000, &mut state), [Outcome::Done]);
+    assert_eq!(leader_entries(1_000 + TIDY_EVERY_MS - 1, &state), []);
+    // Its window and its linger time are over.
+    apply_leader_entries(60_000, &mut state);
+    apply_leader_entries(120_000, &mut state);
+    apply_leader_entries(180_000, &mut state);
+    assert!(work(&state).unwrap().items().next().is_none());
+    assert_eq!(leader_entries(240_000, &state), []);
 }
 
-/// Through the log from end to end: a team's edit is agreed, published on trial and to all, and only then narrows where lost work goes.
+/// Goes through the log from end to end: a team's edit is committed, published on trial and then to all, and
+/// only then restricts where orphaned work may go.
 #[test]
-fn a_published_edit_of_the_route_table_says_where_lost_work_may_go() {
-    let mut agreed = lost(&[None]);
-    steer(&mut agreed, 1, Group::All, "norte");
+fn a_published_edit_restricts_where_orphaned_work_may_go() {
+    let mut state = fleet_with_orphans(&[None]);
+    steer(&mut state, 1, Group::All, "norte");
     let edit = r#"{ "id": { "team": "firmas", "number": 1 }, "base": 0, "reason": "only in sur", "changes": [
         { "add": { "thing": "region/sur" } }, { "add": { "thing": "class/firma" } },
         { "add": { "thing": "dependency/padron", "fields": { "budget": { "number": 9 } } } },
         { "add": { "thing": "route/r1", "fields": { "class": { "name": "firma" },
             "call": { "call": { "to": "padron", "calls": 1 } }, "regions": { "names": ["sur"] } } } }] }"#;
     let edit = jaspershunt_routes::parse_edit(edit).unwrap();
-    let mut tell = |entry: jaspershunt_routes::Entry| {
-        let outcome = apply(&mut agreed, "routes", entry.to_bytes());
-        let wants = heirs(100, &agreed, work(&agreed).unwrap(), |orphan| allowed(&agreed, orphan));
+    let mut commit = |entry: jaspershunt_routes::Entry| {
+        let outcome = apply(&mut state, "routes", entry.to_bytes());
+        let wants = successors(100, &state, work(&state).unwrap(), |orphan| allowed_regions(&state, orphan));
         (jaspershunt_routes::Outcome::from_bytes(&outcome).unwrap(), wants.assignments[0].2.member.clone())
     };
-    let (taken, heir) = tell(jaspershunt_routes::Entry::Edit(edit));
+    let (taken, successor) = commit(jaspershunt_routes::Entry::Edit(edit));
     assert_eq!(
-        (taken, heir.as_str()),
+        (taken, successor.as_str()),
         (jaspershunt_routes::Outcome::Open(jaspershunt_routes::EditState::Accepted), "n2")
     );
     let permille = trial_permille(["n2", "n3"], 500);
-    let (published, heir) = tell(jaspershunt_routes::Entry::Publish { permille, now_ms: 1 });
-    assert_eq!((published, heir.as_str()), (jaspershunt_routes::Outcome::Published(1), "n2"));
+    let (published, successor) = commit(jaspershunt_routes::Entry::Publish { permille, now_ms: 1 });
+    assert_eq!((published, successor.as_str()), (jaspershunt_routes::Outcome::Published(1), "n2"));
     for name in ["n2", "n3"] {
         let of = in_trial(name, permille);
         let counts = Counts { requests: MIN_REQUESTS_PER_SIDE, failed: 5, slow: 5 };
         let (by, revision) = (Holder::new(name, if name == "n2" { 2 } else { 3 }), u64::from(of));
         let told = jaspershunt_routes::Entry::ReportCounts { by, trial: 1, revision, counts };
-        assert_eq!(tell(told), (jaspershunt_routes::Outcome::Done, "n2".to_string()));
+        assert_eq!(commit(told), (jaspershunt_routes::Outcome::Done, "n2".to_string()));
     }
     let now_ms = 1 + MIN_TRIAL_MS;
-    let (goes_on, heir) = tell(jaspershunt_routes::Entry::JudgeTrial { revision: 1, now_ms });
-    assert_eq!((goes_on, heir.as_str()), (jaspershunt_routes::Outcome::Published(1), "n3"));
+    let (goes_on, successor) = commit(jaspershunt_routes::Entry::JudgeTrial { revision: 1, now_ms });
+    assert_eq!((goes_on, successor.as_str()), (jaspershunt_routes::Outcome::Published(1), "n3"));
 }
 
-/// A share of the nodos first, by the one that leads; what they tell decides, whoever leads then and however its file has it.
+/// A new table is published to a share of the nodos first. Their reports decide, whichever member leads by
+/// then and whatever its file says.
 #[test]
-fn a_table_is_tried_and_judged_by_whoever_leads() {
-    use jaspershunt_routes::{Entry as OfRoutes, Outcome as OfTable, parse_edit};
-    let mut agreed = Agreed::new(parts());
+fn a_trial_is_started_and_judged_by_any_leader() {
+    use jaspershunt_routes::{Entry as RouteEntry, Outcome as RouteOutcome, parse_edit};
+    let mut state = ReplicatedState::new(parts());
     let holders = ["n1", "n2", "n3"].map(|name| Holder::new(name, 1));
     for holder in &holders {
-        agreed.apply(&OfFleet::Enrol { holder: holder.clone() });
+        state.apply(&FleetEntry::Enrol { holder: holder.clone() });
     }
     let edit = r#"{ "id": { "team": "pagos", "number": 1 }, "base": 0, "reason": "a place",
         "changes": [{ "add": { "thing": "region/norte", "fields": {} } }] }"#;
-    apply(&mut agreed, "routes", OfRoutes::Edit(parse_edit(edit).unwrap()).to_bytes());
-    for (part, bytes) in lead_by::<100>(100, &agreed) {
-        apply(&mut agreed, &part, bytes);
+    apply(&mut state, "routes", RouteEntry::Edit(parse_edit(edit).unwrap()).to_bytes());
+    for (part, bytes) in leader_entries_with_trial::<100>(100, &state) {
+        apply(&mut state, &part, bytes);
     }
-    let permille = routes(&agreed).unwrap().trial_status().unwrap().permille;
+    let permille = routes(&state).unwrap().trial_status().unwrap().permille;
     let with = holders.iter().filter(|holder| in_trial(&holder.member, permille)).count();
     assert!((1..3).contains(&with), "{with} at {permille}");
-    // Nobody tells: nothing is proposed before the longest wait is over.
-    assert_eq!(lead(100 + MAX_TRIAL_MS - 1, &agreed), []);
+    // Without reports nothing is proposed before the longest trial is over.
+    assert_eq!(leader_entries(100 + MAX_TRIAL_MS - 1, &state), []);
     for holder in &holders {
         let of = in_trial(&holder.member, permille);
         let failed = if of { MIN_REQUESTS_PER_SIDE / 2 } else { 0 };
         let counts = Counts { requests: MIN_REQUESTS_PER_SIDE, failed, slow: 0 };
-        let told = OfRoutes::ReportCounts { by: holder.clone(), trial: 1, revision: u64::from(of), counts };
-        apply(&mut agreed, "routes", told.to_bytes());
+        let told = RouteEntry::ReportCounts { by: holder.clone(), trial: 1, revision: u64::from(of), counts };
+        apply(&mut state, "routes", told.to_bytes());
     }
-    let step = lead(101, &agreed);
-    let outcomes = [&step[0], &step[0]].map(|(part, bytes)| apply(&mut agreed, part, bytes.clone()));
-    let outcomes = outcomes.map(|bytes| OfTable::from_bytes(&bytes).unwrap());
-    assert!(matches!(&outcomes, [OfTable::Published(2), OfTable::Refused(_)]), "{outcomes:?}");
-    assert_eq!(lead(102, &agreed), []);
+    let step = leader_entries(101, &state);
+    let outcomes = [&step[0], &step[0]].map(|(part, bytes)| apply(&mut state, part, bytes.clone()));
+    let outcomes = outcomes.map(|bytes| RouteOutcome::from_bytes(&bytes).unwrap());
+    assert!(matches!(&outcomes, [RouteOutcome::Published(2), RouteOutcome::Refused(_)]), "{outcomes:?}");
+    assert_eq!(leader_entries(102, &state), []);
 }
 
 #[test]
-fn what_is_taken_is_published_by_the_one_that_leads_and_once() {
-    use jaspershunt_routes::{Entry as OfRoutes, FinalState, Outcome as OfTable, parse_edit};
-    let mut agreed = Agreed::new(parts());
-    assert_eq!(lead(100, &agreed), []);
+fn accepted_edits_are_published_by_the_leader_and_once() {
+    use jaspershunt_routes::{Entry as RouteEntry, FinalState, Outcome as RouteOutcome, parse_edit};
+    let mut state = ReplicatedState::new(parts());
+    assert_eq!(leader_entries(100, &state), []);
     let edit = r#"{ "id": { "team": "pagos", "number": 1 }, "base": 0, "reason": "a place",
         "changes": [{ "add": { "thing": "region/norte", "fields": {} } }] }"#;
     let edit = parse_edit(edit).unwrap();
-    apply(&mut agreed, "routes", OfRoutes::Edit(edit.clone()).to_bytes());
-    let proposed = lead(100, &agreed);
+    apply(&mut state, "routes", RouteEntry::Edit(edit.clone()).to_bytes());
+    let proposed = leader_entries(100, &state);
     assert_eq!(proposed.len(), 1);
-    // Two that lead propose the same: the second finds nothing new.
+    // Two leaders propose the same entry: the second copy finds nothing new.
     let mut outcomes = Vec::new();
     for (part, bytes) in proposed.iter().chain(&proposed) {
-        outcomes.push(OfTable::from_bytes(&apply(&mut agreed, part, bytes.clone())).unwrap());
+        outcomes.push(RouteOutcome::from_bytes(&apply(&mut state, part, bytes.clone())).unwrap());
     }
-    assert_eq!(outcomes[0], OfTable::Published(1));
-    assert!(matches!(outcomes[1], OfTable::Refused(_)), "{outcomes:?}");
-    let of = routes(&agreed).unwrap();
-    assert_eq!(of.outcome_of(&edit.key()), Some(OfTable::Ended(FinalState::Published(1))));
-    // A clock that is behind takes back no time that was told.
-    assert_eq!((of.published_ms(), lead(50, &agreed)), (100, Vec::new()));
+    assert_eq!(outcomes[0], RouteOutcome::Published(1));
+    assert!(matches!(outcomes[1], RouteOutcome::Refused(_)), "{outcomes:?}");
+    let of = routes(&state).unwrap();
+    assert_eq!(of.outcome_of(&edit.key()), Some(RouteOutcome::Ended(FinalState::Published(1))));
+    // A clock that is behind does not move the publication time back.
+    assert_eq!((of.published_ms(), leader_entries(50, &state)), (100, Vec::new()));
 }
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -1,51 +1,51 @@
-//! When a task is due. Times here are Unix seconds by the wall clock, since people say when: a clock that jumps moves a due time,
-//! and never has anything to do with who holds a lease.
+//! When a task is due. Times are Unix seconds of the wall clock, as operators specify them: a clock that
+//! jumps moves a due time, but never affects who holds a lease.
 
 use chrono::{DateTime, Utc};
 use croner::Cron;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Times that were missed and are made up for one by one, at most; older ones are let go.
-pub const MOST_MISSED: usize = 100;
+/// Missed due times that are run one by one, at most; older ones are skipped.
+pub const MAX_MISSED_RUNS: usize = 100;
 
-/// When.
+/// A schedule of due times.
 #[derive(Clone, Debug, PartialEq)]
-pub enum When {
-    /// Every so often, counted from the start of 1970.
+pub enum Schedule {
+    /// At a fixed interval, counted from the Unix epoch.
     Every(Duration),
-    /// As a cron line says, in UTC.
+    /// By a cron expression, in UTC.
     Cron(Box<Cron>),
 }
 
-impl When {
-    /// A time between runs.
+impl Schedule {
+    /// Creates a schedule with a fixed interval.
     ///
     /// # Errors
-    /// It is under a second.
-    pub fn every(time: Duration) -> Result<When, String> {
+    /// The interval is under a second.
+    pub fn every(time: Duration) -> Result<Schedule, String> {
         if time < Duration::from_secs(1) {
             return Err(format!("{time:?} is under a second"));
         }
-        Ok(When::Every(time))
+        Ok(Schedule::Every(time))
     }
 
-    /// A cron line.
+    /// Creates a schedule from a cron expression.
     ///
     /// # Errors
-    /// What is wrong with it.
-    pub fn cron(line: &str) -> Result<When, String> {
-        Cron::from_str(line).map(|cron| When::Cron(Box::new(cron))).map_err(|e| e.to_string())
+    /// What is wrong with the expression.
+    pub fn cron(line: &str) -> Result<Schedule, String> {
+        Cron::from_str(line).map(|cron| Schedule::Cron(Box::new(cron))).map_err(|e| e.to_string())
     }
 
-    /// The first time after this one; `None` if there is none.
+    /// The first due time after this time; `None` if there is none.
     pub fn after(&self, time: i64) -> Option<i64> {
         match self {
-            When::Every(every) => {
+            Schedule::Every(every) => {
                 let every = i64::try_from(every.as_secs()).ok()?.max(1);
                 time.checked_div_euclid(every)?.checked_add(1)?.checked_mul(every)
             }
-            When::Cron(cron) => {
+            Schedule::Cron(cron) => {
                 let from: DateTime<Utc> = DateTime::from_timestamp(time, 0)?;
                 cron.find_next_occurrence(&from, false).ok().map(|next| next.timestamp())
             }
@@ -53,48 +53,48 @@
     }
 }
 
-/// What happens to times that nobody ran.
+/// How due times that were missed are made up for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Missed {
-    /// They are let go.
+    /// They are skipped.
     Skip,
-    /// All of them together are run once.
+    /// All of them together are made up for by one run.
     #[default]
     Once,
-    /// Each is run, the oldest first, up to [`MOST_MISSED`].
+    /// Each is run, the oldest first, up to [`MAX_MISSED_RUNS`].
     Each,
 }
 
-/// What is due.
+/// What is due at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
-    /// Nothing before this time, if there ever is any.
-    Not(Option<i64>),
-    /// This time is to be run.
+    /// Nothing before this time, if there is a next time at all.
+    NotBefore(Option<i64>),
+    /// This due time is to be run.
     Run(i64),
-    /// All times up to this one are let go.
+    /// All due times up to this one are to be skipped.
     Skip(i64),
 }
 
-/// What is due at this time. `last` is the last time that was done or let go, or when the task was first heard of; `late` is for how
-/// long a time counts as met.
-pub fn due(when: &When, missed: Missed, last: i64, now: i64, late: Duration) -> Due {
-    let Some(first) = when.after(last) else { return Due::Not(None) };
+/// What is due now. `last` is the last due time that was run or skipped, or the time when the task was first
+/// seen; `max_lateness` is how long after its due time a run still counts as on time.
+pub fn due(when: &Schedule, missed: Missed, last: i64, now: i64, max_lateness: Duration) -> Due {
+    let Some(first) = when.after(last) else { return Due::NotBefore(None) };
     if first > now {
-        return Due::Not(Some(first));
+        return Due::NotBefore(Some(first));
     }
-    let late = i64::try_from(late.as_secs()).unwrap_or(i64::MAX);
-    // The last few of the times up to now; more than these are never made up for.
+    let max_lateness = i64::try_from(max_lateness.as_secs()).unwrap_or(i64::MAX);
+    // The latest due times up to now; no more than these are ever made up for.
     let mut times = std::collections::VecDeque::from([first]);
     let mut looked = 0;
     while let Some(next) = times.back().and_then(|time| when.after(*time)).filter(|next| *next <= now) {
         times.push_back(next);
-        if times.len() > MOST_MISSED {
+        if times.len() > MAX_MISSED_RUNS {
             times.pop_front();
         }
         looked += 1;
-        if looked > 10 * MOST_MISSED {
-            // After years of silence: straight to the present.
+        if looked > 10 * MAX_MISSED_RUNS {
+            // After very many missed times, such as years: goes straight to the present.
             return match missed {
                 Missed::Skip => Due::Skip(now),
                 Missed::Once | Missed::Each => Due::Run(now),
@@ -103,7 +103,7 @@
     }
     let newest = times.back().copied().unwrap_or(first);
     match missed {
-        Missed::Skip if now - newest > late => Due::Skip(newest),
+        Missed::Skip if now - newest > max_lateness => Due::Skip(newest),
         Missed::Skip | Missed::Once => Due::Run(newest),
         Missed::Each => Due::Run(times.front().copied().unwrap_or(first)),
     }
@@ -116,25 +116,25 @@
     const HOUR: i64 = 3600;
 
     #[test]
-    fn times_come_every_so_often_or_as_a_cron_line_says() {
-        let hourly = When::every(Duration::from_secs(3600)).unwrap();
+    fn due_times_follow_an_interval_or_a_cron_expression() {
+        let hourly = Schedule::every(Duration::from_secs(3600)).unwrap();
         assert_eq!(hourly.after(0), Some(HOUR));
         assert_eq!(hourly.after(HOUR - 1), Some(HOUR));
         assert_eq!(hourly.after(HOUR), Some(2 * HOUR));
-        let nightly = When::cron("30 2 * * *").unwrap();
+        let nightly = Schedule::cron("30 2 * * *").unwrap();
         assert_eq!(nightly.after(0), Some(2 * HOUR + 1800));
         assert_eq!(nightly.after(2 * HOUR + 1800), Some(26 * HOUR + 1800));
-        assert!(When::every(Duration::from_millis(10)).is_err());
-        assert!(When::cron("61 * * * *").is_err() && When::cron("").is_err());
+        assert!(Schedule::every(Duration::from_millis(10)).is_err());
+        assert!(Schedule::cron("61 * * * *").is_err() && Schedule::cron("").is_err());
     }
 
     #[test]
-    fn what_was_missed_is_let_go_run_once_or_each() {
-        let hourly = When::every(Duration::from_secs(3600)).unwrap();
-        let late = Duration::from_secs(60);
-        let at = |missed, now| due(&hourly, missed, HOUR, now, late);
+    fn missed_times_are_skipped_run_once_or_run_each() {
+        let hourly = Schedule::every(Duration::from_secs(3600)).unwrap();
+        let max_lateness = Duration::from_secs(60);
+        let at = |missed, now| due(&hourly, missed, HOUR, now, max_lateness);
         for missed in [Missed::Skip, Missed::Once, Missed::Each] {
-            assert_eq!(at(missed, 2 * HOUR - 1), Due::Not(Some(2 * HOUR)), "{missed:?}");
+            assert_eq!(at(missed, 2 * HOUR - 1), Due::NotBefore(Some(2 * HOUR)), "{missed:?}");
             assert_eq!(at(missed, 2 * HOUR + 5), Due::Run(2 * HOUR), "{missed:?}");
         }
         // Three were missed, the last of them by half an hour.
@@ -142,10 +142,10 @@
         assert_eq!(at(Missed::Skip, now), Due::Skip(4 * HOUR));
         assert_eq!(at(Missed::Once, now), Due::Run(4 * HOUR));
         assert_eq!(at(Missed::Each, now), Due::Run(2 * HOUR));
-        // The last of them just now.
+        // The last of them is only just due.
         assert_eq!(at(Missed::Skip, 4 * HOUR + 5), Due::Run(4 * HOUR));
         // More than are ever made up for, and a clock that was years off.
-        assert_eq!(at(Missed::Each, 1000 * HOUR), Due::Run((1000 - MOST_MISSED as i64 + 1) * HOUR));
+        assert_eq!(at(Missed::Each, 1000 * HOUR), Due::Run((1000 - MAX_MISSED_RUNS as i64 + 1) * HOUR));
         assert_eq!(at(Missed::Each, 1_000_000 * HOUR), Due::Run(1_000_000 * HOUR));
         assert_eq!(at(Missed::Skip, 1_000_000 * HOUR), Due::Skip(1_000_000 * HOUR));
     }
--- a/crates/fleet/src/tasks.rs
+++ b/crates/fleet/src/tasks.rs
@@ -1,140 +1,140 @@
-//! What the process that holds a task's lease does next: begins what is due, calls, tries again within its budget, and says what came
-//! of it. A result counts only once it is agreed.
+//! What the holder of a task's lease does next: it begins a due run, makes calls, retries them within a
+//! budget, and proposes the result. A result counts only once it is committed.
 //!
-//! One [`Runner`] a task, in every process; all but the holder's have nothing to do.
+//! Every process has one [`TaskRunner`] for each task; only the holder's does anything.
 
-use crate::holder::{Grade, Leases, NoPermit};
-use crate::schedule::{Due, Missed, When, due};
+use crate::holder::{Grade, HeldLeases, NoPermit};
+use crate::schedule::{Due, Missed, Schedule, due};
 use crate::state::{Entry, Fleet, Outcome, Refusal, lease_of_task};
 use std::time::Duration;
 
-/// An entry that was proposed and of which nothing is heard is proposed again after this. Entries of tasks are safe to say twice.
-pub const PROPOSE_AGAIN: Duration = Duration::from_secs(1);
+/// An entry without an outcome is proposed again after this. Entries of tasks may safely be committed twice.
+pub const PROPOSE_AGAIN_AFTER: Duration = Duration::from_secs(1);
 
-/// A task, as the operator's file has it.
+/// A task as configured in the operator's file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
-    /// Its name.
+pub struct TaskSpec {
+    /// The task's name.
     pub name: String,
     /// When it is due.
-    pub when: When,
-    /// What happens to times that nobody ran.
+    pub when: Schedule,
+    /// How due times that were missed are made up for.
     pub missed: Missed,
-    /// How safe its acts are.
+    /// How its acts are protected against those of another holder.
     pub grade: Grade,
-    /// For one call.
+    /// The timeout of one call.
     pub timeout: Duration,
-    /// Calls for one time, the first included, by each holder.
+    /// Calls for one due time by each holder, the first included.
     pub tries: u32,
-    /// Between two of them; twice as long each time.
-    pub wait: Duration,
-    /// For so long after its time a run counts as in time, where what was missed is let go.
-    pub late: Duration,
+    /// The wait before the first retry; doubled for each further one.
+    pub backoff: Duration,
+    /// How long after its due time a run still counts as on time, where missed runs are skipped.
+    pub max_lateness: Duration,
 }
 
 /// The longest wait between two calls.
-const MAX_WAIT: Duration = Duration::from_secs(300);
+const MAX_BACKOFF: Duration = Duration::from_secs(300);
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Called {
-    /// All is done, with this result.
+pub enum CallOutcome {
+    /// The run is complete, with this result.
     Done(Vec<u8>),
-    /// It has come so far; there is more.
-    More(Vec<u8>),
-    /// It failed, and may be tried again.
+    /// Part of the run is done up to this cursor.
+    Partial(Vec<u8>),
+    /// The call failed and may be retried.
     Failed(String),
-    /// What is called has seen a higher token: this process has lost the lease.
-    TurnedAway,
+    /// The called service has seen a higher token: this process has lost the lease.
+    OldToken,
 }
 
-/// What is to be done.
+/// What the caller has to do for the runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Say this to the fleet.
+    /// Have this entry committed.
     Propose(Entry),
-    /// Call, with token, key and cursor; it has to be over by then.
+    /// Make a call, which has to be over at `until`.
     Call {
-        /// Which call this is; comes back with what came of it.
+        /// The number of the call, returned with its outcome.
         number: u64,
-        /// Shown to what is called.
+        /// Fencing token, sent with the call.
         token: u64,
-        /// The same over retries and holders.
+        /// Idempotency key, the same for all retries and holders.
         key: u64,
-        /// Where it goes on.
+        /// Where the run continues.
         cursor: Vec<u8>,
         /// By this process's clock.
         until: Duration,
     },
-    /// Wake this up again then.
+    /// Step the runner again at this time.
     Wake(Duration),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing is under way here.
+    /// No run is in progress here.
     Idle,
-    /// The run was begun here, under this token.
-    Runs { token: u64, key: u64, cursor: Vec<u8>, tries: u32, next: Duration },
-    /// A call is out.
-    Calls { token: u64, key: u64, cursor: Vec<u8>, tries: u32, number: u64, until: Duration },
-    /// Something is on its way into the log.
-    Says { entry: Entry, token: u64, key: u64, again: Duration, tries: u32 },
+    /// A run was begun under this token; its next call is due at `next_call`.
+    Ready { token: u64, key: u64, cursor: Vec<u8>, tries: u32, next_call: Duration },
+    /// A call is in flight.
+    Calling { token: u64, key: u64, cursor: Vec<u8>, tries: u32, number: u64, until: Duration },
+    /// An entry is proposed and has no outcome yet.
+    Proposing { entry: Entry, token: u64, key: u64, retry_at: Duration, tries: u32 },
 }
 
-/// The holder's side of one task.
+/// The state of one task in one process.
 #[derive(Clone, Debug)]
-pub struct Runner {
-    spec: Spec,
+pub struct TaskRunner {
+    spec: TaskSpec,
     lease: String,
     state: State,
-    /// When this process first heard of the task, in Unix seconds: what was due before is not missed.
-    since: i64,
+    /// When this process first saw the task, in Unix seconds: earlier due times are not missed runs.
+    first_seen: i64,
     calls: u64,
 }
 
-impl Runner {
-    /// A task, first heard of at this time.
-    pub fn new(spec: Spec, unix: i64) -> Runner {
+impl TaskRunner {
+    /// Creates the runner of a task first seen at this time.
+    pub fn new(spec: TaskSpec, unix: i64) -> TaskRunner {
         let lease = lease_of_task(&spec.name);
-        Runner { spec, lease, state: State::Idle, since: unix, calls: 0 }
+        TaskRunner { spec, lease, state: State::Idle, first_seen: unix, calls: 0 }
     }
 
-    /// The fleet's time when this process first heard it.
-    pub fn begins(&mut self, unix: i64) {
-        self.since = unix;
+    /// Sets the fleet's time at which this process first saw the task.
+    pub fn set_first_seen(&mut self, unix: i64) {
+        self.first_seen = unix;
     }
 
-    /// The lease under which it runs.
+    /// The lease under which the task runs.
     pub fn lease(&self) -> &str {
         &self.lease
     }
 
-    /// What the operator's file has of it.
-    pub fn spec(&self) -> &Spec {
+    /// The task's configuration.
+    pub fn spec(&self) -> &TaskSpec {
         &self.spec
     }
 
-    /// Takes up what the file has of it now. What is under way goes on.
-    pub fn respecify(&mut self, spec: Spec) {
+    /// Replaces the configuration. A run in progress continues.
+    pub fn set_spec(&mut self, spec: TaskSpec) {
         self.spec = spec;
     }
 
-    /// Time has passed, or the agreed state is another: what is to be done now.
-    pub fn step(&mut self, now: Duration, unix: i64, leases: &Leases, fleet: &Fleet) -> Vec<Action> {
+    /// Returns what has to be done, after time has passed or the replicated state has changed.
+    pub fn step(&mut self, now: Duration, unix: i64, leases: &HeldLeases, fleet: &Fleet) -> Vec<Action> {
         let Some(held) = leases.held(now, &self.lease) else {
-            // A call that is out ends by its own time-out.
+            // A call in flight ends by its own timeout.
             self.state = State::Idle;
             return Vec::new();
         };
         match &self.state {
-            State::Calls { token, until, .. } if *token == held.token && now < *until => {
+            State::Calling { token, until, .. } if *token == held.token && now < *until => {
                 return vec![Action::Wake(*until)];
             }
-            State::Calls { token, key, cursor, tries, .. } if *token == held.token => {
-                // Nothing was heard of it in its time.
+            State::Calling { token, key, cursor, tries, .. } if *token == held.token => {
+                // The call has timed out.
                 let (key, cursor, tries) = (*key, cursor.clone(), *tries);
-                return self.failed(
+                return self.on_failure(
                     now,
                     held.token,
                     key,
@@ -143,76 +143,78 @@
                     "nothing came of it in its time".into(),
                 );
             }
-            State::Says { token, again, entry, .. } if *token == held.token => {
-                if now < *again {
-                    return vec![Action::Wake(*again)];
+            State::Proposing { token, retry_at, entry, .. } if *token == held.token => {
+                if now < *retry_at {
+                    return vec![Action::Wake(*retry_at)];
                 }
                 let entry = entry.clone();
-                return self.again(now, entry);
+                return self.propose_again(now, entry);
             }
-            State::Runs { token, next, .. } if *token == held.token => {
-                let next = *next;
-                return if now < next { vec![Action::Wake(next)] } else { self.call(now, leases) };
+            State::Ready { token, next_call, .. } if *token == held.token => {
+                let next_call = *next_call;
+                return if now < next_call { vec![Action::Wake(next_call)] } else { self.call(now, leases) };
             }
             _ => self.state = State::Idle,
         }
         self.begin(now, unix, held.token, fleet)
     }
 
-    /// What is due, if anything is.
+    /// Begins the next due run, if any.
     fn begin(&mut self, now: Duration, unix: i64, token: u64, fleet: &Fleet) -> Vec<Action> {
         let task = fleet.task(&self.spec.name);
-        if task.is_some_and(|task| task.paused || task.aside.is_some()) {
+        if task.is_some_and(|task| task.paused || task.disabled_reason.is_some()) {
             return Vec::new();
         }
         let name = self.spec.name.clone();
-        // One that was begun is ended first, whoever began it.
+        // A run in progress is ended first, whichever holder began it.
         if let Some(run) = task.and_then(|task| task.run.as_ref()) {
-            return self.say(now, token, 0, 0, Entry::Begin { task: name, token, due: run.due });
+            return self.propose(now, token, 0, 0, Entry::BeginRun { task: name, token, due: run.due });
         }
-        if task.is_some_and(|task| task.asked) {
-            return self.say(now, token, 0, 0, Entry::Begin { task: name, token, due: unix });
+        if task.is_some_and(|task| task.run_requested) {
+            return self.propose(now, token, 0, 0, Entry::BeginRun { task: name, token, due: unix });
         }
-        let last = task.and_then(|task| task.last_due).unwrap_or(self.since);
-        match due(&self.spec.when, self.spec.missed, last, unix, self.spec.late) {
-            Due::Run(due) => self.say(now, token, 0, 0, Entry::Begin { task: name, token, due }),
-            Due::Skip(due) => self.say(now, token, 0, 0, Entry::Skip { task: name, token, due }),
-            Due::Not(Some(at)) => {
+        let last = task.and_then(|task| task.last_due).unwrap_or(self.first_seen);
+        match due(&self.spec.when, self.spec.missed, last, unix, self.spec.max_lateness) {
+            Due::Run(due) => self.propose(now, token, 0, 0, Entry::BeginRun { task: name, token, due }),
+            Due::Skip(due) => self.propose(now, token, 0, 0, Entry::SkipDue { task: name, token, due }),
+            Due::NotBefore(Some(at)) => {
                 let wait = Duration::from_secs(u64::try_from(at - unix).unwrap_or(0).min(60));
                 vec![Action::Wake(now + wait)]
             }
-            Due::Not(None) => Vec::new(),
+            Due::NotBefore(None) => Vec::new(),
         }
     }
 
-    fn say(&mut self, now: Duration, token: u64, key: u64, tries: u32, entry: Entry) -> Vec<Action> {
-        let again = now + PROPOSE_AGAIN;
-        self.state = State::Says { entry: entry.clone(), token, key, again, tries };
-        vec![Action::Propose(entry), Action::Wake(again)]
+    fn propose(&mut self, now: Duration, token: u64, key: u64, tries: u32, entry: Entry) -> Vec<Action> {
+        let retry_at = now + PROPOSE_AGAIN_AFTER;
+        self.state = State::Proposing { entry: entry.clone(), token, key, retry_at, tries };
+        vec![Action::Propose(entry), Action::Wake(retry_at)]
     }
 
-    fn again(&mut self, now: Duration, said: Entry) -> Vec<Action> {
-        let State::Says { token, key, tries, .. } = self.state else { return Vec::new() };
-        self.say(now, token, key, tries, said)
+    fn propose_again(&mut self, now: Duration, proposed: Entry) -> Vec<Action> {
+        let State::Proposing { token, key, tries, .. } = self.state else { return Vec::new() };
+        self.propose(now, token, key, tries, proposed)
     }
 
-    /// An entry of this task was agreed, with this outcome. Those of other holders are heard too.
-    pub fn agreed(&mut self, now: Duration, entry: &Entry, outcome: &Outcome) -> Vec<Action> {
-        let State::Says { entry: said, token, key, tries, .. } = &self.state else { return Vec::new() };
-        if said != entry {
+    /// Records the outcome of an entry of this task. Those proposed by other holders are ignored.
+    pub fn on_outcome(&mut self, now: Duration, entry: &Entry, outcome: &Outcome) -> Vec<Action> {
+        let State::Proposing { entry: proposed, token, key, tries, .. } = &self.state else {
+            return Vec::new();
+        };
+        if proposed != entry {
             return Vec::new();
         }
         let (token, key, tries) = (*token, *key, *tries);
         match (entry, outcome) {
-            (Entry::Begin { .. }, Outcome::Runs { key, cursor }) => {
+            (Entry::BeginRun { .. }, Outcome::RunBegun { key, cursor }) => {
                 let (key, cursor) = (*key, cursor.clone());
-                self.state = State::Runs { token, key, cursor, tries: 0, next: now };
+                self.state = State::Ready { token, key, cursor, tries: 0, next_call: now };
                 vec![Action::Wake(now)]
             }
-            (Entry::Reach { cursor, .. }, Outcome::Done) => {
-                // What has come further has the whole budget again.
+            (Entry::SaveCursor { cursor, .. }, Outcome::Done) => {
+                // A call that made progress restores the whole budget of tries.
                 let _ = tries;
-                self.state = State::Runs { token, key, cursor: cursor.clone(), tries: 0, next: now };
+                self.state = State::Ready { token, key, cursor: cursor.clone(), tries: 0, next_call: now };
                 vec![Action::Wake(now)]
             }
             (_, Outcome::Refused(Refusal::OldToken)) => {
@@ -226,20 +228,20 @@
         }
     }
 
-    fn call(&mut self, now: Duration, leases: &Leases) -> Vec<Action> {
-        let State::Runs { token, key, cursor, tries, .. } = &self.state else { return Vec::new() };
+    fn call(&mut self, now: Duration, leases: &HeldLeases) -> Vec<Action> {
+        let State::Ready { token, key, cursor, tries, .. } = &self.state else { return Vec::new() };
         let (token, key, cursor, tries) = (*token, *key, cursor.clone(), *tries);
         match leases.may_act(now, &self.lease, self.spec.grade) {
             Ok(permit) if permit.token == token => {
                 self.calls += 1;
                 let (number, until) = (self.calls, (now + self.spec.timeout).min(permit.until));
                 self.state =
-                    State::Calls { token, key, cursor: cursor.clone(), tries: tries + 1, number, until };
+                    State::Calling { token, key, cursor: cursor.clone(), tries: tries + 1, number, until };
                 vec![Action::Call { number, token, key, cursor, until }, Action::Wake(until)]
             }
-            Err(NoPermit::Settles { until }) => vec![Action::Wake(until)],
-            // The lease may go on: it is looked at again.
-            Err(NoPermit::TooLate) => vec![Action::Wake(now + self.spec.wait.min(MAX_WAIT))],
+            Err(NoPermit::PreviousHolderMayAct { until }) => vec![Action::Wake(until)],
+            // The lease may be renewed, so this is checked again later.
+            Err(NoPermit::TooLate) => vec![Action::Wake(now + self.spec.backoff.min(MAX_BACKOFF))],
             _ => {
                 self.state = State::Idle;
                 Vec::new()
@@ -247,31 +249,33 @@
         }
     }
 
-    /// What came of a call.
-    pub fn called(&mut self, now: Duration, number: u64, came: Called) -> Vec<Action> {
-        let State::Calls { token, key, cursor, tries, number: out, .. } = &self.state else {
+    /// Records the outcome of a call.
+    pub fn on_call_outcome(&mut self, now: Duration, number: u64, outcome: CallOutcome) -> Vec<Action> {
+        let State::Calling { token, key, cursor, tries, number: out, .. } = &self.state else {
             return Vec::new();
         };
-        // Guards against what came of a call that was given up.
+        // Guards against the late outcome of a call that was given up.
         if *out != number {
             return Vec::new();
         }
         let (token, key, cursor, tries) = (*token, *key, cursor.clone(), *tries);
         let task = self.spec.name.clone();
-        match came {
-            Called::Done(result) => {
-                self.say(now, token, key, tries, Entry::End { task, token, result: Ok(result) })
+        match outcome {
+            CallOutcome::Done(result) => {
+                self.propose(now, token, key, tries, Entry::EndRun { task, token, result: Ok(result) })
+            }
+            CallOutcome::Partial(cursor) => {
+                self.propose(now, token, key, tries, Entry::SaveCursor { task, token, cursor })
             }
-            Called::More(cursor) => self.say(now, token, key, tries, Entry::Reach { task, token, cursor }),
-            Called::Failed(why) => self.failed(now, token, key, cursor, tries, why),
-            Called::TurnedAway => {
+            CallOutcome::Failed(why) => self.on_failure(now, token, key, cursor, tries, why),
+            CallOutcome::OldToken => {
                 self.state = State::Idle;
                 Vec::new()
             }
         }
     }
 
-    fn failed(
+    fn on_failure(
         &mut self,
         now: Duration,
         token: u64,
@@ -283,12 +287,12 @@
         if tries >= self.spec.tries {
             let why: String = format!("{tries} calls failed, the last: {why}").chars().take(200).collect();
             let task = self.spec.name.clone();
-            return self.say(now, token, key, tries, Entry::End { task, token, result: Err(why) });
+            return self.propose(now, token, key, tries, Entry::EndRun { task, token, result: Err(why) });
         }
-        let wait = self.spec.wait.saturating_mul(1 << (tries.saturating_sub(1)).min(16)).min(MAX_WAIT);
-        let next = now + wait;
-        self.state = State::Runs { token, key, cursor, tries, next };
-        vec![Action::Wake(next)]
+        let wait = self.spec.backoff.saturating_mul(1 << (tries.saturating_sub(1)).min(16)).min(MAX_BACKOFF);
+        let next_call = now + wait;
+        self.state = State::Ready { token, key, cursor, tries, next_call };
+        vec![Action::Wake(next_call)]
     }
 }
 
--- a/crates/routes/src/part.rs
+++ b/crates/routes/src/part.rs
@@ -836,7 +836,7 @@
         self.stored.epoch
     }
 
-    fn seen_by(&self, holder: &Holder) -> Vec<u8> {
+    fn view_for(&self, holder: &Holder) -> Vec<u8> {
         let (base, on_trial) = self.table_for(&holder.member);
         let conflicts = self.merged.conflicts.iter().take(MAX_SHOWN_CONFLICTS);
         let view = MemberView {
--- a/crates/routes/src/tests.rs
+++ b/crates/routes/src/tests.rs
@@ -347,7 +347,7 @@
     }
     assert_eq!(routes.merged().conflicts.len(), MAX_CONFLICTS);
     assert!(routes.merged().states.values().all(|state| matches!(state, EditState::InConflict(_))));
-    let view = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("an encoded view");
+    let view = MemberView::from_bytes(&routes.view_for(&Holder::new("n1", 1))).expect("an encoded view");
     assert_eq!(view.conflicts.len(), MAX_SHOWN_CONFLICTS);
 
     let mut routes = self::routes();
@@ -419,7 +419,7 @@
     let norte = Value::Names(["norte".to_string()].into());
     send(&mut routes, &edit("brio", 1, 0, vec![set(Thing::new(Kind::Route, "r1"), Field::Regions, norte)]));
     publish(&mut routes, FULL_SHARE_PERMILLE);
-    let view = MemberView::from_bytes(&routes.seen_by(&Holder::new("n1", 1))).expect("an encoded view");
+    let view = MemberView::from_bytes(&routes.view_for(&Holder::new("n1", 1))).expect("an encoded view");
     let snapshot = view.snapshot(1000);
     assert_eq!(snapshot.allowed_regions("alta", "uno"), ["norte".to_string()].into());
     assert_eq!(snapshot.allowed_regions("baja", "uno"), Default::default());
--- a/crates/routes/src/trial_sim.rs
+++ b/crates/routes/src/trial_sim.rs
@@ -10,7 +10,7 @@
 use crate::trial::{
     self, Counts, MAX_TRIAL_MS, MIN_REQUESTS_PER_SIDE, MIN_TRIAL_MS, RequestEnd, RollbackReason, Tally,
 };
-use jaspershunt_fleet::parts::{Agreed, Part};
+use jaspershunt_fleet::parts::{Part, ReplicatedState};
 use jaspershunt_fleet::{Entry as OfFleet, Holder, Outcome as OfAgreed};
 use std::collections::BTreeMap;
 
@@ -55,18 +55,18 @@
 }
 
 struct Simulation {
-    agreed: Agreed,
+    agreed: ReplicatedState,
     nodos: Vec<Nodo>,
     /// Reports in transit, with the time of their arrival.
     in_transit: Vec<(u64, Entry)>,
 }
 
-fn routes(agreed: &Agreed) -> Result<&Routes, String> {
+fn routes(agreed: &ReplicatedState) -> Result<&Routes, String> {
     let part = agreed.part(NAME).and_then(|part| part.as_any().downcast_ref());
     part.ok_or_else(|| "the replicated state has no route table".to_string())
 }
 
-fn propose(agreed: &mut Agreed, entry: &Entry) -> Option<Outcome> {
+fn propose(agreed: &mut ReplicatedState, entry: &Entry) -> Option<Outcome> {
     match agreed.apply(&OfFleet::Part { part: NAME.to_string(), bytes: entry.to_bytes() }) {
         OfAgreed::Part(bytes) => Outcome::from_bytes(&bytes),
         _ => None,
@@ -79,7 +79,7 @@
         let padron = Thing::new(Kind::Dependency, "padron");
         table.things.insert(padron.clone(), [(Field::Budget, Value::Number(10))].into());
         let routes = Routes::new(table).ok_or("the table is not valid")?;
-        let mut agreed = Agreed::new(vec![Box::new(routes)]);
+        let mut agreed = ReplicatedState::new(vec![Box::new(routes)]);
         let rates = [0, 1, 10, 60];
         let nodos: Vec<Nodo> = (0..3 + rng.below(7))
             .map(|n| Nodo {
@@ -115,7 +115,7 @@
         for nodo in &mut self.nodos {
             let routes = routes(&self.agreed)?;
             let view =
-                MemberView::from_bytes(&routes.seen_by(&nodo.holder)).ok_or("the view cannot be decoded")?;
+                MemberView::from_bytes(&routes.view_for(&nodo.holder)).ok_or("the view cannot be decoded")?;
             let (quality_here, table) =
                 (if view.on_trial { quality } else { TableQuality::Good }, view.snapshot(0));
             let [mut fails, mut late] = BASELINE_PERMILLE;
@@ -267,7 +267,7 @@
         other => return Err(format!("the trial ended as {other:?}")),
     };
     let revision_of =
-        |nodo: &Nodo| MemberView::from_bytes(&routes.seen_by(&nodo.holder)).map(|view| view.revision);
+        |nodo: &Nodo| MemberView::from_bytes(&routes.view_for(&nodo.holder)).map(|view| view.revision);
     if simulation.nodos.iter().any(|nodo| revision_of(nodo) != Some(revision)) {
         return Err("not all nodos use the decided revision".to_string());
     }
--- a/crates/work/src/sim.rs
+++ b/crates/work/src/sim.rs
@@ -478,7 +478,7 @@
     }
 
     fn refresh_view(&mut self, at: usize) {
-        let bytes = self.work.seen_by(&self.processes[at].holder);
+        let bytes = self.work.view_for(&self.processes[at].holder);
         self.processes[at].view = MemberView::from_bytes(&bytes).unwrap_or_default();
     }
 
