--- a/crates/agreed/src/lib.rs
+++ b/crates/agreed/src/lib.rs
@@ -1,8 +1,8 @@
-//! Joins the parts of the replicated state, which are independent of each other: finds a successor for orphaned work,
-//! in a region that the route table allows, and in those that steering prefers first.
+//! Joins the parts of the replicated state, which are independent of each other: finds a successor for
+//! orphaned work, in a region that the route table allows, and in those that steering prefers first.
 //!
-//! Pure decision logic: no clock, socket, file, thread or random source. A member of a fleet is started with [`parts()`]
-//! and [`leader_entries()`].
+//! Pure decision logic: no clock, socket, file, thread or random source. A member of a fleet is started with
+//! [`parts()`] and [`leader_entries()`].
 //!
 //! ```
 //! use jaspershunt_agreed::{leader_entries, parts, work};
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,17 +1,19 @@
-//! What the nodos of a fleet decide together, and what each of them may do as a result: leases, and the tasks that
-//! run under them.
+//! What the nodos of a fleet decide together, and what each of them may do as a result: leases, and the tasks
+//! that run under them.
 //!
-//! Pure decision logic: no clock, socket, file, thread or random source. Time is passed in as `now`, read from a
-//! monotonic clock of the process; committed entries of the replicated log are passed to [`Fleet::apply`]; messages to
-//! send and entries to propose are returned.
+//! Pure decision logic: no clock, socket, file, thread or random source. Time is passed in as `now`, read
+//! from a monotonic clock of the process; committed entries of the replicated log are passed to
+//! [`Fleet::apply`]; messages to send and entries to propose are returned.
 //!
-//! - [`state`]: the replicated state, a function of the log alone: members, leases with tokens and candidates, tasks.
+//! - [`state`]: the replicated state, a function of the log alone: members, leases with tokens and
+//!   candidates, tasks.
 //! - [`parts`]: further parts of the replicated state, each with entries of its own.
 //! - [`leader`]: when a lease has expired, and which renewals the leader may confirm.
 //! - [`holder`]: which leases a process holds by its own clock, and whether an act may begin.
 //! - [`client`]: a member's side of the protocol; [`lease_queue`]: who is queued for which lease.
 //! - [`disk_rollback`]: whether a voter's disk was rolled back; [`voter_slots`]: which disks have a vote.
-//! - [`timing`]: how long leases last; [`wall_clock`]: the time by which tasks are due, from all members' clocks.
+//! - [`timing`]: how long leases last; [`wall_clock`]: the time by which tasks are due, from all members'
+//!   clocks.
 //! - [`tasks`]: what the holder of a task's lease does next; [`schedule`]: when a task is due.
 //! - [`mutants`]: mutations of the rules, to show that the checks detect them.
 //!
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -21,8 +21,8 @@
 pub const MAX_CURSOR_BYTES: usize = 1024;
 /// Acts kept for each lease whose acts are log entries.
 pub const MAX_ACTS_PER_LEASE: usize = 16;
-/// A task is disabled once more than this many holders in turn have begun one run without ending it: one crash
-/// may be the machine's fault, and two a coincidence.
+/// A task is disabled once more than this many holders in turn have begun one run without ending it: one
+/// crash may be the machine's fault, and two a coincidence.
 pub const MAX_HOLDERS_PER_RUN: u32 = 3;
 
 /// A process of the fleet: a member's name and the incarnation of that member. Two incarnations of one member
@@ -541,7 +541,8 @@
             run.token = token;
             outcome = Ok(Outcome::RunBegun { key: run.key, cursor: run.cursor.clone() });
             if run.holder_count > MAX_HOLDERS_PER_RUN {
-                // Guards against a task that crashes each holder in turn, until none is left.
+                // Guards against a task that crashes each holder in turn, until none is left. The reason is
+                // stored in the replicated state: members of other versions store the same text.
                 task.disabled_reason =
                     Some(format!("{MAX_HOLDERS_PER_RUN} holders in turn began it and did not end it"));
                 (task.run, task.run_requested) = (None, false);
--- a/crates/fleet/src/tasks.rs
+++ b/crates/fleet/src/tasks.rs
@@ -132,7 +132,8 @@
                 return vec![Action::Wake(*until)];
             }
             State::Calling { token, key, cursor, tries, .. } if *token == held.token => {
-                // The call has timed out.
+                // The call has timed out. The reason is stored in the replicated state: members of other
+                // versions store the same text.
                 let (key, cursor, tries) = (*key, cursor.clone(), *tries);
                 return self.on_failure(
                     now,
@@ -285,6 +286,7 @@
         why: String,
     ) -> Vec<Action> {
         if tries >= self.spec.tries {
+            // Stored in the replicated state: members of other versions store the same text.
             let why: String = format!("{tries} calls failed, the last: {why}").chars().take(200).collect();
             let task = self.spec.name.clone();
             return self.propose(now, token, key, tries, Entry::EndRun { task, token, result: Err(why) });
