--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -8,7 +8,7 @@
 use jaspershunt_capture::replay::replay;
 use jaspershunt_capture::rules;
 use jaspershunt_capture::summary::summary;
-use jaspershunt_stand_ins::dependency::{Mode, Plan};
+use jaspershunt_stand_ins::dependency::{DependencyConfig, Mode};
 use jaspershunt_stand_ins::script::Script;
 use std::io;
 use std::path::Path;
@@ -37,7 +37,7 @@
 const SLACK_KIB: u64 = 1024;
 
 fn plan(folder: Option<&Path>) -> SitePlan {
-    let registro = Plan::new("registro", 32, Duration::from_millis(5));
+    let registro = DependencyConfig::new("registro", 32, Duration::from_millis(5));
     let capture = folder.map_or(String::new(), |folder| {
         format!(
             "capture {{\n  folder = \"{}\"\n  ring = \"{RING}\"\n  snapshot = \"1s\"\n}}\n",
--- a/crates/lab/src/cpu.rs
+++ b/crates/lab/src/cpu.rs
@@ -4,7 +4,7 @@
 use crate::load::{Stream, arrivals, play};
 use crate::report::table;
 use crate::site::{Site, SitePlan, cpu_seconds, on_one_thread};
-use jaspershunt_stand_ins::dependency::Plan;
+use jaspershunt_stand_ins::dependency::DependencyConfig;
 use std::io;
 use std::path::Path;
 use std::thread;
@@ -43,7 +43,7 @@
 
 async fn per_request(nodo: &Path, seed: u64, rate: f64, lasting: Duration) -> io::Result<f64> {
     let plan = SitePlan {
-        dependencies: vec![Plan::new("registro", 32, Duration::from_millis(5))],
+        dependencies: vec![DependencyConfig::new("registro", 32, Duration::from_millis(5))],
         classes: vec![("consulta-estado", false)],
         file: None,
         cores: 16,
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -4,7 +4,7 @@
 use crate::report::table;
 use crate::site::{Site, SitePlan, cpu_seconds, memory_kib, on_one_thread};
 use hdrhistogram::Histogram;
-use jaspershunt_stand_ins::dependency::{Dependency, Mode, Plan};
+use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig, Mode};
 use jaspershunt_stand_ins::truth;
 use std::io;
 use std::path::Path;
@@ -75,7 +75,10 @@
 
 async fn demonstrate(nodo: &Path) -> io::Result<bool> {
     let plan = SitePlan {
-        dependencies: NAMES.iter().map(|name| Plan::new(name, 6, Duration::from_millis(25))).collect(),
+        dependencies: NAMES
+            .iter()
+            .map(|name| DependencyConfig::new(name, 6, Duration::from_millis(25)))
+            .collect(),
         classes: CLASSES.to_vec(),
         file: Some(FILE.to_string()),
         cores: 6,
@@ -133,7 +136,7 @@
 
 fn line(second: u64, sent: &[SentAt], dependencies: &[Dependency]) -> String {
     let count = |of: &dyn Fn(&truth::Sent) -> bool| sent.iter().filter(|(_, one)| of(one)).count();
-    let in_hand: Vec<String> = dependencies.iter().map(|d| d.in_hand().to_string()).collect();
+    let in_flight: Vec<String> = dependencies.iter().map(|d| d.in_flight().to_string()).collect();
     let others = latency(sent.iter().filter(|(_, one)| one.request.class != CLASSES[0].0));
     let state = match dependencies[0].mode() {
         Mode::Good => "",
@@ -147,7 +150,7 @@
         count(&|one| one.answer.status == 500),
         count(&|one| one.answer.status == 503),
         others.value_at_quantile(0.99) as f64 / 1000.0,
-        in_hand.join(" / "),
+        in_flight.join(" / "),
     )
 }
 
--- a/crates/lab/src/dependencies.rs
+++ b/crates/lab/src/dependencies.rs
@@ -5,7 +5,7 @@
 use crate::load::{Played, Stream, arrivals, play, whole};
 use crate::report::{Line, Panel, chart, table};
 use crate::site::{Site, SitePlan, on_one_thread};
-use jaspershunt_stand_ins::dependency::{Dependency, Ended, Mode, Plan, Record};
+use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig, Ended, Mode, Record};
 use jaspershunt_stand_ins::script::Script;
 use jaspershunt_stand_ins::truth;
 use std::collections::BTreeSet;
@@ -134,7 +134,10 @@
 
 async fn break_one(nodo: &Path, fault: Fault, broken: usize, budgets: bool, seed: u64) -> io::Result<Shown> {
     let plan = SitePlan {
-        dependencies: NAMES.iter().map(|name| Plan { seed, ..Plan::new(name, SLOTS, SERVICE) }).collect(),
+        dependencies: NAMES
+            .iter()
+            .map(|name| DependencyConfig { seed, ..DependencyConfig::new(name, SLOTS, SERVICE) })
+            .collect(),
         classes: CLASSES.to_vec(),
         file: budgets.then(file),
         cores: 6,
@@ -176,7 +179,7 @@
 }
 
 fn over(record: &Record) -> usize {
-    record.calls.iter().filter(|call| call.in_hand > CALLS).count()
+    record.calls.iter().filter(|call| call.in_flight > CALLS).count()
 }
 
 /// Calls beyond the first for the same run and place, and first ones, that came while one was broken.
@@ -184,7 +187,7 @@
     let mut calls = Vec::new();
     for (dependency, offset) in dependencies.iter().zip(offsets) {
         for call in &dependency.record().calls {
-            calls.push((call.came.as_secs_f64() - offset, call.uid.clone(), call.body.clone()));
+            calls.push((call.arrived.as_secs_f64() - offset, call.uid.clone(), call.body.clone()));
         }
     }
     calls.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -212,7 +215,7 @@
          breaker {{\n    slow = \"10s\"\n  }}\n}}\nroute \"look\" {{\n  repeat = \"safe\"\n  call \"any\" {{ to = \"a\" }}\n}}\n"
     );
     let plan = SitePlan {
-        dependencies: vec![Plan { seed, ..Plan::new("a", slots, HIDDEN_SERVICE) }],
+        dependencies: vec![DependencyConfig { seed, ..DependencyConfig::new("a", slots, HIDDEN_SERVICE) }],
         classes: vec![("look", false)],
         file: Some(file),
         cores: 16,
@@ -226,7 +229,7 @@
     let counted = |came: Duration| (SETTLED..SWEPT).contains(&(came.as_secs_f64() - offset));
     let well = {
         let record = site.dependencies[0].record();
-        record.calls.iter().filter(|call| call.ended == Ended::Well && counted(call.came)).count()
+        record.calls.iter().filter(|call| call.ended == Ended::Succeeded && counted(call.arrived)).count()
     };
     site.stop().await;
     Ok(well as f64 / (SWEPT - SETTLED))
--- a/crates/lab/src/fleet/demo.rs
+++ b/crates/lab/src/fleet/demo.rs
@@ -22,7 +22,7 @@
         println!("five nodos, three of them vote; a lease lasts {TTL:?}; each task is due every second\n");
         fleet.start_all().await?;
         // One that takes longer shows it in the table.
-        let _ = timeout(4 * EACH, fleet.has_its_votes()).await;
+        let _ = timeout(4 * EACH, fleet.wait_for_votes()).await;
         println!(
             "{:>6}  {:<26} {:<8} {:<8} {:<8} {:>6} {:>9}",
             "s", "", "leads", "checked", "timed", "acts", "overlaps"
@@ -47,20 +47,20 @@
                 3 => {
                     frozen = fleet.leader().await;
                     if let Some(n) = frozen {
-                        fleet.process(n).freeze();
+                        fleet.process(n).pause();
                     }
                     frozen.map(|n| format!("n{n}, which leads, is frozen"))
                 }
                 4 => {
                     if let Some(n) = frozen {
-                        fleet.process(n).thaw();
+                        fleet.process(n).resume();
                     }
                     frozen.map(|n| format!("n{n} goes on"))
                 }
                 5 => {
                     let holder = fleet.holder("task/timed").await;
                     if let Some(n) = holder {
-                        fleet.alone(n, Fault::Cut);
+                        fleet.isolate(n, Fault::Cut);
                     }
                     holder.map(|n| format!("n{n}, which holds, is cut off"))
                 }
@@ -86,14 +86,14 @@
                     name(leader),
                     name(one),
                     name(two),
-                    cannot.overlaps().len() + checks.lower_after_higher().len()
+                    cannot.overlaps().len() + checks.stale_token_acts().len()
                 );
                 what.clear();
                 sleep(LINE_EVERY).await;
             }
         }
         let acts = checks.acts().iter().chain(&cannot.acts()).filter(|act| !act.turned_away).count();
-        let wrong = cannot.overlaps().len() + checks.lower_after_higher().len();
+        let wrong = cannot.overlaps().len() + checks.stale_token_acts().len();
         println!("\n{acts} acts, {wrong} overlaps");
         Ok(wrong == 0)
     })
--- a/crates/lab/src/fleet/load.rs
+++ b/crates/lab/src/fleet/load.rs
@@ -5,7 +5,7 @@
 use crate::report::{Figure, table, verdict};
 use crate::site::on_one_thread;
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
-use jaspershunt_stand_ins::fleet::{Fleet, acts_more};
+use jaspershunt_stand_ins::fleet::{Fleet, wait_for_acts};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cell::RefCell;
@@ -56,8 +56,8 @@
     fleet.start_all().await?;
     if on {
         let ready = async {
-            fleet.has_its_votes().await;
-            tokio::join!(acts_more(&checks, 2), acts_more(&cannot, 2));
+            fleet.wait_for_votes().await;
+            tokio::join!(wait_for_acts(&checks, 2), wait_for_acts(&cannot, 2));
         };
         timeout(GENEROUS, ready).await.map_err(|_| io::Error::other(fleet.logs()))?;
     }
@@ -105,7 +105,7 @@
 }
 
 async fn term(fleet: &Fleet, n: usize) -> u64 {
-    fleet.shown(n).await.and_then(|shown| shown["term"].as_u64()).unwrap_or(0)
+    fleet.show(n).await.and_then(|shown| shown["term"].as_u64()).unwrap_or(0)
 }
 
 /// Plays all pairs; whether the bounds hold.
--- a/crates/lab/src/fleet/torment.rs
+++ b/crates/lab/src/fleet/torment.rs
@@ -2,7 +2,7 @@
 //! keeps the record.
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
-use jaspershunt_stand_ins::fleet::{Fleet, Task, acts_more};
+use jaspershunt_stand_ins::fleet::{Fleet, Task, wait_for_acts};
 use jaspershunt_stand_ins::link::{Fault, Way};
 use jaspershunt_stand_ins::resource::Resource;
 use rand::rngs::StdRng;
@@ -91,7 +91,7 @@
     let (checks, cannot, tasks) = resources().await;
     let mut fleet = Fleet::new(program, &format!("torment-{seed}"), (MEMBERS, VOTERS), TTL, &tasks).await?;
     fleet.start_all().await?;
-    let ready = timeout(GENEROUS, fleet.has_its_votes()).await.is_ok();
+    let ready = timeout(GENEROUS, fleet.wait_for_votes()).await.is_ok();
     let mut torment = Torment { goes_on: ready, ..Torment::default() };
     let end = Instant::now() + length;
     let mut heals: Vec<(Instant, Heals)> = Vec::new();
@@ -123,7 +123,7 @@
                 heals.push((over, Heals::Start(n)));
             }
             1 => {
-                fleet.process(n).freeze();
+                fleet.process(n).pause();
                 torment.freezes += 1;
                 heals.push((over, Heals::Thaw(n)));
             }
@@ -166,7 +166,7 @@
     torment.acts = acted(&checks) + acted(&cannot);
     torment.turned_away = checks.acts().len() - acted(&checks);
     torment.at_once = cannot.overlaps().len();
-    torment.lower = checks.lower_after_higher().len() + cannot.lower_after_higher().len();
+    torment.lower = checks.stale_token_acts().len() + cannot.stale_token_acts().len();
     if !torment.goes_on || torment.at_once + torment.lower > 0 {
         torment.logs.push_str(&fleet.logs());
     }
@@ -244,8 +244,8 @@
     fleet.start_all().await?;
     let mut torment = Torment::default();
     let ready = async {
-        fleet.has_its_votes().await;
-        tokio::join!(acts_more(&checks, 2), acts_more(&cannot, 2));
+        fleet.wait_for_votes().await;
+        tokio::join!(wait_for_acts(&checks, 2), wait_for_acts(&cannot, 2));
     };
     torment.goes_on = timeout(GENEROUS, ready).await.is_ok();
     // Where one leads and holds both leases there is nothing to be seen: it is killed all the same, so that others come to hold them.
@@ -265,12 +265,12 @@
         torment.kills += 1;
         // All that it was is settled before the next one.
         sleep(TTL).await;
-        let going = async { tokio::join!(acts_more(&checks, 1), acts_more(&cannot, 1)) };
+        let going = async { tokio::join!(wait_for_acts(&checks, 1), wait_for_acts(&cannot, 1)) };
         torment.goes_on &= timeout(GENEROUS, going).await.is_ok();
     }
     torment.acts = [&checks, &cannot].map(|resource| resource.acts().len()).iter().sum();
     torment.at_once = cannot.overlaps().len();
-    torment.lower = checks.lower_after_higher().len() + cannot.lower_after_higher().len();
+    torment.lower = checks.stale_token_acts().len() + cannot.stale_token_acts().len();
     if !torment.goes_on || torment.at_once + torment.lower > 0 {
         torment.logs.push_str(&fleet.logs());
     }
@@ -280,7 +280,7 @@
 /// All voters are cut off from each other for a while: requests are served, and tasks go on soon after.
 async fn lose_quorum(fleet: &Fleet, resources: [&Resource; 2], torment: &mut Torment) {
     for n in 0..VOTERS {
-        fleet.alone(n, Fault::Cut);
+        fleet.isolate(n, Fault::Cut);
     }
     sleep(2 * TTL).await;
     for (n, nodo) in fleet.nodos.iter().enumerate() {
@@ -312,8 +312,8 @@
             continue;
         }
         match heals.swap_remove(place).1 {
-            Heals::Start(n) => fleet.starts[n] = Some(fleet.nodos[n].start_early().await?),
-            Heals::Thaw(n) => fleet.process(n).thaw(),
+            Heals::Start(n) => fleet.incarnations[n] = Some(fleet.nodos[n].start_without_waiting().await?),
+            Heals::Thaw(n) => fleet.process(n).resume(),
             Heals::Links => fleet.heal(),
         }
     }
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -214,7 +214,7 @@
     }
 
     fn set_aside(&mut self) -> Result<(), StoreError> {
-        self.disk.put_back(Image::default());
+        self.disk.restore(Image::default());
         Ok(())
     }
 }
@@ -732,14 +732,14 @@
                 self.slow.push((from, to, until, by));
             }
             Fault::Full { member, length } => {
-                self.seats[member].disk.fits(Some(0));
+                self.seats[member].disk.set_capacity(Some(0));
                 self.later(length, Event::Room { member });
             }
-            Fault::NoSync { member } => self.seats[member].disk.fails_after(Some(0)),
+            Fault::NoSync { member } => self.seats[member].disk.fail_syncs_after(Some(0)),
             Fault::Empty { member, down } => {
                 self.kill_all(member, down);
-                self.seats[member].disk.put_back(Image::default());
-                self.seats[member].disk.fits(None);
+                self.seats[member].disk.restore(Image::default());
+                self.seats[member].disk.set_capacity(None);
             }
             Fault::Older { member, down } => self.put_back(member, down),
             Fault::Twin { member, after, frozen } => {
@@ -848,7 +848,7 @@
         let earlier = std::mem::take(&mut self.seats[member].earlier);
         self.kill_all(member, down);
         self.tell(|| format!("{} gets an older disk", name(member)));
-        self.seats[member].disk.put_back(earlier);
+        self.seats[member].disk.restore(earlier);
     }
 
     fn heal_all(&mut self) {
@@ -945,7 +945,7 @@
                 }
             }
             Event::Heal { cut } => self.heal(cut),
-            Event::Room { member } => self.seats[member].disk.fits(None),
+            Event::Room { member } => self.seats[member].disk.set_capacity(None),
             Event::End { process } => {
                 if self.processes[process].alive {
                     let place = self.processes[process].place;
@@ -1051,8 +1051,8 @@
         self.thin_until = self.now;
         self.let_go_on();
         for member in 0..self.sketch.members {
-            self.seats[member].disk.fits(None);
-            self.seats[member].disk.fails_after(None);
+            self.seats[member].disk.set_capacity(None);
+            self.seats[member].disk.fail_syncs_after(None);
         }
     }
 
--- a/crates/lab/src/freezes.rs
+++ b/crates/lab/src/freezes.rs
@@ -3,7 +3,7 @@
 
 use crate::report::{Figure, table, verdict};
 use crate::site::on_one_thread;
-use jaspershunt_stand_ins::starts::{Nodo, Record, Start, Tally};
+use jaspershunt_stand_ins::nodo::{AnswerLog, Incarnation, Nodo, Tally};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::io;
@@ -65,7 +65,7 @@
 }
 
 /// Sends pairs until enough in a row are served; the moment at which the first of those was sent.
-async fn served(nodo: &Nodo, record: &Record, name: &str) -> Option<Instant> {
+async fn served(nodo: &Nodo, record: &AnswerLog, name: &str) -> Option<Instant> {
     let all = async {
         let (mut began, mut row, mut n) = (Instant::now(), 0, 0);
         while row < IN_A_ROW {
@@ -85,28 +85,28 @@
 async fn play(program: &Path, seed: u64, number: u64) -> io::Result<Shown> {
     let plan = Plan::draw(seed, number);
     let mut nodo = Nodo::new(program, &format!("freeze-{seed}-{number}")).await?;
-    let record = Record::default();
+    let record = AnswerLog::default();
     let earlier = nodo.start().await?;
     record.burst(nodo.address, "before", 20, 4, PATIENCE).await;
     let before = plan.earlier && plan.at_ms < 0;
     let offset = Duration::from_millis(plan.at_ms.unsigned_abs());
     let mut froze = Instant::now();
     if before {
-        earlier.process.freeze();
+        earlier.process.pause();
         sleep(offset).await;
     }
-    let later = nodo.start_early().await?;
+    let later = nodo.start_without_waiting().await?;
     if !before {
         sleep(offset).await;
         froze = Instant::now();
-        frozen(&plan, &earlier, &later).process.freeze();
+        frozen(&plan, &earlier, &later).process.pause();
     }
     // Whether the other one serves while the one is frozen, by what it says itself.
     let other = if plan.earlier { &later } else { &earlier };
     let wakes = froze + plan.length;
     let mut serves = None;
     while Instant::now() < wakes {
-        let said = timeout(wakes - Instant::now(), other.serves()).await.unwrap_or(false);
+        let said = timeout(wakes - Instant::now(), other.is_ready()).await.unwrap_or(false);
         // The earlier one says so too while it sends on to the frozen one: what counts is an answer. Where each has a listener of
         // its own the system gives half of all connections to the frozen one, so several are tried.
         if said && serves.is_none() {
@@ -120,7 +120,7 @@
         }
         sleep(Duration::from_millis(10)).await;
     }
-    frozen(&plan, &earlier, &later).process.thaw();
+    frozen(&plan, &earlier, &later).process.resume();
     let woken = Instant::now();
     let (address, all) = (nodo.address, record.clone());
     let burst = spawn_local(async move { all.burst(address, "woken", PAIRS, SENDERS, PATIENCE).await });
@@ -136,7 +136,7 @@
     Ok(Shown { plan, tally: record.tally(&nodo, ""), other: serves, again })
 }
 
-fn frozen<'a>(plan: &Plan, earlier: &'a Start, later: &'a Start) -> &'a Start {
+fn frozen<'a>(plan: &Plan, earlier: &'a Incarnation, later: &'a Incarnation) -> &'a Incarnation {
     if plan.earlier { earlier } else { later }
 }
 
--- a/crates/lab/src/partial/killed.rs
+++ b/crates/lab/src/partial/killed.rs
@@ -71,7 +71,7 @@
     let mut killed = Killed::default();
     let mut random = StdRng::seed_from_u64(seed);
     let (mut moments, began) = (Vec::new(), Instant::now());
-    if !rig.has_its_votes().await {
+    if !rig.wait_for_votes().await {
         killed.untold += 1;
         return Ok(killed);
     }
@@ -80,9 +80,9 @@
         let ask = |n: usize| {
             let (clients, kill) = (rig.clients.clone(), moments.len());
             let class = if n.is_multiple_of(2) { ASKS } else { FENCED };
-            spawn_local(
-                async move { clients.until_told(&format!("{class}{kill}-{n}"), lost, PATIENCE).await },
-            )
+            spawn_local(async move {
+                clients.send_until_answered(&format!("{class}{kill}-{n}"), lost, PATIENCE).await
+            })
         };
         let asked: Vec<_> = (0..AT_ONCE).map(ask).collect();
         let under_way = async {
@@ -96,8 +96,8 @@
         let _ = timeout(WITHIN, under_way).await;
         sleep(Duration::from_millis(random.random_range(AFTER.0..AFTER.1))).await;
         moments.push((now(), lost));
-        rig.hurt(&Fault::Kill { who: vec![lost], empty: false, back: LEASE * 2 }).await?;
-        rig.go_on(LEASE * 2).await?;
+        rig.inject(&Fault::Kill { who: vec![lost], empty: false, back: LEASE * 2 }).await?;
+        rig.run_for(LEASE * 2).await?;
         for client in asked {
             killed.untold += usize::from(!client.await.unwrap_or(false));
         }
@@ -106,7 +106,7 @@
         }
     }
     killed.kills = moments.len();
-    killed.untold += rig.clients.ask_for_all(seed, AT_ONCE, PATIENCE).await;
+    killed.untold += rig.clients.query_all(seed, AT_ONCE, PATIENCE).await;
     let verdict = rig.verdict()?;
     killed.keys = verdict.keys;
     killed.doubled = verdict.doubled.iter().collect::<BTreeSet<_>>().len() + acts_doubled(&rig);
--- a/crates/lab/src/partial/mod.rs
+++ b/crates/lab/src/partial/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::report::{Figure, table, verdict};
 use crate::site::on_one_thread;
-use jaspershunt_stand_ins::partial::faults::{KINDS, Torment};
+use jaspershunt_stand_ins::partial::faults::{FaultInjector, KINDS};
 use jaspershunt_stand_ins::partial::{NODOS, Rig, TTL, Verdict};
 use killed::Killed;
 use rand::SeedableRng;
@@ -61,10 +61,10 @@
 async fn torment(nodo: &Path, seed: u64, length: Duration) -> io::Result<Came> {
     let mut rig =
         Rig::start(nodo, &format!("partial-{seed}"), true, (TTL, Duration::from_millis(100))).await?;
-    let ready = rig.has_its_votes().await;
+    let ready = rig.wait_for_votes().await;
     let load = rig.clients.load(seed, CLIENTS, PAUSE, TOLD_WITHIN);
     let teams = rig.editors.load(seed, PAUSE, TOLD_WITHIN);
-    let mut torment = Torment::new(StdRng::seed_from_u64(seed));
+    let mut torment = FaultInjector::new(StdRng::seed_from_u64(seed));
     torment.play(&mut rig, length).await?;
     rig.editors.stop();
     let healed = rig.heal_all().await?;
@@ -72,14 +72,14 @@
         let _ = timeout(TOLD_WITHIN, team).await;
     }
     let ended = Instant::now();
-    let table = rig.one_table().await.map(|revision| (revision, ended.elapsed()));
+    let table = rig.wait_for_one_table().await.map(|revision| (revision, ended.elapsed()));
     rig.clients.stop();
-    rig.resource.lasts(Duration::from_millis(20));
+    rig.resource.set_duration(Duration::from_millis(20));
     for client in load {
         // An error means that it panicked, which says so itself.
         let _ = timeout(TOLD_WITHIN, client).await;
     }
-    let untold = rig.clients.ask_for_all(seed, AT_ONCE, TOLD_WITHIN).await;
+    let untold = rig.clients.query_all(seed, AT_ONCE, TOLD_WITHIN).await;
     let verdict = rig.verdict()?;
     let mut statuses = [0; 4];
     for one in rig.clients.tries().values().flatten() {
@@ -96,8 +96,11 @@
     let came = Came { seed, counts, verdict, goes_on, untold, statuses, edits, table, broken };
     if !came.verdict.is_fine() || came.untold > 0 || !came.goes_on || came.table.is_err() {
         let kept = rig.keep(&seed.to_string())?;
-        let story: String =
-            torment.story.iter().map(|(at, fault)| format!("{:7.3} {fault}\n", at.as_secs_f64())).collect();
+        let story: String = torment
+            .timeline
+            .iter()
+            .map(|(at, fault)| format!("{:7.3} {fault}\n", at.as_secs_f64()))
+            .collect();
         std::fs::write(kept.join("faults"), story)?;
         eprintln!("seed {seed}: histories, logs and faults are kept in {}", kept.display());
     }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -1,7 +1,7 @@
 //! A nodo as a process of its own, with its stand-ins in this one.
 
 use jaspershunt_stand_ins::balancer::Balancer;
-use jaspershunt_stand_ins::dependency::{Dependency, Gateway, Plan};
+use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig, Gateway};
 use jaspershunt_stand_ins::directory::Directory;
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
 use std::io;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct SitePlan {
     /// The dependencies. Calls of the class of the same place go there.
-    pub dependencies: Vec<Plan>,
+    pub dependencies: Vec<DependencyConfig>,
     /// The classes: names, and whether they are keyed. Each makes one call.
     pub classes: Vec<(&'static str, bool)>,
     /// The operator's file, with `{0}`, `{1}` … for the addresses of the dependencies; none for the nodo's one pool.
@@ -77,7 +77,7 @@
         for one in &plan.dependencies {
             dependencies.push(Dependency::start(one.clone()).await);
         }
-        let work = Work { part: plan.part, calls: 1 };
+        let work = Work { core_time: plan.part, calls: 1 };
         let classes: Vec<(&str, Work)> = plan.classes.iter().map(|(name, _)| (*name, work.clone())).collect();
         let interpreter = Interpreter::start(plan.cores, &classes).await;
         let directory = Directory::start().await;
--- a/crates/node/tests/capture.rs
+++ b/crates/node/tests/capture.rs
@@ -3,7 +3,7 @@
 use jaspershunt_capture::format::put_record;
 use jaspershunt_capture::reader::{Part, parts};
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
-use jaspershunt_stand_ins::dependency::{Dependency, Plan};
+use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig};
 use jaspershunt_stand_ins::directory::Directory;
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
 use std::net::SocketAddr;
@@ -44,9 +44,9 @@
     async fn start(name: &str, capture: &str) -> Program {
         let folder = std::env::temp_dir().join(format!("jaspershunt-{name}-{}", std::process::id()));
         std::fs::create_dir_all(folder.join("captures")).unwrap();
-        let work = Work { part: Duration::from_millis(5), calls: 1 };
+        let work = Work { core_time: Duration::from_millis(5), calls: 1 };
         let interpreter = Interpreter::start(2, &[("look", work.clone()), ("sign", work)]).await;
-        let below = Dependency::start(Plan::new("registro", 4, Duration::from_millis(2))).await;
+        let below = Dependency::start(DependencyConfig::new("registro", 4, Duration::from_millis(2))).await;
         let directory = Directory::start().await;
         let config = format!(
             r#"{{"name":"n1","listen":"127.0.0.1:0","vm":"{}","lookup":"{}","db":"127.0.0.1:9","settings":{SETTINGS}}}"#,
--- a/crates/node/tests/cold_start.rs
+++ b/crates/node/tests/cold_start.rs
@@ -5,9 +5,9 @@
 mod moments;
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
-use jaspershunt_stand_ins::dependency::{Dependency, Plan};
+use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig};
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
-use jaspershunt_stand_ins::starts::{Nodo, Start};
+use jaspershunt_stand_ins::nodo::{Incarnation, Nodo};
 use moments::{GENEROUS, PROGRAM, local};
 use std::cell::Cell;
 use std::path::Path;
@@ -78,7 +78,7 @@
 /// A process, its interpreter, and the clients that keep it under load.
 struct Cold {
     nodo: Nodo,
-    start: Start,
+    start: Incarnation,
     interpreter: Interpreter,
     clients: Vec<JoinHandle<()>>,
 }
@@ -103,9 +103,9 @@
     let mut nodo = Nodo::new(Path::new(PROGRAM), &format!("cold-{of}-{n}")).await.unwrap();
     nodo.settings = SETTINGS.to_string();
     nodo.database = Some(database.address());
-    let (read, look) = (Work { part: 100 * MS, calls: 0 }, Work { part: 5 * MS, calls: 1 });
+    let (read, look) = (Work { core_time: 100 * MS, calls: 0 }, Work { core_time: 5 * MS, calls: 1 });
     let interpreter = Interpreter::start_cold(CORES as usize, &[("read", read), ("look", look)]).await;
-    let start = nodo.begin(interpreter.address()).await.unwrap();
+    let start = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
     let mut clients = Vec::new();
     let balancer = Balancer::new(nodo.address, n as u64, Some(interpreter.clone()));
     // What waits for calls counts with the crowd, and so each process has one of the classes.
@@ -118,7 +118,7 @@
 
 /// So many processes whose interpreters come up at the same moment, under load from before then on.
 async fn together(count: usize) {
-    let database = Dependency::start(Plan::new("db", 1000, 100 * MS)).await;
+    let database = Dependency::start(DependencyConfig::new("db", 1000, 100 * MS)).await;
     let (go, served) = (Rc::new(Cell::new(true)), Rc::new(Cell::new(0)));
     let mut all = Vec::new();
     for n in 0..count {
@@ -126,13 +126,13 @@
     }
     let up = Instant::now();
     for one in &all {
-        one.interpreter.come_up();
+        one.interpreter.become_ready();
     }
     sleep(LOAD).await;
     let end = Instant::now();
     go.set(false);
-    let cores: Vec<Levels> = all.iter().map(|one| one.interpreter.levels()).collect();
-    let calls = database.levels();
+    let cores: Vec<Levels> = all.iter().map(|one| one.interpreter.on_cores_history()).collect();
+    let calls = database.in_flight_history();
     let moments: Vec<Instant> = (0..).map(|n| up + 20 * MS * n).take_while(|moment| *moment <= end).collect();
     let (mut most_on_cores, mut most_calls) = (0.0_f64, 0.0_f64);
     for moment in &moments {
@@ -145,10 +145,13 @@
         }
         let budget = allowed * count as f64;
         assert!(sum <= budget + slack(budget), "{sum:.2} of {budget:.2} on the cores of {count}");
-        let in_hand = mean(&calls, *moment, CALLS_OVER);
+        let in_flight = mean(&calls, *moment, CALLS_OVER);
         let budget = FAIR_CALLS * count as f64;
-        assert!(in_hand <= budget + slack(budget), "{in_hand:.2} calls of {budget:.2} in hand for {count}");
-        (most_on_cores, most_calls) = (most_on_cores.max(sum), most_calls.max(in_hand));
+        assert!(
+            in_flight <= budget + slack(budget),
+            "{in_flight:.2} calls of {budget:.2} in hand for {count}"
+        );
+        (most_on_cores, most_calls) = (most_on_cores.max(sum), most_calls.max(in_flight));
     }
     println!("{count}: {most_on_cores:.2} on the cores, {most_calls:.2} calls, {} served", served.get());
     assert!(served.get() >= count, "too little was served to say anything: {}", served.get());
--- a/crates/node/tests/common/moments.rs
+++ b/crates/node/tests/common/moments.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use jaspershunt_stand_ins::balancer::Request;
-use jaspershunt_stand_ins::starts::{Nodo, Start};
+use jaspershunt_stand_ins::nodo::{Incarnation, Nodo};
 use jaspershunt_stand_ins::wire::{End, Wire};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
     let mut nodo = Nodo::new(Path::new(PROGRAM), &format!("narrow-{name}")).await.unwrap();
     let seconds = format!(r#""drainGraceS":{}"#, grace as f64 / 1000.0);
     nodo.settings = nodo.settings.replace(r#""drainGraceS":0"#, &seconds);
-    nodo.more = format!(r#","stop_ms":{}{more}"#, STOP.as_millis());
+    nodo.extra_config = format!(r#","stop_ms":{}{more}"#, STOP.as_millis());
     nodo
 }
 
@@ -89,7 +89,7 @@
 /// A process that serves and will be told to leave.
 pub struct Leaving {
     pub nodo: Nodo,
-    pub start: Start,
+    pub start: Incarnation,
     /// When it is to be told; see [`Leaving::plan`].
     pub at: Instant,
     /// When the directory is known to have heard `closed`.
@@ -148,7 +148,7 @@
 
     /// It reports that it takes no work, and ends in good order.
     pub async fn ends(&mut self) {
-        let ended = timeout(GENEROUS, self.start.process.ends()).await.unwrap();
+        let ended = timeout(GENEROUS, self.start.process.wait()).await.unwrap();
         assert!(ended, "it ends with a fault: {}", self.nodo.logs());
         let heard = timeout(GENEROUS, &mut self.watches).await;
         assert!(heard.is_ok(), "the directory never heard that it leaves: {}", self.nodo.logs());
@@ -208,10 +208,10 @@
 pub async fn in_parts(mut wire: Wire, request: Request, cut: usize, times: (Instant, Instant)) -> Sent {
     sleep_until(times.0).await;
     let (keyed, request) = (request.key.is_some(), wire.bytes(&request));
-    let mut left = wire.put(&request.bytes[..cut]);
+    let mut left = wire.write(&request.bytes[..cut]);
     sleep_until(times.1).await;
     let before = Instant::now();
-    left += if left == cut { wire.put(&request.bytes[cut..]) } else { 0 };
+    left += if left == cut { wire.write(&request.bytes[cut..]) } else { 0 };
     let whole = left == request.bytes.len();
     Sent { keyed, ..sent(wire, request.uid, whole, before).await }
 }
--- a/crates/node/tests/crossing_directory.rs
+++ b/crates/node/tests/crossing_directory.rs
@@ -9,8 +9,8 @@
 use jaspershunt_node::config::Peers;
 use jaspershunt_node::directory::{Mode, report};
 use jaspershunt_stand_ins::balancer::Request;
-use jaspershunt_stand_ins::dependency::{Dependency, Plan};
-use jaspershunt_stand_ins::starts::{Nodo, Start, keyed};
+use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig};
+use jaspershunt_stand_ins::nodo::{Incarnation, Nodo, keyed};
 use jaspershunt_stand_ins::wire::Wire;
 use moments::{GENEROUS, Stalls};
 use std::cell::Cell;
@@ -145,7 +145,7 @@
 /// A process that may open so many descriptors, and clients that take all connections which it gives them.
 struct Crowded {
     nodo: Nodo,
-    start: Start,
+    start: Incarnation,
     clients: Vec<TcpStream>,
     descriptors: usize,
     most: Rc<Cell<usize>>,
@@ -157,7 +157,7 @@
     async fn start(descriptors: usize, database: SocketAddr) -> Crowded {
         let limits = format!(r#","limits":{{"cores":1.0,"memory_mb":192,"sockets":{descriptors}}}"#);
         let mut nodo = moments::nodo(&format!("crowded-{descriptors}"), 2500, &limits).await;
-        nodo.descriptors = Some(descriptors);
+        nodo.max_descriptors = Some(descriptors);
         nodo.database = Some(database);
         let start = nodo.start().await.unwrap();
         let most = Rc::new(Cell::new(0));
@@ -203,7 +203,7 @@
     async fn hears_again(&self, mode: &str) {
         let before = self.nodo.directory.modes().len();
         let back = Instant::now();
-        self.nodo.directory.down(false);
+        self.nodo.directory.set_down(false);
         self.within("a report", async {
             while self.nodo.directory.modes().len() == before {
                 sleep(MS).await;
@@ -220,7 +220,7 @@
         self.fill().await;
         assert!(self.is_healthy().await);
         self.fill().await;
-        assert!(self.start.serves().await, "operators are not answered: {}", self.nodo.logs());
+        assert!(self.start.is_ready().await, "operators are not answered: {}", self.nodo.logs());
         assert!(self.start.call("INFO").await.contains('{'), "operators get no figures");
         self.fill().await;
         let key = format!("crowded-{}", self.number);
@@ -244,25 +244,25 @@
 /// Idle clients take every connection that they are given, and the directory is gone as health is withdrawn, as it is
 /// good again, and as the nodo leaves: what the nodo itself needs a connection for goes on all the same.
 async fn crowded(descriptors: usize) {
-    let database = Dependency::start(Plan::new("db", 8, 5 * MS)).await;
+    let database = Dependency::start(DependencyConfig::new("db", 8, 5 * MS)).await;
     let mut crowded = Crowded::start(descriptors, database.address()).await;
     crowded.goes_on().await;
     let directory = crowded.nodo.directory.clone();
     for (call, mode) in [("LAMEDUCK", "closed"), ("REJOIN", "open")] {
-        directory.down(true);
+        directory.set_down(true);
         crowded.fill().await;
         assert!(crowded.start.call(call).await.starts_with("+OK"));
         assert_eq!(crowded.is_healthy().await, mode == "open");
         crowded.hears_again(mode).await;
     }
-    directory.down(true);
+    directory.set_down(true);
     crowded.goes_on().await;
     crowded.fill().await;
     crowded.start.process.terminate();
     // It drains as soon as its health check is bad.
     crowded.within("it drains", async { while crowded.is_healthy().await {} }).await;
     crowded.hears_again("closed").await;
-    let ended = timeout(GENEROUS, crowded.start.process.ends()).await;
+    let ended = timeout(GENEROUS, crowded.start.process.wait()).await;
     assert!(ended.is_ok_and(|well| well), "it ends with a fault: {}", crowded.nodo.logs());
     let most = crowded.most.get();
     assert!(most <= descriptors, "{most} descriptors");
--- a/crates/node/tests/crossing_reload.rs
+++ b/crates/node/tests/crossing_reload.rs
@@ -1,8 +1,8 @@
 //! Signals that cross: SIGHUP and SIGTERM reach the program in one instant, as it was stopped when they were sent.
 
 use jaspershunt_stand_ins::balancer::Balancer;
+use jaspershunt_stand_ins::nodo::{Incarnation, Nodo, keyed};
 use jaspershunt_stand_ins::process::Process;
-use jaspershunt_stand_ins::starts::{Nodo, Start, keyed};
 use std::path::Path;
 use std::time::Duration;
 use tokio::runtime::Builder;
@@ -47,20 +47,20 @@
 
 /// Signals that come in one instant.
 fn at_once(process: &Process, signals: &[fn(&Process)]) {
-    process.freeze();
+    process.pause();
     signals.iter().for_each(|signal| signal(process));
-    process.thaw();
+    process.resume();
 }
 
 /// What a start says of the configurations that it has read.
-async fn counts(start: &Start) -> String {
+async fn counts(start: &Incarnation) -> String {
     let info = start.call("INFO").await;
     let from = info.find("\"conf_loaded\"").expect("counts");
     let to = info[from..].find('}').expect("an end");
     info[from..from + to].to_string()
 }
 
-async fn until_counts(start: &Start, expected: &str) {
+async fn until_counts(start: &Incarnation, expected: &str) {
     while counts(start).await != expected {
         sleep(LOOK_EVERY).await;
     }
@@ -76,7 +76,7 @@
         for how in [Edit::Good, Edit::Bad] {
             local(async {
                 let mut site = nodo(&format!("signals-{n}-{how:?}")).await;
-                site.alone = true;
+                site.without_shared_folder = true;
                 let mut start = site.start().await.unwrap();
                 let balancer = Balancer::new(site.address, 1, None);
                 let runs = spawn_local({
@@ -89,7 +89,7 @@
                 edit(&site, 1, how);
                 at_once(&start.process, &signals);
                 assert_eq!(runs.await.unwrap().status, 200, "{n} {how:?}{}", site.logs());
-                assert!(start.process.ends().await, "it fails at its end");
+                assert!(start.process.wait().await, "it fails at its end");
                 assert_eq!(site.runs(b"k"), 1);
                 assert_eq!(site.directory.mode().as_deref(), Some("closed"));
                 let said = match how {
@@ -169,13 +169,13 @@
         edit(&site, 1, Edit::Good);
         edit(&site, 2, Edit::Good);
         for start in [&earlier, &later] {
-            start.process.freeze();
+            start.process.pause();
             start.process.hang_up();
         }
         let balancer = Balancer::new(site.address, 3, None);
         let third = spawn_local(async move { balancer.send(&keyed("slow", "k", true), PATIENCE).await });
         for start in [&later, &earlier] {
-            start.process.thaw();
+            start.process.resume();
         }
         for start in [&earlier, &later] {
             until_counts(start, "\"conf_loaded\":1,\"conf_invalid\":0").await;
@@ -186,7 +186,7 @@
             "{bodies:?}"
         );
         earlier.process.terminate();
-        assert!(earlier.process.ends().await);
+        assert!(earlier.process.wait().await);
         let balancer = Balancer::new(site.address, 4, None);
         assert_eq!(balancer.send(&keyed("slow", "k", true), PATIENCE).await.status, 200);
         assert_eq!(site.runs(b"k"), 1);
--- a/crates/node/tests/dependencies.rs
+++ b/crates/node/tests/dependencies.rs
@@ -9,7 +9,7 @@
 use jaspershunt_node::{config, server};
 use jaspershunt_operator::{File, read};
 use jaspershunt_stand_ins::balancer::{Answer, Balancer, Request};
-use jaspershunt_stand_ins::dependency::{Dependency, Ended, Mode, Plan};
+use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig, Ended, Mode};
 use jaspershunt_stand_ins::directory::Directory;
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
 use jaspershunt_stand_ins::script::Script;
@@ -82,10 +82,10 @@
     }
 
     async fn start_with(change: impl FnOnce(String) -> String) -> Site {
-        let a = Dependency::start(Plan::new("a", 4, ms(20))).await;
-        let b = Dependency::start(Plan::new("b", 4, ms(20))).await;
-        let c = Dependency::start(Plan::new("c", 4, ms(20))).await;
-        let once = Work { part: ms(2), calls: 1 };
+        let a = Dependency::start(DependencyConfig::new("a", 4, ms(20))).await;
+        let b = Dependency::start(DependencyConfig::new("b", 4, ms(20))).await;
+        let c = Dependency::start(DependencyConfig::new("c", 4, ms(20))).await;
+        let once = Work { core_time: ms(2), calls: 1 };
         let classes = [("look", once.clone()), ("find", once.clone()), ("sign", once)];
         let interpreter = Interpreter::start(4, &classes).await;
         let directory = Directory::start().await;
@@ -157,7 +157,7 @@
         assert!(faults.is_empty(), "{faults:#?}");
         for dependency in [&self.a, &self.b, &self.c] {
             let record = dependency.record();
-            let most = (record.most_in_hand, record.most_connections);
+            let most = (record.max_in_flight, record.max_connections);
             assert!(most.0 <= 6 && most.1 <= 6, "{}: {most:?} in hand and connections", dependency.name());
         }
     }
@@ -242,7 +242,7 @@
         site.check().await;
         assert_eq!(site.served("sign", 0), 0.0);
         assert_eq!([site.served("look", 0), site.served("find", 0)], [1.0, 1.0]);
-        let given_up = site.c.record().calls.iter().filter(|call| call.ended == Ended::GivenUp).count();
+        let given_up = site.c.record().calls.iter().filter(|call| call.ended == Ended::Abandoned).count();
         assert!(given_up > 0);
     });
 }
@@ -342,17 +342,17 @@
 fn budgets_and_addresses_change_under_load_and_calls_in_hand_end_where_they_are() {
     paused(async {
         let mut site = Site::start().await;
-        let elsewhere = Dependency::start(Plan::new("c", 4, ms(20))).await;
+        let elsewhere = Dependency::start(DependencyConfig::new("c", 4, ms(20))).await;
         site.c.set(Mode::After(ms(250)));
         site.load(ms(20), ms(200)).await;
-        let at_old = site.c.in_hand();
+        let at_old = site.c.in_flight();
         assert!(at_old > 0);
         let moved = site.text.replace(&site.c.address().to_string(), &elsewhere.address().to_string());
         site.operators.send_replace(Some(Rc::new(read("t.hcl", &moved).unwrap())));
         site.load(ms(20), ms(500)).await;
         site.all_answered().await;
         assert!(!elsewhere.record().calls.is_empty());
-        let well = site.c.record().calls.iter().filter(|call| call.ended == Ended::Well).count();
+        let well = site.c.record().calls.iter().filter(|call| call.ended == Ended::Succeeded).count();
         assert!(well >= at_old, "{well} of {at_old} in hand ended well");
         let before = site.c.record().calls.len();
         // One call at a time from here on.
@@ -362,7 +362,7 @@
         let from = site.b.record().calls.len();
         site.load(ms(10), ms(500)).await;
         site.all_answered().await;
-        assert!(site.b.record().calls[from..].iter().all(|call| call.in_hand == 1));
+        assert!(site.b.record().calls[from..].iter().all(|call| call.in_flight == 1));
         assert_eq!(site.c.record().calls.len(), before);
         let faults =
             truth::check(&site.sent.borrow(), &site.interpreter, &[&site.a, &site.b, &site.c, &elsewhere]);
@@ -379,7 +379,7 @@
         site.operators.send_replace(Some(Rc::new(read("t.hcl", &other).unwrap())));
         site.load(ms(10), ms(500)).await;
         site.check().await;
-        assert!(site.b.record().most_in_hand > 1, "the budget was taken up");
+        assert!(site.b.record().max_in_flight > 1, "the budget was taken up");
     });
 }
 
--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -7,7 +7,7 @@
 use jaspershunt_node::clock::Clock;
 use jaspershunt_node::{config, server};
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
-use jaspershunt_stand_ins::dependency::{Dependency, Plan};
+use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig};
 use jaspershunt_stand_ins::directory::Directory;
 use jaspershunt_stand_ins::interpreter::{Halt, Interpreter, Work};
 use jaspershunt_stand_ins::truth::{self, Sent};
@@ -123,12 +123,12 @@
 
 /// Plays a day of a deployment; returns what does not fit, and how many requests were served.
 async fn play(made: &Made, seed: u64) -> (Vec<String>, usize) {
-    let below = Dependency::start(Plan::new("below", 4, Duration::from_millis(20))).await;
+    let below = Dependency::start(DependencyConfig::new("below", 4, Duration::from_millis(20))).await;
     let (ms, calls) = (Duration::from_millis(10), usize::from(made[BELOW] == 0));
     let classes = [
-        ("view", Work { part: ms, calls }),
-        ("find", Work { part: 2 * ms, calls: 0 }),
-        ("edit", Work { part: ms, calls }),
+        ("view", Work { core_time: ms, calls }),
+        ("find", Work { core_time: 2 * ms, calls: 0 }),
+        ("edit", Work { core_time: ms, calls }),
     ];
     let halt = [Halt::Drop, Halt::Pause, Halt::Never][made[HALT]];
     let interpreter = Interpreter::start_with(2, halt, &classes).await;
@@ -172,7 +172,7 @@
         }
         // A long wait, a short one, one beyond the class's deadline, none at all, one that is over.
         let waits = [700, 150, 5_000, 60, 0][(dice / 7 % 5) as usize];
-        request.waits_ms = (made[DEADLINE] == 1 && !(dice / 35).is_multiple_of(6)).then_some(waits);
+        request.deadline_ms = (made[DEADLINE] == 1 && !(dice / 35).is_multiple_of(6)).then_some(waits);
         let (balancer, record, again) = (balancer.clone(), record.clone(), (dice / 210).is_multiple_of(2));
         let marked = made[MARKS] == 0;
         tasks.push(spawn_local(async move {
@@ -181,7 +181,7 @@
             for n in 0..tries {
                 request.resent = marked && n > 0;
                 // Who says nothing of its wait, or more than the class's deadline, is owed an answer by that.
-                let due = request.waits_ms.map_or(1000, |ms| ms.min(1000)) + SLACK_MS;
+                let due = request.deadline_ms.map_or(1000, |ms| ms.min(1000)) + SLACK_MS;
                 let after = left.map(|left| left.elapsed());
                 let answer = balancer.send(&request, Duration::from_millis(due)).await;
                 let ended = answer.status == 200;
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! allowance; progress within generous bounds.
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
-use jaspershunt_stand_ins::fleet::{Fleet, Task, acts_more};
+use jaspershunt_stand_ins::fleet::{Fleet, Task, wait_for_acts};
 use jaspershunt_stand_ins::link::{Fault, Way};
 use jaspershunt_stand_ins::resource::Resource;
 use std::path::Path;
@@ -62,7 +62,7 @@
     async fn start(self) -> Rig {
         let mut rig = self;
         rig.fleet.start_all().await.unwrap();
-        rig.within("its votes", rig.fleet.has_its_votes()).await;
+        rig.within("its votes", rig.fleet.wait_for_votes()).await;
         rig.goes_on("at the start").await;
         rig
     }
@@ -76,15 +76,17 @@
 
     /// Both tasks go on, and nothing was that must never be.
     async fn goes_on(&self, what: &str) {
-        self.within(what, async { tokio::join!(acts_more(&self.checks, 2), acts_more(&self.cannot, 2)) })
-            .await;
+        self.within(what, async {
+            tokio::join!(wait_for_acts(&self.checks, 2), wait_for_acts(&self.cannot, 2))
+        })
+        .await;
         self.is_safe(what);
     }
 
     fn is_safe(&self, what: &str) {
-        assert_eq!(self.checks.lower_after_higher(), [], "{what}: {}", self.fleet.logs());
+        assert_eq!(self.checks.stale_token_acts(), [], "{what}: {}", self.fleet.logs());
         assert_eq!(self.cannot.overlaps(), [], "{what}: {}", self.fleet.logs());
-        assert_eq!(self.cannot.lower_after_higher(), [], "{what}: {}", self.fleet.logs());
+        assert_eq!(self.cannot.stale_token_acts(), [], "{what}: {}", self.fleet.logs());
     }
 
     async fn leader(&self) -> usize {
@@ -113,7 +115,7 @@
 
     /// The disk with which a nodo votes.
     async fn disk(&self, n: usize) -> Option<String> {
-        let shown = self.fleet.shown(self.fleet.leader().await?).await?;
+        let shown = self.fleet.show(self.fleet.leader().await?).await?;
         let seats = shown["seats"].as_array()?.clone();
         let seat = seats.iter().find(|seat| seat["member"] == format!("n{n}") && seat["votes"] == true)?;
         Some(seat["disk"].as_str()?.to_string())
@@ -121,7 +123,7 @@
 
     async fn has_another_disk(&self, n: usize, before: &Option<String>) {
         loop {
-            self.fleet.has_its_votes().await;
+            self.fleet.wait_for_votes().await;
             let disk = self.disk(n).await;
             if disk.is_some() && disk != *before {
                 return;
@@ -187,16 +189,16 @@
         rig.within("leases that go on", kept).await;
         rig.is_safe("nothing is wrong");
         // Longer acts, so that one is under way when its holder's time ends.
-        rig.cannot.lasts(Duration::from_millis(150));
+        rig.cannot.set_duration(Duration::from_millis(150));
         for task in ["timed", "checked", "timed", "timed"] {
             let holder = rig.holder(task).await;
-            rig.fleet.alone(holder, Fault::Cut);
+            rig.fleet.isolate(holder, Fault::Cut);
             rig.goes_on("the holder is cut off").await;
             rig.fleet.heal();
             let holder = rig.holder(task).await;
-            rig.fleet.process(holder).freeze();
+            rig.fleet.process(holder).pause();
             rig.goes_on("the holder is frozen").await;
-            rig.fleet.process(holder).thaw();
+            rig.fleet.process(holder).resume();
             rig.goes_on("the holder is woken").await;
         }
         let leader = rig.leader().await;
@@ -215,30 +217,30 @@
         for task in ["timed", "checked"] {
             let holder = rig.holder(task).await;
             let resource = if task == "timed" { &rig.cannot } else { &rig.checks };
-            resource.lasts(Duration::from_millis(150));
-            rig.within("an act", acts_more(resource, 1)).await;
-            rig.fleet.process(holder).freeze();
+            resource.set_duration(Duration::from_millis(150));
+            rig.within("an act", wait_for_acts(resource, 1)).await;
+            rig.fleet.process(holder).pause();
             rig.goes_on("the holder is frozen").await;
-            rig.fleet.process(holder).thaw();
+            rig.fleet.process(holder).resume();
             rig.goes_on("the holder is woken").await;
         }
         let leader = rig.leader().await;
-        rig.fleet.process(leader).freeze();
+        rig.fleet.process(leader).pause();
         rig.goes_on("the one that leads is frozen").await;
         let other = rig.leader().await;
-        rig.fleet.process(leader).thaw();
+        rig.fleet.process(leader).resume();
         rig.goes_on("the one that led is woken").await;
         assert_ne!(leader, other);
         // And both at once.
         let (leader, holder) = (rig.leader().await, rig.holder("timed").await);
-        rig.fleet.process(leader).freeze();
+        rig.fleet.process(leader).pause();
         if holder != leader {
-            rig.fleet.process(holder).freeze();
+            rig.fleet.process(holder).pause();
         }
         sleep(2 * TTL).await;
-        rig.fleet.process(leader).thaw();
+        rig.fleet.process(leader).resume();
         if holder != leader {
-            rig.fleet.process(holder).thaw();
+            rig.fleet.process(holder).resume();
         }
         rig.goes_on("both are woken").await;
         rig.fleet.kill(leader).await;
@@ -253,7 +255,7 @@
         let leader = rig.leader().await;
         // Each way alone, and both: the rest of the fleet goes on with another one.
         for resets in [false, true] {
-            rig.fleet.alone(leader, Fault::Cut);
+            rig.fleet.isolate(leader, Fault::Cut);
             if resets {
                 for link in rig.fleet.links.values() {
                     link.reset();
@@ -276,7 +278,7 @@
         }
         // Without a quorum nothing acts for long, requests are served, and it goes on by itself.
         for n in 0..3 {
-            rig.fleet.alone(n, Fault::Cut);
+            rig.fleet.isolate(n, Fault::Cut);
         }
         sleep(3 * TTL).await;
         let acts = rig.cannot.acts().len();
@@ -301,14 +303,17 @@
         rig.fleet.kill(voter).await;
         std::fs::copy(&file, &copy).unwrap();
         rig.fleet.start(voter).await.unwrap();
-        rig.within("its votes", rig.fleet.has_its_votes()).await;
+        rig.within("its votes", rig.fleet.wait_for_votes()).await;
         rig.goes_on("after the copy").await;
         let disk = rig.disk(voter).await;
         rig.fleet.kill(voter).await;
         std::fs::copy(&copy, &file).unwrap();
         rig.fleet.start(voter).await.unwrap();
-        rig.within("the older disk is seen", rig.fleet.process(voter).says("the voter's disk is older"))
-            .await;
+        rig.within(
+            "the older disk is seen",
+            rig.fleet.process(voter).wait_for_output("the voter's disk is older"),
+        )
+        .await;
         rig.within("another disk's vote", rig.has_another_disk(voter, &disk)).await;
         rig.goes_on("after the older disk").await;
         let disk = rig.disk(voter).await;
@@ -329,17 +334,17 @@
         let mut rig = Rig::started("twins").await;
         for frozen in [false, true] {
             let holder = rig.holder("timed").await;
-            let earlier = rig.fleet.starts[holder].take().unwrap();
+            let earlier = rig.fleet.incarnations[holder].take().unwrap();
             if frozen {
-                earlier.process.freeze();
+                earlier.process.pause();
             }
             rig.fleet.start(holder).await.unwrap();
             rig.goes_on("a later start is here").await;
-            earlier.process.thaw();
+            earlier.process.resume();
             rig.goes_on("both are").await;
             drop(earlier);
             rig.goes_on("the earlier one is gone").await;
-            rig.within("its votes", rig.fleet.has_its_votes()).await;
+            rig.within("its votes", rig.fleet.wait_for_votes()).await;
         }
     });
 }
@@ -349,7 +354,7 @@
 fn who_is_no_member_is_closed_and_nothing_is_lost() {
     local(async {
         let rig = Rig::started("noise").await;
-        let at = rig.fleet.listens[rig.leader().await];
+        let at = rig.fleet.voter_addresses[rig.leader().await];
         let mut silent = Vec::new();
         for _ in 0..150 {
             silent.push(TcpStream::connect(at).await.unwrap());
@@ -380,7 +385,7 @@
 fn operators_see_the_fleet_and_have_tasks_run_paused_and_taken_back() {
     local(async {
         let rig = Rig::started("operators").await;
-        let admin = rig.fleet.starts[4].as_ref().unwrap().admin.to_string();
+        let admin = rig.fleet.incarnations[4].as_ref().unwrap().admin.to_string();
         let said = async |args: &[&str]| {
             let mut command = std::process::Command::new(PROGRAM);
             command.arg("fleet").args(args).args(["--at", &admin]);
@@ -424,8 +429,7 @@
 #[test]
 fn without_a_fleet_there_is_nothing_of_it() {
     local(async {
-        let mut nodo =
-            jaspershunt_stand_ins::starts::Nodo::new(Path::new(PROGRAM), "fleetless").await.unwrap();
+        let mut nodo = jaspershunt_stand_ins::nodo::Nodo::new(Path::new(PROGRAM), "fleetless").await.unwrap();
         let start = nodo.start().await.unwrap();
         assert_eq!(start.call("FLEET SHOW").await, "-ERR this nodo is in no fleet\r\n");
         let threads = std::fs::read_dir(format!("/proc/{}/task", start.process.id())).unwrap().count();
--- a/crates/node/tests/frozen.rs
+++ b/crates/node/tests/frozen.rs
@@ -5,7 +5,7 @@
 mod passing;
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
-use jaspershunt_stand_ins::starts::{Load, Nodo, Record, Start, keyed};
+use jaspershunt_stand_ins::nodo::{AnswerLog, Incarnation, Load, Nodo, keyed};
 use passing::pass_on;
 use std::cell::Cell;
 use std::path::Path;
@@ -37,7 +37,7 @@
 }
 
 /// Sends pairs until ten in a row are served, both tries of each.
-async fn serves_again(nodo: &Nodo, record: &Record) {
+async fn serves_again(nodo: &Nodo, record: &AnswerLog) {
     let all = async {
         // Keys that no earlier call has sent: a second first try is no try of theirs.
         let (mut served, mut n) = (0, record.answers().len());
@@ -54,7 +54,7 @@
 }
 
 /// No key ran twice, and none was refused after it ran.
-fn is_safe(nodo: &Nodo, record: &Record, what: &str) {
+fn is_safe(nodo: &Nodo, record: &AnswerLog, what: &str) {
     let tally = record.tally(nodo, "");
     assert!(tally.keys > 0, "{what}: nothing was sent");
     assert!(
@@ -65,12 +65,12 @@
 }
 
 /// The one start that takes clients, by what each says.
-async fn the_one_that_serves(starts: &[&Start], nodo: &Nodo) -> usize {
+async fn the_one_that_serves(starts: &[&Incarnation], nodo: &Nodo) -> usize {
     let one = async {
         loop {
             let mut serving = Vec::new();
             for (n, start) in starts.iter().enumerate() {
-                if start.serves().await {
+                if start.is_ready().await {
                     serving.push(n);
                 }
             }
@@ -89,20 +89,20 @@
 fn a_start_that_was_taken_from_runs_nothing_when_it_wakes() {
     local(async {
         let mut nodo = nodo("woken").await;
-        let (earlier, record) = (nodo.start().await.unwrap(), Record::default());
+        let (earlier, record) = (nodo.start().await.unwrap(), AnswerLog::default());
         record.burst(nodo.address, "before", 20, 4, PATIENCE).await;
-        earlier.process.freeze();
+        earlier.process.pause();
         let later = nodo.start().await.unwrap();
         let (address, all) = (nodo.address, record.clone());
         let burst = spawn_local(async move { all.burst(address, "during", 300, 12, PATIENCE).await });
         sleep(Duration::from_millis(300)).await;
-        earlier.process.thaw();
+        earlier.process.resume();
         burst.await.unwrap();
         serves_again(&nodo, &record).await;
         is_safe(&nodo, &record, "woken");
         let told = earlier.call("PING").await;
         assert!(told.starts_with("-ERR") && told.contains("taken over"), "{told}");
-        assert!(later.serves().await);
+        assert!(later.is_ready().await);
         // What the earlier one ran is known to the later one, and served from there.
         let balancer = Balancer::new(nodo.address, 9, None);
         let again = balancer.send(&keyed("sign", "before-0", true), GENEROUS).await;
@@ -116,16 +116,16 @@
 fn a_frozen_later_start_leaves_the_earlier_one_serving() {
     local(async {
         let mut nodo = nodo("later-frozen").await;
-        let (earlier, record) = (nodo.start().await.unwrap(), Record::default());
+        let (earlier, record) = (nodo.start().await.unwrap(), AnswerLog::default());
         let later = nodo.start().await.unwrap();
         record.burst(nodo.address, "there", 20, 4, PATIENCE).await;
-        later.process.freeze();
+        later.process.pause();
         timeout(GENEROUS, async {
             // Until the link counts as silent the earlier one says that it serves, by way of the later one.
             while earlier.call("PING").await.starts_with("+OK") {
                 sleep(Duration::from_millis(10)).await;
             }
-            earlier.takes_clients().await;
+            earlier.wait_until_ready().await;
         })
         .await
         .unwrap_or_else(|_| panic!("{}", nodo.logs()));
@@ -133,7 +133,7 @@
         let balancer = Balancer::new(nodo.address, 9, None);
         let again = balancer.send(&keyed("sign", "there-0", true), GENEROUS).await;
         assert_eq!((again.status, nodo.signed("there-0")), (500, 1), "it ran where nobody can tell");
-        later.process.thaw();
+        later.process.resume();
         assert_eq!(the_one_that_serves(&[&earlier, &later], &nodo).await, 0);
         record.burst(nodo.address, "woken", 60, 12, PATIENCE).await;
         serves_again(&nodo, &record).await;
@@ -144,7 +144,7 @@
         // A notice to leave reaches it in its time, and is none for the nodo.
         let mut later = later;
         later.process.terminate();
-        assert!(timeout(GENEROUS, later.process.ends()).await.unwrap());
+        assert!(timeout(GENEROUS, later.process.wait()).await.unwrap());
         assert!(!nodo.directory.modes().iter().any(|mode| mode == "closed"));
     });
 }
@@ -154,9 +154,9 @@
     let what =
         format!("frozen-{}-{messages}-{}", if earlier_is { "earlier" } else { "later" }, length.as_millis());
     let mut nodo = nodo(&what).await;
-    let (earlier, record) = (nodo.start().await.unwrap(), Record::default());
+    let (earlier, record) = (nodo.start().await.unwrap(), AnswerLog::default());
     let load = Load::start(nodo.address, PATIENCE);
-    load.more(5).await;
+    load.wait_for_reads(5).await;
     let (socket, behind) = (nodo.folder.join("jaspershunt-n1.sock"), nodo.folder.join("behind.sock"));
     while std::fs::rename(&socket, &behind).is_err() {
         sleep(Duration::from_millis(2)).await;
@@ -181,14 +181,14 @@
         };
         pass_on(earlier, later, goes_on).await;
     });
-    let later = nodo.start_early().await.unwrap();
+    let later = nodo.start_without_waiting().await.unwrap();
     timeout(GENEROUS, reached).await.unwrap_or_else(|_| panic!("{what}: {}", nodo.logs())).unwrap();
     let frozen = if earlier_is { &earlier } else { &later };
-    frozen.process.freeze();
+    frozen.process.pause();
     let (address, all) = (nodo.address, record.clone());
     let burst = spawn_local(async move { all.burst(address, "during", 40, 4, PATIENCE).await });
     sleep(length).await;
-    frozen.process.thaw();
+    frozen.process.resume();
     burst.await.unwrap();
     the_one_that_serves_at_last(&earlier, &later, &nodo).await;
     serves_again(&nodo, &record).await;
@@ -203,9 +203,9 @@
 }
 
 /// In the end the nodo has one start that serves; the earlier one says that it takes clients too while it passes them on.
-async fn the_one_that_serves_at_last(earlier: &Start, later: &Start, nodo: &Nodo) {
+async fn the_one_that_serves_at_last(earlier: &Incarnation, later: &Incarnation, nodo: &Nodo) {
     let one = async {
-        while !earlier.serves().await && !later.serves().await {
+        while !earlier.is_ready().await && !later.is_ready().await {
             sleep(Duration::from_millis(20)).await;
         }
     };
@@ -246,29 +246,29 @@
 fn two_frozen_starts_leave_a_third_one_serving() {
     local(async {
         let mut nodo = nodo("third").await;
-        let (mut first, record) = (nodo.start().await.unwrap(), Record::default());
+        let (mut first, record) = (nodo.start().await.unwrap(), AnswerLog::default());
         record.burst(nodo.address, "first", 20, 4, PATIENCE).await;
-        first.process.freeze();
+        first.process.pause();
         let second = nodo.start().await.unwrap();
         record.burst(nodo.address, "second", 20, 4, PATIENCE).await;
-        second.process.freeze();
+        second.process.pause();
         first.process.terminate();
         let third = nodo.start().await.unwrap();
         let (address, all) = (nodo.address, record.clone());
         let burst = spawn_local(async move { all.burst(address, "third", 200, 12, PATIENCE).await });
         sleep(Duration::from_millis(200)).await;
-        first.process.thaw();
+        first.process.resume();
         sleep(Duration::from_millis(100)).await;
-        second.process.thaw();
+        second.process.resume();
         burst.await.unwrap();
-        assert!(timeout(GENEROUS, first.process.ends()).await.unwrap(), "it fails at its end");
+        assert!(timeout(GENEROUS, first.process.wait()).await.unwrap(), "it fails at its end");
         assert_eq!(the_one_that_serves(&[&second, &third], &nodo).await, 1);
         serves_again(&nodo, &record).await;
         // And back: the third is frozen, and the second, which had lost the right, takes it.
-        third.process.freeze();
-        timeout(GENEROUS, second.takes_clients()).await.unwrap_or_else(|_| panic!("{}", nodo.logs()));
+        third.process.pause();
+        timeout(GENEROUS, second.wait_until_ready()).await.unwrap_or_else(|_| panic!("{}", nodo.logs()));
         record.burst(nodo.address, "back", 20, 4, PATIENCE).await;
-        third.process.thaw();
+        third.process.resume();
         serves_again(&nodo, &record).await;
         assert_eq!(the_one_that_serves(&[&second, &third], &nodo).await, 0);
         is_safe(&nodo, &record, "third");
@@ -282,14 +282,14 @@
 fn a_woken_start_takes_the_right_back_when_nobody_has_it_any_more() {
     local(async {
         let mut nodo = nodo("widow").await;
-        let (earlier, record) = (nodo.start().await.unwrap(), Record::default());
-        earlier.process.freeze();
+        let (earlier, record) = (nodo.start().await.unwrap(), AnswerLog::default());
+        earlier.process.pause();
         let mut later = nodo.start().await.unwrap();
         record.burst(nodo.address, "there", 20, 4, PATIENCE).await;
         later.process.kill().await;
-        earlier.process.thaw();
+        earlier.process.resume();
         serves_again(&nodo, &record).await;
-        assert!(earlier.serves().await);
+        assert!(earlier.is_ready().await);
         let served: Vec<String> =
             record.answers().keys().filter(|key| nodo.signed(key) == 1).cloned().collect();
         let there = served.iter().find(|key| key.starts_with("there")).unwrap();
@@ -313,12 +313,12 @@
             folder.map(|folder| command.env("TMPDIR", folder));
             let log = nodo.folder.join(name);
             let mut two = jaspershunt_stand_ins::process::Process::start(&mut command, &log).unwrap();
-            assert!(!timeout(GENEROUS, two.ends()).await.unwrap(), "it serves beside the first");
-            assert!(two.said().contains("cannot listen on"), "{}", two.said());
+            assert!(!timeout(GENEROUS, two.wait()).await.unwrap(), "it serves beside the first");
+            assert!(two.output().contains("cannot listen on"), "{}", two.output());
         }
         let balancer = Balancer::new(nodo.address, 1, None);
         assert_eq!(balancer.send(&Request::new("read", b"x"), GENEROUS).await.status, 200);
-        assert!(one.serves().await);
+        assert!(one.is_ready().await);
     });
 }
 
@@ -331,16 +331,16 @@
             .map(|n| {
                 spawn_local(async move {
                     let mut nodo = nodo(&format!("limit{n}")).await;
-                    let (_earlier, record) = (nodo.start().await.unwrap(), Record::default());
+                    let (_earlier, record) = (nodo.start().await.unwrap(), AnswerLog::default());
                     record.burst(nodo.address, "before", 10, 4, PATIENCE).await;
                     let later = nodo.start().await.unwrap();
                     sleep(Duration::from_millis(150)).await;
-                    later.process.freeze();
+                    later.process.pause();
                     let (address, all) = (nodo.address, record.clone());
                     let burst =
                         spawn_local(async move { all.burst(address, "during", 40, 2, PATIENCE).await });
                     sleep(Duration::from_millis(1150 + 60 * n)).await;
-                    later.process.thaw();
+                    later.process.resume();
                     // At the wake, when two might think that they serve.
                     record.burst(nodo.address, "woken", 80, 12, PATIENCE).await;
                     burst.await.unwrap();
@@ -363,7 +363,7 @@
         let mut nodo = nodo("time").await;
         let earlier = nodo.start().await.unwrap();
         let later = nodo.start().await.unwrap();
-        later.process.freeze();
+        later.process.pause();
         let began = Instant::now();
         let mut n = 0;
         let first = loop {
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -6,8 +6,8 @@
 use jaspershunt_histories::format::{Came, FILE_BYTES, Op, Told, Value, Who, WorkEnd, Writer};
 use jaspershunt_stand_ins::balancer::{Answer, Balancer, Request};
 use jaspershunt_stand_ins::fleet::Fleet;
+use jaspershunt_stand_ins::nodo::Incarnation;
 use jaspershunt_stand_ins::resource::Resource;
-use jaspershunt_stand_ins::starts::Start;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -154,7 +154,7 @@
             balancers: Rc::default(),
         };
         let rig = Rig { histories, fleet, resource, clients };
-        rig.within("its votes", rig.fleet.has_its_votes()).await;
+        rig.within("its votes", rig.fleet.wait_for_votes()).await;
         // At the one nodo that has the class in every test: another one, without it, would run it unheld and without its key.
         let (clients, at) = (rig.clients.clone(), site.nodos - 1);
         let first = spawn_local(async move {
@@ -163,7 +163,7 @@
             }
         });
         rig.within("the first is served", first).await.unwrap();
-        rig.resource.lasts(site.lasts);
+        rig.resource.set_duration(site.lasts);
         let rooms = async {
             // The room of all nodos is said within a second of their beginning.
             sleep(Duration::from_millis(1200)).await;
@@ -176,7 +176,7 @@
         match timeout(GENEROUS, done).await {
             Ok(done) => done,
             Err(_) => {
-                let work = self.fleet.shown(0).await.map(|shown| shown["work"].clone());
+                let work = self.fleet.show(0).await.map(|shown| shown["work"].clone());
                 panic!("{what}: {:#?} {work:#?} {}", self.clients.tries.borrow(), self.fleet.logs())
             }
         }
@@ -211,7 +211,7 @@
     async fn owner_but(&self, key: &str, but: &[usize], asks: usize) -> usize {
         let owner = async {
             loop {
-                if let Some(shown) = self.fleet.shown(asks).await
+                if let Some(shown) = self.fleet.show(asks).await
                     && let Some(work) = shown["work"].as_array()
                     && let Some(item) = work.iter().find(|item| item["key"] == key)
                     && let Some(owner) =
@@ -311,10 +311,10 @@
             }
         };
         rig.within("it is over", over).await;
-        rig.fleet.process(3).freeze();
+        rig.fleet.process(3).pause();
         let repeat = rig.once("k", 1, true);
         let told = rig.within("a repeat is told", repeat).await.unwrap();
-        rig.fleet.process(3).thaw();
+        rig.fleet.process(3).resume();
         let woken = rig.within("the first is told", caller).await.unwrap();
         assert_eq!((told.status, woken.status), (200, 200), "{}", rig.fleet.logs());
         assert_eq!(told.body, woken.body);
@@ -349,8 +349,8 @@
             Rig::started("upgraded", Site { lasts: Duration::from_millis(3000), ..Site::default() }).await;
         let clients: Vec<_> = (0..6).map(|n| rig.client(&format!("k{n}"), 3)).collect();
         rig.begun("k5").await;
-        let later: Start = rig.fleet.nodos[3].start().await.unwrap();
-        let earlier = rig.fleet.starts[3].replace(later).unwrap();
+        let later: Incarnation = rig.fleet.nodos[3].start().await.unwrap();
+        let earlier = rig.fleet.incarnations[3].replace(later).unwrap();
         earlier.process.terminate();
         let repeats: Vec<_> = (0..6).map(|n| rig.client(&format!("k{n}"), 3)).collect();
         for client in clients.into_iter().chain(repeats) {
@@ -436,7 +436,7 @@
         assert_eq!(caller.await.unwrap().status, 0, "nobody was there to answer");
         let ended = async {
             loop {
-                let shown = rig.fleet.shown(0).await;
+                let shown = rig.fleet.show(0).await;
                 let work = shown.as_ref().and_then(|shown| shown["work"].as_array().cloned());
                 if work.unwrap_or_default().iter().any(|item| item["key"] == "k" && item["end"] == "unknown")
                 {
@@ -490,11 +490,11 @@
         let mut rig = Rig::started("waits", Site { lasts, ..Site::default() }).await;
         let first = rig.once("k", 4, false);
         rig.begun("k").await;
-        rig.fleet.process(4).freeze();
+        rig.fleet.process(4).pause();
         let repeat = rig.once("k", 2, true);
         let waits = async {
             loop {
-                let shown = rig.fleet.shown(0).await;
+                let shown = rig.fleet.show(0).await;
                 let work = shown.as_ref().and_then(|shown| shown["work"].as_array().cloned());
                 let waits = |item: &serde_json::Value| {
                     item["key"] == "k" && item["waiters"].as_array().is_some_and(|all| !all.is_empty())
@@ -506,14 +506,14 @@
             }
         };
         rig.within("it waits", waits).await;
-        let mut leaves = rig.fleet.starts[2].take().unwrap();
+        let mut leaves = rig.fleet.incarnations[2].take().unwrap();
         leaves.process.terminate();
         let answer = rig.within("it is answered", repeat).await.unwrap();
         // On a machine that is slow the work may be at its end before the nodo is.
         assert!([500, 200].contains(&answer.status), "{} {}", answer.status, rig.fleet.logs());
-        assert!(leaves.process.ends().await);
-        assert!(leaves.process.ends().await);
-        rig.fleet.process(4).thaw();
+        assert!(leaves.process.wait().await);
+        assert!(leaves.process.wait().await);
+        rig.fleet.process(4).resume();
         let again = rig.client("k", 0);
         rig.within("a repeat is served", again).await.unwrap();
         rig.within("the first is answered", first).await.unwrap();
--- a/crates/node/tests/isolation.rs
+++ b/crates/node/tests/isolation.rs
@@ -8,8 +8,8 @@
 
 use invented::{Class, DEPLOYMENTS, Deployment};
 use jaspershunt_stand_ins::balancer::{Answer, Balancer, Request};
-use jaspershunt_stand_ins::interpreter::{HELD, Interpreter, Work};
-use jaspershunt_stand_ins::starts::{Nodo, Start};
+use jaspershunt_stand_ins::interpreter::{BLOCKING_PREFIX, Interpreter, Work};
+use jaspershunt_stand_ins::nodo::{Incarnation, Nodo};
 use moments::{GENEROUS, PROGRAM, local};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
 /// A process, and what it talks to.
 struct Site {
     nodo: Nodo,
-    start: Start,
+    start: Incarnation,
     interpreter: Interpreter,
     balancer: Balancer,
     settings: String,
@@ -52,20 +52,21 @@
 impl Site {
     async fn start(name: &str, deployment: &Deployment, cold: bool) -> Site {
         let mut nodo = Nodo::new(Path::new(PROGRAM), &format!("isolation-{name}")).await.unwrap();
-        nodo.alone = true;
+        nodo.without_shared_folder = true;
         nodo.settings = deployment.settings();
         let names = class_names();
         let classes: Vec<(&str, Work)> =
-            names.iter().map(|name| (*name, Work { part: PART, calls: 0 })).collect();
+            names.iter().map(|name| (*name, Work { core_time: PART, calls: 0 })).collect();
         let interpreter = if cold {
             Interpreter::start_cold(8, &classes).await
         } else {
             Interpreter::start(8, &classes).await
         };
-        let start = timeout(GENEROUS, nodo.begin(interpreter.address())).await.unwrap().unwrap();
-        start.process.says("listens on").await;
+        let start =
+            timeout(GENEROUS, nodo.start_with_interpreter(interpreter.address())).await.unwrap().unwrap();
+        start.process.wait_for_output("listens on").await;
         if !cold {
-            timeout(GENEROUS, start.takes_clients()).await.unwrap();
+            timeout(GENEROUS, start.wait_until_ready()).await.unwrap();
         }
         let balancer = Balancer::new(nodo.address, 7, Some(interpreter.clone()));
         let settings = nodo.settings.clone();
@@ -168,7 +169,7 @@
     async fn minds_how_long_callers_wait(&mut self, own: &Deployment) {
         let class = own.classes.iter().find(|class| !class.is_short()).expect("a class with a long deadline");
         let body = self.body("hurried");
-        let request = Request { waits_ms: Some(HURRY_MS), ..own.request(class.name, &body) };
+        let request = Request { deadline_ms: Some(HURRY_MS), ..own.request(class.name, &body) };
         let answer = self.send(&request).await;
         assert_eq!(answer.status == 200, !own.passes_deadline, "{}: {answer:?}", own.name);
     }
@@ -202,7 +203,7 @@
 
     /// Opens a request whose run does not end by itself.
     async fn open(&mut self, own: &Deployment, class: &Class) -> Open {
-        let body = self.body(&format!("{}-{}", String::from_utf8_lossy(HELD), class.name));
+        let body = self.body(&format!("{}-{}", String::from_utf8_lossy(BLOCKING_PREFIX), class.name));
         let (balancer, request) = (self.balancer.clone(), own.request(class.name, &body));
         let answer = spawn_local(async move { balancer.send(&request, GENEROUS).await });
         let begun = async {
@@ -299,7 +300,7 @@
                     assert!(![0, 200].contains(&answer.status), "{}: {answer:?}", own.name);
                 }
                 site.start.process.terminate();
-                assert!(site.start.process.ends().await, "{}", site.nodo.logs());
+                assert!(site.start.process.wait().await, "{}", site.nodo.logs());
             })
         });
         for play in plays.collect::<Vec<_>>() {
--- a/crates/node/tests/narrow.rs
+++ b/crates/node/tests/narrow.rs
@@ -6,7 +6,7 @@
 mod moments;
 
 use jaspershunt_stand_ins::balancer::Request;
-use jaspershunt_stand_ins::starts::{Nodo, keyed};
+use jaspershunt_stand_ins::nodo::{Nodo, keyed};
 use jaspershunt_stand_ins::wire::{End, Wire};
 use moments::*;
 use rand::rngs::StdRng;
@@ -66,14 +66,14 @@
     let (one, other) = (before.bytes(&read()), after.bytes(&read()));
     let news_bytes = news.bytes(&read());
     let cuts = [one.bytes.len() - 1, other.bytes.len() - 1, news_bytes.bytes.len() - 1];
-    before.put(&one.bytes[..cuts[0]]);
-    after.put(&other.bytes[..cuts[1]]);
-    news.put(&news_bytes.bytes[..cuts[2]]);
+    before.write(&one.bytes[..cuts[0]]);
+    after.write(&other.bytes[..cuts[1]]);
+    news.write(&news_bytes.bytes[..cuts[2]]);
     sleep_until(at).await;
-    before.put(&one.bytes[cuts[0]..]);
+    before.write(&one.bytes[cuts[0]..]);
     let told = leaving.tell().await;
     let now = Instant::now();
-    let whole = after.put(&other.bytes[cuts[1]..]) == 1;
+    let whole = after.write(&other.bytes[cuts[1]..]) == 1;
     let mut all_sent =
         vec![spawn_local(sent(before, one.uid, true, told)), spawn_local(sent(after, other.uid, whole, now))];
     // As the directory hears of it: the last byte, and a new connection.
@@ -84,7 +84,7 @@
     };
     timeout(GENEROUS, heard).await.unwrap_or_else(|_| panic!("never heard: {}", leaving.nodo.logs()));
     let now = Instant::now();
-    let whole = news.put(&news_bytes.bytes[cuts[2]..]) == 1;
+    let whole = news.write(&news_bytes.bytes[cuts[2]..]) == 1;
     all_sent.push(spawn_local(sent(news, news_bytes.uid, whole, now)));
     if grace > 0 {
         let mut wire = Wire::connect(leaving.nodo.address, 4).await.expect("it listens on");
@@ -269,13 +269,13 @@
     let mut kept = Kept { uids: Vec::new(), answers: BTreeMap::new(), end: End::Closed };
     let (mut answered, mut begun) = (0, wire.bytes(&read()));
     let mut left = if halves { begun.bytes.len() / 2 } else { 0 };
-    wire.put(&begun.bytes[..left]);
+    wire.write(&begun.bytes[..left]);
     loop {
         while kept.uids.len() - answered < depth {
             let next = wire.bytes(&read());
             let half = if halves { next.bytes.len() / 2 } else { 0 };
             let rest = begun.bytes.len() - left;
-            let put = wire.put(&[&begun.bytes[left..], &next.bytes[..half]].concat());
+            let put = wire.write(&[&begun.bytes[left..], &next.bytes[..half]].concat());
             if put >= rest {
                 kept.uids.push((begun.id, begun.uid));
             }
--- a/crates/node/tests/narrow_starts.rs
+++ b/crates/node/tests/narrow_starts.rs
@@ -6,7 +6,7 @@
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request, STDOUT};
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
-use jaspershunt_stand_ins::starts::{Nodo, keyed};
+use jaspershunt_stand_ins::nodo::{Nodo, keyed};
 use jaspershunt_stand_ins::wire::Wire;
 use moments::{DEADLINE, GENEROUS, Stalls, all, in_parts, judged, local, nodo, used};
 use rand::rngs::StdRng;
@@ -20,7 +20,7 @@
 const COLD_CROWD: usize = 29;
 
 fn part(ms: u64) -> Work {
-    Work { part: Duration::from_millis(ms), calls: 0 }
+    Work { core_time: Duration::from_millis(ms), calls: 0 }
 }
 
 async fn within<T>(nodo: &Nodo, what: &str, done: impl Future<Output = T>) -> T {
@@ -45,7 +45,7 @@
 async fn restarted(seed: u64, killed: bool) {
     let what = format!("again-{seed}-{killed}");
     let mut nodo = nodo(&what, 0, "").await;
-    nodo.alone = true;
+    nodo.without_shared_folder = true;
     let begun = timeout(GENEROUS, nodo.start()).await;
     let mut first = begun.unwrap_or_else(|_| panic!("it cannot listen: {}", nodo.logs())).unwrap();
     let mut old = Vec::new();
@@ -57,12 +57,12 @@
         assert_eq!(nodo.directory.mode().as_deref(), Some("open"), "the directory has it yet");
     } else {
         first.process.terminate();
-        assert!(within(&nodo, "its end", first.process.ends()).await, "{}", nodo.logs());
+        assert!(within(&nodo, "its end", first.process.wait()).await, "{}", nodo.logs());
     }
     let reports = nodo.directory.modes().len();
     let interpreter = Interpreter::start_cold(8, &[("read", part(4)), ("sign", part(8))]).await;
     nodo.interpreters.push(interpreter.clone());
-    let mut second = nodo.begin(interpreter.address()).await.unwrap();
+    let mut second = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
     let mut early = Vec::new();
     for n in 100..130 {
         let request = if n % 2 == 0 {
@@ -80,7 +80,7 @@
     }
     assert!(interpreter.runs().is_empty(), "seed {seed}: it ran before it was up");
     assert_eq!(nodo.directory.modes().len(), reports, "seed {seed}: it says something before it is up");
-    interpreter.come_up();
+    interpreter.become_ready();
     within(&nodo, "it is listed again", async {
         while nodo.directory.modes().len() == reports || nodo.directory.mode().as_deref() != Some("open") {
             sleep(MS).await;
@@ -95,7 +95,7 @@
     let served = used(&nodo, 9).await;
     drop((early, old, served));
     second.process.terminate();
-    assert!(within(&nodo, "its end", second.process.ends()).await, "{}", nodo.logs());
+    assert!(within(&nodo, "its end", second.process.wait()).await, "{}", nodo.logs());
 }
 
 #[test]
@@ -113,11 +113,11 @@
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("cold-{seed}");
     let mut nodo = nodo(&what, 0, "").await;
-    nodo.directory.hold(true);
+    nodo.directory.stall(true);
     let classes = [("read", part(300)), ("sign", part(300))];
     let interpreter = Interpreter::start_cold(8, &classes).await;
     nodo.interpreters.push(interpreter.clone());
-    let mut start = nodo.begin(interpreter.address()).await.unwrap();
+    let mut start = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
     let stalls = Stalls::watch(start.admin);
     let mut wires = Vec::new();
     for n in 0..200 {
@@ -135,11 +135,11 @@
         })
         .collect();
     sleep_until(up).await;
-    interpreter.come_up();
+    interpreter.become_ready();
     assert!(nodo.directory.modes().is_empty(), "it has reported");
     // All fall due while the directory is silent.
     sleep(DEADLINE).await;
-    nodo.directory.hold(false);
+    nodo.directory.stall(false);
     within(&nodo, "its first report", async {
         while nodo.directory.mode().as_deref() != Some("open") {
             sleep(MS).await;
@@ -148,7 +148,7 @@
     .await;
     start.process.terminate();
     let sent = all(burst).await;
-    assert!(within(&nodo, "its end", start.process.ends()).await, "{}", nodo.logs());
+    assert!(within(&nodo, "its end", start.process.wait()).await, "{}", nodo.logs());
     for one in &sent {
         let ran = interpreter.runs().iter().filter(|run| run.uid == one.uid).count();
         let answered = one.whole && one.statuses.len() == 1 && one.took < DEADLINE + 500 * MS;
@@ -160,7 +160,7 @@
         };
         assert!(fits, "{what}: {one:?} ran {ran} times: {}", nodo.logs());
     }
-    let most = interpreter.most_on_cores();
+    let most = interpreter.max_on_cores();
     assert!(most <= COLD_CROWD, "{what}: {most} on the cores: {}", nodo.logs());
     stalls.none()
 }
@@ -184,8 +184,8 @@
     let run = 400;
     let interpreter = Interpreter::start(8, &[("read", part(4)), ("sign", part(run))]).await;
     nodo.interpreters.push(interpreter.clone());
-    let mut start = nodo.begin(interpreter.address()).await.unwrap();
-    start.takes_clients().await;
+    let mut start = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
+    start.wait_until_ready().await;
     let stalls = Stalls::watch(start.admin);
     // Six at a time, so that each has a core from its arrival on.
     let (rounds, at_once) = if leaving { (1, 6) } else { (4, 6) };
@@ -239,7 +239,7 @@
         }
     }
     start.process.terminate();
-    assert!(within(&nodo, "its end", start.process.ends()).await, "{}", nodo.logs());
+    assert!(within(&nodo, "its end", start.process.wait()).await, "{}", nodo.logs());
     stalls.none()
 }
 
@@ -268,13 +268,13 @@
         let classes = [("read", part(4)), ("sign", part(8)), ("slow", part(1500))];
         let interpreter = Interpreter::start(8, &classes).await;
         nodo.interpreters.push(interpreter.clone());
-        let mut start = nodo.begin(interpreter.address()).await.unwrap();
-        start.takes_clients().await;
+        let mut start = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
+        start.wait_until_ready().await;
         let stalls = Stalls::watch(start.admin);
         for n in 0..12u64 {
             let key = format!("reset-{n}");
             let room = (n % 2 == 0).then_some(2048);
-            let mut wire = Wire::with_room(nodo.address, 100 + n, room).await.unwrap();
+            let mut wire = Wire::with_receive_buffer(nodo.address, 100 + n, room).await.unwrap();
             let open = wire.send(&Request::new("slow", b"open")).unwrap();
             within(&nodo, "it runs", async {
                 while !interpreter.runs().iter().any(|run| run.uid == open.uid) {
@@ -308,6 +308,6 @@
             assert!(stopped || !stalls.none(), "it went on though nobody waits: {}", nodo.logs());
         }
         start.process.terminate();
-        assert!(within(&nodo, "its end", start.process.ends()).await, "{}", nodo.logs());
+        assert!(within(&nodo, "its end", start.process.wait()).await, "{}", nodo.logs());
     });
 }
--- a/crates/node/tests/partial.rs
+++ b/crates/node/tests/partial.rs
@@ -51,7 +51,7 @@
 type Clients = Rc<RefCell<Writer<File>>>;
 
 /// Where a nodo is, and the interpreter that it has by now.
-type At = (std::net::SocketAddr, jaspershunt_stand_ins::starts::Latest);
+type At = (std::net::SocketAddr, jaspershunt_stand_ins::nodo::LatestInterpreter);
 
 struct Rig {
     /// Where the histories are, and the time from which theirs count.
@@ -90,7 +90,7 @@
             resource.answers_repeats();
         }
         fleet.start_all().await.unwrap();
-        let nodos = fleet.nodos.iter().map(|nodo| (nodo.address, nodo.latest.clone())).collect();
+        let nodos = fleet.nodos.iter().map(|nodo| (nodo.address, nodo.latest_interpreter.clone())).collect();
         let histories = fleet.nodos[0].folder.join("histories");
         std::fs::create_dir_all(&histories).unwrap();
         let clients = Writer::create(&histories, &Who::new("clients", 1), FILE_BYTES).unwrap();
@@ -105,7 +105,7 @@
             nodos,
             balancers: Rc::default(),
         };
-        rig.within("its votes", rig.fleet.has_its_votes()).await;
+        rig.within("its votes", rig.fleet.wait_for_votes()).await;
         rig
     }
 
@@ -248,11 +248,15 @@
     let served = tries.values().filter(|tries| tries.last().is_some_and(|last| last.status == 200)).count();
     assert_eq!(served, 31, "seed {seed}: a repeat was not served: {tries:#?} {}", rig.fleet.logs());
     if effect == "asks" {
-        assert!(rig.resource.asked().0 > 0, "seed {seed}: nothing was taken over: {}", rig.fleet.logs());
+        assert!(
+            rig.resource.query_counts().0 > 0,
+            "seed {seed}: nothing was taken over: {}",
+            rig.fleet.logs()
+        );
     }
     println!(
         "seed {seed}: n{lost} killed, all served {took:?} later; {:?} asked, turned away",
-        rig.resource.asked()
+        rig.resource.query_counts()
     );
 }
 
@@ -271,9 +275,10 @@
         }
     };
     rig.within("work is under way", under_way).await;
-    rig.fleet.process(lost).freeze();
+    rig.fleet.process(lost).pause();
     let taken = async {
-        while !rig.fleet.logs().contains("comes here from another nodo") && rig.resource.asked().0 == 0 {
+        while !rig.fleet.logs().contains("comes here from another nodo") && rig.resource.query_counts().0 == 0
+        {
             sleep(Duration::from_millis(20)).await;
         }
     };
@@ -281,13 +286,13 @@
         rig.within("its work is another's", taken).await;
     }
     sleep(Duration::from_millis(random.random_range(0..300))).await;
-    rig.fleet.process(lost).thaw();
+    rig.fleet.process(lost).resume();
     for client in clients {
         rig.within("all keys are served", client).await.unwrap();
     }
     rig.repeats(&mut random, None).await;
     rig.is_safe(seed);
-    println!("seed {seed}: n{lost} frozen and woken; {:?} asked, turned away", rig.resource.asked());
+    println!("seed {seed}: n{lost} frozen and woken; {:?} asked, turned away", rig.resource.query_counts());
 }
 
 #[test]
@@ -344,7 +349,7 @@
             }
         };
         rig.within("it takes part", enrolled).await;
-        rig.resource.lasts(Duration::from_millis(4000));
+        rig.resource.set_duration(Duration::from_millis(4000));
         let client = rig.client("6-0".to_string(), 5);
         let under_way = async {
             while rig.resource.effects().len() < 2 {
@@ -353,9 +358,9 @@
         };
         rig.within("work is under way", under_way).await;
         rig.fleet.process(5).terminate();
-        rig.within("it hands over", rig.fleet.process(5).says("in hand go to other nodos")).await;
+        rig.within("it hands over", rig.fleet.process(5).wait_for_output("in hand go to other nodos")).await;
         rig.within("it is served", client).await.unwrap();
-        assert!(rig.resource.asked().0 > 0, "{}", rig.fleet.logs());
+        assert!(rig.resource.query_counts().0 > 0, "{}", rig.fleet.logs());
         rig.is_safe(6);
     });
 }
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -1,7 +1,7 @@
 //! The program itself with an operator's file, through SIGHUP.
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
-use jaspershunt_stand_ins::dependency::{Dependency, Plan};
+use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig};
 use jaspershunt_stand_ins::directory::Directory;
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
 use std::io::{BufRead, BufReader};
@@ -30,9 +30,9 @@
 fn sighup_takes_up_the_operators_file_and_keeps_the_one_before_when_it_is_faulty() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     let test = async {
-        let old = Dependency::start(Plan::new("old", 4, Duration::from_millis(1))).await;
-        let new = Dependency::start(Plan::new("new", 4, Duration::from_millis(1))).await;
-        let work = Work { part: Duration::from_millis(1), calls: 1 };
+        let old = Dependency::start(DependencyConfig::new("old", 4, Duration::from_millis(1))).await;
+        let new = Dependency::start(DependencyConfig::new("new", 4, Duration::from_millis(1))).await;
+        let work = Work { core_time: Duration::from_millis(1), calls: 1 };
         let interpreter = Interpreter::start(4, &[("look", work)]).await;
         let directory = Directory::start().await;
         let folder = std::env::temp_dir().join(format!("jaspershunt-reload-{}", std::process::id()));
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -5,7 +5,7 @@
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
-use jaspershunt_stand_ins::starts::Nodo;
+use jaspershunt_stand_ins::nodo::Nodo;
 use jaspershunt_stand_ins::wire::Wire;
 use moments::{GENEROUS, PROGRAM, local};
 use std::path::Path;
@@ -26,23 +26,23 @@
 /// and it serves.
 async fn restarted(n: usize) -> Duration {
     let mut nodo = Nodo::new(Path::new(PROGRAM), &format!("restarted-{n}")).await.unwrap();
-    nodo.alone = n.is_multiple_of(2);
+    nodo.without_shared_folder = n.is_multiple_of(2);
     let mut first = nodo.start().await.unwrap();
     let mut taken = Wire::connect(nodo.address, 1).await.unwrap();
     first.process.kill().await;
     assert!(timeout(GENEROUS, taken.answer()).await.expect("its end").is_err());
-    nodo.directory.hold(true);
+    nodo.directory.stall(true);
     let reports = nodo.directory.modes().len();
-    let work = Work { part: 4 * MS, calls: 0 };
+    let work = Work { core_time: 4 * MS, calls: 0 };
     let interpreter = Interpreter::start_cold(8, &[("read", work)]).await;
     let began = Instant::now();
     let (directory, late) = (nodo.directory.clone(), interpreter.clone());
     spawn_local(async move {
         sleep(LATE).await;
-        directory.hold(false);
-        late.come_up();
+        directory.stall(false);
+        late.become_ready();
     });
-    let begun = timeout(GENEROUS, nodo.begin(interpreter.address())).await;
+    let begun = timeout(GENEROUS, nodo.start_with_interpreter(interpreter.address())).await;
     let _second = begun.unwrap_or_else(|_| panic!("it does not start: {}", nodo.logs())).unwrap();
     let ready = async {
         while nodo.directory.modes().len() == reports {
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -7,8 +7,8 @@
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::fleet::Fleet;
 use jaspershunt_stand_ins::link::Fault;
+use jaspershunt_stand_ins::nodo::keyed;
 use jaspershunt_stand_ins::partial::now;
-use jaspershunt_stand_ins::starts::keyed;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -68,7 +68,7 @@
         std::fs::create_dir_all(&histories).unwrap();
         let clients = Writer::create(&histories, &Who::new("clients", 1), FILE_BYTES).unwrap();
         let rig = Rig { fleet, histories, clients, seen: BTreeMap::new(), starts: [1; NODOS] };
-        rig.within("its votes", rig.fleet.has_its_votes()).await;
+        rig.within("its votes", rig.fleet.wait_for_votes()).await;
         rig
     }
 
@@ -81,7 +81,7 @@
 
     async fn say(&self, n: usize, said: &Value) -> Result<Value, String> {
         let body = said.to_string();
-        let start = self.fleet.starts[n].as_ref().expect("a nodo that runs");
+        let start = self.fleet.incarnations[n].as_ref().expect("a nodo that runs");
         let answer = start.call(&format!("ROUTES SAY {}\r\n{body}", body.len())).await;
         match answer.strip_suffix("\r\n.\r\n") {
             Some(told) => Ok(serde_json::from_str(told).unwrap()),
@@ -128,7 +128,7 @@
     /// What a nodo shows, noted as the table by which it goes.
     async fn shown(&mut self, n: usize) -> Option<Value> {
         let begin = now();
-        let start = self.fleet.starts[n].as_ref()?;
+        let start = self.fleet.incarnations[n].as_ref()?;
         let answer = timeout(Duration::from_secs(2), start.call("ROUTES SHOW")).await.ok()?;
         let shown: Value = serde_json::from_str(answer.strip_suffix("\r\n.\r\n")?).ok()?;
         let revision = shown["here"]["revision"].as_u64()?;
@@ -182,7 +182,7 @@
 
     /// Waits until all are in the fleet: the share of a trial is chosen by who is.
     async fn all_are_members(&self) {
-        let start = self.fleet.starts[0].as_ref().unwrap();
+        let start = self.fleet.incarnations[0].as_ref().unwrap();
         let all = async {
             loop {
                 let shown = start.call("FLEET SHOW").await;
@@ -239,7 +239,7 @@
 
     /// What the program says, as an operator calls it.
     async fn command(&self, n: usize, args: &[&str]) -> Output {
-        let at = self.fleet.starts[n].as_ref().unwrap().admin.to_string();
+        let at = self.fleet.incarnations[n].as_ref().unwrap().admin.to_string();
         let args: Vec<String> = args.iter().map(|arg| (*arg).to_string()).collect();
         let run =
             move || Command::new(PROGRAM).arg("routes").args(args).args(["--at", &at]).output().unwrap();
@@ -364,7 +364,7 @@
         assert!(stranger.contains("no team \"zeta\""), "{stranger}");
 
         // What is said is read within its bound, and whole.
-        let start = rig.fleet.starts[0].as_ref().unwrap();
+        let start = rig.fleet.incarnations[0].as_ref().unwrap();
         for (said, why) in [
             ("ROUTES SAY 32769", "32769 bytes are said; 32768 at most are read"),
             ("ROUTES SAY 2\r\n{}", "cannot be read"),
@@ -503,7 +503,7 @@
     local(async {
         let mut fleet = Fleet::new(Path::new(PROGRAM), "routes-off", (1, 1), TTL, &[]).await.unwrap();
         fleet.start_all().await.unwrap();
-        let start = fleet.starts[0].as_ref().unwrap();
+        let start = fleet.incarnations[0].as_ref().unwrap();
         let unknown = start.call("NONSENSE").await;
         assert!(unknown.starts_with("-ERR unknown call"), "{unknown}");
         for line in ["ROUTES SHOW", "ROUTES SAY 2\r\n{}", "routes"] {
--- a/crates/node/tests/shared_folder.rs
+++ b/crates/node/tests/shared_folder.rs
@@ -5,7 +5,7 @@
 mod moments;
 
 use jaspershunt_stand_ins::balancer::Balancer;
-use jaspershunt_stand_ins::starts::{Nodo, keyed};
+use jaspershunt_stand_ins::nodo::{Nodo, keyed};
 use moments::{GENEROUS, PROGRAM, local};
 use std::path::Path;
 use std::time::Duration;
@@ -22,22 +22,22 @@
         let first_at = site.address;
         let other = Nodo::new(Path::new(PROGRAM), "shared-folder-other").await.unwrap();
         site.address = other.address;
-        let mut second = timeout(GENEROUS, site.start_early()).await.unwrap().unwrap();
-        let why = second.process.says("upgrade: another start does not hand over: ");
+        let mut second = timeout(GENEROUS, site.start_without_waiting()).await.unwrap().unwrap();
+        let why = second.process.wait_for_output("upgrade: another start does not hand over: ");
         let why = timeout(GENEROUS, why).await.unwrap_or_else(|_| panic!("{}", site.logs()));
         let expected =
             format!("it is n1 on {}, this process n1 on {first_at}; this one waits", other.address);
         assert_eq!(why, expected);
-        assert!(!second.serves().await && first.serves().await, "{}", site.logs());
+        assert!(!second.is_ready().await && first.is_ready().await, "{}", site.logs());
 
         let balancer = Balancer::new(first_at, 1, Some(site.interpreters[0].clone()));
         let request = keyed("sign", "shared", false);
         assert_eq!(balancer.send(&request, GENEROUS).await.status, 200, "{}", site.logs());
         assert_eq!((site.interpreters[0].runs().len(), site.interpreters[1].runs().len()), (1, 0));
         first.process.terminate();
-        assert!(timeout(GENEROUS, first.process.ends()).await.unwrap(), "{}", site.logs());
+        assert!(timeout(GENEROUS, first.process.wait()).await.unwrap(), "{}", site.logs());
 
-        timeout(GENEROUS, second.takes_clients()).await.unwrap_or_else(|_| panic!("{}", site.logs()));
+        timeout(GENEROUS, second.wait_until_ready()).await.unwrap_or_else(|_| panic!("{}", site.logs()));
         let balancer = Balancer::new(other.address, 2, Some(site.interpreters[1].clone()));
         let answer = async {
             // It listens once it has the right.
@@ -53,6 +53,6 @@
         assert_eq!((answer.status, site.interpreters[1].runs().len()), (200, 1), "{}", site.logs());
         assert!(!site.logs().contains("keys were taken over"), "{}", site.logs());
         second.process.terminate();
-        assert!(timeout(GENEROUS, second.process.ends()).await.unwrap(), "{}", site.logs());
+        assert!(timeout(GENEROUS, second.process.wait()).await.unwrap(), "{}", site.logs());
     });
 }
--- a/crates/node/tests/stalled.rs
+++ b/crates/node/tests/stalled.rs
@@ -3,7 +3,7 @@
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::fleet::Fleet;
-use jaspershunt_stand_ins::starts::keyed;
+use jaspershunt_stand_ins::nodo::keyed;
 use rustix::fs::{CWD, FileType, Mode, OFlags, mknodat};
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -54,7 +54,7 @@
     let mut fleet = Fleet::new(Path::new(PROGRAM), name, (3, 3), TTL, &[]).await.unwrap();
     for nodo in &mut fleet.nodos {
         nodo.operator = nodo.operator.take().map(|site| format!("{site}{more}"));
-        nodo.more = format!(r#","stop_ms":{}"#, STOP.as_millis());
+        nodo.extra_config = format!(r#","stop_ms":{}"#, STOP.as_millis());
     }
     fleet
 }
@@ -68,7 +68,7 @@
         let answer = balancer.send(request, GENEROUS).await;
         assert_eq!(answer.status, 200, "{round}, {n}: {}", fleet.logs());
     }
-    assert!(fleet.starts[n].as_ref().unwrap().serves().await, "{}", fleet.logs());
+    assert!(fleet.incarnations[n].as_ref().unwrap().is_ready().await, "{}", fleet.logs());
 }
 
 /// Starts a nodo whose disk stalls. One that holds up its traffic never says that it takes clients.
@@ -80,10 +80,10 @@
 
 /// It is told to leave, and ends in good order before it would be killed.
 async fn leaves_in_time(fleet: &mut Fleet, n: usize) {
-    let mut start = fleet.starts[n].take().unwrap();
+    let mut start = fleet.incarnations[n].take().unwrap();
     let told = Instant::now();
     start.process.terminate();
-    let ended = timeout(GENEROUS, start.process.ends()).await;
+    let ended = timeout(GENEROUS, start.process.wait()).await;
     let took = told.elapsed();
     assert!(matches!(ended, Ok(true)), "it does not end: {}", fleet.logs());
     assert!(took < STOP, "it would have been killed: {took:?} {}", fleet.logs());
@@ -92,7 +92,7 @@
 /// Whether the nodo takes part, by its own word.
 async fn takes_part(fleet: &Fleet, n: usize) {
     let part = async {
-        while fleet.shown(n).await.is_none_or(|shown| shown["leader"].is_null()) {
+        while fleet.show(n).await.is_none_or(|shown| shown["leader"].is_null()) {
             sleep(Duration::from_millis(10)).await;
         }
     };
@@ -146,7 +146,7 @@
         }
         stalls(&starts);
         start(&mut fleet, 2).await;
-        let earlier = fleet.starts[2].take().unwrap();
+        let earlier = fleet.incarnations[2].take().unwrap();
         // The later one's disk does not stall, and the stalled file is still there for the earlier one.
         let mut stalled = awaited(&starts).await;
         std::fs::rename(&starts, starts.with_extension("stalled")).unwrap();
--- a/crates/node/tests/steering.rs
+++ b/crates/node/tests/steering.rs
@@ -108,7 +108,7 @@
 
     /// What a nodo shows.
     async fn look(&self, n: usize) -> Option<Value> {
-        let asked = self.fleet.starts[n].as_ref()?.call("STEERING SHOW");
+        let asked = self.fleet.incarnations[n].as_ref()?.call("STEERING SHOW");
         let answer = timeout(Duration::from_secs(1), asked).await.ok()?;
         serde_json::from_str(answer.strip_suffix("\r\n.\r\n")?).ok()
     }
@@ -151,7 +151,7 @@
     }
 
     fn says(&self, n: usize, args: &[&str]) -> String {
-        let at = self.fleet.starts[n].as_ref().unwrap().admin.to_string();
+        let at = self.fleet.incarnations[n].as_ref().unwrap().admin.to_string();
         let said = Command::new(PROGRAM).arg("steering").args(args).args(["--at", &at]).output().unwrap();
         assert!(said.status.success(), "{said:?}");
         String::from_utf8(said.stdout).unwrap()
@@ -168,7 +168,7 @@
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let rig = Rig::started().await;
-        rig.within("its votes", rig.fleet.has_its_votes()).await;
+        rig.within("its votes", rig.fleet.wait_for_votes()).await;
         (0..GROUPS).for_each(|group| rig.clients(group));
         let near = REGIONS[home(STRAY)];
         rig.within("the near region", rig.served_in(0, &[STRAY], |row| main_is(row, near))).await;
@@ -178,7 +178,7 @@
 
         // The second region is cut off from all others; its own clients still reach it until their table moves.
         for n in [1, 4] {
-            rig.fleet.alone(n, Fault::Cut);
+            rig.fleet.isolate(n, Fault::Cut);
         }
         let lost: Vec<usize> = (0..GROUPS).filter(|group| home(*group) == 1).collect();
         rig.within("a lost region", rig.served_in(0, &lost, |row| !main_is(row, near))).await;
--- a/crates/node/tests/torment.rs
+++ b/crates/node/tests/torment.rs
@@ -2,7 +2,7 @@
 //! all nodos, clients and the resource after the fact, with no allowance; progress within generous bounds.
 
 use jaspershunt_stand_ins::link::Way;
-use jaspershunt_stand_ins::partial::faults::{Ends, Fault, Torment};
+use jaspershunt_stand_ins::partial::faults::{Ends, Fault, FaultInjector};
 use jaspershunt_stand_ins::partial::{NODOS, REGIONS, Rig, TTL};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -32,7 +32,7 @@
 
 async fn started(name: &str) -> Rig {
     let rig = Rig::start(Path::new(PROGRAM), name, true, (TTL, LASTS)).await.unwrap();
-    assert!(rig.has_its_votes().await, "{name}: it has no votes: {}", rig.fleet.logs());
+    assert!(rig.wait_for_votes().await, "{name}: it has no votes: {}", rig.fleet.logs());
     rig
 }
 
@@ -54,8 +54,8 @@
     let load = rig.clients.load(seed, CLIENTS, PAUSE, GENEROUS);
     for fault in faults {
         under_way(&rig, name).await;
-        assert!(rig.hurt(fault).await.unwrap());
-        rig.go_on(lasts).await.unwrap();
+        assert!(rig.inject(fault).await.unwrap());
+        rig.run_for(lasts).await.unwrap();
         assert!(rig.heal_all().await.unwrap(), "{name}: no votes after {fault}: {}", rig.fleet.logs());
     }
     ends(&mut rig, name, seed, load).await;
@@ -66,11 +66,11 @@
 async fn ends(rig: &mut Rig, name: &str, seed: u64, load: Vec<tokio::task::JoinHandle<()>>) {
     assert!(rig.heal_all().await.unwrap(), "{name}, seed {seed}: no votes: {}", rig.fleet.logs());
     rig.clients.stop();
-    rig.resource.lasts(Duration::from_millis(10));
+    rig.resource.set_duration(Duration::from_millis(10));
     for client in load {
         timeout(2 * GENEROUS, client).await.expect("a client is told").unwrap();
     }
-    let untold = rig.clients.ask_for_all(seed, AT_ONCE, GENEROUS).await;
+    let untold = rig.clients.query_all(seed, AT_ONCE, GENEROUS).await;
     let verdict = rig.verdict().unwrap();
     assert!(verdict.is_fine(), "{name}, seed {seed}: {} {}", verdict.wrong(), rig.fleet.logs());
     assert_eq!(untold, 0, "{name}, seed {seed}: {:#?} {}", rig.clients.tries(), rig.fleet.logs());
@@ -84,7 +84,7 @@
 }
 
 fn took_over(rig: &Rig) -> bool {
-    rig.resource.asked().0 > 0 || rig.fleet.logs().contains("comes here from another nodo")
+    rig.resource.query_counts().0 > 0 || rig.fleet.logs().contains("comes here from another nodo")
 }
 
 /// The region of the first voter hears the rest and is not heard, and then the other way round: origins there and heirs elsewhere are both
@@ -135,15 +135,15 @@
             let mut rig = started(&name).await;
             let load = rig.clients.load(seed, CLIENTS, PAUSE, GENEROUS);
             let teams = rig.editors.load(seed, PAUSE, GENEROUS);
-            let mut torment = Torment::new(StdRng::seed_from_u64(seed));
+            let mut torment = FaultInjector::new(StdRng::seed_from_u64(seed));
             torment.play(&mut rig, Duration::from_secs(8)).await.unwrap();
-            assert!(torment.faults() >= 10, "{:?}", torment.story);
+            assert!(torment.faults() >= 10, "{:?}", torment.timeline);
             rig.editors.stop();
             assert!(rig.heal_all().await.unwrap(), "{name}: no votes: {}", rig.fleet.logs());
             for team in teams {
                 timeout(2 * GENEROUS, team).await.expect("a team hears of its edit").unwrap();
             }
-            let table = rig.one_table().await;
+            let table = rig.wait_for_one_table().await;
             assert!(table.is_ok(), "{name}: {table:?} {}", rig.fleet.logs());
             // Guards against a table that nobody edited.
             let [in_force, _, _, unheard] = rig.editors.tally();
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -4,7 +4,7 @@
 mod passing;
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
-use jaspershunt_stand_ins::starts::{Load, Nodo, keyed};
+use jaspershunt_stand_ins::nodo::{Load, Nodo, keyed};
 use passing::pass_on;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -42,16 +42,16 @@
         let mut serving = site.start().await.unwrap();
         let load = Load::start(site.address, PATIENCE);
         for _ in 0..3 {
-            load.more(70).await;
+            load.wait_for_reads(70).await;
             let later = site.start().await.unwrap();
-            load.more(17).await;
+            load.wait_for_reads(17).await;
             let told = Instant::now();
             serving.process.terminate();
-            assert!(serving.process.ends().await, "it fails at its end");
+            assert!(serving.process.wait().await, "it fails at its end");
             assert!(told.elapsed() < Duration::from_millis(3500), "it was killed by then");
             serving = later;
         }
-        load.more(70).await;
+        load.wait_for_reads(70).await;
         let (tally, reads) = load.end(&site).await;
         // Each key ran once, and both its tries were served with what that run made.
         assert!(reads.len() > 300 && reads.iter().all(|read| read.status == 200));
@@ -72,7 +72,7 @@
             let mut site = nodo(&format!("cut{messages}")).await;
             let earlier = site.start().await.unwrap();
             let load = Load::start(site.address, PATIENCE);
-            load.more(10).await;
+            load.wait_for_reads(10).await;
             // The proxy takes the place of the earlier start's socket.
             let (socket, behind) = (site.folder.join("jaspershunt-n1.sock"), site.folder.join("behind.sock"));
             while std::fs::rename(&socket, &behind).is_err() {
@@ -90,9 +90,9 @@
                 Ok(later) => later.unwrap(),
                 Err(_) => panic!("it takes no clients after {messages} messages: {}", site.logs()),
             };
-            load.more(10).await;
+            load.wait_for_reads(10).await;
             earlier.process.terminate();
-            load.more(10).await;
+            load.wait_for_reads(10).await;
             ends_safely(load, &site).await;
             drop((later, cutting));
         }
@@ -138,7 +138,7 @@
         assert_eq!(site.interpreters[1].runs().len(), 1, "the later start serves now");
         later.process.kill().await;
         let fresh = Balancer::new(site.address, 3, None);
-        earlier.takes_clients().await;
+        earlier.wait_until_ready().await;
         let again = fresh.send(&keyed("sign", "before", true), PATIENCE).await;
         assert_eq!((again.status, site.runs(b"before")), (200, 1));
         let there = fresh.send(&keyed("sign", "there", true), PATIENCE).await;
@@ -185,7 +185,7 @@
         let earlier = site.start().await.unwrap();
         // Its interpreter takes the link and says nothing.
         let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let mut later = site.begin(silent.local_addr().unwrap()).await.unwrap();
+        let mut later = site.start_with_interpreter(silent.local_addr().unwrap()).await.unwrap();
         let told = later.call("PING").await;
         assert!(told.starts_with("-ERR") && told.contains("interpreter"), "{told}");
         assert!(later.call("INFO").await.starts_with('{'));
@@ -193,7 +193,7 @@
         assert_eq!(balancer.send(&keyed("sign", "k", false), PATIENCE).await.status, 200);
         assert_eq!(site.runs(b"k"), 1);
         later.process.terminate();
-        assert!(later.process.ends().await);
+        assert!(later.process.wait().await);
         assert_eq!(balancer.send(&keyed("sign", "k", true), PATIENCE).await.status, 200);
         assert!(earlier.call("PING").await.starts_with("+OK"));
     });
@@ -215,7 +215,7 @@
         }
         assert_eq!(balancer.send(&Request::new("read", b"x"), PATIENCE).await.status, 200);
         earlier.process.terminate();
-        assert!(earlier.process.ends().await);
+        assert!(earlier.process.wait().await);
         assert!(later.call("REJOIN").await.starts_with("+OK"));
         while site.directory.mode().as_deref() != Some("open") {
             sleep(Duration::from_millis(2)).await;
--- a/crates/stand-ins/src/balancer.rs
+++ b/crates/stand-ins/src/balancer.rs
@@ -21,7 +21,7 @@
 /// and of those that carry it; one that is empty is the last.
 pub const STDOUT: u8 = 6;
 /// Requests that a connection carries at once.
-const MAX_OPEN: usize = 32;
+const MAX_REQUESTS_PER_CONNECTION: usize = 32;
 
 /// A request to send.
 #[derive(Clone, Debug)]
@@ -38,15 +38,15 @@
     pub rank: f64,
     /// It is a further try.
     pub resent: bool,
-    /// How long it says to wait, in milliseconds.
-    pub waits_ms: Option<u64>,
+    /// How long it last_advertised to wait, in milliseconds.
+    pub deadline_ms: Option<u64>,
 }
 
 impl Request {
     /// An ordinary request.
     pub fn new(class: &str, body: &[u8]) -> Request {
         let (class, tenant) = (class.to_string(), "acme".to_string());
-        Request { class, tenant, key: None, body: body.to_vec(), rank: 0.5, resent: false, waits_ms: None }
+        Request { class, tenant, key: None, body: body.to_vec(), rank: 0.5, resent: false, deadline_ms: None }
     }
 }
 
@@ -78,11 +78,11 @@
 }
 
 /// What has come of an answer, and the way to who waits for the whole.
-type Open = (Vec<u8>, oneshot::Sender<Vec<u8>>);
+type PendingAnswer = (Vec<u8>, oneshot::Sender<Vec<u8>>);
 
 struct Connection {
     out: mpsc::Sender<Vec<u8>>,
-    open: RefCell<BTreeMap<u16, Open>>,
+    open: RefCell<BTreeMap<u16, PendingAnswer>>,
     next: Cell<u16>,
     broken: Cell<bool>,
 }
@@ -97,7 +97,7 @@
     /// The time of day when it began, which then follows the runtime's clock: tests can pause that.
     began: (Duration, Instant),
     /// The free number that was heard last.
-    says: Rc<Cell<Option<f64>>>,
+    last_advertised: Rc<Cell<Option<f64>>>,
     /// Learns of answers: on the platform a request that is over ends its run at a call.
     interpreter: Option<Interpreter>,
 }
@@ -105,29 +105,29 @@
 impl Balancer {
     /// A balancer with this number, which connects to the nodo when it first sends. The interpreter hears of its answers.
     pub fn new(to: SocketAddr, number: u64, interpreter: Option<Interpreter>) -> Balancer {
-        let (connections, sent, says) = Default::default();
+        let (connections, sent, last_advertised) = Default::default();
         let began = (UNIX_EPOCH.elapsed().unwrap_or_default(), Instant::now());
-        Balancer { to, number, connections, sent, began, says, interpreter }
+        Balancer { to, number, connections, sent, began, last_advertised, interpreter }
     }
 
     /// The free number that was heard last.
-    pub fn says(&self) -> Option<f64> {
-        self.says.get()
+    pub fn last_advertised(&self) -> Option<f64> {
+        self.last_advertised.get()
     }
 
     /// Sends a request and waits for the answer for so long.
-    pub async fn send(&self, request: &Request, patience: Duration) -> Answer {
+    pub async fn send(&self, request: &Request, answer_timeout: Duration) -> Answer {
         let began = Instant::now();
         self.sent.set(self.sent.get() + 1);
         let uid = format!("{:04x}{:012x}", self.number & 0xffff, self.sent.get());
-        let answer = timeout(patience, self.exchange(request, &uid)).await.ok().flatten();
+        let answer = timeout(answer_timeout, self.exchange(request, &uid)).await.ok().flatten();
         let mut answer = answer.unwrap_or_default();
         if let Some(interpreter) = &self.interpreter {
-            interpreter.over(&uid);
+            interpreter.request_ended(&uid);
         }
         (answer.uid, answer.took) = (uid, began.elapsed());
-        if let Some(says) = answer.header("x-backend-says").and_then(|text| text.parse().ok()) {
-            self.says.set(Some(says));
+        if let Some(value) = answer.header("x-backend-says").and_then(|text| text.parse().ok()) {
+            self.last_advertised.set(Some(value));
         }
         answer
     }
@@ -147,20 +147,21 @@
         };
         let (way, answered) = oneshot::channel();
         connection.open.borrow_mut().insert(id, (Vec::new(), way));
-        connection.out.send(records(id, self.number, uid, self.now_ms(), request)).await.ok()?;
-        parse(&answered.await.ok()?)
+        connection.out.send(encode_request(id, self.number, uid, self.now_ms(), request)).await.ok()?;
+        parse_answer(&answered.await.ok()?)
     }
 
     async fn connection(&self) -> Option<Rc<Connection>> {
         self.connections.borrow_mut().retain(|connection| !connection.broken.get());
-        let free = |connection: &&Rc<Connection>| connection.open.borrow().len() < MAX_OPEN;
+        let free =
+            |connection: &&Rc<Connection>| connection.open.borrow().len() < MAX_REQUESTS_PER_CONNECTION;
         if let Some(connection) = self.connections.borrow().iter().find(free) {
             return Some(connection.clone());
         }
         let stream = TcpStream::connect(self.to).await.ok()?;
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
-        let (out, waiting) = mpsc::channel(MAX_OPEN);
+        let (out, waiting) = mpsc::channel(MAX_REQUESTS_PER_CONNECTION);
         let (open, next, broken) = (RefCell::default(), Cell::new(1), Cell::new(false));
         let connection = Rc::new(Connection { out, open, next, broken });
         spawn_local(write_all(write, waiting));
@@ -220,7 +221,7 @@
     }
 }
 
-pub(crate) fn parse(text: &[u8]) -> Option<Answer> {
+pub(crate) fn parse_answer(text: &[u8]) -> Option<Answer> {
     let end = text.windows(4).position(|four| four == b"\r\n\r\n")?;
     let head = String::from_utf8_lossy(&text[..end]).into_owned();
     let headers: Vec<(String, String)> = head
@@ -252,7 +253,7 @@
 
 /// The bytes of a request: its id on the connection, the balancer's number, the correlation id, and when it came to the machine, in Unix
 /// milliseconds.
-pub fn records(id: u16, number: u64, uid: &str, arrived: u128, request: &Request) -> Vec<u8> {
+pub fn encode_request(id: u16, number: u64, uid: &str, arrived: u128, request: &Request) -> Vec<u8> {
     let mut params = Vec::new();
     let path = format!("/v1/{}", request.class);
     let (arrived, number, rank) = (arrived.to_string(), number.to_string(), format!("{:.4}", request.rank));
@@ -271,7 +272,7 @@
     if let Some(key) = &request.key {
         put_pair(&mut params, "HTTP_X_OPERATION_KEY", key);
     }
-    if let Some(ms) = request.waits_ms {
+    if let Some(ms) = request.deadline_ms {
         put_pair(&mut params, "HTTP_X_DEADLINE_MS", &ms.to_string());
     }
     if request.resent {
--- a/crates/stand-ins/src/dependency.rs
+++ b/crates/stand-ins/src/dependency.rs
@@ -1,4 +1,4 @@
-//! A dependency with a fixed number of slots. A call waits for a slot and holds it for the time of the service, which
+//! A dependency with a fixed number of slots. A call waits for a slot and holds it for the time of the service_time, which
 //! grows when more calls are in hand than there are slots.
 
 use crate::http::{self, Request};
@@ -15,35 +15,43 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// So long after a connection was accepted those are counted that are open.
-const CROSSING: Duration = Duration::from_millis(2);
+const CONNECTION_COUNT_DELAY: Duration = Duration::from_millis(2);
 
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
 /// How a dependency is made.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct DependencyConfig {
     /// Its name, which stands in its replies.
     pub name: String,
     /// Calls that it works on at once.
     pub slots: usize,
     /// How long one takes.
-    pub service: Duration,
-    /// That time varies by this share each way.
+    pub service_time: Duration,
+    /// That time varies by this share each route.
     pub spread: f64,
     /// For each call beyond the slots, as a multiple of them, a call takes this share longer.
-    pub thrash: f64,
+    pub overload_slowdown: f64,
     /// A call that was given up goes on for so long at most.
-    pub linger: Duration,
+    pub abandoned_call_time: Duration,
     /// What all that is random is made from.
     pub seed: u64,
 }
 
-impl Plan {
+impl DependencyConfig {
     /// A dependency of so many slots and this time for a call, otherwise ordinary.
-    pub fn new(name: &str, slots: usize, service: Duration) -> Plan {
-        let linger = Duration::from_millis(100);
-        Plan { name: name.to_string(), slots, service, spread: 0.2, thrash: 0.3, linger, seed: 1 }
+    pub fn new(name: &str, slots: usize, service_time: Duration) -> DependencyConfig {
+        let abandoned_call_time = Duration::from_millis(100);
+        DependencyConfig {
+            name: name.to_string(),
+            slots,
+            service_time,
+            spread: 0.2,
+            overload_slowdown: 0.3,
+            abandoned_call_time,
+            seed: 1,
+        }
     }
 }
 
@@ -78,20 +86,20 @@
     /// It has not.
     Open,
     /// It went well and was answered.
-    Well,
+    Succeeded,
     /// It failed and was answered so.
     Failed,
     /// It was turned away.
-    TurnedAway,
+    Rejected,
     /// The nodo gave it up.
-    GivenUp,
+    Abandoned,
     /// It was answered with something that is no reply, or with a reset.
-    Spoilt,
+    Malformed,
 }
 
 /// A call, as the dependency saw it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct CallRecord {
     /// The request that it was made for.
     pub uid: String,
     /// Its body.
@@ -99,41 +107,41 @@
     /// The time the nodo said it would wait.
     pub timeout: Duration,
     /// When it came, from the beginning.
-    pub came: Duration,
+    pub arrived: Duration,
     /// How it ended.
     pub ended: Ended,
     /// Calls in hand when it came, itself and those given up included.
-    pub in_hand: usize,
+    pub in_flight: usize,
 }
 
 /// What crossed a dependency.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     /// All calls, in the order in which they came.
-    pub calls: Vec<Seen>,
+    pub calls: Vec<CallRecord>,
     /// The most that were in hand at any moment, those given up included that went on.
-    pub most_in_hand: usize,
+    pub max_in_flight: usize,
     /// The most connections at any moment.
-    pub most_connections: usize,
+    pub max_connections: usize,
 }
 
 struct State {
-    plan: Plan,
+    config: DependencyConfig,
     address: SocketAddr,
     began: Instant,
     mode: Cell<Mode>,
     changed: Notify,
     slots: Semaphore,
-    in_hand: Cell<usize>,
+    in_flight: Cell<usize>,
     connections: Cell<usize>,
     random: RefCell<StdRng>,
     record: RefCell<Record>,
-    levels: RefCell<Vec<(Instant, usize)>>,
+    in_flight_history: RefCell<Vec<(Instant, usize)>>,
 }
 
 impl State {
-    fn note_level(&self) {
-        self.levels.borrow_mut().push((Instant::now(), self.in_hand.get()));
+    fn record_level(&self) {
+        self.in_flight_history.borrow_mut().push((Instant::now(), self.in_flight.get()));
     }
 }
 
@@ -142,12 +150,12 @@
 pub struct Dependency(Rc<State>);
 
 /// Counts a call as in hand until it is dropped.
-struct InHand(Rc<State>);
+struct InFlight(Rc<State>);
 
-impl Drop for InHand {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.in_hand.set(self.0.in_hand.get() - 1);
-        self.0.note_level();
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
+        self.0.record_level();
     }
 }
 
@@ -164,7 +172,7 @@
     ///
     /// # Panics
     /// Where loopback has no port left.
-    pub async fn start(plan: Plan) -> Dependency {
+    pub async fn start(config: DependencyConfig) -> Dependency {
         let holder = socket_at(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port on loopback");
         let address = holder.local_addr().expect("an address");
         let state = Rc::new(State {
@@ -172,13 +180,13 @@
             began: Instant::now(),
             mode: Cell::new(Mode::Good),
             changed: Notify::new(),
-            slots: Semaphore::new(plan.slots),
-            in_hand: Cell::new(0),
+            slots: Semaphore::new(config.slots),
+            in_flight: Cell::new(0),
             connections: Cell::new(0),
-            random: RefCell::new(StdRng::seed_from_u64(plan.seed)),
+            random: RefCell::new(StdRng::seed_from_u64(config.seed)),
             record: RefCell::default(),
-            levels: RefCell::default(),
-            plan,
+            in_flight_history: RefCell::default(),
+            config,
         });
         let listener = socket_at(address).and_then(|socket| socket.listen(BACKLOG)).expect("a listener");
         spawn_local(listen(state.clone(), listener, holder));
@@ -192,7 +200,7 @@
 
     /// Its name.
     pub fn name(&self) -> &str {
-        &self.0.plan.name
+        &self.0.config.name
     }
 
     /// What it does from now on. Calls that hang are answered once it does something else.
@@ -217,13 +225,13 @@
     }
 
     /// Calls in hand, those given up included that go on.
-    pub fn in_hand(&self) -> usize {
-        self.0.in_hand.get()
+    pub fn in_flight(&self) -> usize {
+        self.0.in_flight.get()
     }
 
     /// Calls in hand, those given up included that go on, from each moment on at which that changed.
-    pub fn levels(&self) -> Vec<(Instant, usize)> {
-        self.0.levels.borrow().clone()
+    pub fn in_flight_history(&self) -> Vec<(Instant, usize)> {
+        self.0.in_flight_history.borrow().clone()
     }
 
     /// Connections open.
@@ -265,9 +273,9 @@
                 let later = state.clone();
                 spawn_local(async move {
                     // A close and an open that cross are seen in either order.
-                    sleep(CROSSING).await;
+                    sleep(CONNECTION_COUNT_DELAY).await;
                     let mut record = later.record.borrow_mut();
-                    record.most_connections = record.most_connections.max(later.connections.get());
+                    record.max_connections = record.max_connections.max(later.connections.get());
                 });
                 let connected = Connected(state.clone());
                 spawn_local(async move {
@@ -292,21 +300,21 @@
     ///
     /// # Panics
     /// Where loopback has no port left.
-    pub async fn start(ways: &[(&str, &Dependency)]) -> Gateway {
+    pub async fn start(routes: &[(&str, &Dependency)]) -> Gateway {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("an address");
-        let ways: Vec<(String, Rc<State>)> =
-            ways.iter().map(|(word, dependency)| (word.to_string(), dependency.0.clone())).collect();
-        let ways = Rc::new(ways);
+        let routes: Vec<(String, Rc<State>)> =
+            routes.iter().map(|(word, dependency)| (word.to_string(), dependency.0.clone())).collect();
+        let routes = Rc::new(routes);
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let ways = ways.clone();
+                let routes = routes.clone();
                 spawn_local(async move {
-                    let pick = move |request: &Request| {
-                        let way = ways.iter().find(|(word, _)| request.body.starts_with(word.as_bytes()));
-                        way.map(|(_, state)| state.clone())
+                    let select = move |request: &Request| {
+                        let route = routes.iter().find(|(word, _)| request.body.starts_with(word.as_bytes()));
+                        route.map(|(_, state)| state.clone())
                     };
-                    let _ = serve(&pick, stream).await;
+                    let _ = serve(&select, stream).await;
                 });
             }
         });
@@ -320,41 +328,41 @@
 }
 
 /// Serves a connection; each call by the dependency that is picked for it.
-async fn serve(pick: &dyn Fn(&Request) -> Option<Rc<State>>, mut stream: TcpStream) -> std::io::Result<()> {
+async fn serve(select: &dyn Fn(&Request) -> Option<Rc<State>>, mut stream: TcpStream) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
     let mut input = Vec::new();
     while let Some(request) = http::read(&mut stream, &mut input).await? {
-        let Some(state) = &pick(&request) else { return Ok(()) };
+        let Some(state) = &select(&request) else { return Ok(()) };
         if state.mode.get() == Mode::Down {
             return reset(stream);
         }
-        let (place, held) = note(state, &request);
+        let (place, guard) = record_call(state, &request);
         let mut byte = [0];
         // Nothing may come on a connection whose call is not answered: what comes is its end.
         let end = tokio::select! {
-            end = work(state) => Some(end),
+            end = serve_call(state) => Some(end),
             _ = stream.read(&mut byte) => None,
         };
         let Some(end) = end else {
-            state.record.borrow_mut().calls[place].ended = Ended::GivenUp;
+            state.record.borrow_mut().calls[place].ended = Ended::Abandoned;
             // The call goes on below for a while, and takes a slot's place in what is in hand.
-            let linger = state.plan.linger;
+            let extra = state.config.abandoned_call_time;
             spawn_local(async move {
-                sleep(linger).await;
-                drop(held);
+                sleep(extra).await;
+                drop(guard);
             });
             return Ok(());
         };
         // Before the reply is written, since what comes back may be counted from then on.
-        drop(held);
+        drop(guard);
         state.record.borrow_mut().calls[place].ended = end;
         let reply = match end {
-            Ended::Well => {
-                let body = format!("{}:{}", state.plan.name, String::from_utf8_lossy(&request.body));
+            Ended::Succeeded => {
+                let body = format!("{}:{}", state.config.name, String::from_utf8_lossy(&request.body));
                 http::reply("200 OK", "", body.as_bytes())
             }
-            Ended::TurnedAway => http::reply("503 Busy", "Never-Started: 1\r\n", b""),
-            Ended::Spoilt => match state.mode.get() {
+            Ended::Rejected => http::reply("503 Busy", "Never-Started: 1\r\n", b""),
+            Ended::Malformed => match state.mode.get() {
                 Mode::Noisy => b"\x00\x01noise\r\n\r\n".to_vec(),
                 Mode::Endless => {
                     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n").await?;
@@ -380,35 +388,35 @@
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO))
 }
 
-fn note(state: &Rc<State>, request: &Request) -> (usize, InHand) {
-    state.in_hand.set(state.in_hand.get() + 1);
-    state.note_level();
-    let held = InHand(state.clone());
+fn record_call(state: &Rc<State>, request: &Request) -> (usize, InFlight) {
+    state.in_flight.set(state.in_flight.get() + 1);
+    state.record_level();
+    let guard = InFlight(state.clone());
     let mut record = state.record.borrow_mut();
-    let in_hand = state.in_hand.get();
-    record.most_in_hand = record.most_in_hand.max(in_hand);
+    let in_flight = state.in_flight.get();
+    record.max_in_flight = record.max_in_flight.max(in_flight);
     let uid = request.header("request-ref").to_string();
     let ms = request.header("statement-timeout-ms").parse().unwrap_or(0);
-    let seen = Seen {
+    let seen = CallRecord {
         uid,
         body: request.body.clone(),
         timeout: Duration::from_millis(ms),
-        came: state.began.elapsed(),
+        arrived: state.began.elapsed(),
         ended: Ended::Open,
-        in_hand,
+        in_flight,
     };
     record.calls.push(seen);
-    (record.calls.len() - 1, held)
+    (record.calls.len() - 1, guard)
 }
 
-async fn work(state: &State) -> Ended {
+async fn serve_call(state: &State) -> Ended {
     match state.mode.get() {
         Mode::Failing => return Ended::Failed,
-        Mode::Refusing => return Ended::TurnedAway,
-        Mode::Resetting | Mode::Noisy | Mode::Endless => return Ended::Spoilt,
+        Mode::Refusing => return Ended::Rejected,
+        Mode::Resetting | Mode::Noisy | Mode::Endless => return Ended::Malformed,
         Mode::After(time) => {
             sleep(time).await;
-            return Ended::Well;
+            return Ended::Succeeded;
         }
         Mode::Hanging | Mode::Down => {
             // What hangs does not come back by itself; the connection's end is what ends it.
@@ -417,9 +425,15 @@
         Mode::Good | Mode::Slow(_) => {}
     }
     let Ok(_slot) = state.slots.acquire().await else { return Ended::Failed };
-    let spread = state.random.borrow_mut().random_range(-1.0..=1.0) * state.plan.spread;
-    let crowd = (state.in_hand.get() as f64 / state.plan.slots.max(1) as f64 - 1.0).max(0.0);
+    let spread = state.random.borrow_mut().random_range(-1.0..=1.0) * state.config.spread;
+    let crowd = (state.in_flight.get() as f64 / state.config.slots.max(1) as f64 - 1.0).max(0.0);
     let slow = if let Mode::Slow(times) = state.mode.get() { times } else { 1.0 };
-    sleep(state.plan.service.mul_f64((1.0 + spread) * (1.0 + state.plan.thrash * crowd) * slow)).await;
-    Ended::Well
+    sleep(
+        state
+            .config
+            .service_time
+            .mul_f64((1.0 + spread) * (1.0 + state.config.overload_slowdown * crowd) * slow),
+    )
+    .await;
+    Ended::Succeeded
 }
--- a/crates/stand-ins/src/directory.rs
+++ b/crates/stand-ins/src/directory.rs
@@ -17,7 +17,7 @@
 enum Mode {
     Answers,
     /// Takes connections; reports are neither read nor answered.
-    Held,
+    Stalled,
     /// Nothing listens, and connections that were open have been closed.
     Down,
 }
@@ -40,12 +40,12 @@
     /// Where loopback has no port left.
     pub async fn start() -> Directory {
         // Keeps the port while nothing listens.
-        let holder = socket_at(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port on loopback");
-        let address = holder.local_addr().expect("an address");
+        let port_holder = socket_at(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port on loopback");
+        let address = port_holder.local_addr().expect("an address");
         let listener = socket_at(address).and_then(|socket| socket.listen(BACKLOG)).expect("a listener");
         let reports = Reports::default();
         let mode = watch::channel(Mode::Answers).0;
-        spawn_local(listen(listener, holder, reports.clone(), mode.subscribe()));
+        spawn_local(listen(listener, port_holder, reports.clone(), mode.subscribe()));
         Directory { address, reports, mode }
     }
 
@@ -54,13 +54,13 @@
         self.address
     }
 
-    /// While held, reports are neither read nor answered.
-    pub fn hold(&self, held: bool) {
-        self.mode.send_replace(if held { Mode::Held } else { Mode::Answers });
+    /// While stalled, reports are neither read nor answered.
+    pub fn stall(&self, stalled: bool) {
+        self.mode.send_replace(if stalled { Mode::Stalled } else { Mode::Answers });
     }
 
     /// While down, it refuses connections; those that were open are closed.
-    pub fn down(&self, down: bool) {
+    pub fn set_down(&self, down: bool) {
         self.mode.send_replace(if down { Mode::Down } else { Mode::Answers });
     }
 
@@ -83,7 +83,12 @@
     Ok(socket)
 }
 
-async fn listen(listener: TcpListener, holder: TcpSocket, reports: Reports, mut mode: watch::Receiver<Mode>) {
+async fn listen(
+    listener: TcpListener,
+    port_holder: TcpSocket,
+    reports: Reports,
+    mut mode: watch::Receiver<Mode>,
+) {
     let mut listener = Some(listener);
     loop {
         if *mode.borrow_and_update() == Mode::Down {
@@ -96,7 +101,8 @@
         let listening = match &listener {
             Some(listening) => listening,
             None => {
-                let again = holder.local_addr().and_then(socket_at).and_then(|socket| socket.listen(BACKLOG));
+                let again =
+                    port_holder.local_addr().and_then(socket_at).and_then(|socket| socket.listen(BACKLOG));
                 listener.insert(again.expect("the port is held"))
             }
         };
--- a/crates/stand-ins/src/disk.rs
+++ b/crates/stand-ins/src/disk.rs
@@ -9,9 +9,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// What is written as one, or not at all.
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 /// What is kept as one piece in memory.
-const PAGE: usize = 4096;
+const PAGE_BYTES: usize = 4096;
 
 /// What a disk holds; pages that were never written are not kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -26,8 +26,8 @@
         let mut done = 0;
         while done < len {
             let at = offset + done as u64;
-            let (page, within) = (at / PAGE as u64, (at % PAGE as u64) as usize);
-            let part = (PAGE - within).min(len - done);
+            let (page, within) = (at / PAGE_BYTES as u64, (at % PAGE_BYTES as u64) as usize);
+            let part = (PAGE_BYTES - within).min(len - done);
             if let Some(page) = self.pages.get(&page) {
                 out[done..done + part].copy_from_slice(&page[within..within + part]);
             }
@@ -40,9 +40,9 @@
         let mut done = 0;
         while done < data.len() {
             let at = offset + done as u64;
-            let (page, within) = (at / PAGE as u64, (at % PAGE as u64) as usize);
-            let part = (PAGE - within).min(data.len() - done);
-            let page = self.pages.entry(page).or_insert_with(|| vec![0; PAGE].into());
+            let (page, within) = (at / PAGE_BYTES as u64, (at % PAGE_BYTES as u64) as usize);
+            let part = (PAGE_BYTES - within).min(data.len() - done);
+            let page = self.pages.entry(page).or_insert_with(|| vec![0; PAGE_BYTES].into());
             page[within..within + part].copy_from_slice(&data[done..done + part]);
             done += part;
         }
@@ -51,9 +51,9 @@
 
     fn set_len(&mut self, len: u64) {
         if len < self.len {
-            self.pages.retain(|page, _| page * (PAGE as u64) < len);
-            let within = (len % PAGE as u64) as usize;
-            if let Some(page) = self.pages.get_mut(&(len / PAGE as u64)) {
+            self.pages.retain(|page, _| page * (PAGE_BYTES as u64) < len);
+            let within = (len % PAGE_BYTES as u64) as usize;
+            if let Some(page) = self.pages.get_mut(&(len / PAGE_BYTES as u64)) {
                 page[within..].fill(0);
             }
         }
@@ -74,7 +74,7 @@
     /// What the process reads.
     now: Image,
     unsynced: Vec<Change>,
-    /// Opened so often: an earlier opening reads and writes nothing more.
+    /// OpenDisk so often: an earlier opening reads and writes nothing more.
     openings: u64,
     /// Bytes that fit.
     capacity: Option<u64>,
@@ -97,7 +97,7 @@
     pub fn open(&self) -> Box<dyn StorageBackend> {
         let mut state = self.state();
         state.openings += 1;
-        Box::new(Opened { disk: self.clone(), opening: state.openings })
+        Box::new(OpenDisk { disk: self.clone(), opening: state.openings })
     }
 
     /// The process that has it open is gone. What it wrote is there.
@@ -121,7 +121,7 @@
             match change {
                 Change::Len(len) if rng.random_bool(kept) => image.set_len(len),
                 Change::Len(_) => {}
-                Change::Write(offset, data) => keep_some(&mut image, offset, &data, kept, &mut rng),
+                Change::Write(offset, data) => apply_some_sectors(&mut image, offset, &data, kept, &mut rng),
             }
         }
         state.now = image.clone();
@@ -134,7 +134,7 @@
     }
 
     /// Puts back what it held once, or empties it with the default. Whoever had it open has lost it.
-    pub fn put_back(&self, image: Image) {
+    pub fn restore(&self, image: Image) {
         let mut state = self.state();
         state.openings += 1;
         state.unsynced.clear();
@@ -142,12 +142,12 @@
     }
 
     /// From now on so many bytes fit; `None` for any number.
-    pub fn fits(&self, capacity: Option<u64>) {
+    pub fn set_capacity(&self, capacity: Option<u64>) {
         self.state().capacity = capacity;
     }
 
     /// After so many more syncs each one fails, until this is called with `None`.
-    pub fn fails_after(&self, syncs: Option<u64>) {
+    pub fn fail_syncs_after(&self, syncs: Option<u64>) {
         self.state().syncs_left = syncs;
     }
 
@@ -157,28 +157,28 @@
     }
 }
 
-fn keep_some(image: &mut Image, offset: u64, data: &[u8], kept: f64, rng: &mut impl Rng) {
-    for (n, sector) in data.chunks(SECTOR).enumerate() {
+fn apply_some_sectors(image: &mut Image, offset: u64, data: &[u8], kept: f64, rng: &mut impl Rng) {
+    for (n, sector) in data.chunks(SECTOR_BYTES).enumerate() {
         if rng.random_bool(kept) {
-            image.write(offset + (n * SECTOR) as u64, sector);
+            image.write(offset + (n * SECTOR_BYTES) as u64, sector);
         }
     }
 }
 
 #[derive(Debug)]
-struct Opened {
+struct OpenDisk {
     disk: Disk,
     opening: u64,
 }
 
-impl Opened {
+impl OpenDisk {
     fn state(&self) -> io::Result<MutexGuard<'_, State>> {
         let state = self.disk.state();
         if state.openings == self.opening { Ok(state) } else { Err(io::Error::other("the process is gone")) }
     }
 }
 
-impl StorageBackend for Opened {
+impl StorageBackend for OpenDisk {
     fn len(&self) -> io::Result<u64> {
         Ok(self.state()?.now.len)
     }
@@ -242,7 +242,7 @@
         let image = disk.image();
         let mut seen = std::collections::BTreeSet::new();
         for seed in 0..40 {
-            disk.put_back(image.clone());
+            disk.restore(image.clone());
             let opened = disk.open();
             opened.write(0, &[7; 2048]).unwrap();
             disk.crash(seed);
@@ -251,7 +251,7 @@
             let kept = opened.read(0, 2048).unwrap();
             assert_eq!(opened.len().unwrap(), 8192);
             assert!(kept[100..106] == *b"synced" || kept[100..106] == [7; 6]);
-            seen.insert(kept.chunks(SECTOR).map(|sector| sector[0] == 7).collect::<Vec<bool>>());
+            seen.insert(kept.chunks(SECTOR_BYTES).map(|sector| sector[0] == 7).collect::<Vec<bool>>());
         }
         // All, nothing, and torn in more than one way.
         assert!(
@@ -264,14 +264,14 @@
     fn it_fills_up_and_fails_a_sync() {
         let disk = Disk::default();
         let opened = disk.open();
-        disk.fits(Some(4096));
+        disk.set_capacity(Some(4096));
         opened.write(0, &[1; 4096]).unwrap();
         let full = opened.write(4000, &[1; 200]).unwrap_err();
         assert_eq!(full.kind(), io::ErrorKind::StorageFull);
         assert!(opened.set_len(9000).is_err());
-        disk.fails_after(Some(1));
+        disk.fail_syncs_after(Some(1));
         assert!(opened.sync_data(false).is_ok() && opened.sync_data(false).is_err());
-        disk.fails_after(None);
+        disk.fail_syncs_after(None);
         assert!(opened.sync_data(false).is_ok());
         assert_eq!(disk.syncs(), 2);
     }
--- a/crates/stand-ins/src/fleet.rs
+++ b/crates/stand-ins/src/fleet.rs
@@ -2,9 +2,9 @@
 //! tasks act on keeps the record that is the truth.
 
 use crate::link::Link;
+use crate::nodo::{Incarnation, Nodo};
 use crate::process::Process;
 use crate::resource::Resource;
-use crate::starts::{Nodo, Start};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -18,9 +18,9 @@
 /// The fleet's name.
 pub const NAME: &str = "prueba";
 /// A nodo that is frozen answers nothing.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A task of the fleet.
 #[derive(Clone, Debug)]
@@ -38,11 +38,11 @@
     /// The nodos; the first so many vote.
     pub nodos: Vec<Nodo>,
     /// Their processes, while they run.
-    pub starts: Vec<Option<Start>>,
+    pub incarnations: Vec<Option<Incarnation>>,
     /// From each nodo to each voter.
     pub links: BTreeMap<(usize, usize), Link>,
-    /// Where each voter listens.
-    pub listens: Vec<SocketAddr>,
+    /// Where each voter voter_addresses.
+    pub voter_addresses: Vec<SocketAddr>,
     voters: usize,
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// So many milliseconds of true time in a file whose process has a clock of this rate: no further off than that.
-fn by_clock(ms: u128, rate: f64) -> u128 {
+fn by_process_clock(ms: u128, rate: f64) -> u128 {
     let ms = ms as f64 / rate;
     (if rate > 1.0 { ms.ceil() } else { ms.floor() }) as u128
 }
@@ -67,7 +67,7 @@
         let bound = line.split_once(" = ").filter(|(key, _)| ["timeout", "way"].contains(&key.trim()));
         let ms = bound.and_then(|(_, time)| time.trim_matches('"').strip_suffix("ms")?.parse().ok());
         match (bound, ms) {
-            (Some((key, _)), Some(ms)) => format!("{key} = \"{}ms\"\n", by_clock(ms, rate)),
+            (Some((key, _)), Some(ms)) => format!("{key} = \"{}ms\"\n", by_process_clock(ms, rate)),
             _ => format!("{line}\n"),
         }
     };
@@ -103,7 +103,7 @@
         tasks: &[Task],
         rates: &[f64],
     ) -> io::Result<Fleet> {
-        let listens = (0..voters).map(|_| address()).collect::<io::Result<Vec<_>>>()?;
+        let voter_addresses = (0..voters).map(|_| address()).collect::<io::Result<Vec<_>>>()?;
         let (mut nodos, mut links) = (Vec::new(), BTreeMap::new());
         for n in 0..members {
             let mut nodo = Nodo::new(program, &format!("{name}-{n}")).await?;
@@ -112,12 +112,12 @@
             let mut site = format!(
                 "fleet {{\n  name = \"{NAME}\"\n  folder = \"{}\"\n  ttl = \"{}ms\"\n",
                 nodo.folder.join("fleet").display(),
-                by_clock(ttl.as_millis(), rate)
+                by_process_clock(ttl.as_millis(), rate)
             );
-            if let Some(listen) = listens.get(n) {
+            if let Some(listen) = voter_addresses.get(n) {
                 let _ = writeln!(site, "  listen = \"{listen}\"");
             }
-            for (voter, at) in listens.iter().enumerate() {
+            for (voter, at) in voter_addresses.iter().enumerate() {
                 let seen = if voter == n {
                     *at
                 } else {
@@ -146,8 +146,8 @@
         if !found.status.success() {
             return Err(io::Error::other(String::from_utf8_lossy(&found.stderr).into_owned()));
         }
-        let starts = (0..members).map(|_| None).collect();
-        Ok(Fleet { nodos, starts, links, listens, voters })
+        let incarnations = (0..members).map(|_| None).collect();
+        Ok(Fleet { nodos, incarnations, links, voter_addresses, voters })
     }
 
     /// Starts a nodo, and waits until it takes clients.
@@ -155,7 +155,7 @@
     /// # Errors
     /// It cannot be started.
     pub async fn start(&mut self, n: usize) -> io::Result<()> {
-        self.starts[n] = Some(self.nodos[n].start().await?);
+        self.incarnations[n] = Some(self.nodos[n].start().await?);
         Ok(())
     }
 
@@ -165,19 +165,19 @@
     /// One cannot be started.
     pub async fn start_all(&mut self) -> io::Result<()> {
         for n in 0..self.nodos.len() {
-            if self.starts[n].is_none() {
-                self.starts[n] = Some(self.nodos[n].start_early().await?);
+            if self.incarnations[n].is_none() {
+                self.incarnations[n] = Some(self.nodos[n].start_without_waiting().await?);
             }
         }
-        for start in self.starts.iter().flatten() {
-            start.takes_clients().await;
+        for start in self.incarnations.iter().flatten() {
+            start.wait_until_ready().await;
         }
         Ok(())
     }
 
     /// Kills a nodo.
     pub async fn kill(&mut self, n: usize) {
-        if let Some(mut start) = self.starts[n].take() {
+        if let Some(mut start) = self.incarnations[n].take() {
             start.process.kill().await;
         }
     }
@@ -187,7 +187,7 @@
     /// # Panics
     /// It does not run.
     pub fn process(&self, n: usize) -> &Process {
-        &self.starts[n].as_ref().expect("a nodo that runs").process
+        &self.incarnations[n].as_ref().expect("a nodo that runs").process
     }
 
     /// The folder of a nodo's part of the fleet.
@@ -196,16 +196,16 @@
     }
 
     /// What a nodo shows of the fleet; nothing where it does not answer.
-    pub async fn shown(&self, n: usize) -> Option<Value> {
-        let asked = self.starts[n].as_ref()?.call("FLEET SHOW");
-        let answer = timeout(ANSWER_WITHIN, asked).await.ok()?;
+    pub async fn show(&self, n: usize) -> Option<Value> {
+        let asked = self.incarnations[n].as_ref()?.call("FLEET SHOW");
+        let answer = timeout(ANSWER_TIMEOUT, asked).await.ok()?;
         serde_json::from_str(answer.strip_suffix("\r\n.\r\n")?).ok()
     }
 
     /// The nodo that leads, by its own word.
     pub async fn leader(&self) -> Option<usize> {
         for n in 0..self.voters {
-            if let Some(shown) = self.shown(n).await
+            if let Some(shown) = self.show(n).await
                 && shown["age_ms"] == 0
             {
                 return Some(n);
@@ -216,16 +216,16 @@
 
     /// The nodo that holds a lease, by the word of the one that leads.
     pub async fn holder(&self, lease: &str) -> Option<usize> {
-        let shown = self.shown(self.leader().await?).await?;
+        let shown = self.show(self.leader().await?).await?;
         let lease = shown["leases"].as_array()?.iter().find(|other| other["name"] == lease)?;
         self.nodos.iter().position(|nodo| lease["holder"] == nodo.name.as_str())
     }
 
     /// Waits until all named members have a vote.
-    pub async fn has_its_votes(&self) {
+    pub async fn wait_for_votes(&self) {
         loop {
             if let Some(leader) = self.leader().await
-                && let Some(shown) = self.shown(leader).await
+                && let Some(shown) = self.show(leader).await
             {
                 let seats = shown["seats"].as_array().cloned().unwrap_or_default();
                 let votes = seats.iter().filter(|seat| seat["votes"] == true).count();
@@ -233,12 +233,12 @@
                     return;
                 }
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Nothing reaches a nodo from others, and nothing of it reaches others; or all does again.
-    pub fn alone(&self, n: usize, fault: crate::link::Fault) {
+    pub fn isolate(&self, n: usize, fault: crate::link::Fault) {
         for ((from, to), link) in &self.links {
             if *from == n || *to == n {
                 link.set_both(fault);
@@ -263,11 +263,11 @@
 }
 
 /// Waits until something was acted on so often more.
-pub async fn acts_more(resource: &Resource, more: usize) {
+pub async fn wait_for_acts(resource: &Resource, more: usize) {
     let count = || resource.acts().iter().filter(|act| !act.turned_away).count();
     let before = count();
     while count() < before + more {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/stand-ins/src/interpreter.rs
+++ b/crates/stand-ins/src/interpreter.rs
@@ -16,34 +16,34 @@
 use tokio::time::{Instant, sleep};
 
 /// Notices that are kept for a new link.
-const KEPT_NOTICES: usize = 4000;
+const MAX_KEPT_NOTICES: usize = 4000;
 
 /// A run whose body begins so does nothing, and ends with an error at [`Interpreter::fail`].
-pub const HELD: &[u8] = b"held";
+pub const BLOCKING_PREFIX: &[u8] = b"held";
 
 /// What a run of a class does.
 #[derive(Clone, Debug, Default)]
 pub struct Work {
     /// Time on a core before each call and after the last.
-    pub part: Duration,
+    pub core_time: Duration,
     /// Calls, one after another.
     pub calls: usize,
 }
 
-/// What becomes of a run that is told to stop.
+/// What becomes of a run that is last_sent to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Halt {
     /// Nothing: the command is not carried out.
     Never,
     /// It ends, and what it did is lost.
     Drop,
-    /// One on a core stands still until it is told to go on.
+    /// One on a core stands still until it is last_sent to go on.
     Pause,
 }
 
 /// What a run got for a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum CallResult {
     /// A reply.
     Reply(Vec<u8>),
     /// Word to go on without.
@@ -52,7 +52,7 @@
 
 /// A run, as the interpreter saw it.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct RunRecord {
     /// The request.
     pub uid: String,
     /// Its class.
@@ -60,7 +60,7 @@
     /// Its body.
     pub body: Vec<u8>,
     /// What it got for its calls.
-    pub got: Vec<Got>,
+    pub got: Vec<CallResult>,
     /// How it ended; `None` while it runs.
     pub end: Option<&'static str>,
 }
@@ -68,11 +68,11 @@
 struct Running {
     place: usize,
     /// What the run waits for, with the notice that asked.
-    waits: Option<(u64, oneshot::Sender<Got>)>,
+    waits: Option<(u64, oneshot::Sender<CallResult>)>,
     stop: Rc<Notify>,
-    /// It is paused; told of the order to go on.
+    /// It is paused; last_sent of the order to go on.
     paused: bool,
-    go_on: Rc<Notify>,
+    resume: Rc<Notify>,
     over: bool,
 }
 
@@ -82,20 +82,20 @@
     cores: Semaphore,
     /// Runs that have a core or wait for one.
     on_cores: RefCell<usize>,
-    runs: RefCell<Vec<Ran>>,
+    runs: RefCell<Vec<RunRecord>>,
     running: RefCell<BTreeMap<String, Running>>,
     notices: RefCell<VecDeque<(u64, String)>>,
     pos: RefCell<u64>,
     /// Told of each notice, and of each new link.
-    news: Notify,
+    changed: Notify,
     link: RefCell<u64>,
     /// When it came up, if it has; one that comes up later is cold.
     up: RefCell<Option<Instant>>,
     cold: bool,
-    most_on_cores: RefCell<usize>,
+    max_on_cores: RefCell<usize>,
     /// How many have a core or wait for one, from each moment on at which that changed.
-    levels: RefCell<Vec<(Instant, usize)>>,
-    /// Bodies that begin with [`HELD`] and whose runs end.
+    on_cores_history: RefCell<Vec<(Instant, usize)>>,
+    /// Bodies that begin with [`BLOCKING_PREFIX`] and whose runs end.
     failing: RefCell<BTreeSet<Vec<u8>>>,
     fails: Notify,
 }
@@ -116,7 +116,7 @@
         Interpreter::start_with(cores, Halt::Drop, classes).await
     }
 
-    /// A cold one, which takes links and answers none before [`Interpreter::come_up`].
+    /// A cold one, which takes links and answers none before [`Interpreter::become_ready`].
     ///
     /// # Panics
     /// Where loopback has no port left.
@@ -125,15 +125,15 @@
     }
 
     /// It is up from now on.
-    pub fn come_up(&self) {
+    pub fn become_ready(&self) {
         *self.state.up.borrow_mut() = Some(Instant::now());
-        self.state.news.notify_waiters();
+        self.state.changed.notify_waiters();
     }
 
     /// Closes the present link; runs go on.
     pub fn drop_link(&self) {
         *self.state.link.borrow_mut() += 1;
-        self.state.news.notify_waiters();
+        self.state.changed.notify_waiters();
     }
 
     /// Links that were taken so far, and breaks of them.
@@ -141,7 +141,7 @@
         *self.state.link.borrow()
     }
 
-    /// The same, where runs that are told to stop do this.
+    /// The same, where runs that are last_sent to stop do this.
     ///
     /// # Panics
     /// Where loopback has no port left.
@@ -161,12 +161,12 @@
             running: RefCell::default(),
             notices: RefCell::default(),
             pos: RefCell::new(0),
-            news: Notify::new(),
+            changed: Notify::new(),
             link: RefCell::new(0),
             up: RefCell::new((!cold).then(Instant::now)),
             cold,
-            most_on_cores: RefCell::new(0),
-            levels: RefCell::default(),
+            max_on_cores: RefCell::new(0),
+            on_cores_history: RefCell::default(),
             failing: RefCell::default(),
             fails: Notify::new(),
         });
@@ -175,7 +175,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 // A new link replaces the one before.
                 *all.link.borrow_mut() += 1;
-                all.news.notify_waiters();
+                all.changed.notify_waiters();
                 spawn_local(serve(all.clone(), stream));
             }
         });
@@ -189,7 +189,7 @@
 
     /// The request is over: it was answered. As the platform has it, a run that waits for a call ends there, and one that
     /// is on a core ends at its next call.
-    pub fn over(&self, uid: &str) {
+    pub fn request_ended(&self, uid: &str) {
         if let Some(run) = self.state.running.borrow_mut().get_mut(uid) {
             run.over = true;
             if run.waits.is_some() {
@@ -198,54 +198,54 @@
         }
     }
 
-    /// Runs of this body, which begins with [`HELD`], end with an error from now on.
+    /// Runs of this body, which begins with [`BLOCKING_PREFIX`], end with an error from now on.
     pub fn fail(&self, body: &[u8]) {
         self.state.failing.borrow_mut().insert(body.to_vec());
         self.state.fails.notify_waiters();
     }
 
     /// The most runs that had a core or waited for one at a time.
-    pub fn most_on_cores(&self) -> usize {
-        *self.state.most_on_cores.borrow()
+    pub fn max_on_cores(&self) -> usize {
+        *self.state.max_on_cores.borrow()
     }
 
     /// How many runs had a core or waited for one, from each moment on at which that changed.
-    pub fn levels(&self) -> Vec<(Instant, usize)> {
-        self.state.levels.borrow().clone()
+    pub fn on_cores_history(&self) -> Vec<(Instant, usize)> {
+        self.state.on_cores_history.borrow().clone()
     }
 
     /// All runs so far, in the order in which they began.
-    pub fn runs(&self) -> std::cell::Ref<'_, Vec<Ran>> {
+    pub fn runs(&self) -> std::cell::Ref<'_, Vec<RunRecord>> {
         self.state.runs.borrow()
     }
 }
 
 async fn serve(state: Rc<State>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let mine = *state.link.borrow();
+    let own_link = *state.link.borrow();
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read).lines();
-    let mut told = u64::MAX;
+    let mut last_sent = u64::MAX;
     let mut greets = false;
     let mut output = Vec::new();
     loop {
-        let news = state.news.notified();
+        let changed = state.changed.notified();
         if greets && let Some(up) = *state.up.borrow() {
             greets = false;
             let age = up.elapsed().as_millis() as u64 + if state.cold { 0 } else { 60_000 };
             let code = if state.cold { "COLD" } else { "WARM" };
             output.extend(line_of(&json!({"action": "BANNER", "code": code, "wall_ms": age})));
         }
-        if told != u64::MAX {
+        if last_sent != u64::MAX {
             let notices = state.notices.borrow();
             let first = notices.front().map_or(0, |(pos, _)| *pos);
-            let skipped = (told + 1).saturating_sub(first) as usize;
+            let skipped = (last_sent + 1).saturating_sub(first) as usize;
             for (pos, notice) in notices.iter().skip(skipped) {
                 output.extend(notice.as_bytes());
-                told = *pos;
+                last_sent = *pos;
             }
         }
-        if *state.link.borrow() != mine || write.write_all(&output).await.is_err() {
+        if *state.link.borrow() != own_link || write.write_all(&output).await.is_err() {
             return;
         }
         output.clear();
@@ -255,7 +255,7 @@
                 let Ok(command) = serde_json::from_str::<Value>(&line) else { return };
                 match command["action"].as_str() {
                     Some("CONNECT") => {
-                        told = command["pos"].as_u64().unwrap_or(0);
+                        last_sent = command["pos"].as_u64().unwrap_or(0);
                         greets = true;
                     }
                     Some("TOP") => {
@@ -280,7 +280,7 @@
                         match running.get_mut(text(&command, "uid")).filter(|_| state.halt == Halt::Pause) {
                             Some(run) if run.paused => {
                                 run.paused = false;
-                                run.go_on.notify_one();
+                                run.resume.notify_one();
                             }
                             Some(_) => {}
                             None => output.extend(rejected(&command)),
@@ -288,15 +288,15 @@
                     }
                     Some("RESOLVE") => {
                         let content = BASE64.decode(text(&command, "content")).unwrap_or_default();
-                        go_on(&state, text(&command, "uid"), None, Got::Reply(content));
+                        resume(&state, text(&command, "uid"), None, CallResult::Reply(content));
                     }
                     Some("STUB") => {
-                        go_on(&state, text(&command, "uid"), command["pos"].as_u64(), Got::Nothing);
+                        resume(&state, text(&command, "uid"), command["pos"].as_u64(), CallResult::Nothing);
                     }
                     _ => return,
                 }
             }
-            () = news => {}
+            () = changed => {}
         }
     }
 }
@@ -313,7 +313,7 @@
     format!("{value}\n").into_bytes()
 }
 
-fn go_on(state: &State, uid: &str, pos: Option<u64>, got: Got) {
+fn resume(state: &State, uid: &str, pos: Option<u64>, got: CallResult) {
     if let Some(run) = state.running.borrow_mut().get_mut(uid)
         && let Some((asked, way)) = run.waits.take_if(|(asked, _)| pos.is_none_or(|pos| pos == *asked))
     {
@@ -330,10 +330,10 @@
     value["pos"] = json!(*pos);
     let mut notices = state.notices.borrow_mut();
     notices.push_back((*pos, format!("{value}\n")));
-    if notices.len() > KEPT_NOTICES {
+    if notices.len() > MAX_KEPT_NOTICES {
         notices.pop_front();
     }
-    state.news.notify_waiters();
+    state.changed.notify_waiters();
     *pos
 }
 
@@ -343,12 +343,19 @@
         return;
     }
     let body = BASE64.decode(text(command, "content")).unwrap_or_default();
-    let (stop, go_on) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
+    let (stop, resume) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
     let place = state.runs.borrow().len();
-    state.runs.borrow_mut().push(Ran { uid: uid.clone(), class, body, got: Vec::new(), end: None });
+    state.runs.borrow_mut().push(RunRecord { uid: uid.clone(), class, body, got: Vec::new(), end: None });
     state.running.borrow_mut().insert(
         uid.clone(),
-        Running { place, waits: None, stop: stop.clone(), paused: false, go_on: go_on.clone(), over: false },
+        Running {
+            place,
+            waits: None,
+            stop: stop.clone(),
+            paused: false,
+            resume: resume.clone(),
+            over: false,
+        },
     );
     let state = state.clone();
     spawn_local(async move {
@@ -372,7 +379,7 @@
                 &state,
                 json!({"action": "VALUE", "uid": uid, "code": "STOPPED", "wall_ms": ms, "content": ""}),
             );
-            go_on.notified().await;
+            resume.notified().await;
         };
         state.running.borrow_mut().remove(&uid);
         state.runs.borrow_mut()[place].end = Some(end);
@@ -391,14 +398,14 @@
         let run = &state.runs.borrow()[place];
         (run.class.clone(), String::from_utf8_lossy(&run.body).into_owned())
     };
-    if body.as_bytes().starts_with(HELD) {
-        until_failing(state, body.as_bytes()).await;
+    if body.as_bytes().starts_with(BLOCKING_PREFIX) {
+        wait_for_failure(state, body.as_bytes()).await;
         return ("ERROR", String::new());
     }
     let work = state.classes.get(&class).cloned().unwrap_or_default();
     let mut got = Vec::new();
     for call in 1..=work.calls {
-        on_core(state, work.part).await;
+        on_core(state, work.core_time).await;
         let (way, answer) = oneshot::channel();
         let content = BASE64.encode(format!("{body}#{call}"));
         // The way must be there before the notice is, or the reply could come too soon.
@@ -418,15 +425,15 @@
         }
         notice(state, json!({"action": "AWAIT", "uid": uid, "content": content}));
         got.push(match answer.await {
-            Ok(Got::Reply(reply)) => String::from_utf8_lossy(&reply).into_owned(),
+            Ok(CallResult::Reply(reply)) => String::from_utf8_lossy(&reply).into_owned(),
             _ => "-".to_string(),
         });
     }
-    on_core(state, work.part).await;
+    on_core(state, work.core_time).await;
     ("OK", format!("{class} {body} [{}]", got.join(", ")))
 }
 
-async fn until_failing(state: &State, body: &[u8]) {
+async fn wait_for_failure(state: &State, body: &[u8]) {
     loop {
         let fails = state.fails.notified();
         if state.failing.borrow().contains(body) {
@@ -449,9 +456,9 @@
     fn new(state: &'a State) -> OnCore<'a> {
         *state.on_cores.borrow_mut() += 1;
         let now = *state.on_cores.borrow();
-        let most = now.max(*state.most_on_cores.borrow());
-        *state.most_on_cores.borrow_mut() = most;
-        state.levels.borrow_mut().push((Instant::now(), now));
+        let most = now.max(*state.max_on_cores.borrow());
+        *state.max_on_cores.borrow_mut() = most;
+        state.on_cores_history.borrow_mut().push((Instant::now(), now));
         OnCore(state)
     }
 }
@@ -460,6 +467,6 @@
     fn drop(&mut self) {
         *self.0.on_cores.borrow_mut() -= 1;
         let now = *self.0.on_cores.borrow();
-        self.0.levels.borrow_mut().push((Instant::now(), now));
+        self.0.on_cores_history.borrow_mut().push((Instant::now(), now));
     }
 }
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`partial`]: a fleet in three regions with keyed work, faults of all kinds, and histories of it all.
 //! - [`process`]: a program that can be killed, frozen and woken.
 //! - [`resource`]: what the tasks of a fleet act on; records who acted when.
-//! - [`starts`]: several starts of the program as one nodo, with what they speak with.
+//! - [`nodo`]: several starts of the program as one nodo, with what they speak with.
 //! - [`script`]: what goes wrong, and when; from a list or from a seed.
 //! - [`wire`]: one connection of a balancer, byte by byte: halves of requests, closes and resets.
 //! - [`truth`]: holds the answers of a nodo against the records.
@@ -27,10 +27,10 @@
 mod http;
 pub mod interpreter;
 pub mod link;
+pub mod nodo;
 pub mod partial;
 pub mod process;
 pub mod resource;
 pub mod script;
-pub mod starts;
 pub mod truth;
 pub mod wire;
--- a/crates/stand-ins/src/link.rs
+++ b/crates/stand-ins/src/link.rs
@@ -16,7 +16,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
 
-/// Read at once, and held back at most for each way of a connection: beyond that the sender waits.
+/// Read at once, and buffered back at most for each way of a connection: beyond that the sender waits.
 const CHUNK: usize = 4 * 1024;
 
 /// What becomes of bytes on one way.
@@ -34,7 +34,7 @@
         /// So often.
         every: Duration,
     },
-    /// They are held back, and nobody is told: a cut.
+    /// They are buffered back, and nobody is told: a cut.
     Cut,
     /// So many more pass, and then it is a cut: in the middle of a frame, if it falls so.
     CutAfter(usize),
@@ -42,7 +42,7 @@
 
 /// What becomes of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Accepts {
+pub enum AcceptMode {
     /// It leads to the other end.
     #[default]
     Passes,
@@ -65,11 +65,11 @@
     to: Cell<SocketAddr>,
     there: watch::Sender<Fault>,
     back: watch::Sender<Fault>,
-    accepts: Cell<Accepts>,
+    accepts: Cell<AcceptMode>,
     /// Counts up with each reset: connections of an earlier count end.
     resets: watch::Sender<u64>,
     random: RefCell<StdRng>,
-    passed: Cell<[u64; 2]>,
+    bytes_passed: Cell<[u64; 2]>,
     connections: Cell<u64>,
 }
 
@@ -101,10 +101,10 @@
             to: Cell::new(to),
             there: watch::channel(Fault::None).0,
             back: watch::channel(Fault::None).0,
-            accepts: Cell::new(Accepts::Passes),
+            accepts: Cell::new(AcceptMode::Passes),
             resets: watch::channel(0).0,
             random: RefCell::new(StdRng::seed_from_u64(seed)),
-            passed: Cell::new([0; 2]),
+            bytes_passed: Cell::new([0; 2]),
             connections: Cell::new(0),
         });
         let all = state.clone();
@@ -123,11 +123,11 @@
     }
 
     /// New connections lead there.
-    pub fn lead_to(&self, to: SocketAddr) {
+    pub fn set_target(&self, to: SocketAddr) {
         self.state.to.set(to);
     }
 
-    /// From now on bytes on this way fare so, those that were held back included: what was said before a cut is heard after it.
+    /// From now on bytes on this way fare so, those that were buffered back included: what was said before a cut is heard after it.
     pub fn set(&self, way: Way, fault: Fault) {
         let to = match way {
             Way::There => &self.state.there,
@@ -143,24 +143,24 @@
     }
 
     /// From now on new connections fare so.
-    pub fn accepts(&self, accepts: Accepts) {
+    pub fn set_accept_mode(&self, accepts: AcceptMode) {
         self.state.accepts.set(accepts);
     }
 
-    /// All connections end with a reset at both ends, and what was held back is lost.
+    /// All connections end with a reset at both ends, and what was buffered back is lost.
     pub fn reset(&self) {
         self.state.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// No faults any more. What was held back passes.
+    /// No faults any more. What was buffered back passes.
     pub fn heal(&self) {
-        self.accepts(Accepts::Passes);
+        self.set_accept_mode(AcceptMode::Passes);
         self.set_both(Fault::None);
     }
 
-    /// Bytes that have passed, there and back.
-    pub fn passed(&self) -> [u64; 2] {
-        self.state.passed.get()
+    /// Bytes that have bytes_passed, there and back.
+    pub fn bytes_passed(&self) -> [u64; 2] {
+        self.state.bytes_passed.get()
     }
 
     /// Connections that were made.
@@ -177,9 +177,9 @@
     };
     let mut reset = std::pin::pin!(reset);
     match state.accepts.get() {
-        Accepts::Passes => {}
-        Accepts::Silent => return reset.await,
-        Accepts::Resets => return abort(&near),
+        AcceptMode::Passes => {}
+        AcceptMode::Silent => return reset.await,
+        AcceptMode::Resets => return abort(&near),
     }
     let Ok(far) = TcpStream::connect(state.to.get()).await else { return abort(&near) };
     let (_, _) = (near.set_nodelay(true), far.set_nodelay(true));
@@ -220,21 +220,21 @@
 async fn pump(state: &State, way: usize, from: &mut OwnedReadHalf, to: &mut OwnedWriteHalf) -> bool {
     let faults = if way == 0 { &state.there } else { &state.back };
     let mut fault = faults.subscribe();
-    let mut held = Vec::with_capacity(CHUNK);
+    let mut buffered = Vec::with_capacity(CHUNK);
     loop {
-        let Ok(n) = from.read_buf(&mut held).await else { return false };
-        while !held.is_empty() || n == 0 {
+        let Ok(n) = from.read_buf(&mut buffered).await else { return false };
+        while !buffered.is_empty() || n == 0 {
             let present = *fault.borrow_and_update();
             let some = match present {
-                Fault::None => held.len(),
+                Fault::None => buffered.len(),
                 Fault::Late(time, more) => {
                     let part = state.random.borrow_mut().random_range(0.0..1.0);
                     sleep(time + more.mul_f64(part)).await;
-                    held.len()
+                    buffered.len()
                 }
                 Fault::Drip { bytes, every } => {
                     sleep(every).await;
-                    bytes.min(held.len())
+                    bytes.min(buffered.len())
                 }
                 Fault::Cut => {
                     if fault.changed().await.is_err() {
@@ -243,20 +243,20 @@
                     continue;
                 }
                 Fault::CutAfter(left) => {
-                    let some = left.min(held.len());
+                    let some = left.min(buffered.len());
                     let left = left - some;
                     faults.send_replace(if left == 0 { Fault::Cut } else { Fault::CutAfter(left) });
                     some
                 }
             };
-            if n == 0 && held.is_empty() {
+            if n == 0 && buffered.is_empty() {
                 return to.shutdown().await.is_ok();
             }
-            let Ok(()) = to.write_all(&held[..some]).await else { return false };
-            held.drain(..some);
-            let mut passed = state.passed.get();
+            let Ok(()) = to.write_all(&buffered[..some]).await else { return false };
+            buffered.drain(..some);
+            let mut passed = state.bytes_passed.get();
             passed[way] += some as u64;
-            state.passed.set(passed);
+            state.bytes_passed.set(passed);
         }
     }
 }
--- a/crates/stand-ins/src/link/tests.rs
+++ b/crates/stand-ins/src/link/tests.rs
@@ -3,9 +3,9 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// Longer than any byte takes that is not held back.
+/// Longer than any byte takes that is not buffered back.
 const SOON: Duration = Duration::from_secs(20);
-/// Within this a byte that is not held back has long come.
+/// Within this a byte that is not buffered back has long come.
 const AWHILE: Duration = Duration::from_millis(150);
 
 fn local(test: impl Future<Output = ()>) {
@@ -46,7 +46,7 @@
         arrives(&mut near, b"back").await;
         link.heal();
         arrives(&mut far, b"two").await;
-        assert_eq!((link.passed(), link.connections()), ([6, 4], 1));
+        assert_eq!((link.bytes_passed(), link.connections()), ([6, 4], 1));
         // The end of sending passes too, and the other way goes on.
         near.shutdown().await.unwrap();
         assert_eq!(timeout(SOON, far.read(&mut [0])).await.unwrap().unwrap(), 0);
@@ -87,11 +87,11 @@
         near.write_all(b"abcdef").await.unwrap();
         arrives(&mut far, b"abcdef").await;
         assert!(began.elapsed() >= Duration::from_millis(60));
-        link.accepts(Accepts::Silent);
+        link.set_accept_mode(AcceptMode::Silent);
         let mut silent = TcpStream::connect(link.address()).await.unwrap();
         silent.write_all(b"hello").await.unwrap();
         is_silent(&mut silent).await;
-        link.accepts(Accepts::Resets);
+        link.set_accept_mode(AcceptMode::Resets);
         let mut reset = TcpStream::connect(link.address()).await.unwrap();
         assert!(timeout(SOON, reset.read(&mut [0])).await.unwrap().is_err());
         // What is connected stays so.
--- a/crates/stand-ins/src/starts.rs
+++ b/crates/stand-ins/src/nodo.rs
@@ -3,7 +3,7 @@
 
 use crate::balancer::{Answer, Balancer, Request};
 use crate::directory::Directory;
-use crate::interpreter::{Interpreter, Ran, Work};
+use crate::interpreter::{Interpreter, RunRecord, Work};
 use crate::process::Process;
 use socket2::{Domain, Socket, Type};
 use std::cell::{Cell, RefCell};
@@ -30,12 +30,12 @@
 /// Where nothing listens.
 const NOTHING: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9));
 /// Balancers of records have numbers beyond those of a load and of tests.
-const FIRST_OF_RECORDS: u64 = 100;
+const FIRST_LOG_BALANCER: u64 = 100;
 /// Between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The interpreter that a nodo has by now.
-pub type Latest = Rc<RefCell<Option<Interpreter>>>;
+pub type LatestInterpreter = Rc<RefCell<Option<Interpreter>>>;
 
 /// One nodo.
 pub struct Nodo {
@@ -50,23 +50,23 @@
     /// What all starts are told of classes and rules.
     pub settings: String,
     /// Further keys of the configuration, each behind a comma.
-    pub more: String,
+    pub extra_config: String,
     /// Starts are told of no folder that they share, so that each is a nodo on its own.
-    pub alone: bool,
+    pub without_shared_folder: bool,
     /// What the runs of class `sign` call once, if anything.
     pub database: Option<SocketAddr>,
     /// The operator's file for starts to come, if they have one.
     pub operator: Option<String>,
     /// Further classes of its interpreters, of which each run calls once; the settings have to name them.
-    pub also: Vec<String>,
+    pub extra_classes: Vec<String>,
     /// The limit on open descriptors that starts to come get from the system, if not that of the test.
-    pub descriptors: Option<usize>,
+    pub max_descriptors: Option<usize>,
     /// The interpreters, in the order of the starts that have one.
     pub interpreters: Vec<Interpreter>,
     /// Where operators reach the last start.
-    pub at: Rc<Cell<Option<SocketAddr>>>,
+    pub admin_address: Rc<Cell<Option<SocketAddr>>>,
     /// The one of the last start, for balancers: they tell it what was answered.
-    pub latest: Latest,
+    pub latest_interpreter: LatestInterpreter,
     program: PathBuf,
     /// Holds the port without listening there.
     _port: Socket,
@@ -74,7 +74,7 @@
 }
 
 /// One start of the program.
-pub struct Start {
+pub struct Incarnation {
     /// The process.
     pub process: Process,
     /// Where operators call.
@@ -103,15 +103,15 @@
             address,
             name,
             settings: SETTINGS.to_string(),
-            more: String::new(),
-            alone: false,
+            extra_config: String::new(),
+            without_shared_folder: false,
             database: None,
             operator,
-            also: Vec::new(),
-            descriptors: None,
+            extra_classes: Vec::new(),
+            max_descriptors: None,
             interpreters,
-            at: Rc::default(),
-            latest: Latest::default(),
+            admin_address: Rc::default(),
+            latest_interpreter: LatestInterpreter::default(),
             program,
             _port: port,
             started: 0,
@@ -122,9 +122,9 @@
     ///
     /// # Errors
     /// It cannot be started.
-    pub async fn start(&mut self) -> io::Result<Start> {
-        let start = self.start_early().await?;
-        start.takes_clients().await;
+    pub async fn start(&mut self) -> io::Result<Incarnation> {
+        let start = self.start_without_waiting().await?;
+        start.wait_until_ready().await;
         Ok(start)
     }
 
@@ -132,23 +132,23 @@
     ///
     /// # Errors
     /// It cannot be started.
-    pub async fn start_early(&mut self) -> io::Result<Start> {
-        let part = |ms| Work { part: Duration::from_millis(ms), calls: 0 };
+    pub async fn start_without_waiting(&mut self) -> io::Result<Incarnation> {
+        let part = |ms| Work { core_time: Duration::from_millis(ms), calls: 0 };
         let sign = Work { calls: usize::from(self.database.is_some()), ..part(8) };
         let mut classes = vec![("read", part(4)), ("sign", sign), ("slow", part(700))];
-        classes.extend(self.also.iter().map(|name| (name.as_str(), Work { calls: 1, ..part(8) })));
+        classes.extend(self.extra_classes.iter().map(|name| (name.as_str(), Work { calls: 1, ..part(8) })));
         let interpreter = Interpreter::start(8, &classes).await;
         let at = interpreter.address();
-        *self.latest.borrow_mut() = Some(interpreter.clone());
+        *self.latest_interpreter.borrow_mut() = Some(interpreter.clone());
         self.interpreters.push(interpreter);
-        self.begin(at).await
+        self.start_with_interpreter(at).await
     }
 
     /// Starts the program with an interpreter at this address, and waits until operators can call.
     ///
     /// # Errors
     /// It cannot be started.
-    pub async fn begin(&mut self, interpreter: SocketAddr) -> io::Result<Start> {
+    pub async fn start_with_interpreter(&mut self, interpreter: SocketAddr) -> io::Result<Incarnation> {
         self.started += 1;
         let config = self.folder.join(format!("config{}.json", self.started));
         let text = format!(
@@ -159,13 +159,13 @@
             self.directory.address(),
             self.database.unwrap_or(NOTHING),
             self.settings,
-            self.more
+            self.extra_config
         );
         std::fs::write(&config, text)?;
         let mut command = self.command();
         command.env("NODE_CONFIG", &config).env("TMPDIR", &self.folder);
         command.env_remove("NODE_LISTEN").env_remove("NODE_ADMIN");
-        if self.alone {
+        if self.without_shared_folder {
             command.env_remove("TMPDIR");
         }
         if let Some(operator) = &self.operator {
@@ -174,15 +174,15 @@
             command.args(["serve", "--operator"]).arg(&file);
         }
         let process = Process::start(&mut command, &self.log(self.started))?;
-        let admin = process.says("answers operators on ").await;
+        let admin = process.wait_for_output("answers operators on ").await;
         let admin = admin.parse().map_err(|_| io::Error::other(format!("{admin} is no address")))?;
-        self.at.set(Some(admin));
-        Ok(Start { process, admin })
+        self.admin_address.set(Some(admin));
+        Ok(Incarnation { process, admin })
     }
 
     /// The program, by way of a shell that lowers the limit on descriptors and becomes the program, where there is one.
     fn command(&self) -> Command {
-        let Some(most) = self.descriptors else { return Command::new(&self.program) };
+        let Some(most) = self.max_descriptors else { return Command::new(&self.program) };
         let mut command = Command::new("sh");
         command.args(["-c", &format!(r#"ulimit -n {most} && exec "$0" "$@""#)]).arg(&self.program);
         command
@@ -208,7 +208,7 @@
         self.count(|ran| ran.class == "sign" && ran.body == key.as_bytes())
     }
 
-    fn count(&self, what: impl Fn(&Ran) -> bool) -> usize {
+    fn count(&self, what: impl Fn(&RunRecord) -> bool) -> usize {
         let all = self.interpreters.iter();
         all.map(|interpreter| interpreter.runs().iter().filter(|ran| what(ran)).count()).sum()
     }
@@ -220,7 +220,7 @@
     }
 }
 
-impl Start {
+impl Incarnation {
     /// What operators get for a line; nothing where nobody answers.
     pub async fn call(&self, line: &str) -> String {
         let Ok(mut stream) = TcpStream::connect(self.admin).await else { return String::new() };
@@ -232,14 +232,14 @@
     }
 
     /// Whether it says that it takes clients.
-    pub async fn serves(&self) -> bool {
+    pub async fn is_ready(&self) -> bool {
         self.call("PING").await.starts_with("+OK")
     }
 
     /// Waits until it says so.
-    pub async fn takes_clients(&self) {
-        while !self.serves().await {
-            sleep(LOOK_EVERY).await;
+    pub async fn wait_until_ready(&self) {
+        while !self.is_ready().await {
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -252,7 +252,7 @@
 
 /// Keyed requests and the answers to their tries, in the order in which those were sent.
 #[derive(Clone, Default)]
-pub struct Record {
+pub struct AnswerLog {
     answers: Rc<RefCell<BTreeMap<String, Vec<Answer>>>>,
     /// Balancers so far: their numbers are in the ids of what they send, of which no two may be open at once.
     balancers: Rc<Cell<u64>>,
@@ -275,12 +275,12 @@
     pub statuses: BTreeMap<u16, usize>,
 }
 
-impl Record {
+impl AnswerLog {
     /// Sends a keyed request twice, marked as first and then as further try, each over a connection of its own.
     pub async fn pair(&self, to: SocketAddr, key: &str, patience: Duration) {
         for resent in [false, true] {
             self.balancers.set(self.balancers.get() + 1);
-            let balancer = Balancer::new(to, FIRST_OF_RECORDS + self.balancers.get(), None);
+            let balancer = Balancer::new(to, FIRST_LOG_BALANCER + self.balancers.get(), None);
             let answer = balancer.send(&keyed("sign", key, resent), patience).await;
             self.add(key, answer);
         }
@@ -355,7 +355,7 @@
 pub struct Load {
     go: Rc<Cell<bool>>,
     reads: Rc<RefCell<Vec<Answer>>>,
-    record: Record,
+    record: AnswerLog,
     senders: Vec<JoinHandle<()>>,
 }
 
@@ -363,7 +363,7 @@
     /// Two balancers, three senders on each, who wait so long for an answer.
     pub fn start(address: SocketAddr, patience: Duration) -> Load {
         let (go, reads, record) =
-            (Rc::new(Cell::new(true)), Rc::<RefCell<Vec<_>>>::default(), Record::default());
+            (Rc::new(Cell::new(true)), Rc::<RefCell<Vec<_>>>::default(), AnswerLog::default());
         let mut senders = Vec::new();
         for number in 0..2u64 {
             let balancer = Balancer::new(address, number, None);
@@ -389,10 +389,10 @@
     }
 
     /// Waits for so many more reads.
-    pub async fn more(&self, count: usize) {
+    pub async fn wait_for_reads(&self, count: usize) {
         let until = self.reads.borrow().len() + count;
         while self.reads.borrow().len() < until {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/crates/stand-ins/src/partial/clients.rs
+++ b/crates/stand-ins/src/partial/clients.rs
@@ -3,7 +3,7 @@
 
 use super::{ASKS, FENCED, NODOS, now};
 use crate::balancer::{Answer, Balancer, Request};
-use crate::starts::Latest;
+use crate::nodo::LatestInterpreter;
 use jaspershunt_histories::format::{Came, Op, Told, Value, WorkEnd, Writer};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -17,11 +17,11 @@
 use tokio::time::{Instant, sleep};
 
 /// A try is given up after this, and made again elsewhere.
-pub const PATIENCE: Duration = Duration::from_secs(3);
+pub const TRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Between two tries of one key.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Answers that it failed after which a client believes it.
-const FAILED: usize = 3;
+const MAX_FAILURES: usize = 3;
 
 /// One answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,23 +37,23 @@
 /// What all clients share.
 #[derive(Clone)]
 pub struct Clients {
-    nodos: Rc<Vec<(SocketAddr, Latest)>>,
+    nodos: Rc<Vec<(SocketAddr, LatestInterpreter)>>,
     writer: Rc<RefCell<Writer<File>>>,
     balancers: Rc<Cell<u64>>,
     tries: Rc<RefCell<BTreeMap<String, Vec<Try>>>>,
-    go: Rc<Cell<bool>>,
+    running: Rc<Cell<bool>>,
     /// Why a history could not be written.
     broken: Rc<RefCell<Option<String>>>,
 }
 
 impl Clients {
-    pub(super) fn new(nodos: Vec<(SocketAddr, Latest)>, writer: Writer<File>) -> Clients {
+    pub(super) fn new(nodos: Vec<(SocketAddr, LatestInterpreter)>, writer: Writer<File>) -> Clients {
         Clients {
             nodos: Rc::new(nodos),
             writer: Rc::new(RefCell::new(writer)),
             balancers: Rc::default(),
             tries: Rc::default(),
-            go: Rc::new(Cell::new(true)),
+            running: Rc::new(Cell::new(true)),
             broken: Rc::default(),
         }
     }
@@ -85,7 +85,7 @@
         let balancer = Balancer::new(*address, self.balancers.get(), interpreter.borrow().clone());
         let class = if key.starts_with(ASKS) { "sign" } else { "note" };
         let request = Request { key: Some(key.to_string()), resent, ..Request::new(class, key.as_bytes()) };
-        let answer = balancer.send(&request, PATIENCE).await;
+        let answer = balancer.send(&request, TRY_TIMEOUT).await;
         let came = match answer.status {
             200 => Came::Ok(Told::Work { end: WorkEnd::Done(Value::of(&answer.body)), token: None }),
             503 => Came::Failed,
@@ -101,19 +101,19 @@
     }
 
     /// Tries one nodo after another, from this one on, until the key is served, or is said to have failed often enough.
-    pub async fn until_told(&self, key: &str, first: usize, patience: Duration) -> bool {
+    pub async fn send_until_answered(&self, key: &str, first: usize, patience: Duration) -> bool {
         let (began, mut failed) = (Instant::now(), 0);
         for n in 0.. {
             let resent = n > 0 || self.tries.borrow().contains_key(key);
             let status = self.send(key, (first + n) % NODOS, resent).await.status;
             failed += usize::from(status == 500);
-            if status == 200 || failed >= FAILED {
+            if status == 200 || failed >= MAX_FAILURES {
                 return true;
             }
             if began.elapsed() > patience {
                 return false;
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_DELAY).await;
         }
         false
     }
@@ -126,12 +126,12 @@
             spawn_local(async move {
                 let mut random = StdRng::seed_from_u64(seed << 16 | client);
                 for n in 0u64.. {
-                    if !all.go.get() {
+                    if !all.running.get() {
                         return;
                     }
                     let class = if (n + client).is_multiple_of(2) { ASKS } else { FENCED };
                     let first = random.random_range(0..NODOS);
-                    all.until_told(&format!("{class}{client}-{n}"), first, patience).await;
+                    all.send_until_answered(&format!("{class}{client}-{n}"), first, patience).await;
                     sleep(pause.mul_f64(random.random_range(0.5..1.5))).await;
                 }
             })
@@ -141,23 +141,23 @@
 
     /// No new keys from here on.
     pub fn stop(&self) {
-        self.go.set(false);
+        self.running.set(false);
     }
 
     /// Asks for every key once more, so many at once, each at a nodo of the seed's choice; how many were not told anything in time.
-    pub async fn ask_for_all(&self, seed: u64, at_once: usize, patience: Duration) -> usize {
+    pub async fn query_all(&self, seed: u64, at_once: usize, patience: Duration) -> usize {
         let left = Rc::new(RefCell::new(self.keys()));
-        let untold = Rc::new(Cell::new(0));
+        let unanswered = Rc::new(Cell::new(0));
         let askers: Vec<_> = (0..at_once as u64)
             .map(|n| {
-                let (all, left, untold) = (self.clone(), left.clone(), untold.clone());
+                let (all, left, unanswered) = (self.clone(), left.clone(), unanswered.clone());
                 spawn_local(async move {
                     let mut random = StdRng::seed_from_u64(seed << 16 | n);
                     loop {
                         let Some(key) = left.borrow_mut().pop() else { return };
                         let first = random.random_range(0..NODOS);
-                        if !all.until_told(&key, first, patience).await {
-                            untold.set(untold.get() + 1);
+                        if !all.send_until_answered(&key, first, patience).await {
+                            unanswered.set(unanswered.get() + 1);
                         }
                     }
                 })
@@ -167,6 +167,6 @@
             // An error means that it panicked, which says so itself.
             let _ = asker.await;
         }
-        untold.get()
+        unanswered.get()
     }
 }
