--- a/crates/stand-ins/src/partial/editors.rs
+++ b/crates/stand-ins/src/partial/editors.rs
@@ -1,7 +1,7 @@
 //! Four teams that edit the route table while parts of the fleet fail: each on any nodo, one edit after another, again and again until it
 //! hears what became of it. What was asked and heard is written down; nothing is judged here.
 
-use super::{GENEROUS, NODOS, now};
+use super::{CONVERGENCE_TIMEOUT, NODOS, now};
 use jaspershunt_histories::format::{Came, Op, Table, Told, Value as Of, Who, Writer};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -25,9 +25,9 @@
 /// The table's name in the histories.
 const TABLE: &str = "routes";
 /// A nodo that says nothing for so long is left for another.
-const SAY_WITHIN: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Between two tries of one edit.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Where operators reach a nodo by now.
 pub type Admin = Rc<Cell<Option<SocketAddr>>>;
@@ -37,12 +37,12 @@
 pub struct Editors {
     admins: Rc<Vec<Admin>>,
     writer: Rc<RefCell<Writer<File>>>,
-    go: Rc<Cell<bool>>,
+    running: Rc<Cell<bool>>,
     /// Edits in force, in conflict once, otherwise ended, and those of which nothing was heard in time.
     tally: Rc<Cell<[usize; 4]>>,
     broken: Rc<RefCell<Option<String>>>,
     /// What was answered last to an edit of which nothing more was heard in time.
-    unheard: Rc<RefCell<Vec<String>>>,
+    unresolved: Rc<RefCell<Vec<String>>>,
 }
 
 impl Editors {
@@ -50,10 +50,10 @@
         Editors {
             admins: Rc::new(admins),
             writer: Rc::new(RefCell::new(writer)),
-            go: Rc::new(Cell::new(true)),
+            running: Rc::new(Cell::new(true)),
             tally: Rc::default(),
             broken: Rc::default(),
-            unheard: Rc::default(),
+            unresolved: Rc::default(),
         }
     }
 
@@ -69,7 +69,7 @@
 
     /// No new edits from here on.
     pub fn stop(&self) {
-        self.go.set(false);
+        self.running.set(false);
     }
 
     fn count(&self, place: usize) {
@@ -88,7 +88,7 @@
             stream.read_to_string(&mut answer).await?;
             Ok::<_, io::Error>(answer)
         };
-        let answer = timeout(SAY_WITHIN, asked).await.ok()?.ok()?;
+        let answer = timeout(ANSWER_TIMEOUT, asked).await.ok()?.ok()?;
         match answer.strip_suffix("\r\n.\r\n") {
             Some(told) => serde_json::from_str(told).ok().map(Ok),
             None => answer.starts_with("-ERR").then_some(Err(answer)),
@@ -105,7 +105,7 @@
     }
 
     /// Says an edit at one nodo after another until something is known of it.
-    async fn until_known(&self, edit: &Value, first: usize, patience: Duration) -> Option<Value> {
+    async fn submit_until_known(&self, edit: &Value, first: usize, patience: Duration) -> Option<Value> {
         let name = format!("{}/{}", edit["id"]["team"].as_str().unwrap_or_default(), edit["id"]["number"]);
         let began = Instant::now();
         for n in 0.. {
@@ -130,17 +130,17 @@
             match told {
                 Some(Ok(told)) if !["taken", "held", ""].contains(&state) => return Some(told),
                 other if began.elapsed() > patience => {
-                    self.unheard.borrow_mut().push(format!("{name}: {other:?}"));
+                    self.unresolved.borrow_mut().push(format!("{name}: {other:?}"));
                     return None;
                 }
-                _ => sleep(AGAIN).await,
+                _ => sleep(RETRY_DELAY).await,
             }
         }
         None
     }
 
     /// A team's next edit: of what is its own, which all may take together, or of what all share, which they may not.
-    fn drawn(team: &str, number: u64, base: u64, random: &mut StdRng) -> Value {
+    fn next_edit(team: &str, number: u64, base: u64, random: &mut StdRng) -> Value {
         let value = random.random_range(1..100_u64);
         let own = format!("dependency/{team}");
         let set =
@@ -177,7 +177,7 @@
             if done || began.elapsed() > patience {
                 return;
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -189,15 +189,15 @@
                 let mut random = StdRng::seed_from_u64(seed << 8 | place as u64);
                 let mut base = 0;
                 for number in 1u64.. {
-                    if !all.go.get() {
+                    if !all.running.get() {
                         return;
                     }
                     let first = random.random_range(0..NODOS);
                     if let Some(Ok(shown)) = all.call(first, "ROUTES SHOW").await {
                         base = shown["here"]["revision"].as_u64().unwrap_or(base);
                     }
-                    let edit = Editors::drawn(team, number, base, &mut random);
-                    let told = all.until_known(&edit, first, patience).await;
+                    let edit = Editors::next_edit(team, number, base, &mut random);
+                    let told = all.submit_until_known(&edit, first, patience).await;
                     let state = told.as_ref().and_then(|told| told["state"].as_str()).unwrap_or_default();
                     all.count(match state {
                         "in force" => 0,
@@ -220,8 +220,8 @@
     ///
     /// # Errors
     /// They do not, in time, or it cannot be written down.
-    pub async fn all_same(&self, histories: &Path) -> Result<u64, String> {
-        let until = Instant::now() + GENEROUS;
+    pub async fn wait_for_convergence(&self, histories: &Path) -> Result<u64, String> {
+        let until = Instant::now() + CONVERGENCE_TIMEOUT;
         loop {
             let (begin, mut all) = (now(), Vec::new());
             for n in 0..NODOS {
@@ -239,7 +239,7 @@
             let agreed = first[1].as_u64().filter(|revision| first[2] == *revision && first[3] == json!([]));
             if let Some(revision) = agreed.filter(|_| all.iter().all(|shown| of(shown) == first)) {
                 for (n, shown) in all.iter().enumerate() {
-                    seen(histories, n, begin, shown, revision).map_err(|e| e.to_string())?;
+                    record_seen_table(histories, n, begin, shown, revision).map_err(|e| e.to_string())?;
                 }
                 return Ok(revision);
             }
@@ -256,15 +256,15 @@
                     ])
                 };
                 let all: Vec<String> = all.iter().map(|shown| short(shown).to_string()).collect();
-                return Err(format!("{all:#?} {:#?}", self.unheard.borrow()));
+                return Err(format!("{all:#?} {:#?}", self.unresolved.borrow()));
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
 /// Writes down the table that a nodo goes by.
-fn seen(histories: &Path, n: usize, begin: u64, shown: &Value, revision: u64) -> io::Result<()> {
+fn record_seen_table(histories: &Path, n: usize, begin: u64, shown: &Value, revision: u64) -> io::Result<()> {
     let lines = shown["fleet"]["log"].as_array().cloned().unwrap_or_default();
     // A log that was shortened has not all of it, and says nothing.
     let whole = lines.first().is_some_and(|line| line["revision"] == 1);
--- a/crates/stand-ins/src/partial/faults.rs
+++ b/crates/stand-ins/src/partial/faults.rs
@@ -138,13 +138,13 @@
 }
 
 /// Mostly far shorter than a lease, so that the fleet goes on and there is work to lose; else long enough for heirs.
-fn a_while(random: &mut impl Rng, from: f64, to: f64) -> Duration {
+fn duration_in(random: &mut impl Rng, from: f64, to: f64) -> Duration {
     let short = from + (to - from) * 0.2;
     let (from, to) = if random.random_bool(0.6) { (from, short) } else { (short, to) };
     TTL.mul_f64(random.random_range(from..to))
 }
 
-fn one(random: &mut impl Rng) -> Fault {
+fn draw_one(random: &mut impl Rng) -> Fault {
     let n = random.random_range(0..NODOS);
     let region = REGIONS[random.random_range(0..3)];
     let of_region = || (0..NODOS).filter(|n| REGIONS[*n] == region).collect::<Vec<_>>();
@@ -156,60 +156,60 @@
     };
     let way = if random.random_bool(0.5) { Way::There } else { Way::Back };
     match random.random_range(0..100) {
-        0..22 => Fault::Kill { who: vec![n], empty: false, back: a_while(random, 0.1, 1.8) },
-        22..26 => Fault::Kill { who: vec![n], empty: true, back: a_while(random, 0.1, 1.5) },
-        26..30 => Fault::Kill { who: of_region(), empty: false, back: a_while(random, 0.5, 2.0) },
-        30 => Fault::Kill { who: (0..NODOS).collect(), empty: false, back: a_while(random, 0.05, 0.3) },
-        31..51 => Fault::Freeze { who: vec![n], lasts: a_while(random, 0.1, 2.2) },
-        51..53 => Fault::Freeze { who: of_region(), lasts: a_while(random, 0.1, 1.5) },
-        53..71 => Fault::Cut { ends, way: Some(way), flaps: None, lasts: a_while(random, 0.2, 2.0) },
-        71..82 => Fault::Cut { ends, way: None, flaps: None, lasts: a_while(random, 0.2, 2.0) },
+        0..22 => Fault::Kill { who: vec![n], empty: false, back: duration_in(random, 0.1, 1.8) },
+        22..26 => Fault::Kill { who: vec![n], empty: true, back: duration_in(random, 0.1, 1.5) },
+        26..30 => Fault::Kill { who: of_region(), empty: false, back: duration_in(random, 0.5, 2.0) },
+        30 => Fault::Kill { who: (0..NODOS).collect(), empty: false, back: duration_in(random, 0.05, 0.3) },
+        31..51 => Fault::Freeze { who: vec![n], lasts: duration_in(random, 0.1, 2.2) },
+        51..53 => Fault::Freeze { who: of_region(), lasts: duration_in(random, 0.1, 1.5) },
+        53..71 => Fault::Cut { ends, way: Some(way), flaps: None, lasts: duration_in(random, 0.2, 2.0) },
+        71..82 => Fault::Cut { ends, way: None, flaps: None, lasts: duration_in(random, 0.2, 2.0) },
         82..92 => {
-            let flaps = Some(a_while(random, 0.04, 0.2));
+            let flaps = Some(duration_in(random, 0.04, 0.2));
             let way = [None, Some(way)][random.random_range(0..2)];
-            Fault::Cut { ends, way, flaps, lasts: a_while(random, 0.5, 2.0) }
+            Fault::Cut { ends, way, flaps, lasts: duration_in(random, 0.5, 2.0) }
         }
         _ => Fault::Reset { ends },
     }
 }
 
 /// The next faults at one moment: one, or a pair. Seldom two voters at once, so that there is something to go wrong: without a quorum
-/// nobody acts. `hurt` are voters that are hurt by now; a disk is emptied only where all others have theirs.
-pub fn draw(random: &mut StdRng, hurt: &[usize], repairs: bool) -> Vec<Fault> {
+/// nobody acts. `impaired` are voters that are impaired by now; a disk is emptied only where all others have theirs.
+pub fn draw(random: &mut StdRng, impaired: &[usize], repairs: bool) -> Vec<Fault> {
     let count = if random.random_bool(0.3) { 2 } else { 1 };
-    let mut hurt = hurt.to_vec();
+    let mut impaired = impaired.to_vec();
     let mut drawn = Vec::new();
     while drawn.len() < count {
-        let fault = one(random);
+        let fault = draw_one(random);
         let voters = fault.voters();
-        let others = voters.iter().any(|n| !hurt.contains(n)) && !hurt.is_empty();
+        let others = voters.iter().any(|n| !impaired.contains(n)) && !impaired.is_empty();
         let empties = matches!(fault, Fault::Kill { empty: true, .. }) && !voters.is_empty();
         // Guards against a quorum that is lost for good, which no fleet comes back from.
-        if empties && (repairs || !hurt.is_empty()) || others && random.random_bool(0.85) {
+        if empties && (repairs || !impaired.is_empty()) || others && random.random_bool(0.85) {
             continue;
         }
-        hurt.extend(voters);
+        impaired.extend(voters);
         drawn.push(fault);
     }
     drawn
 }
 
 /// Faults one after another, from a seed.
-pub struct Torment {
+pub struct FaultInjector {
     random: StdRng,
     /// How many of each of [`KINDS`] there were.
     pub counts: [usize; KINDS.len()],
-    /// What there was, and when, for the story of a seed.
-    pub story: Vec<(Duration, Fault)>,
+    /// What there was, and when, for the timeline of a seed.
+    pub timeline: Vec<(Duration, Fault)>,
 }
 
 /// Between two moments of faults.
-const EVERY: (u64, u64) = (150, 600);
+const INTERVAL_MS: (u64, u64) = (150, 600);
 
-impl Torment {
+impl FaultInjector {
     /// The torment of this seed.
-    pub fn new(random: StdRng) -> Torment {
-        Torment { random, counts: [0; KINDS.len()], story: Vec::new() }
+    pub fn new(random: StdRng) -> FaultInjector {
+        FaultInjector { random, counts: [0; KINDS.len()], timeline: Vec::new() }
     }
 
     /// Plays it for so long. What an act of the resource lasts changes as it goes on.
@@ -219,15 +219,17 @@
     pub async fn play(&mut self, rig: &mut super::Rig, length: Duration) -> std::io::Result<()> {
         let began = tokio::time::Instant::now();
         while began.elapsed() < length {
-            let hurt: Vec<usize> = (0..VOTERS).filter(|n| rig.is_hurt(*n) || rig.is_cut(*n)).collect();
-            for fault in draw(&mut self.random, &hurt, rig.repairs) {
-                if rig.hurt(&fault).await? {
+            let impaired: Vec<usize> =
+                (0..VOTERS).filter(|n| rig.is_impaired(*n) || rig.is_cut(*n)).collect();
+            for fault in draw(&mut self.random, &impaired, rig.is_repairing) {
+                if rig.inject(&fault).await? {
                     self.counts[fault.kind()] += 1;
-                    self.story.push((began.elapsed(), fault));
+                    self.timeline.push((began.elapsed(), fault));
                 }
             }
-            rig.resource.lasts(Duration::from_millis(self.random.random_range(5..250)));
-            rig.go_on(Duration::from_millis(self.random.random_range(EVERY.0..EVERY.1))).await?;
+            rig.resource.set_duration(Duration::from_millis(self.random.random_range(5..250)));
+            rig.run_for(Duration::from_millis(self.random.random_range(INTERVAL_MS.0..INTERVAL_MS.1)))
+                .await?;
         }
         Ok(())
     }
--- a/crates/stand-ins/src/partial/mod.rs
+++ b/crates/stand-ins/src/partial/mod.rs
@@ -1,5 +1,5 @@
 //! Seven nodos in three regions with keyed work of two classes, a resource that records, links between all of them that can be broken, and
-//! a history of each process and client. Faults come one by one ([`Rig::hurt`]) or drawn from a seed ([`faults::draw`]).
+//! a history of each process and client. Faults come one by one ([`Rig::inject`]) or drawn from a seed ([`faults::draw`]).
 //!
 //! Nothing here judges while it runs: [`Rig::verdict`] reads the histories after the fact.
 
@@ -33,9 +33,9 @@
 /// Leases' time under faults that are drawn.
 pub const TTL: Duration = Duration::from_secs(1);
 /// For the fleet to have its votes.
-pub const GENEROUS: Duration = Duration::from_secs(30);
+pub const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Between two looks at what is to be healed.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Keys of the class whose resource is asked, and of the one whose resource fences and answers repeats.
 pub const ASKS: &str = "a-";
 /// See there.
@@ -58,7 +58,7 @@
 enum State {
     Runs,
     Dead { until: Instant },
-    Frozen { until: Instant },
+    Paused { until: Instant },
 }
 
 /// A cut that is in force.
@@ -87,9 +87,9 @@
     states: [State; NODOS],
     cuts: Vec<Cut>,
     /// Links that are cut at this moment, with the way.
-    now_cut: BTreeMap<faults::LinkId, [bool; 2]>,
+    active_cuts: BTreeMap<faults::LinkId, [bool; 2]>,
     /// A voter whose disk was emptied, until all votes are there again.
-    repairs: bool,
+    is_repairing: bool,
 }
 
 /// What the histories say of a run.
@@ -181,17 +181,17 @@
                 site
             });
             nodo.database = Some(at);
-            nodo.also = vec!["note".to_string()];
+            nodo.extra_classes = vec!["note".to_string()];
             let sign = r#"{"name":"sign""#;
             let (before, rest) = nodo.settings.split_once(sign).unwrap_or_default();
             let after = rest.split_once('}').unwrap_or_default().1;
             nodo.settings = format!("{before}{CLASSES}{after}");
         }
         fleet.start_all().await?;
-        let nodos = fleet.nodos.iter().map(|nodo| (nodo.address, nodo.latest.clone())).collect();
+        let nodos = fleet.nodos.iter().map(|nodo| (nodo.address, nodo.latest_interpreter.clone())).collect();
         let writer = Writer::create(&histories, &Who::new("clients", 1), 4 * FILE_BYTES);
         let clients = Clients::new(nodos, writer.map_err(io::Error::other)?);
-        let admins = fleet.nodos.iter().map(|nodo| nodo.at.clone()).collect();
+        let admins = fleet.nodos.iter().map(|nodo| nodo.admin_address.clone()).collect();
         let writer = Writer::create(&histories, &Who::new("teams", 1), 4 * FILE_BYTES);
         let editors = Editors::new(admins, writer.map_err(io::Error::other)?);
         Ok(Rig {
@@ -203,17 +203,17 @@
             histories,
             states: [State::Runs; NODOS],
             cuts: Vec::new(),
-            now_cut: BTreeMap::new(),
-            repairs: false,
+            active_cuts: BTreeMap::new(),
+            is_repairing: false,
         })
     }
 
     /// Whether all votes are there in time.
-    pub async fn has_its_votes(&self) -> bool {
-        timeout(GENEROUS, self.fleet.has_its_votes()).await.is_ok()
+    pub async fn wait_for_votes(&self) -> bool {
+        timeout(CONVERGENCE_TIMEOUT, self.fleet.wait_for_votes()).await.is_ok()
     }
 
-    fn is_hurt(&self, n: usize) -> bool {
+    fn is_impaired(&self, n: usize) -> bool {
         self.states[n] != State::Runs
     }
 
@@ -231,26 +231,26 @@
     ///
     /// # Errors
     /// A disk cannot be emptied.
-    pub async fn hurt(&mut self, fault: &Fault) -> io::Result<bool> {
+    pub async fn inject(&mut self, fault: &Fault) -> io::Result<bool> {
         let now = Instant::now();
         match fault {
             Fault::Kill { who, empty, back } => {
-                let who: Vec<usize> = who.iter().copied().filter(|n| !self.is_hurt(*n)).collect();
+                let who: Vec<usize> = who.iter().copied().filter(|n| !self.is_impaired(*n)).collect();
                 for n in &who {
                     self.fleet.kill(*n).await;
                     self.states[*n] = State::Dead { until: now + *back };
                     if *empty {
                         std::fs::remove_dir_all(self.fleet.folder(*n))?;
-                        self.repairs |= *n < VOTERS;
+                        self.is_repairing |= *n < VOTERS;
                     }
                 }
                 Ok(!who.is_empty())
             }
             Fault::Freeze { who, lasts } => {
-                let who: Vec<usize> = who.iter().copied().filter(|n| !self.is_hurt(*n)).collect();
+                let who: Vec<usize> = who.iter().copied().filter(|n| !self.is_impaired(*n)).collect();
                 for n in &who {
-                    self.fleet.process(*n).freeze();
-                    self.states[*n] = State::Frozen { until: now + *lasts };
+                    self.fleet.process(*n).pause();
+                    self.states[*n] = State::Paused { until: now + *lasts };
                 }
                 Ok(!who.is_empty())
             }
@@ -280,11 +280,11 @@
         for n in 0..NODOS {
             match self.states[n] {
                 State::Dead { until } if until <= now => {
-                    self.fleet.starts[n] = Some(self.fleet.nodos[n].start_early().await?);
+                    self.fleet.incarnations[n] = Some(self.fleet.nodos[n].start_without_waiting().await?);
                     self.states[n] = State::Runs;
                 }
-                State::Frozen { until } if until <= now => {
-                    self.fleet.process(n).thaw();
+                State::Paused { until } if until <= now => {
+                    self.fleet.process(n).resume();
                     self.states[n] = State::Runs;
                 }
                 _ => {}
@@ -292,8 +292,8 @@
         }
         self.cuts.retain(|cut| cut.until > now);
         self.set_links(now);
-        if self.repairs && timeout(LOOK_EVERY, self.fleet.has_its_votes()).await.is_ok() {
-            self.repairs = false;
+        if self.is_repairing && timeout(POLL_INTERVAL, self.fleet.wait_for_votes()).await.is_ok() {
+            self.is_repairing = false;
         }
         Ok(())
     }
@@ -302,11 +302,11 @@
     ///
     /// # Errors
     /// A nodo cannot be started.
-    pub async fn go_on(&mut self, length: Duration) -> io::Result<()> {
+    pub async fn run_for(&mut self, length: Duration) -> io::Result<()> {
         let end = Instant::now() + length;
         while Instant::now() < end {
             self.heal().await?;
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -321,16 +321,16 @@
         for state in &mut self.states {
             match state {
                 State::Runs => {}
-                State::Dead { until } | State::Frozen { until } => *until = now,
+                State::Dead { until } | State::Paused { until } => *until = now,
             }
         }
         self.heal().await?;
-        for start in self.fleet.starts.iter().flatten() {
-            if timeout(GENEROUS, start.takes_clients()).await.is_err() {
+        for start in self.fleet.incarnations.iter().flatten() {
+            if timeout(CONVERGENCE_TIMEOUT, start.wait_until_ready()).await.is_err() {
                 return Ok(false);
             }
         }
-        Ok(self.has_its_votes().await)
+        Ok(self.wait_for_votes().await)
     }
 
     fn set_links(&mut self, now: Instant) {
@@ -349,7 +349,7 @@
             }
         }
         for (id, link) in links(&self.fleet, &self.to_resource) {
-            let (before, after) = (self.now_cut.get(&id), cut.get(&id));
+            let (before, after) = (self.active_cuts.get(&id), cut.get(&id));
             if before == after {
                 continue;
             }
@@ -358,15 +358,15 @@
             link.set(crate::link::Way::There, fault(there));
             link.set(crate::link::Way::Back, fault(back));
         }
-        self.now_cut = cut;
+        self.active_cuts = cut;
     }
 
     /// All nodos come to show one route table, which is written down; its revision.
     ///
     /// # Errors
     /// What they show instead.
-    pub async fn one_table(&self) -> Result<u64, String> {
-        self.editors.all_same(&self.histories).await
+    pub async fn wait_for_one_table(&self) -> Result<u64, String> {
+        self.editors.wait_for_convergence(&self.histories).await
     }
 
     /// The resource writes its own record down, and all histories are read.
--- a/crates/stand-ins/src/process.rs
+++ b/crates/stand-ins/src/process.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 /// Between two looks at a process.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// A process that was started here. It is killed when this is dropped, frozen or not.
 #[derive(Debug)]
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Stops it where it is, until [`Process::thaw`].
-    pub fn freeze(&self) {
+    /// Stops it where it is, until [`Process::resume`].
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
     /// Lets it go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
@@ -65,38 +65,38 @@
     /// Ends it at once, and waits until it is gone.
     pub async fn kill(&mut self) {
         self.signal(Signal::KILL);
-        self.ends().await;
+        self.wait().await;
     }
 
     /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
     /// Waits for its end; whether that was one in good order.
-    pub async fn ends(&mut self) -> bool {
+    pub async fn wait(&mut self) -> bool {
         loop {
-            if let Some(status) = self.ended() {
+            if let Some(status) = self.exit_status() {
                 return status.success();
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// All that it has said so far.
-    pub fn said(&self) -> String {
+    pub fn output(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
     /// Waits until it has said something; returns the rest of that line.
-    pub async fn says(&self, what: &str) -> String {
+    pub async fn wait_for_output(&self, what: &str) -> String {
         loop {
-            if let Some((_, rest)) = self.said().split_once(what)
+            if let Some((_, rest)) = self.output().split_once(what)
                 && let Some((line, _)) = rest.split_once('\n')
             {
                 return line.to_string();
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -121,24 +121,24 @@
         command
             .args(["-c", "read a < /dev/null; n=0; while :; do n=$((n+1)); echo line $n; sleep 0.01; done"]);
         let mut process = Process::start(&mut command, &log).unwrap();
-        process.says("line 3").await;
-        process.freeze();
+        process.wait_for_output("line 3").await;
+        process.pause();
         // It is stopped once the system says so; what it had written by then is all.
         let stopped = || {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.id())).unwrap();
             stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
         };
         while !stopped() {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
-        let lines = process.said().lines().count();
+        let lines = process.output().lines().count();
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(process.said().lines().count(), lines);
-        process.thaw();
-        process.says(&format!("line {}", lines + 3)).await;
-        process.freeze();
+        assert_eq!(process.output().lines().count(), lines);
+        process.resume();
+        process.wait_for_output(&format!("line {}", lines + 3)).await;
+        process.pause();
         timeout(Duration::from_secs(10), process.kill()).await.unwrap();
-        assert!(process.ended().is_some_and(|status| !status.success()));
+        assert!(process.exit_status().is_some_and(|status| !status.success()));
         std::fs::remove_file(log).unwrap();
     }
 }
--- a/crates/stand-ins/src/resource.rs
+++ b/crates/stand-ins/src/resource.rs
@@ -3,7 +3,7 @@
 //!
 //! What comes with an operation key is an effect: it is recorded by key and token, goes on to its end whatever becomes of its caller,
 //! and can be asked for. Whoever asks under a token turns lower ones of that key away from then on. A key that comes twice has its
-//! effect twice, so that a test can see it; unless the resource is told to answer repeats with what it did.
+//! effect twice, so that a test can see it; unless the resource is reply_bytes to answer repeats with what it did.
 
 use crate::http;
 use std::cell::{Cell, RefCell};
@@ -25,7 +25,7 @@
 
 /// The header that carries the operation key of a request.
 pub const OPERATION: &str = "x-operation-key";
-/// The header that says that nothing is to be done, but told.
+/// The header that says that nothing is to be done, but reply_bytes.
 pub const ASK: &str = "x-ask";
 
 /// One effect of an operation key.
@@ -138,12 +138,12 @@
     }
 
     /// From now on an act lasts so long.
-    pub fn lasts(&self, length: Duration) {
+    pub fn set_duration(&self, length: Duration) {
         self.state.length.set(length);
     }
 
     /// From now on it answers so.
-    pub fn replies(&self, reply: Reply) {
+    pub fn set_reply(&self, reply: Reply) {
         *self.state.reply.borrow_mut() = reply;
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// How many questions there were, and how many calls and questions were turned away under an old token.
-    pub fn asked(&self) -> (usize, usize) {
+    pub fn query_counts(&self) -> (usize, usize) {
         (self.state.asked.get(), self.state.turned_away.get())
     }
 
@@ -183,8 +183,8 @@
     }
 
     /// Acts that had an effect under a lower token than one that had an effect before.
-    pub fn lower_after_higher(&self) -> Vec<Act> {
-        lower_after_higher(&self.acts())
+    pub fn stale_token_acts(&self) -> Vec<Act> {
+        stale_token_acts(&self.acts())
     }
 
     /// How often each operation was done to its end.
@@ -213,7 +213,7 @@
 }
 
 /// Acts that had an effect under a lower token than one that had an effect before.
-pub fn lower_after_higher(acts: &[Act]) -> Vec<Act> {
+pub fn stale_token_acts(acts: &[Act]) -> Vec<Act> {
     let mut highest = 0;
     let mut found = Vec::new();
     for act in acts.iter().filter(|act| !act.turned_away) {
@@ -230,8 +230,8 @@
     while let Ok(Some(request)) = http::read(&mut stream, &mut input).await {
         let number = |name| request.header(name).parse().unwrap_or(0);
         if !request.header(OPERATION).is_empty() {
-            let told = operation(&state, &request, number(TOKEN)).await;
-            if stream.write_all(&told).await.is_err() {
+            let reply_bytes = operation(&state, &request, number(TOKEN)).await;
+            if stream.write_all(&reply_bytes).await.is_err() {
                 return;
             }
             continue;
@@ -245,8 +245,8 @@
         let (end, body) = (turned_away.then_some(begin), request.body.clone());
         state.acts.borrow_mut().push(Act { holder, token, key, begin, end, turned_away, body });
         if turned_away {
-            let told = http::reply("412 Precondition Failed", "", b"a higher token was seen");
-            if stream.write_all(&told).await.is_err() {
+            let reply_bytes = http::reply("412 Precondition Failed", "", b"a higher token was seen");
+            if stream.write_all(&reply_bytes).await.is_err() {
                 return;
             }
             continue;
@@ -260,12 +260,12 @@
             return;
         }
         state.acts.borrow_mut()[place].end = Some(state.began.elapsed());
-        let told = match reply {
+        let reply_bytes = match reply {
             Reply::Done => http::reply("200 OK", "", b"done"),
             Reply::More(cursor) => http::reply("202 Accepted", "", &cursor),
             Reply::Fails | Reply::Hangs => http::reply("500 Internal Server Error", "", b"it failed"),
         };
-        if stream.write_all(&told).await.is_err() {
+        if stream.write_all(&reply_bytes).await.is_err() {
             return;
         }
     }
--- a/crates/stand-ins/src/resource/tests.rs
+++ b/crates/stand-ins/src/resource/tests.rs
@@ -29,7 +29,7 @@
             assert!(act(at, 5, 2).await.starts_with("HTTP/1.1 200"));
             let late = act(at, 3, 1).await;
             assert_eq!(late.starts_with("HTTP/1.1 412"), checks, "{late}");
-            assert_eq!(resource.lower_after_higher().len(), usize::from(!checks));
+            assert_eq!(resource.stale_token_acts().len(), usize::from(!checks));
             assert_eq!(resource.done(), [(1, if checks { 1 } else { 2 }), (2, 1)].into());
             assert!(resource.overlaps().is_empty());
         }
@@ -52,9 +52,9 @@
         let overlaps = resource.overlaps();
         assert_eq!(overlaps.len(), 1);
         assert_ne!(overlaps[0].0.token, overlaps[0].1.token);
-        resource.replies(Reply::More(b"half".to_vec()));
+        resource.set_reply(Reply::More(b"half".to_vec()));
         assert!(act(at, 2, 5).await.ends_with("half"));
-        resource.replies(Reply::Fails);
+        resource.set_reply(Reply::Fails);
         assert!(act(at, 2, 5).await.starts_with("HTTP/1.1 500"));
     });
 }
@@ -94,6 +94,6 @@
         assert_eq!(operate(at, 9, "b", false).await.1, "did b under 3");
         let effects: Vec<(String, u64)> = resource.effects().into_iter().map(|e| (e.key, e.token)).collect();
         assert_eq!(effects, [("a".into(), 7), ("b".into(), 3), ("b".into(), 9)]);
-        assert_eq!(resource.asked(), (2, 1));
+        assert_eq!(resource.query_counts(), (2, 1));
     });
 }
--- a/crates/stand-ins/src/truth.rs
+++ b/crates/stand-ins/src/truth.rs
@@ -2,7 +2,7 @@
 
 use crate::balancer::{Answer, Request};
 use crate::dependency::{Dependency, Ended};
-use crate::interpreter::{Got, Interpreter, Ran};
+use crate::interpreter::{CallResult, Interpreter, RunRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A request and its answer.
@@ -49,7 +49,7 @@
 pub fn check(sent: &[Sent], interpreter: &Interpreter, dependencies: &[&Dependency]) -> Faults {
     let mut faults = Faults::default();
     let runs = interpreter.runs();
-    let mut by_uid: BTreeMap<&str, &Ran> = BTreeMap::new();
+    let mut by_uid: BTreeMap<&str, &RunRecord> = BTreeMap::new();
     let mut tries: BTreeMap<(&str, &[u8]), usize> = BTreeMap::new();
     for run in runs.iter() {
         by_uid.insert(&run.uid, run);
@@ -60,7 +60,7 @@
         .iter()
         .flat_map(|d| {
             let record = d.record();
-            let well = record.calls.iter().filter(|call| call.ended == Ended::Well);
+            let well = record.calls.iter().filter(|call| call.ended == Ended::Succeeded);
             well.map(|call| (call.uid.clone(), call.body.clone())).collect::<Vec<_>>()
         })
         .collect();
@@ -82,7 +82,7 @@
             continue;
         }
         // A repeat is answered with what another try of its key made.
-        let same = |run: &&Ran| {
+        let same = |run: &&RunRecord| {
             run.class == one.request.class && run.body == one.request.body && run.end == Some("OK")
         };
         let Some(run) = ran.or_else(|| runs.iter().find(same)) else {
@@ -112,7 +112,7 @@
     let mut effects: BTreeMap<(String, Vec<u8>), usize> = BTreeMap::new();
     for dependency in dependencies {
         for call in &dependency.record().calls {
-            if keyed.contains(call.uid.as_str()) && call.ended != Ended::TurnedAway {
+            if keyed.contains(call.uid.as_str()) && call.ended != Ended::Rejected {
                 *effects.entry((call.uid.clone(), call.body.clone())).or_default() += 1;
             }
         }
@@ -125,13 +125,13 @@
 
 /// What the answer of a run should say: it lacks what the run was told to go on without, and is stale where a reply was
 /// given to it that no dependency gave to a call of its own.
-fn truth(run: &Ran, well: &BTreeSet<(String, Vec<u8>)>) -> Truth {
+fn truth(run: &RunRecord, well: &BTreeSet<(String, Vec<u8>)>) -> Truth {
     let mut truth = Truth::default();
     for (place, got) in run.got.iter().enumerate() {
         let call = [&run.body[..], format!("#{}", place + 1).as_bytes()].concat();
         match got {
-            Got::Nothing => truth.lacks = true,
-            Got::Reply(_) => truth.stale |= !well.contains(&(run.uid.clone(), call)),
+            CallResult::Nothing => truth.lacks = true,
+            CallResult::Reply(_) => truth.stale |= !well.contains(&(run.uid.clone(), call)),
         }
     }
     truth
--- a/crates/stand-ins/src/wire.rs
+++ b/crates/stand-ins/src/wire.rs
@@ -1,6 +1,6 @@
 //! One connection of a balancer, byte by byte: halves of requests, closes and resets, each at the moment that a test wants.
 
-use crate::balancer::{Answer, END_REQUEST, Request, STDOUT, parse, records};
+use crate::balancer::{Answer, END_REQUEST, Request, STDOUT, encode_request, parse_answer};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -44,14 +44,14 @@
     /// # Errors
     /// Nobody takes the connection.
     pub async fn connect(to: SocketAddr, number: u64) -> io::Result<Wire> {
-        Wire::with_room(to, number, None).await
+        Wire::with_receive_buffer(to, number, None).await
     }
 
     /// The same, with so many bytes of room for what is not read yet.
     ///
     /// # Errors
     /// Nobody takes the connection.
-    pub async fn with_room(to: SocketAddr, number: u64, room: Option<u32>) -> io::Result<Wire> {
+    pub async fn with_receive_buffer(to: SocketAddr, number: u64, room: Option<u32>) -> io::Result<Wire> {
         let socket = TcpSocket::new_v4()?;
         if let Some(room) = room {
             socket.set_recv_buffer_size(room)?;
@@ -66,12 +66,12 @@
         self.next = self.next.wrapping_add(1).max(1);
         let uid = format!("{:08x}{:08x}", self.number, self.next);
         let now = UNIX_EPOCH.elapsed().unwrap_or_default().as_millis();
-        let bytes = records(self.next, self.number, &uid, now, request);
+        let bytes = encode_request(self.next, self.number, &uid, now, request);
         Bytes { id: self.next, uid, bytes }
     }
 
     /// Writes bytes; how many left, which is all of them unless the connection has no room or has ended.
-    pub fn put(&mut self, bytes: &[u8]) -> usize {
+    pub fn write(&mut self, bytes: &[u8]) -> usize {
         let mut left = 0;
         while left < bytes.len() {
             match self.stream.try_write(&bytes[left..]) {
@@ -85,7 +85,7 @@
     /// Writes a whole request; its ids, if all of it left.
     pub fn send(&mut self, request: &Request) -> Option<Bytes> {
         let request = self.bytes(request);
-        (self.put(&request.bytes) == request.bytes.len()).then_some(request)
+        (self.write(&request.bytes) == request.bytes.len()).then_some(request)
     }
 
     /// The next record: its kind, its request and its content.
@@ -122,7 +122,7 @@
                 (STDOUT, id, content) => self.open.entry(id).or_default().extend(content),
                 (END_REQUEST, id, _) => {
                     let text = self.open.remove(&id).unwrap_or_default();
-                    return Ok((id, parse(&text).unwrap_or_default()));
+                    return Ok((id, parse_answer(&text).unwrap_or_default()));
                 }
                 _ => {}
             }
