--- a/crates/stand-ins/src/balancer.rs
+++ b/crates/stand-ins/src/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer: sends requests over FastCGI 1.0, many at once on each of a few connections, and reads the answers.
+//! A fake balancer: sends requests over FastCGI 1.0, multiplexed on a few connections, and reads the answers.
 
 use crate::interpreter::Interpreter;
 use std::cell::{Cell, RefCell};
@@ -14,36 +14,35 @@
 use tokio::time::{Instant, timeout};
 
 const BEGIN_REQUEST: u8 = 1;
-/// The kind of the record that ends an answer,
+/// Type of the record that ends an answer.
 pub const END_REQUEST: u8 = 3;
 const PARAMS: u8 = 4;
 const STDIN: u8 = 5;
-/// and of those that carry it; one that is empty is the last.
+/// Type of the records that carry an answer; an empty one ends the stream.
 pub const STDOUT: u8 = 6;
-/// Requests that a connection carries at once.
 const MAX_REQUESTS_PER_CONNECTION: usize = 32;
 
 /// A request to send.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its class.
+    /// Request class.
     pub class: String,
-    /// Its tenant.
+    /// Tenant.
     pub tenant: String,
-    /// What all its tries share, in keyed classes.
+    /// Operation key that all tries share, in keyed classes.
     pub key: Option<String>,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// Its rank.
+    /// Rank (criticality).
     pub rank: f64,
-    /// It is a further try.
+    /// Whether this is a retry.
     pub resent: bool,
-    /// How long it last_advertised to wait, in milliseconds.
+    /// Deadline announced by the caller, in milliseconds.
     pub deadline_ms: Option<u64>,
 }
 
 impl Request {
-    /// An ordinary request.
+    /// Creates a request with default tenant and rank.
     pub fn new(class: &str, body: &[u8]) -> Request {
         let (class, tenant) = (class.to_string(), "acme".to_string());
         Request { class, tenant, key: None, body: body.to_vec(), rank: 0.5, resent: false, deadline_ms: None }
@@ -53,31 +52,31 @@
 /// An answer.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// The correlation id that the request was sent with.
+    /// Correlation id of the request.
     pub uid: String,
-    /// The status; 0 where no whole answer came.
+    /// HTTP status; 0 if no complete answer arrived.
     pub status: u16,
-    /// Its headers, names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// Answer body.
     pub body: Vec<u8>,
-    /// The time from the sending to the answer.
+    /// Time from sending the request to the answer.
     pub took: Duration,
 }
 
 impl Answer {
-    /// The value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
-    /// The body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// What has come of an answer, and the way to who waits for the whole.
+/// The part of an answer received so far, and the channel for the complete answer.
 type PendingAnswer = (Vec<u8>, oneshot::Sender<Vec<u8>>);
 
 struct Connection {
@@ -87,35 +86,37 @@
     broken: Cell<bool>,
 }
 
-/// A balancer of one nodo.
+/// A fake balancer of one nodo.
 #[derive(Clone)]
 pub struct Balancer {
     to: SocketAddr,
     number: u64,
     connections: Rc<RefCell<Vec<Rc<Connection>>>>,
     sent: Rc<Cell<u64>>,
-    /// The time of day when it began, which then follows the runtime's clock: tests can pause that.
+    /// Wall-clock time at creation, with the matching instant. Later times follow the runtime's clock, which
+    /// tests can pause.
     began: (Duration, Instant),
-    /// The free number that was heard last.
+    /// The number of free slots that the nodo advertised last.
     last_advertised: Rc<Cell<Option<f64>>>,
-    /// Learns of answers: on the platform a request that is over ends its run at a call.
+    /// Notified of answers: on the platform an answered request ends its run at a call.
     interpreter: Option<Interpreter>,
 }
 
 impl Balancer {
-    /// A balancer with this number, which connects to the nodo when it first sends. The interpreter hears of its answers.
+    /// Creates a balancer that connects to the nodo on its first request and notifies the interpreter of
+    /// answers.
     pub fn new(to: SocketAddr, number: u64, interpreter: Option<Interpreter>) -> Balancer {
         let (connections, sent, last_advertised) = Default::default();
         let began = (UNIX_EPOCH.elapsed().unwrap_or_default(), Instant::now());
         Balancer { to, number, connections, sent, began, last_advertised, interpreter }
     }
 
-    /// The free number that was heard last.
+    /// Returns the number of free slots that the nodo advertised last.
     pub fn last_advertised(&self) -> Option<f64> {
         self.last_advertised.get()
     }
 
-    /// Sends a request and waits for the answer for so long.
+    /// Sends a request and waits for the answer up to `answer_timeout`.
     pub async fn send(&self, request: &Request, answer_timeout: Duration) -> Answer {
         let began = Instant::now();
         self.sent.set(self.sent.get() + 1);
@@ -165,7 +166,7 @@
         let (open, next, broken) = (RefCell::default(), Cell::new(1), Cell::new(false));
         let connection = Rc::new(Connection { out, open, next, broken });
         spawn_local(write_all(write, waiting));
-        // The connection is the balancer's: once that is gone it ends.
+        // A weak reference, so that the connection closes once the balancer is dropped.
         spawn_local(read_all(Rc::downgrade(&connection), read));
         self.connections.borrow_mut().push(connection.clone());
         Some(connection)
@@ -251,8 +252,8 @@
     out.extend(value.as_bytes());
 }
 
-/// The bytes of a request: its id on the connection, the balancer's number, the correlation id, and when it came to the machine, in Unix
-/// milliseconds.
+/// Encodes a request: `id` on the connection, the balancer's number, the correlation id, and the time of
+/// arrival at the machine in Unix milliseconds.
 pub fn encode_request(id: u16, number: u64, uid: &str, arrived: u128, request: &Request) -> Vec<u8> {
     let mut params = Vec::new();
     let path = format!("/v1/{}", request.class);
@@ -279,7 +280,6 @@
         put_pair(&mut params, "HTTP_X_RESENT", "1");
     }
     let mut out = Vec::new();
-    // Role Responder, flag KEEP_CONN.
     put(&mut out, BEGIN_REQUEST, id, &[0, 1, 1, 0, 0, 0, 0, 0]);
     put(&mut out, PARAMS, id, &params);
     put(&mut out, PARAMS, id, b"");
--- a/crates/stand-ins/src/dependency.rs
+++ b/crates/stand-ins/src/dependency.rs
@@ -1,5 +1,5 @@
-//! A dependency with a fixed number of slots. A call waits for a slot and holds it for the time of the service_time, which
-//! grows when more calls are in hand than there are slots.
+//! A fake dependency with a fixed number of slots. A call waits for a slot and occupies it for the service
+//! time, which grows when more calls are in flight than there are slots.
 
 use crate::http::{self, Request};
 use rand::rngs::StdRng;
@@ -14,33 +14,33 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// So long after a connection was accepted those are counted that are open.
+/// Delay between accepting a connection and sampling the number of open ones.
 const CONNECTION_COUNT_DELAY: Duration = Duration::from_millis(2);
 
-/// Connections that wait to be accepted.
+/// Length of the accept queue.
 const BACKLOG: u32 = 1024;
 
-/// How a dependency is made.
+/// Configuration of a fake dependency.
 #[derive(Clone, Debug)]
 pub struct DependencyConfig {
-    /// Its name, which stands in its replies.
+    /// Name, which prefixes its replies.
     pub name: String,
-    /// Calls that it works on at once.
+    /// Calls served concurrently.
     pub slots: usize,
-    /// How long one takes.
+    /// Service time of a call.
     pub service_time: Duration,
-    /// That time varies by this share each route.
+    /// Random variation of the service time, as a share of it in each direction.
     pub spread: f64,
-    /// For each call beyond the slots, as a multiple of them, a call takes this share longer.
+    /// Relative increase of the service time per call in flight beyond the slots, in multiples of the slots.
     pub overload_slowdown: f64,
-    /// A call that was given up goes on for so long at most.
+    /// How long an abandoned call stays in flight.
     pub abandoned_call_time: Duration,
-    /// What all that is random is made from.
+    /// Seed of the random variation.
     pub seed: u64,
 }
 
 impl DependencyConfig {
-    /// A dependency of so many slots and this time for a call, otherwise ordinary.
+    /// Creates a configuration with default variation and overload behavior.
     pub fn new(name: &str, slots: usize, service_time: Duration) -> DependencyConfig {
         let abandoned_call_time = Duration::from_millis(100);
         DependencyConfig {
@@ -55,73 +55,73 @@
     }
 }
 
-/// What a dependency does at present.
+/// Behavior of a dependency.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// What it should.
+    /// Serves calls normally.
     Good,
-    /// Each call takes so many times as long.
+    /// Multiplies the service time by this factor.
     Slow(f64),
-    /// Each call fails at once, and may have had its effect.
+    /// Answers each call at once with an error; the call may have had its effect.
     Failing,
-    /// Each call is turned away.
+    /// Rejects each call before it starts.
     Refusing,
-    /// Calls are taken and never answered.
+    /// Accepts calls and never answers them.
     Hanging,
-    /// Each call is answered after exactly this time.
+    /// Answers each call after exactly this time.
     After(Duration),
-    /// Connections are reset once a call was read.
+    /// Resets the connection once a call has been read.
     Resetting,
-    /// Replies are noise.
+    /// Replies with bytes that are not HTTP.
     Noisy,
-    /// Replies announce 3 GB and begin to come.
+    /// Announces a reply of 3 GB and sends the beginning of it.
     Endless,
-    /// Nothing listens.
+    /// Does not listen.
     Down,
 }
 
-/// How a call ended, as the dependency saw it.
+/// How a call ended, from the dependency's side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// It has not.
+    /// Not ended yet.
     Open,
-    /// It went well and was answered.
+    /// Answered with success.
     Succeeded,
-    /// It failed and was answered so.
+    /// Answered with an error.
     Failed,
-    /// It was turned away.
+    /// Rejected before it started.
     Rejected,
-    /// The nodo gave it up.
+    /// Abandoned by the nodo.
     Abandoned,
-    /// It was answered with something that is no reply, or with a reset.
+    /// Answered with an invalid reply or a reset.
     Malformed,
 }
 
-/// A call, as the dependency saw it.
+/// The record of a call.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// The request that it was made for.
+    /// Correlation id of the request that the call was made for.
     pub uid: String,
-    /// Its body.
+    /// Call body.
     pub body: Vec<u8>,
-    /// The time the nodo said it would wait.
+    /// Timeout announced by the nodo.
     pub timeout: Duration,
-    /// When it came, from the beginning.
+    /// Time of arrival since the dependency's start.
     pub arrived: Duration,
-    /// How it ended.
+    /// How the call ended.
     pub ended: Ended,
-    /// Calls in hand when it came, itself and those given up included.
+    /// Calls in flight at its arrival, including itself and abandoned ones.
     pub in_flight: usize,
 }
 
-/// What crossed a dependency.
+/// What a dependency recorded.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// All calls, in the order in which they came.
+    /// All calls, in order of arrival.
     pub calls: Vec<CallRecord>,
-    /// The most that were in hand at any moment, those given up included that went on.
+    /// Maximum number of calls in flight, including abandoned ones.
     pub max_in_flight: usize,
-    /// The most connections at any moment.
+    /// Maximum number of open connections.
     pub max_connections: usize,
 }
 
@@ -145,11 +145,11 @@
     }
 }
 
-/// A dependency that listens.
+/// A listening fake dependency.
 #[derive(Clone)]
 pub struct Dependency(Rc<State>);
 
-/// Counts a call as in hand until it is dropped.
+/// Counts a call as in flight until dropped.
 struct InFlight(Rc<State>);
 
 impl Drop for InFlight {
@@ -168,10 +168,10 @@
 }
 
 impl Dependency {
-    /// Starts one on a port of the system's choice.
+    /// Starts a dependency on a port chosen by the system.
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start(config: DependencyConfig) -> Dependency {
         let holder = socket_at(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port on loopback");
         let address = holder.local_addr().expect("an address");
@@ -193,54 +193,54 @@
         Dependency(state)
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.0.address
     }
 
-    /// Its name.
+    /// Returns the configured name.
     pub fn name(&self) -> &str {
         &self.0.config.name
     }
 
-    /// What it does from now on. Calls that hang are answered once it does something else.
+    /// Sets the behavior of calls that arrive from now on. A change does not answer calls that already hang.
     pub fn set(&self, mode: Mode) {
         self.0.mode.set(mode);
         self.0.changed.notify_waiters();
     }
 
-    /// What it does.
+    /// Returns the current behavior.
     pub fn mode(&self) -> Mode {
         self.0.mode.get()
     }
 
-    /// What crossed it so far.
+    /// Returns what was recorded so far.
     pub fn record(&self) -> std::cell::Ref<'_, Record> {
         self.0.record.borrow()
     }
 
-    /// The time since its beginning, from which the times of its record count.
+    /// Returns the time since the start, the base of the recorded times.
     pub fn age(&self) -> Duration {
         self.0.began.elapsed()
     }
 
-    /// Calls in hand, those given up included that go on.
+    /// Returns the number of calls in flight, including abandoned ones.
     pub fn in_flight(&self) -> usize {
         self.0.in_flight.get()
     }
 
-    /// Calls in hand, those given up included that go on, from each moment on at which that changed.
+    /// Returns each change of the number of calls in flight, including abandoned ones, with its time.
     pub fn in_flight_history(&self) -> Vec<(Instant, usize)> {
         self.0.in_flight_history.borrow().clone()
     }
 
-    /// Connections open.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.0.connections.get()
     }
 }
 
-/// A socket that is bound and does not listen; several can be bound to one address.
+/// Creates a socket that is bound but does not listen; several can be bound to one address.
 fn socket_at(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseport(true)?;
@@ -248,13 +248,13 @@
     Ok(socket)
 }
 
-/// The holder keeps the port while nothing listens: given back, it could be taken by another test, and calls that should
-/// find nobody would find a stranger.
+/// Accepts connections, and keeps the port bound through `_holder` while nothing listens: another test could
+/// otherwise take the port and receive the calls.
 async fn listen(state: Rc<State>, listener: TcpListener, _holder: TcpSocket) {
     let mut listener = Some(listener);
     loop {
         if state.mode.get() == Mode::Down {
-            // Without a listener the system itself refuses connections.
+            // Without a listener the operating system refuses connections.
             listener = None;
             state.changed.notified().await;
             continue;
@@ -272,7 +272,7 @@
                 state.connections.set(state.connections.get() + 1);
                 let later = state.clone();
                 spawn_local(async move {
-                    // A close and an open that cross are seen in either order.
+                    // An overlapping close and open can be observed in either order.
                     sleep(CONNECTION_COUNT_DELAY).await;
                     let mut record = later.record.borrow_mut();
                     record.max_connections = record.max_connections.max(later.connections.get());
@@ -289,17 +289,17 @@
     }
 }
 
-/// One address in front of several dependencies, as where a nodo knows only one: each call goes to the first whose word
-/// its body begins with.
+/// One address in front of several dependencies, for nodos that know only one. Each call goes to the first
+/// dependency whose prefix its body starts with.
 pub struct Gateway {
     address: SocketAddr,
 }
 
 impl Gateway {
-    /// Starts one on a port of the system's choice.
+    /// Starts a gateway on a port chosen by the system.
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start(routes: &[(&str, &Dependency)]) -> Gateway {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("an address");
@@ -321,13 +321,13 @@
         Gateway { address }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Serves a connection; each call by the dependency that is picked for it.
+/// Serves a connection, each call by the dependency selected for it.
 async fn serve(select: &dyn Fn(&Request) -> Option<Rc<State>>, mut stream: TcpStream) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
     let mut input = Vec::new();
@@ -338,14 +338,15 @@
         }
         let (place, guard) = record_call(state, &request);
         let mut byte = [0];
-        // Nothing may come on a connection whose call is not answered: what comes is its end.
+        // The client must send nothing while a call is unanswered, so any read event means that it has
+        // closed.
         let end = tokio::select! {
             end = serve_call(state) => Some(end),
             _ = stream.read(&mut byte) => None,
         };
         let Some(end) = end else {
             state.record.borrow_mut().calls[place].ended = Ended::Abandoned;
-            // The call goes on below for a while, and takes a slot's place in what is in hand.
+            // The abandoned call stays in flight for a while.
             let extra = state.config.abandoned_call_time;
             spawn_local(async move {
                 sleep(extra).await;
@@ -353,7 +354,8 @@
             });
             return Ok(());
         };
-        // Before the reply is written, since what comes back may be counted from then on.
+        // Released before the reply is written, since the client may count its calls as soon as it reads the
+        // reply.
         drop(guard);
         state.record.borrow_mut().calls[place].ended = end;
         let reply = match end {
@@ -367,7 +369,7 @@
                 Mode::Endless => {
                     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n").await?;
                     let part = [b'x'; 4096];
-                    // Bounded, and ended by whoever has had enough of it first.
+                    // Bounded in case the client keeps reading.
                     for _ in 0..1000 {
                         let written = timeout(Duration::from_secs(1), stream.write_all(&part)).await;
                         written.map_err(|_| std::io::ErrorKind::TimedOut)??;
@@ -383,7 +385,7 @@
     Ok(())
 }
 
-/// Ends a connection with a reset.
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) -> std::io::Result<()> {
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO))
 }
@@ -419,7 +421,7 @@
             return Ended::Succeeded;
         }
         Mode::Hanging | Mode::Down => {
-            // What hangs does not come back by itself; the connection's end is what ends it.
+            // Never answers; only the end of the connection ends the call.
             std::future::pending::<()>().await;
         }
         Mode::Good | Mode::Slow(_) => {}
--- a/crates/stand-ins/src/directory.rs
+++ b/crates/stand-ins/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: takes reports and answers each.
+//! A fake directory: accepts reports and answers each one.
 
 use crate::http;
 use std::cell::RefCell;
@@ -9,23 +9,23 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Connections that wait to be accepted.
+/// Length of the accept queue.
 const BACKLOG: u32 = 1024;
 
-/// What a directory does with connections and reports.
+/// How a directory handles connections and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
     Answers,
-    /// Takes connections; reports are neither read nor answered.
+    /// Accepts connections but neither reads nor answers reports.
     Stalled,
-    /// Nothing listens, and connections that were open have been closed.
+    /// Does not listen, and has closed all open connections.
     Down,
 }
 
-/// Reports, in order: the request line and the mode.
+/// The request line and the reported mode of each report, in order.
 type Reports = Rc<RefCell<Vec<(String, String)>>>;
 
-/// A directory that listens.
+/// A listening fake directory.
 #[derive(Clone)]
 pub struct Directory {
     address: SocketAddr,
@@ -34,12 +34,12 @@
 }
 
 impl Directory {
-    /// Starts one on a port of the system's choice.
+    /// Starts a directory on a port chosen by the system.
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start() -> Directory {
-        // Keeps the port while nothing listens.
+        // Keeps the port bound while nothing listens.
         let port_holder = socket_at(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port on loopback");
         let address = port_holder.local_addr().expect("an address");
         let listener = socket_at(address).and_then(|socket| socket.listen(BACKLOG)).expect("a listener");
@@ -49,33 +49,33 @@
         Directory { address, reports, mode }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// While stalled, reports are neither read nor answered.
+    /// Stops or resumes reading and answering reports.
     pub fn stall(&self, stalled: bool) {
         self.mode.send_replace(if stalled { Mode::Stalled } else { Mode::Answers });
     }
 
-    /// While down, it refuses connections; those that were open are closed.
+    /// Takes the directory down, which closes open connections and refuses new ones, or brings it up again.
     pub fn set_down(&self, down: bool) {
         self.mode.send_replace(if down { Mode::Down } else { Mode::Answers });
     }
 
-    /// All modes that were reported, in order.
+    /// Returns all reported modes, in order.
     pub fn modes(&self) -> Vec<String> {
         self.reports.borrow().iter().map(|(_, mode)| mode.clone()).collect()
     }
 
-    /// The last mode that was reported.
+    /// Returns the last reported mode.
     pub fn mode(&self) -> Option<String> {
         self.reports.borrow().last().map(|(_, mode)| mode.clone())
     }
 }
 
-/// A socket that is bound and does not listen; several can be bound to one address.
+/// Creates a socket that is bound but does not listen; several can be bound to one address.
 fn socket_at(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseport(true)?;
@@ -93,7 +93,7 @@
     loop {
         if *mode.borrow_and_update() == Mode::Down {
             listener = None;
-            // An error means that the directory has gone.
+            // An error means that the directory has been dropped.
             if mode.wait_for(|mode| *mode != Mode::Down).await.is_err() {
                 return;
             }
@@ -103,7 +103,7 @@
             None => {
                 let again =
                     port_holder.local_addr().and_then(socket_at).and_then(|socket| socket.listen(BACKLOG));
-                listener.insert(again.expect("the port is held"))
+                listener.insert(again.expect("the port is bound"))
             }
         };
         tokio::select! {
@@ -127,7 +127,7 @@
 
 async fn answer_all(mut stream: TcpStream, reports: Reports, mode: &mut watch::Receiver<Mode>) {
     let mut input = Vec::new();
-    // An error means that the directory has gone.
+    // An error means that the directory has been dropped.
     while mode.wait_for(|mode| *mode == Mode::Answers).await.is_ok()
         && let Ok(Some(request)) = http::read(&mut stream, &mut input).await
     {
--- a/crates/stand-ins/src/disk.rs
+++ b/crates/stand-ins/src/disk.rs
@@ -1,5 +1,6 @@
-//! A disk that can be broken, as a storage backend of `redb`. It knows what was synced and what was not; a crash keeps any part of the
-//! rest, sector by sector, in any order. It fills up, fails a sync, and can be put back to an earlier state or emptied.
+//! A simulated disk with faults, as a storage backend of `redb`. It distinguishes synced from unsynced
+//! writes; a crash keeps an arbitrary subset of the unsynced sectors. It can also run full, fail syncs, and
+//! be restored to an earlier state or emptied.
 
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
@@ -8,12 +9,12 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What is written as one, or not at all.
+/// Unit of an atomic write.
 const SECTOR_BYTES: usize = 512;
-/// What is kept as one piece in memory.
+/// Unit of storage in memory.
 const PAGE_BYTES: usize = 4096;
 
-/// What a disk holds; pages that were never written are not kept.
+/// Contents of a disk; pages that were never written are not stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Image {
     pages: BTreeMap<u64, Box<[u8]>>,
@@ -69,71 +70,73 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// What is there after a loss of power.
+    /// Contents that survive a power failure.
     synced: Image,
-    /// What the process reads.
+    /// Contents that the process reads.
     now: Image,
     unsynced: Vec<Change>,
-    /// OpenDisk so often: an earlier opening reads and writes nothing more.
+    /// Number of times the disk was opened; handles of earlier openings fail.
     openings: u64,
-    /// Bytes that fit.
+    /// Capacity in bytes, if limited.
     capacity: Option<u64>,
-    /// So many more syncs succeed.
+    /// Number of syncs that will still succeed, if limited.
     syncs_left: Option<u64>,
     syncs: u64,
 }
 
-/// A disk. Clones are the same disk.
+/// A simulated disk. Clones share the same contents.
 #[derive(Clone, Debug, Default)]
 pub struct Disk(Arc<Mutex<State>>);
 
 impl Disk {
     fn state(&self) -> MutexGuard<'_, State> {
-        // A panic elsewhere leaves nothing half done here.
+        // State is consistent even after a panic elsewhere.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens it; whoever had it open has lost it.
+    /// Opens the disk and invalidates earlier handles.
     pub fn open(&self) -> Box<dyn StorageBackend> {
         let mut state = self.state();
         state.openings += 1;
         Box::new(OpenDisk { disk: self.clone(), opening: state.openings })
     }
 
-    /// The process that has it open is gone. What it wrote is there.
+    /// Invalidates the open handle as if its process had been killed; its writes are kept.
     pub fn kill(&self) {
         self.state().openings += 1;
     }
 
-    /// The power fails: what was not synced is there or not, each sector for itself.
+    /// Simulates a power failure: each unsynced sector is kept or lost independently.
     pub fn crash(&self, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut state = self.state();
         state.openings += 1;
         let mut image = std::mem::take(&mut state.synced);
-        // Some crashes keep nothing, some nearly all.
-        let kept: f64 = [0.0, 0.5, 0.95][rng.random_range(0..3)];
+        // Covers crashes that keep nothing and ones that keep nearly everything.
+        let keep_probability: f64 = [0.0, 0.5, 0.95][rng.random_range(0..3)];
         let mut order: Vec<Change> = std::mem::take(&mut state.unsynced);
         for n in (1..order.len()).rev() {
             order.swap(n, rng.random_range(0..=n));
         }
         for change in order {
             match change {
-                Change::Len(len) if rng.random_bool(kept) => image.set_len(len),
+                Change::Len(len) if rng.random_bool(keep_probability) => image.set_len(len),
                 Change::Len(_) => {}
-                Change::Write(offset, data) => apply_some_sectors(&mut image, offset, &data, kept, &mut rng),
+                Change::Write(offset, data) => {
+                    apply_some_sectors(&mut image, offset, &data, keep_probability, &mut rng)
+                }
             }
         }
         state.now = image.clone();
         state.synced = image;
     }
 
-    /// What it holds, as the process that has it open would find it.
+    /// Returns the current contents, as the process that has the disk open reads them.
     pub fn image(&self) -> Image {
         self.state().now.clone()
     }
 
-    /// Puts back what it held once, or empties it with the default. Whoever had it open has lost it.
+    /// Restores earlier contents, or empties the disk with the default image. Invalidates open handles.
     pub fn restore(&self, image: Image) {
         let mut state = self.state();
         state.openings += 1;
@@ -141,25 +144,31 @@
         (state.now, state.synced) = (image.clone(), image);
     }
 
-    /// From now on so many bytes fit; `None` for any number.
+    /// Limits the capacity to this many bytes; `None` removes the limit.
     pub fn set_capacity(&self, capacity: Option<u64>) {
         self.state().capacity = capacity;
     }
 
-    /// After so many more syncs each one fails, until this is called with `None`.
+    /// Fails each sync after this many more have succeeded; `None` removes the fault.
     pub fn fail_syncs_after(&self, syncs: Option<u64>) {
         self.state().syncs_left = syncs;
     }
 
-    /// Syncs that succeeded so far.
+    /// Returns the number of successful syncs.
     pub fn syncs(&self) -> u64 {
         self.state().syncs
     }
 }
 
-fn apply_some_sectors(image: &mut Image, offset: u64, data: &[u8], kept: f64, rng: &mut impl Rng) {
+fn apply_some_sectors(
+    image: &mut Image,
+    offset: u64,
+    data: &[u8],
+    keep_probability: f64,
+    rng: &mut impl Rng,
+) {
     for (n, sector) in data.chunks(SECTOR_BYTES).enumerate() {
-        if rng.random_bool(kept) {
+        if rng.random_bool(keep_probability) {
             image.write(offset + (n * SECTOR_BYTES) as u64, sector);
         }
     }
@@ -218,7 +227,7 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let mut state = self.state()?;
-        // Blocks that were never written are given out as they are written: a disk that is full fails here too.
+        // Blocks are allocated when written, so a full disk also fails writes within the file's length.
         if state.capacity.is_some_and(|capacity| offset + data.len() as u64 > capacity) {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
@@ -233,7 +242,7 @@
     use super::*;
 
     #[test]
-    fn what_was_synced_outlives_a_crash_and_the_rest_may_not() {
+    fn synced_data_survives_a_crash_and_unsynced_data_may_be_lost() {
         let disk = Disk::default();
         let opened = disk.open();
         opened.set_len(8192).unwrap();
@@ -253,7 +262,7 @@
             assert!(kept[100..106] == *b"synced" || kept[100..106] == [7; 6]);
             seen.insert(kept.chunks(SECTOR_BYTES).map(|sector| sector[0] == 7).collect::<Vec<bool>>());
         }
-        // All, nothing, and torn in more than one way.
+        // All kept, none kept, and several torn writes.
         assert!(
             seen.contains(&vec![false; 4]) && seen.contains(&vec![true; 4]) && seen.len() > 4,
             "{seen:?}"
@@ -261,7 +270,7 @@
     }
 
     #[test]
-    fn it_fills_up_and_fails_a_sync() {
+    fn a_disk_runs_full_and_fails_syncs() {
         let disk = Disk::default();
         let opened = disk.open();
         disk.set_capacity(Some(4096));
--- a/crates/stand-ins/src/fleet.rs
+++ b/crates/stand-ins/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Several nodos as one fleet: the program itself, a folder for each, and between each two of them a link that can be broken. What the
-//! tasks act on keeps the record that is the truth.
+//! A fleet of several nodos: real processes, a folder for each, and a breakable link from each nodo to each
+//! voter. The resources that tasks call hold the authoritative record of what ran.
 
 use crate::link::Link;
 use crate::nodo::{Incarnation, Nodo};
@@ -15,38 +15,39 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// The fleet's name.
+/// Name of the fleet.
 pub const NAME: &str = "prueba";
-/// A nodo that is frozen answers nothing.
+/// Timeout of an operator's call; a paused nodo never answers.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two looks.
+/// Interval between checks.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A task of the fleet.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Its name.
+    /// Task name.
     pub name: String,
-    /// What it calls.
+    /// Address of the resource that the task calls.
     pub resource: SocketAddr,
-    /// The rest of its block.
+    /// Remaining lines of its configuration block.
     pub rest: String,
 }
 
-/// A fleet.
+/// A fleet of nodos.
 pub struct Fleet {
-    /// The nodos; the first so many vote.
+    /// The nodos; the first ones are the voters.
     pub nodos: Vec<Nodo>,
-    /// Their processes, while they run.
+    /// Their running processes; `None` while stopped.
     pub incarnations: Vec<Option<Incarnation>>,
-    /// From each nodo to each voter.
+    /// Links from each nodo to each other voter.
     pub links: BTreeMap<(usize, usize), Link>,
-    /// Where each voter voter_addresses.
+    /// Listening address of each voter.
     pub voter_addresses: Vec<SocketAddr>,
     voters: usize,
 }
 
-/// An address that no other socket takes meanwhile: one of loopback that is used by nobody else.
+/// Returns an unused address of 127.0.0.0/8, with a host part derived from the process id so that other tests
+/// do not take the port.
 fn address() -> io::Result<SocketAddr> {
     static LAST: AtomicU8 = AtomicU8::new(0);
     let n = LAST.fetch_add(1, Ordering::Relaxed) % 250 + 1;
@@ -55,13 +56,14 @@
     TcpListener::bind(at)?.local_addr()
 }
 
-/// So many milliseconds of true time in a file whose process has a clock of this rate: no further off than that.
+/// Converts real milliseconds to the configured value for a process whose clock runs at `rate`, rounded so that
+/// the error does not exceed the rate.
 fn by_process_clock(ms: u128, rate: f64) -> u128 {
     let ms = ms as f64 / rate;
     (if rate > 1.0 { ms.ceil() } else { ms.floor() }) as u128
 }
 
-/// A task's block, with the bounds of an act by this clock.
+/// Scales the time bounds in a task's block for a clock of this rate.
 fn bounds_by_clock(rest: &str, rate: f64) -> String {
     let line = |line: &str| {
         let bound = line.split_once(" = ").filter(|(key, _)| ["timeout", "way"].contains(&key.trim()));
@@ -75,10 +77,10 @@
 }
 
 impl Fleet {
-    /// A fleet that is founded and not started yet.
+    /// Creates and founds a fleet without starting it.
     ///
     /// # Errors
-    /// Folders or ports cannot be had, or the fleet cannot be founded.
+    /// Fails if folders or ports are unavailable, or if the fleet cannot be founded.
     pub async fn new(
         program: &Path,
         name: &str,
@@ -89,12 +91,13 @@
         Fleet::with_clocks(program, name, sizes, ttl, tasks, &[]).await
     }
 
-    /// The same, where the clocks of the first so many nodos run at these rates. A clock that runs 5 % fast is over a time 5 % early, and
-    /// so is a process whose file has that time 5 % shorter: leases' time and the bounds of a timed act are counted by its own clock
-    /// alone, and nothing of them is said to others. Due times are not changed.
+    /// Creates a fleet in which the clocks of the first nodos run at these rates. A clock that runs 5 % fast
+    /// is simulated by configured durations that are 5 % shorter. This suffices for the lease time and the
+    /// bounds of timed acts: each process measures them with its own clock and never sends them. Due times
+    /// are not changed.
     ///
     /// # Errors
-    /// Folders or ports cannot be had, or the fleet cannot be founded.
+    /// Fails if folders or ports are unavailable, or if the fleet cannot be founded.
     pub async fn with_clocks(
         program: &Path,
         name: &str,
@@ -150,19 +153,19 @@
         Ok(Fleet { nodos, incarnations, links, voter_addresses, voters })
     }
 
-    /// Starts a nodo, and waits until it takes clients.
+    /// Starts a nodo and waits until it accepts clients.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// Fails if it cannot be started.
     pub async fn start(&mut self, n: usize) -> io::Result<()> {
         self.incarnations[n] = Some(self.nodos[n].start().await?);
         Ok(())
     }
 
-    /// Starts all that do not run, at once.
+    /// Starts all stopped nodos concurrently.
     ///
     /// # Errors
-    /// One cannot be started.
+    /// Fails if a nodo cannot be started.
     pub async fn start_all(&mut self) -> io::Result<()> {
         for n in 0..self.nodos.len() {
             if self.incarnations[n].is_none() {
@@ -182,27 +185,27 @@
         }
     }
 
-    /// The process of a nodo.
+    /// Returns the process of a nodo.
     ///
     /// # Panics
-    /// It does not run.
+    /// Panics if the nodo is not running.
     pub fn process(&self, n: usize) -> &Process {
         &self.incarnations[n].as_ref().expect("a nodo that runs").process
     }
 
-    /// The folder of a nodo's part of the fleet.
+    /// Returns the folder of a nodo's fleet state.
     pub fn folder(&self, n: usize) -> PathBuf {
         self.nodos[n].folder.join("fleet")
     }
 
-    /// What a nodo shows of the fleet; nothing where it does not answer.
+    /// Returns a nodo's view of the fleet, or `None` if it does not answer.
     pub async fn show(&self, n: usize) -> Option<Value> {
         let asked = self.incarnations[n].as_ref()?.call("FLEET SHOW");
         let answer = timeout(ANSWER_TIMEOUT, asked).await.ok()?;
         serde_json::from_str(answer.strip_suffix("\r\n.\r\n")?).ok()
     }
 
-    /// The nodo that leads, by its own word.
+    /// Returns the nodo that reports itself as the leader.
     pub async fn leader(&self) -> Option<usize> {
         for n in 0..self.voters {
             if let Some(shown) = self.show(n).await
@@ -214,14 +217,14 @@
         None
     }
 
-    /// The nodo that holds a lease, by the word of the one that leads.
+    /// Returns the nodo that holds a lease, as reported by the leader.
     pub async fn holder(&self, lease: &str) -> Option<usize> {
         let shown = self.show(self.leader().await?).await?;
         let lease = shown["leases"].as_array()?.iter().find(|other| other["name"] == lease)?;
         self.nodos.iter().position(|nodo| lease["holder"] == nodo.name.as_str())
     }
 
-    /// Waits until all named members have a vote.
+    /// Waits until all configured voters have a vote.
     pub async fn wait_for_votes(&self) {
         loop {
             if let Some(leader) = self.leader().await
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Nothing reaches a nodo from others, and nothing of it reaches others; or all does again.
+    /// Applies a fault to all links between a nodo and the others.
     pub fn isolate(&self, n: usize, fault: crate::link::Fault) {
         for ((from, to), link) in &self.links {
             if *from == n || *to == n {
@@ -246,12 +249,12 @@
         }
     }
 
-    /// All links pass again.
+    /// Removes the faults of all links.
     pub fn heal(&self) {
         self.links.values().for_each(Link::heal);
     }
 
-    /// What all nodos have said.
+    /// Returns the last log lines of all nodos.
     pub fn logs(&self) -> String {
         let lines = |nodo: &Nodo| {
             let all = nodo.logs();
@@ -262,7 +265,7 @@
     }
 }
 
-/// Waits until something was acted on so often more.
+/// Waits until the resource has accepted this many more acts.
 pub async fn wait_for_acts(resource: &Resource, more: usize) {
     let count = || resource.acts().iter().filter(|act| !act.turned_away).count();
     let before = count();
@@ -276,7 +279,7 @@
     use super::*;
 
     #[test]
-    fn a_clock_that_is_off_has_the_bounds_of_an_act_in_its_file() {
+    fn bounds_of_an_act_are_scaled_by_the_clock_rate() {
         let rest = "  every = \"1s\"\n  timeout = \"200ms\"\n  way = \"250ms\"";
         assert_eq!(bounds_by_clock(rest, 1.0), format!("{rest}\n"));
         let fast = "  every = \"1s\"\n  timeout = \"191ms\"\n  way = \"239ms\"\n";
--- a/crates/stand-ins/src/interpreter.rs
+++ b/crates/stand-ins/src/interpreter.rs
@@ -1,5 +1,5 @@
-//! The interpreter: runs requests on so many cores, asks for the calls that its plan has for their class, and tells in
-//! each result what it got for them.
+//! A fake interpreter: runs requests on a fixed number of cores, makes the calls configured for their class,
+//! and reports in each result what it received for them.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -15,62 +15,62 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// Notices that are kept for a new link.
+/// Notices kept for replay on a new link.
 const MAX_KEPT_NOTICES: usize = 4000;
 
-/// A run whose body begins so does nothing, and ends with an error at [`Interpreter::fail`].
+/// A run whose body starts with this prefix does nothing and ends with an error on [`Interpreter::fail`].
 pub const BLOCKING_PREFIX: &[u8] = b"held";
 
-/// What a run of a class does.
+/// The work of one run of a class.
 #[derive(Clone, Debug, Default)]
 pub struct Work {
-    /// Time on a core before each call and after the last.
+    /// Time on a core before each call and after the last one.
     pub core_time: Duration,
-    /// Calls, one after another.
+    /// Number of sequential calls.
     pub calls: usize,
 }
 
-/// What becomes of a run that is last_sent to stop.
+/// How the interpreter handles a command to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Halt {
-    /// Nothing: the command is not carried out.
+    /// Rejects the command.
     Never,
-    /// It ends, and what it did is lost.
+    /// Ends the run and discards its work.
     Drop,
-    /// One on a core stands still until it is last_sent to go on.
+    /// Pauses a run that is on a core until it is told to continue.
     Pause,
 }
 
-/// What a run got for a call.
+/// What a run received for a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallResult {
     /// A reply.
     Reply(Vec<u8>),
-    /// Word to go on without.
+    /// No reply: the run continues without one.
     Nothing,
 }
 
-/// A run, as the interpreter saw it.
+/// The record of a run.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
-    /// The request.
+    /// Correlation id of the request.
     pub uid: String,
-    /// Its class.
+    /// Class of the request.
     pub class: String,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// What it got for its calls.
+    /// What the run received for its calls, in order.
     pub got: Vec<CallResult>,
-    /// How it ended; `None` while it runs.
+    /// How the run ended; `None` while it runs.
     pub end: Option<&'static str>,
 }
 
 struct Running {
     place: usize,
-    /// What the run waits for, with the notice that asked.
+    /// The call that the run waits for, by the number of its notice.
     waits: Option<(u64, oneshot::Sender<CallResult>)>,
     stop: Rc<Notify>,
-    /// It is paused; last_sent of the order to go on.
+    /// Whether the run is paused and waits for `resume`.
     paused: bool,
     resume: Rc<Notify>,
     over: bool,
@@ -80,27 +80,27 @@
     classes: BTreeMap<String, Work>,
     halt: Halt,
     cores: Semaphore,
-    /// Runs that have a core or wait for one.
+    /// Runs that occupy a core or wait for one.
     on_cores: RefCell<usize>,
     runs: RefCell<Vec<RunRecord>>,
     running: RefCell<BTreeMap<String, Running>>,
     notices: RefCell<VecDeque<(u64, String)>>,
     pos: RefCell<u64>,
-    /// Told of each notice, and of each new link.
+    /// Notified on each notice and each new link.
     changed: Notify,
     link: RefCell<u64>,
-    /// When it came up, if it has; one that comes up later is cold.
+    /// When the interpreter became ready, if it has; one that is not ready at its start is cold.
     up: RefCell<Option<Instant>>,
     cold: bool,
     max_on_cores: RefCell<usize>,
-    /// How many have a core or wait for one, from each moment on at which that changed.
+    /// Each change of `on_cores` with its time.
     on_cores_history: RefCell<Vec<(Instant, usize)>>,
-    /// Bodies that begin with [`BLOCKING_PREFIX`] and whose runs end.
+    /// Bodies that start with [`BLOCKING_PREFIX`] and whose runs are to fail.
     failing: RefCell<BTreeSet<Vec<u8>>>,
     fails: Notify,
 }
 
-/// An interpreter that listens.
+/// A listening fake interpreter.
 #[derive(Clone)]
 pub struct Interpreter {
     address: SocketAddr,
@@ -108,43 +108,43 @@
 }
 
 impl Interpreter {
-    /// Starts one on a port of the system's choice, warm, with so many cores.
+    /// Starts a warm interpreter with this many cores on a port chosen by the system.
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start(cores: usize, classes: &[(&str, Work)]) -> Interpreter {
         Interpreter::start_with(cores, Halt::Drop, classes).await
     }
 
-    /// A cold one, which takes links and answers none before [`Interpreter::become_ready`].
+    /// Starts a cold interpreter, which accepts links but answers none before [`Interpreter::become_ready`].
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start_cold(cores: usize, classes: &[(&str, Work)]) -> Interpreter {
         Interpreter::start_as(cores, Halt::Drop, classes, true).await
     }
 
-    /// It is up from now on.
+    /// Marks the interpreter as ready.
     pub fn become_ready(&self) {
         *self.state.up.borrow_mut() = Some(Instant::now());
         self.state.changed.notify_waiters();
     }
 
-    /// Closes the present link; runs go on.
+    /// Closes the current link without ending the runs.
     pub fn drop_link(&self) {
         *self.state.link.borrow_mut() += 1;
         self.state.changed.notify_waiters();
     }
 
-    /// Links that were taken so far, and breaks of them.
+    /// Returns the number of links accepted and links dropped so far.
     pub fn links(&self) -> u64 {
         *self.state.link.borrow()
     }
 
-    /// The same, where runs that are last_sent to stop do this.
+    /// Starts a warm interpreter that handles commands to stop a run as `halt` states.
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start_with(cores: usize, halt: Halt, classes: &[(&str, Work)]) -> Interpreter {
         Interpreter::start_as(cores, halt, classes, false).await
     }
@@ -173,7 +173,7 @@
         let all = state.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // A new link replaces the one before.
+                // A new link replaces the previous one.
                 *all.link.borrow_mut() += 1;
                 all.changed.notify_waiters();
                 spawn_local(serve(all.clone(), stream));
@@ -182,13 +182,13 @@
         Interpreter { address, state }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The request is over: it was answered. As the platform has it, a run that waits for a call ends there, and one that
-    /// is on a core ends at its next call.
+    /// Reports that the request has been answered. As on the platform, its run ends at once if it waits for a
+    /// call, and otherwise at its next call.
     pub fn request_ended(&self, uid: &str) {
         if let Some(run) = self.state.running.borrow_mut().get_mut(uid) {
             run.over = true;
@@ -198,23 +198,23 @@
         }
     }
 
-    /// Runs of this body, which begins with [`BLOCKING_PREFIX`], end with an error from now on.
+    /// Fails the present and future runs of this body, which must start with [`BLOCKING_PREFIX`].
     pub fn fail(&self, body: &[u8]) {
         self.state.failing.borrow_mut().insert(body.to_vec());
         self.state.fails.notify_waiters();
     }
 
-    /// The most runs that had a core or waited for one at a time.
+    /// Returns the maximum number of runs that occupied or waited for a core at the same time.
     pub fn max_on_cores(&self) -> usize {
         *self.state.max_on_cores.borrow()
     }
 
-    /// How many runs had a core or waited for one, from each moment on at which that changed.
+    /// Returns each change of the number of runs that occupy or wait for a core, with its time.
     pub fn on_cores_history(&self) -> Vec<(Instant, usize)> {
         self.state.on_cores_history.borrow().clone()
     }
 
-    /// All runs so far, in the order in which they began.
+    /// Returns all runs so far, in order of their start.
     pub fn runs(&self) -> std::cell::Ref<'_, Vec<RunRecord>> {
         self.state.runs.borrow()
     }
@@ -259,7 +259,7 @@
                         greets = true;
                     }
                     Some("TOP") => {
-                        // Those that wait for a core want one too; those at calls do not.
+                        // Runs that wait for a core count as busy; runs that wait for a call do not.
                         let busy = *state.on_cores.borrow();
                         let gauges = json!({"action": "TOPS", "echo": command["echo"], "meters": [0.5, busy, 0.1, 1]});
                         output.extend(line_of(&gauges));
@@ -269,7 +269,7 @@
                         let running = state.running.borrow();
                         let run = running.get(text(&command, "uid"));
                         match run.filter(|_| state.halt != Halt::Never) {
-                            // One that waits for a call is on no core, and so has nothing to pause.
+                            // A run that waits for a call occupies no core and cannot be paused.
                             Some(run) if state.halt == Halt::Drop || run.waits.is_none() => run.stop.notify_one(),
                             Some(_) => {}
                             None => output.extend(rejected(&command)),
@@ -323,7 +323,7 @@
     }
 }
 
-/// Adds a notice; returns its number.
+/// Appends a notice and returns its number.
 fn notice(state: &State, mut value: Value) -> u64 {
     let mut pos = state.pos.borrow_mut();
     *pos += 1;
@@ -366,7 +366,7 @@
                 ended = &mut runs => break ended,
                 () = stop.notified() => {}
             }
-            // A request that is over ends its run, and so does an order to stop where nothing is paused.
+            // A run ends if its request has been answered, or on a stop command that does not pause.
             let over = state.running.borrow().get(&uid).is_none_or(|run| run.over && run.waits.is_some());
             if state.halt != Halt::Pause || over {
                 break ("STOPPED", String::new());
@@ -392,7 +392,7 @@
     });
 }
 
-/// Does the work of a run; how it ended, and its result, which names what it got for each call, in order.
+/// Performs a run; returns how it ended and its result, which lists what it received for each call, in order.
 async fn run(state: &State, uid: &str, place: usize) -> (&'static str, String) {
     let (class, body) = {
         let run = &state.runs.borrow()[place];
@@ -408,7 +408,7 @@
         on_core(state, work.core_time).await;
         let (way, answer) = oneshot::channel();
         let content = BASE64.encode(format!("{body}#{call}"));
-        // The way must be there before the notice is, or the reply could come too soon.
+        // The channel must be registered before the notice is sent, or the reply could arrive too early.
         let pos = *state.pos.borrow() + 1;
         let over = match state.running.borrow_mut().get_mut(uid) {
             Some(run) => {
@@ -449,7 +449,7 @@
     sleep(time).await;
 }
 
-/// Counts a run as on the cores until it is dropped, as when the run is stopped.
+/// Counts a run as on the cores until dropped, which also covers runs that are stopped.
 struct OnCore<'a>(&'a State);
 
 impl<'a> OnCore<'a> {
--- a/crates/stand-ins/src/link.rs
+++ b/crates/stand-ins/src/link.rs
@@ -1,7 +1,7 @@
-//! A link between two processes that can be broken: a relay on loopback for one of them to connect to, which passes bytes on to the
-//! other, each way under a fault of its own.
+//! A breakable link between two processes: a relay on loopback that forwards bytes, with a separate fault for
+//! each direction.
 //!
-//! A directed pair of processes has a link of its own, so that one way can be cut and the other not.
+//! Each ordered pair of processes has its own link, so that one direction can be cut without the other.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -16,48 +16,48 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
 
-/// Read at once, and buffered back at most for each way of a connection: beyond that the sender waits.
-const CHUNK: usize = 4 * 1024;
+/// Size of a read, and most bytes buffered per direction of a connection; beyond it the sender blocks.
+const CHUNK_BYTES: usize = 4 * 1024;
 
-/// What becomes of bytes on one way.
+/// What happens to bytes in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub enum Fault {
-    /// They pass.
+    /// Forwarded at once.
     #[default]
     None,
-    /// They pass later: by this, and by up to so much more.
+    /// Forwarded after the first duration plus a random part of the second.
     Late(Duration, Duration),
-    /// They pass a few at a time.
+    /// Forwarded in small pieces.
     Drip {
-        /// So many.
+        /// Bytes per piece.
         bytes: usize,
-        /// So often.
+        /// Interval between pieces.
         every: Duration,
     },
-    /// They are buffered back, and nobody is told: a cut.
+    /// Buffered without notice to either side.
     Cut,
-    /// So many more pass, and then it is a cut: in the middle of a frame, if it falls so.
+    /// Forwarded up to this many more bytes, then cut, possibly within a frame.
     CutAfter(usize),
 }
 
-/// What becomes of a new connection.
+/// What happens to a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum AcceptMode {
-    /// It leads to the other end.
+    /// Connected to the target.
     #[default]
     Passes,
-    /// It is accepted, and nothing ever comes of it.
+    /// Accepted, but nothing is forwarded.
     Silent,
-    /// It is reset at once.
+    /// Reset at once.
     Resets,
 }
 
-/// A way of a link.
+/// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// From the one that connects.
+    /// From the connecting process.
     There,
-    /// To it.
+    /// To the connecting process.
     Back,
 }
 
@@ -66,14 +66,14 @@
     there: watch::Sender<Fault>,
     back: watch::Sender<Fault>,
     accepts: Cell<AcceptMode>,
-    /// Counts up with each reset: connections of an earlier count end.
+    /// Incremented by each reset, which ends all open connections.
     resets: watch::Sender<u64>,
     random: RefCell<StdRng>,
     bytes_passed: Cell<[u64; 2]>,
     connections: Cell<u64>,
 }
 
-/// A link.
+/// A running link.
 #[derive(Clone)]
 pub struct Link {
     address: SocketAddr,
@@ -90,10 +90,10 @@
 }
 
 impl Link {
-    /// A link to this address, on a port of the system's choice; what is random in it comes from the seed.
+    /// Starts a link to this address on a port chosen by the system; the seed determines its random delays.
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start(to: SocketAddr, seed: u64) -> Link {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("an address");
@@ -117,17 +117,18 @@
         Link { address, state, _accepting: Rc::new(Aborts(accepting)) }
     }
 
-    /// Where to connect.
+    /// Returns the address to connect to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// New connections lead there.
+    /// Changes the target of new connections.
     pub fn set_target(&self, to: SocketAddr) {
         self.state.to.set(to);
     }
 
-    /// From now on bytes on this way fare so, those that were buffered back included: what was said before a cut is heard after it.
+    /// Sets the fault of one direction. It also applies to buffered bytes, so bytes sent during a cut arrive
+    /// after it.
     pub fn set(&self, way: Way, fault: Fault) {
         let to = match way {
             Way::There => &self.state.there,
@@ -136,34 +137,34 @@
         to.send_replace(fault);
     }
 
-    /// The same on both ways.
+    /// Sets the fault of both directions.
     pub fn set_both(&self, fault: Fault) {
         self.set(Way::There, fault);
         self.set(Way::Back, fault);
     }
 
-    /// From now on new connections fare so.
+    /// Sets how new connections are handled.
     pub fn set_accept_mode(&self, accepts: AcceptMode) {
         self.state.accepts.set(accepts);
     }
 
-    /// All connections end with a reset at both ends, and what was buffered back is lost.
+    /// Resets all connections at both ends; buffered bytes are lost.
     pub fn reset(&self) {
         self.state.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// No faults any more. What was buffered back passes.
+    /// Removes all faults; buffered bytes are forwarded.
     pub fn heal(&self) {
         self.set_accept_mode(AcceptMode::Passes);
         self.set_both(Fault::None);
     }
 
-    /// Bytes that have bytes_passed, there and back.
+    /// Returns the number of bytes forwarded in each direction.
     pub fn bytes_passed(&self) -> [u64; 2] {
         self.state.bytes_passed.get()
     }
 
-    /// Connections that were made.
+    /// Returns the number of connections accepted.
     pub fn connections(&self) -> u64 {
         self.state.connections.get()
     }
@@ -172,7 +173,7 @@
 async fn relay(state: Rc<State>, near: TcpStream) {
     let mut resets = state.resets.subscribe();
     let reset = async {
-        // An error means that the link is gone, and all that goes with it.
+        // An error means that the link was dropped, which ends its connections too.
         let _ = resets.changed().await;
     };
     let mut reset = std::pin::pin!(reset);
@@ -188,7 +189,7 @@
     let lost = {
         let mut there = std::pin::pin!(pump(&state, 0, &mut from_near, &mut to_far));
         let mut back = std::pin::pin!(pump(&state, 1, &mut from_far, &mut to_near));
-        // An end of sending passes like bytes do; the other way goes on.
+        // A half-close is forwarded like bytes; the other direction continues.
         let (mut there_ended, mut back_ended) = (false, false);
         loop {
             if there_ended && back_ended {
@@ -210,17 +211,17 @@
     }
 }
 
-/// The close of this stream is a reset.
+/// Makes the close of this stream a reset.
 fn abort(stream: &TcpStream) {
-    // An error means that it has ended.
+    // An error means that the connection has ended.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Passes bytes on until the sender ends, which is passed on too; whether it came to that in good order.
+/// Forwards bytes and the sender's half-close; returns false if the connection failed before that.
 async fn pump(state: &State, way: usize, from: &mut OwnedReadHalf, to: &mut OwnedWriteHalf) -> bool {
     let faults = if way == 0 { &state.there } else { &state.back };
     let mut fault = faults.subscribe();
-    let mut buffered = Vec::with_capacity(CHUNK);
+    let mut buffered = Vec::with_capacity(CHUNK_BYTES);
     loop {
         let Ok(n) = from.read_buf(&mut buffered).await else { return false };
         while !buffered.is_empty() || n == 0 {
--- a/crates/stand-ins/src/link/tests.rs
+++ b/crates/stand-ins/src/link/tests.rs
@@ -3,17 +3,18 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// Longer than any byte takes that is not buffered back.
-const SOON: Duration = Duration::from_secs(20);
-/// Within this a byte that is not buffered back has long come.
-const AWHILE: Duration = Duration::from_millis(150);
+/// Timeout for bytes that are expected to arrive.
+const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time after which bytes that have not arrived count as blocked.
+const SILENCE: Duration = Duration::from_millis(150);
 
 fn local(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, async { timeout(SOON * 3, test).await.expect("the test hangs") });
+    LocalSet::new()
+        .block_on(&runtime, async { timeout(ARRIVAL_TIMEOUT * 3, test).await.expect("the test timed out") });
 }
 
-/// A link, and the two ends of a connection over it.
+/// Creates a link and returns it with both ends of a connection over it.
 async fn ends() -> (Link, TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let link = Link::start(listener.local_addr().unwrap(), 1).await;
@@ -24,17 +25,17 @@
 
 async fn arrives(at: &mut TcpStream, bytes: &[u8]) {
     let mut got = vec![0; bytes.len()];
-    timeout(SOON, at.read_exact(&mut got)).await.expect("nothing comes").unwrap();
+    timeout(ARRIVAL_TIMEOUT, at.read_exact(&mut got)).await.expect("no bytes arrive").unwrap();
     assert_eq!(got, bytes);
 }
 
 async fn is_silent(at: &mut TcpStream) {
     let mut one = [0];
-    assert!(timeout(AWHILE, at.read(&mut one)).await.is_err(), "something comes");
+    assert!(timeout(SILENCE, at.read(&mut one)).await.is_err(), "unexpected bytes arrive");
 }
 
 #[test]
-fn one_way_is_cut_and_the_other_passes_and_old_bytes_come_after_it_heals() {
+fn a_cut_affects_one_direction_and_delivers_buffered_bytes_once_healed() {
     local(async {
         let (link, mut near, mut far) = ends().await;
         near.write_all(b"one").await.unwrap();
@@ -47,16 +48,16 @@
         link.heal();
         arrives(&mut far, b"two").await;
         assert_eq!((link.bytes_passed(), link.connections()), ([6, 4], 1));
-        // The end of sending passes too, and the other way goes on.
+        // A half-close is forwarded, and the other direction continues.
         near.shutdown().await.unwrap();
-        assert_eq!(timeout(SOON, far.read(&mut [0])).await.unwrap().unwrap(), 0);
+        assert_eq!(timeout(ARRIVAL_TIMEOUT, far.read(&mut [0])).await.unwrap().unwrap(), 0);
         far.write_all(b"more").await.unwrap();
         arrives(&mut near, b"more").await;
     });
 }
 
 #[test]
-fn a_cut_falls_in_the_middle_of_a_frame_and_a_reset_loses_what_was_held() {
+fn a_cut_can_split_a_frame_and_a_reset_discards_buffered_bytes() {
     local(async {
         let (link, mut near, mut far) = ends().await;
         link.set(Way::There, Fault::CutAfter(5));
@@ -66,14 +67,14 @@
         is_silent(&mut far).await;
         link.reset();
         for end in [&mut near, &mut far] {
-            let ended = timeout(SOON, end.read(&mut [0])).await.unwrap();
-            assert!(ended.is_err(), "a reset, and no end: {ended:?}");
+            let ended = timeout(ARRIVAL_TIMEOUT, end.read(&mut [0])).await.unwrap();
+            assert!(ended.is_err(), "expected a reset, got an orderly end: {ended:?}");
         }
     });
 }
 
 #[test]
-fn bytes_are_late_or_drip_and_connections_are_silent_or_reset() {
+fn bytes_are_delayed_or_split_and_connections_are_silent_or_reset() {
     local(async {
         let (link, mut near, mut far) = ends().await;
         let late = Duration::from_millis(200);
@@ -93,8 +94,8 @@
         is_silent(&mut silent).await;
         link.set_accept_mode(AcceptMode::Resets);
         let mut reset = TcpStream::connect(link.address()).await.unwrap();
-        assert!(timeout(SOON, reset.read(&mut [0])).await.unwrap().is_err());
-        // What is connected stays so.
+        assert!(timeout(ARRIVAL_TIMEOUT, reset.read(&mut [0])).await.unwrap().is_err());
+        // Existing connections are not affected.
         link.heal();
         near.write_all(b"x").await.unwrap();
         arrives(&mut far, b"x").await;
--- a/crates/stand-ins/src/nodo.rs
+++ b/crates/stand-ins/src/nodo.rs
@@ -1,5 +1,6 @@
-//! One nodo, however many processes it is: several starts of the program at one address, an interpreter for each, and
-//! balancers that send keyed requests twice. The interpreters' records are the truth about what ran.
+//! One nodo across several incarnations: processes of the program at one address, a fake interpreter for
+//! each, and balancers that send each keyed request twice. The interpreters' records are authoritative for
+//! what ran.
 
 use crate::balancer::{Answer, Balancer, Request};
 use crate::directory::Directory;
@@ -27,65 +28,65 @@
     r#""clientHabits":{"marksRetry":true},"#,
     r#""obligations":{"coldFrom":0.3,"coldS":9,"fallMultiple":10,"fallS":2,"drainGraceS":0}}"#
 );
-/// Where nothing listens.
+/// An address at which nothing listens.
 const NOTHING: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9));
-/// Balancers of records have numbers beyond those of a load and of tests.
+/// First number of an [`AnswerLog`]'s balancers, above those of [`Load`] and of tests.
 const FIRST_LOG_BALANCER: u64 = 100;
-/// Between two looks.
+/// Interval between checks.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The interpreter that a nodo has by now.
+/// The interpreter of the most recent incarnation.
 pub type LatestInterpreter = Rc<RefCell<Option<Interpreter>>>;
 
-/// One nodo.
+/// A nodo.
 pub struct Nodo {
-    /// The folder that all starts share.
+    /// Folder shared by all incarnations.
     pub folder: PathBuf,
-    /// Where its reports go.
+    /// Directory that receives its reports.
     pub directory: Directory,
-    /// Where balancers connect.
+    /// Address for balancers.
     pub address: SocketAddr,
-    /// Its name.
+    /// Name of the nodo.
     pub name: String,
-    /// What all starts are told of classes and rules.
+    /// Settings object of all incarnations.
     pub settings: String,
-    /// Further keys of the configuration, each behind a comma.
+    /// Additional configuration keys, each preceded by a comma.
     pub extra_config: String,
-    /// Starts are told of no folder that they share, so that each is a nodo on its own.
+    /// Whether incarnations run without the shared folder, so that each acts as an independent nodo.
     pub without_shared_folder: bool,
-    /// What the runs of class `sign` call once, if anything.
+    /// Address of the database that runs of class `sign` call once, if any.
     pub database: Option<SocketAddr>,
-    /// The operator's file for starts to come, if they have one.
+    /// Operator's file of later incarnations, if any.
     pub operator: Option<String>,
-    /// Further classes of its interpreters, of which each run calls once; the settings have to name them.
+    /// Additional interpreter classes, whose runs make one call each; the settings must name them too.
     pub extra_classes: Vec<String>,
-    /// The limit on open descriptors that starts to come get from the system, if not that of the test.
+    /// Limit on open descriptors of later incarnations; by default that of the test.
     pub max_descriptors: Option<usize>,
-    /// The interpreters, in the order of the starts that have one.
+    /// Interpreters, in the order of the incarnations that own one.
     pub interpreters: Vec<Interpreter>,
-    /// Where operators reach the last start.
+    /// Operators' address of the most recent incarnation.
     pub admin_address: Rc<Cell<Option<SocketAddr>>>,
-    /// The one of the last start, for balancers: they tell it what was answered.
+    /// Interpreter of the most recent incarnation, for balancers to notify of answers.
     pub latest_interpreter: LatestInterpreter,
     program: PathBuf,
-    /// Holds the port without listening there.
+    /// Keeps the port bound without listening.
     _port: Socket,
     started: usize,
 }
 
-/// One start of the program.
+/// One process of a nodo.
 pub struct Incarnation {
     /// The process.
     pub process: Process,
-    /// Where operators call.
+    /// Address for operators' calls.
     pub admin: SocketAddr,
 }
 
 impl Nodo {
-    /// A nodo that was not started yet, in a folder with this in its name.
+    /// Creates a nodo without starting it, in a folder whose name contains `name`.
     ///
     /// # Errors
-    /// The folder cannot be made, or loopback has no port left.
+    /// Fails if the folder cannot be created or loopback has no free port.
     pub async fn new(program: &Path, name: &str) -> io::Result<Nodo> {
         let folder = std::env::temp_dir().join(format!("jaspershunt-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -118,20 +119,20 @@
         })
     }
 
-    /// Starts the program, with an interpreter of its own, and waits until it takes clients.
+    /// Starts the program with a new interpreter and waits until it accepts clients.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// Fails if it cannot be started.
     pub async fn start(&mut self) -> io::Result<Incarnation> {
         let start = self.start_without_waiting().await?;
         start.wait_until_ready().await;
         Ok(start)
     }
 
-    /// Starts the program, with an interpreter of its own, and waits until operators can call.
+    /// Starts the program with a new interpreter and waits until it accepts operators' calls.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// Fails if it cannot be started.
     pub async fn start_without_waiting(&mut self) -> io::Result<Incarnation> {
         let part = |ms| Work { core_time: Duration::from_millis(ms), calls: 0 };
         let sign = Work { calls: usize::from(self.database.is_some()), ..part(8) };
@@ -144,10 +145,10 @@
         self.start_with_interpreter(at).await
     }
 
-    /// Starts the program with an interpreter at this address, and waits until operators can call.
+    /// Starts the program with the interpreter at this address and waits until it accepts operators' calls.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// Fails if it cannot be started.
     pub async fn start_with_interpreter(&mut self, interpreter: SocketAddr) -> io::Result<Incarnation> {
         self.started += 1;
         let config = self.folder.join(format!("config{}.json", self.started));
@@ -180,7 +181,8 @@
         Ok(Incarnation { process, admin })
     }
 
-    /// The program, by way of a shell that lowers the limit on descriptors and becomes the program, where there is one.
+    /// Returns the command for the program; with a descriptor limit, a shell lowers the limit and then
+    /// executes it.
     fn command(&self) -> Command {
         let Some(most) = self.max_descriptors else { return Command::new(&self.program) };
         let mut command = Command::new("sh");
@@ -192,18 +194,18 @@
         self.folder.join(format!("log{start}"))
     }
 
-    /// What all starts have said.
+    /// Returns the logs of all incarnations.
     pub fn logs(&self) -> String {
         let said = |n| std::fs::read_to_string(self.log(n)).unwrap_or_default();
         (1..=self.started).map(|n| format!("\nstart {n}:\n{}", said(n))).collect()
     }
 
-    /// How often the body was run, by the interpreters' own records.
+    /// Returns how often the body was run, according to the interpreters.
     pub fn runs(&self, body: &[u8]) -> usize {
         self.count(|ran| ran.body == body)
     }
 
-    /// How often a keyed request of class `sign` was run.
+    /// Returns how often a keyed request of class `sign` was run.
     pub fn signed(&self, key: &str) -> usize {
         self.count(|ran| ran.class == "sign" && ran.body == key.as_bytes())
     }
@@ -221,7 +223,7 @@
 }
 
 impl Incarnation {
-    /// What operators get for a line; nothing where nobody answers.
+    /// Sends an operator's line and returns the answer, which is empty if nothing answers.
     pub async fn call(&self, line: &str) -> String {
         let Ok(mut stream) = TcpStream::connect(self.admin).await else { return String::new() };
         let mut answer = String::new();
@@ -231,12 +233,12 @@
         answer
     }
 
-    /// Whether it says that it takes clients.
+    /// Returns whether the nodo reports that it accepts clients.
     pub async fn is_ready(&self) -> bool {
         self.call("PING").await.starts_with("+OK")
     }
 
-    /// Waits until it says so.
+    /// Waits until the nodo reports that it accepts clients.
     pub async fn wait_until_ready(&self) {
         while !self.is_ready().await {
             sleep(POLL_INTERVAL).await;
@@ -244,39 +246,40 @@
     }
 }
 
-/// A keyed request: all its tries have this key, and it for a body.
+/// Creates a keyed request whose body is its key.
 pub fn keyed(class: &str, key: &str, resent: bool) -> Request {
     let body = key.as_bytes();
     Request { key: Some(format!("key-{key}")), resent, ..Request::new(class, body) }
 }
 
-/// Keyed requests and the answers to their tries, in the order in which those were sent.
+/// Answers to all tries of keyed requests, in the order in which the tries were sent.
 #[derive(Clone, Default)]
 pub struct AnswerLog {
     answers: Rc<RefCell<BTreeMap<String, Vec<Answer>>>>,
-    /// Balancers so far: their numbers are in the ids of what they send, of which no two may be open at once.
+    /// Balancers created so far. Their numbers are part of correlation ids, which must be unique among open
+    /// requests.
     balancers: Rc<Cell<u64>>,
 }
 
-/// What has become of keyed requests.
+/// Outcome of keyed requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Keys.
+    /// Number of keys.
     pub keys: usize,
-    /// Runs of them all, by the interpreters' records.
+    /// Total number of runs, according to the interpreters.
     pub runs: usize,
-    /// Keys that ran twice or more often.
+    /// Keys that ran more than once.
     pub ran_twice: Vec<String>,
     /// Keys of which a try was refused after another had run.
     pub refused_after_run: Vec<String>,
-    /// Keys whose tries were served with results that differ.
+    /// Keys whose tries received different results.
     pub differ: Vec<String>,
-    /// How often each status was answered; 0 where none was.
+    /// Number of answers by status; 0 stands for no answer.
     pub statuses: BTreeMap<u16, usize>,
 }
 
 impl AnswerLog {
-    /// Sends a keyed request twice, marked as first and then as further try, each over a connection of its own.
+    /// Sends a keyed request twice, first as an original and then as a retry, each over its own connection.
     pub async fn pair(&self, to: SocketAddr, key: &str, patience: Duration) {
         for resent in [false, true] {
             self.balancers.set(self.balancers.get() + 1);
@@ -286,7 +289,7 @@
         }
     }
 
-    /// Sends that many, so many at once, with `name` in their keys.
+    /// Sends `count` pairs, `at_once` of them concurrently, with `name` as prefix of their keys.
     pub async fn burst(&self, to: SocketAddr, name: &str, count: usize, at_once: usize, patience: Duration) {
         let next = Rc::new(Cell::new(0));
         let send = |_| {
@@ -300,22 +303,22 @@
         };
         let senders: Vec<JoinHandle<()>> = (0..at_once).map(send).collect();
         for sender in senders {
-            // An error means that it panicked, which says so itself.
+            // An error means that the task panicked, which is reported by itself.
             let _ = sender.await;
         }
     }
 
-    /// Adds an answer to a try.
+    /// Adds the answer to a try.
     pub fn add(&self, key: &str, answer: Answer) {
         self.answers.borrow_mut().entry(key.to_string()).or_default().push(answer);
     }
 
-    /// The answers, by key.
+    /// Returns the answers by key.
     pub fn answers(&self) -> std::cell::Ref<'_, BTreeMap<String, Vec<Answer>>> {
         self.answers.borrow()
     }
 
-    /// What has become of the keys whose name begins so.
+    /// Returns the outcome of all keys that start with `name`.
     pub fn tally(&self, nodo: &Nodo, name: &str) -> Tally {
         let mut ran: BTreeMap<String, usize> = BTreeMap::new();
         for interpreter in &nodo.interpreters {
@@ -331,7 +334,7 @@
             if runs > 1 {
                 tally.ran_twice.push(key.clone());
             }
-            // The first was neither refused nor unheard, so if anything ran, the next came after the run began.
+            // The first try was neither refused nor unanswered, so a run began before the next try arrived.
             let first = answers.first().map_or(0, |answer| answer.status);
             let refused = answers.iter().skip(1).any(|answer| answer.status == 503);
             if runs > 0 && first != 503 && first != 0 && refused {
@@ -351,7 +354,7 @@
     }
 }
 
-/// Balancers that send without pause: reads, and keyed requests each of which comes twice.
+/// Balancers that send continuously: reads, and keyed requests twice each.
 pub struct Load {
     go: Rc<Cell<bool>>,
     reads: Rc<RefCell<Vec<Answer>>>,
@@ -360,7 +363,7 @@
 }
 
 impl Load {
-    /// Two balancers, three senders on each, who wait so long for an answer.
+    /// Starts two balancers with three senders each, which wait up to `patience` for an answer.
     pub fn start(address: SocketAddr, patience: Duration) -> Load {
         let (go, reads, record) =
             (Rc::new(Cell::new(true)), Rc::<RefCell<Vec<_>>>::default(), AnswerLog::default());
@@ -388,7 +391,7 @@
         Load { go, reads, record, senders }
     }
 
-    /// Waits for so many more reads.
+    /// Waits for this many more answers to reads.
     pub async fn wait_for_reads(&self, count: usize) {
         let until = self.reads.borrow().len() + count;
         while self.reads.borrow().len() < until {
@@ -396,11 +399,11 @@
         }
     }
 
-    /// Ends once all that was sent is answered; returns what became of it, and the answers to the reads.
+    /// Stops the load once all sent requests are answered; returns the outcome and the answers to the reads.
     pub async fn end(self, nodo: &Nodo) -> (Tally, Vec<Answer>) {
         self.go.set(false);
         for sender in self.senders {
-            // An error means that it panicked, which says so itself.
+            // An error means that the task panicked, which is reported by itself.
             let _ = sender.await;
         }
         (self.record.tally(nodo, ""), self.reads.take())
--- a/crates/stand-ins/src/process.rs
+++ b/crates/stand-ins/src/process.rs
@@ -1,4 +1,4 @@
-//! A program as a process of its own that can be killed, frozen, woken and started again.
+//! A child process that can be paused, resumed, terminated and killed.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between two looks at a process.
+/// Interval between checks of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A process that was started here. It is killed when this is dropped, frozen or not.
+/// A child process. Dropping it kills the process, even while paused.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -19,61 +19,62 @@
 }
 
 impl Process {
-    /// Starts a program; what it says goes to the file `log`.
+    /// Starts a program whose output goes to the file `log`.
     ///
     /// # Errors
-    /// The file cannot be made, or the program cannot be started.
+    /// Fails if the file cannot be created or the program cannot be started.
     pub fn start(command: &mut Command, log: &Path) -> io::Result<Process> {
-        let said = File::create(log)?;
-        let child = command.stdin(Stdio::null()).stdout(said.try_clone()?).stderr(said).spawn()?;
+        let output = File::create(log)?;
+        let child = command.stdin(Stdio::null()).stdout(output.try_clone()?).stderr(output).spawn()?;
         Ok(Process { child, log: log.to_path_buf() })
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
     fn signal(&self, signal: Signal) {
-        // Not reaped before this is dropped or its end was seen, so that the id is still its own.
+        // The process is not reaped before its exit is observed or `self` is dropped, so the id cannot be
+        // reused.
         if let Some(id) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
-            // An error means that it has ended.
+            // An error means that the process has exited.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Stops it where it is, until [`Process::resume`].
+    /// Pauses the process with SIGSTOP until [`Process::resume`].
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to end.
+    /// Requests termination with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Asks it to read its files again.
+    /// Requests a reload with SIGHUP.
     pub fn hang_up(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Ends it at once, and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub async fn kill(&mut self) {
         self.signal(Signal::KILL);
         self.wait().await;
     }
 
-    /// Whether it has ended, and how.
+    /// Returns the exit status if the process has exited.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for its end; whether that was one in good order.
+    /// Waits for the exit; returns whether it was successful.
     pub async fn wait(&mut self) -> bool {
         loop {
             if let Some(status) = self.exit_status() {
@@ -83,15 +84,15 @@
         }
     }
 
-    /// All that it has said so far.
+    /// Returns the whole output so far.
     pub fn output(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Waits until it has said something; returns the rest of that line.
-    pub async fn wait_for_output(&self, what: &str) -> String {
+    /// Waits until the output contains `text`; returns the rest of that line.
+    pub async fn wait_for_output(&self, text: &str) -> String {
         loop {
-            if let Some((_, rest)) = self.output().split_once(what)
+            if let Some((_, rest)) = self.output().split_once(text)
                 && let Some((line, _)) = rest.split_once('\n')
             {
                 return line.to_string();
@@ -113,9 +114,9 @@
     use super::*;
     use tokio::time::timeout;
 
-    /// A frozen process does nothing, one that is woken goes on, and one that is killed is gone, also while it is frozen.
+    /// A paused process does nothing, a resumed one continues, and a killed one exits even while paused.
     #[tokio::test]
-    async fn a_process_is_frozen_woken_and_killed() {
+    async fn a_process_is_paused_resumed_and_killed() {
         let log = std::env::temp_dir().join(format!("jaspershunt-process-{}", std::process::id()));
         let mut command = Command::new("sh");
         command
@@ -123,7 +124,7 @@
         let mut process = Process::start(&mut command, &log).unwrap();
         process.wait_for_output("line 3").await;
         process.pause();
-        // It is stopped once the system says so; what it had written by then is all.
+        // Output is complete once the system reports the process as stopped.
         let stopped = || {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.id())).unwrap();
             stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
--- a/crates/stand-ins/src/resource.rs
+++ b/crates/stand-ins/src/resource.rs
@@ -1,9 +1,11 @@
-//! What the tasks of a fleet act on: takes calls over HTTP, each an act of some length, and records them. Its record is the truth
-//! about who acted when. One form checks tokens, as a resource should; the other cannot.
+//! A fake resource that the tasks of a fleet call over HTTP. It performs acts of a configured duration and
+//! records them; its record is authoritative for who acted when. A resource either checks fencing tokens or
+//! ignores them.
 //!
-//! What comes with an operation key is an effect: it is recorded by key and token, goes on to its end whatever becomes of its caller,
-//! and can be asked for. Whoever asks under a token turns lower ones of that key away from then on. A key that comes twice has its
-//! effect twice, so that a test can see it; unless the resource is reply_bytes to answer repeats with what it did.
+//! A call with an operation key has an effect, which is recorded by key and token, completes even if its
+//! caller disconnects, and can be queried. A query under a token fences off lower tokens of that key. A
+//! repeated key has its effect again, so that tests detect it, unless the resource is configured to answer
+//! repeats with the earlier result.
 
 use crate::http;
 use std::cell::{Cell, RefCell};
@@ -16,67 +18,67 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// The header that carries the token of the lease under which an act is done.
+/// Header with the token of the lease under which an act is performed.
 pub const TOKEN: &str = "x-fleet-token";
-/// The header that carries the key of the operation, the same over retries and holders.
+/// Header with the number of the operation, the same across retries and holders.
 pub const KEY: &str = "x-fleet-key";
-/// The header that names the holder.
+/// Header with the name of the holder.
 pub const HOLDER: &str = "x-fleet-holder";
 
-/// The header that carries the operation key of a request.
+/// Header with the operation key of a request.
 pub const OPERATION: &str = "x-operation-key";
-/// The header that says that nothing is to be done, but reply_bytes.
+/// Header of a query, which has no effect and returns the recorded one.
 pub const ASK: &str = "x-ask";
 
 /// One effect of an operation key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Effect {
-    /// The key, as it was written.
+    /// Operation key.
     pub key: String,
-    /// Under which token.
+    /// Token of the call.
     pub token: u64,
-    /// From the resource's start.
+    /// Start, relative to the resource's start.
     pub begin: Duration,
-    /// When it was over; `None` while it is not.
+    /// End; `None` while in progress.
     pub end: Option<Duration>,
 }
 
 impl Effect {
-    /// What is answered.
+    /// Returns the body of the answer.
     fn result(&self) -> Vec<u8> {
         format!("did {} under {}", self.key, self.token).into_bytes()
     }
 }
 
-/// One act, as it landed.
+/// One recorded act.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Act {
-    /// Who did it.
+    /// Holder that performed it.
     pub holder: String,
-    /// Under which token.
+    /// Token of the call.
     pub token: u64,
-    /// For which operation.
+    /// Number of the operation.
     pub key: u64,
-    /// From the resource's start.
+    /// Start, relative to the resource's start.
     pub begin: Duration,
-    /// When it was over; `None` while it is not.
+    /// End; `None` while in progress.
     pub end: Option<Duration>,
-    /// It was turned away, as a higher token had been seen: it had no effect.
+    /// Whether it was rejected without effect because a higher token had been seen.
     pub turned_away: bool,
-    /// The body that came with it.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// How it answers.
+/// How the resource answers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// All is done.
+    /// The operation is complete.
     Done,
-    /// It is done up to here.
+    /// The operation is complete up to this cursor.
     More(Vec<u8>),
-    /// It fails.
+    /// The operation failed.
     Fails,
-    /// Nothing is ever answered.
+    /// The call is never answered.
     Hangs,
 }
 
@@ -87,16 +89,16 @@
     began: Instant,
     acts: RefCell<Vec<Act>>,
     effects: RefCell<Vec<Effect>>,
-    /// The highest token of each operation key that acted or asked.
+    /// The highest token of each operation key in a call or query.
     fences: RefCell<BTreeMap<String, u64>>,
-    /// Callers that were turned away, and questions.
+    /// Number of rejected calls and queries with an operation key.
     turned_away: Cell<usize>,
     asked: Cell<usize>,
-    /// Repeats of keys that begin so are answered with what was done.
+    /// Prefix of the keys whose repeats are answered with the earlier result.
     answers_repeats: RefCell<Option<String>>,
 }
 
-/// A resource that listens.
+/// A listening fake resource.
 #[derive(Clone)]
 pub struct Resource {
     address: SocketAddr,
@@ -104,10 +106,11 @@
 }
 
 impl Resource {
-    /// Starts one on a port of the system's choice. An act lasts so long; with `checks` those under an old token are turned away.
+    /// Starts a resource on a port chosen by the system, with acts of this duration. With `checks`, acts
+    /// under an outdated token are rejected.
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start(checks: bool, length: Duration) -> Resource {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("an address");
@@ -132,62 +135,62 @@
         Resource { address, state }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// From now on an act lasts so long.
+    /// Sets the duration of later acts.
     pub fn set_duration(&self, length: Duration) {
         self.state.length.set(length);
     }
 
-    /// From now on it answers so.
+    /// Sets how later acts are answered.
     pub fn set_reply(&self, reply: Reply) {
         *self.state.reply.borrow_mut() = reply;
     }
 
-    /// From now on a repeat of an operation key is answered with what was done.
+    /// Answers repeats of all operation keys with the earlier result.
     pub fn answers_repeats(&self) {
         self.answers_repeats_of("");
     }
 
-    /// The same for keys that begin so; others have their effect again.
+    /// Answers repeats of keys with this prefix with the earlier result; others have their effect again.
     pub fn answers_repeats_of(&self, keys: &str) {
         *self.state.answers_repeats.borrow_mut() = Some(keys.to_string());
     }
 
-    /// All effects of operation keys, in the order in which they began.
+    /// Returns all effects of operation keys, in order of their start.
     pub fn effects(&self) -> Vec<Effect> {
         self.state.effects.borrow().clone()
     }
 
-    /// How many questions there were, and how many calls and questions were turned away under an old token.
+    /// Returns the number of queries, and the number of calls and queries rejected under an outdated token.
     pub fn query_counts(&self) -> (usize, usize) {
         (self.state.asked.get(), self.state.turned_away.get())
     }
 
-    /// The time since its start, as acts have it.
+    /// Returns the time since the start, the base of the recorded times.
     pub fn elapsed(&self) -> Duration {
         self.state.began.elapsed()
     }
 
-    /// All acts, in the order in which they began.
+    /// Returns all acts, in order of their start.
     pub fn acts(&self) -> Vec<Act> {
         self.state.acts.borrow().clone()
     }
 
-    /// Pairs of acts of different tokens that went on at one time, those that were turned away left out.
+    /// Returns pairs of accepted acts under different tokens that overlapped in time.
     pub fn overlaps(&self) -> Vec<(Act, Act)> {
         overlaps(&self.acts())
     }
 
-    /// Acts that had an effect under a lower token than one that had an effect before.
+    /// Returns accepted acts whose token is lower than that of an earlier act.
     pub fn stale_token_acts(&self) -> Vec<Act> {
         stale_token_acts(&self.acts())
     }
 
-    /// How often each operation was done to its end.
+    /// Returns how often each operation was completed.
     pub fn done(&self) -> BTreeMap<u64, usize> {
         let mut done = BTreeMap::new();
         for act in self.acts().iter().filter(|act| !act.turned_away && act.end.is_some()) {
@@ -197,12 +200,12 @@
     }
 }
 
-/// Pairs of acts of different tokens that went on at one time.
+/// Returns pairs of accepted acts under different tokens that overlapped in time.
 pub fn overlaps(acts: &[Act]) -> Vec<(Act, Act)> {
     let acts: Vec<&Act> = acts.iter().filter(|act| !act.turned_away).collect();
     let mut found = Vec::new();
     for (n, one) in acts.iter().enumerate() {
-        // They are in the order in which they began.
+        // Acts are in order of their start.
         for other in &acts[n + 1..] {
             if one.token != other.token && one.end.is_none_or(|end| other.begin < end) {
                 found.push(((*one).clone(), (*other).clone()));
@@ -212,7 +215,7 @@
     found
 }
 
-/// Acts that had an effect under a lower token than one that had an effect before.
+/// Returns accepted acts whose token is lower than that of an earlier act.
 pub fn stale_token_acts(acts: &[Act]) -> Vec<Act> {
     let mut highest = 0;
     let mut found = Vec::new();
@@ -254,7 +257,7 @@
         sleep(state.length.get()).await;
         let reply = state.reply.borrow().clone();
         if reply == Reply::Hangs {
-            // Until the caller has had enough.
+            // Until the caller disconnects.
             while let Ok(1..) = tokio::io::AsyncReadExt::read(&mut stream, &mut [0; 64]).await {}
             state.acts.borrow_mut()[place].end = Some(state.began.elapsed());
             return;
@@ -271,7 +274,7 @@
     }
 }
 
-/// What is answered to a call or a question with an operation key.
+/// Returns the answer to a call or query with an operation key.
 async fn operation(state: &State, request: &http::Request, token: u64) -> Vec<u8> {
     let key = request.header(OPERATION).to_string();
     let asks = request.header(ASK) == "1";
@@ -287,8 +290,8 @@
     let place = match known {
         Some(place) if asks => place,
         Some(place) if answers => {
-            // A repeat takes what an act does: guards against callers who learn from repeats that calls are over in no time, and give the
-            // next act up in its middle.
+            // A repeat takes as long as an act: otherwise callers would learn from fast repeats to use short
+            // timeouts and would abandon the next act midway.
             sleep(state.length.get()).await;
             place
         }
@@ -302,7 +305,7 @@
             place
         }
     };
-    // One that goes on is waited for.
+    // Waits for an effect in progress.
     while state.effects.borrow()[place].end.is_none() {
         sleep(Duration::from_millis(5)).await;
     }
--- a/crates/stand-ins/src/resource/tests.rs
+++ b/crates/stand-ins/src/resource/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn one_that_checks_turns_old_tokens_away_and_one_that_cannot_records_them() {
+fn outdated_tokens_are_rejected_with_checks_and_recorded_without() {
     local(async {
         for checks in [true, false] {
             let resource = Resource::start(checks, Duration::from_millis(50)).await;
@@ -37,11 +37,11 @@
 }
 
 #[test]
-fn acts_of_two_that_go_on_at_one_time_are_found() {
+fn overlapping_acts_of_two_holders_are_found() {
     local(async {
         let resource = Resource::start(false, Duration::from_millis(50)).await;
         let at = resource.address();
-        // Two of one holder are no overlap.
+        // Two acts under one token do not count as an overlap.
         let both = spawn_local(async move { act(at, 1, 1).await });
         act(at, 1, 2).await;
         both.await.unwrap();
@@ -59,7 +59,7 @@
     });
 }
 
-/// A call or a question with an operation key; the status and the body.
+/// Sends a call or query with an operation key; returns the status and the body.
 async fn operate(to: SocketAddr, token: u64, key: &str, asks: bool) -> (String, String) {
     let mut stream = TcpStream::connect(to).await.unwrap();
     let ask = if asks { "x-ask: 1\r\n" } else { "" };
@@ -75,20 +75,20 @@
 }
 
 #[test]
-fn an_operation_key_is_recorded_asked_for_and_fenced() {
+fn an_operation_key_is_recorded_queried_and_fenced() {
     local(async {
         let resource = Resource::start(true, Duration::from_millis(50)).await;
         let at = resource.address();
-        // Whoever asks first has the last word on lower tokens.
+        // The first query fences off lower tokens.
         assert_eq!(operate(at, 7, "a", true).await.0, "404");
         assert_eq!(operate(at, 6, "a", false).await.0, "412");
         assert_eq!(operate(at, 7, "a", false).await, ("200".into(), "did a under 7".into()));
-        // One that goes on is waited for, and its caller's end changes nothing.
+        // A query waits for an effect in progress, which completes even though its caller disconnected.
         let begun = spawn_local(operate(at, 3, "b", false));
         sleep(Duration::from_millis(20)).await;
         begun.abort();
         assert_eq!(operate(at, 9, "b", true).await, ("200".into(), "did b under 3".into()));
-        // Run again it has its effect again, unless repeats are answered.
+        // A repeat has its effect again unless repeats are answered with the earlier result.
         assert_eq!(operate(at, 9, "b", false).await.1, "did b under 9");
         resource.answers_repeats();
         assert_eq!(operate(at, 9, "b", false).await.1, "did b under 3");
