--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -1,31 +1,31 @@
-//! The server side of HTTP/1.1 with one call at a time on a connection.
+//! Server side of HTTP/1.1, with one request at a time per connection.
 
 use std::io;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// The longest request, head and body.
+/// Maximum size of a request, head and body together.
 const MAX_REQUEST: usize = 64 * 1024;
 
 /// A request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Method and path.
+    /// Request line.
     pub line: String,
-    /// Its headers, names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// The value of a header; empty if there is none.
+    /// Returns the value of a header, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         self.headers.iter().find(|(n, _)| n == name).map_or("", |(_, value)| value)
     }
 }
 
-/// The next request on a connection; `None` at its end.
+/// Reads the next request; `None` at the end of the connection.
 pub async fn read(stream: &mut TcpStream, input: &mut Vec<u8>) -> io::Result<Option<Request>> {
     loop {
         if let Some(end) = input.windows(4).position(|four| four == b"\r\n\r\n") {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The bytes of a reply.
+/// Encodes a response; `more` are further header lines.
 pub fn reply(status: &str, more: &str, body: &[u8]) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,23 +1,26 @@
-//! Stand-ins for all that a nodo speaks with, written from the platform's protocol page and the public specifications of
-//! HTTP/1.1 and FastCGI 1.0. They know nothing of the nodo's own code, so that both must be right for them to agree.
+//! Fakes (scripted test servers) for everything that a nodo communicates with, written from the platform's
+//! protocol page and the public specifications of HTTP/1.1 and FastCGI 1.0. They share no protocol code with
+//! the nodo, so that an error on either side shows up as a mismatch.
 //!
-//! Each listens on loopback at a port of the system's choice, does what its script says, and keeps a record of what
-//! crossed it; tests and experiments take the records for the truth. All need a local task set and one thread.
+//! Each listens on a loopback port chosen by the system, follows its script, and records its traffic; tests
+//! and experiments treat the records as authoritative. All require a `LocalSet` on one thread.
 //!
-//! - [`dependency`]: has slots, slows down when crowded, and can be slow, failing, refusing, hanging, down or noisy.
-//! - [`disk`]: forgets what was not synced, tears, fills up and fails, and is put back to an earlier state.
-//! - [`fleet`]: several nodos as one fleet, every link between them one that can be broken.
-//! - [`interpreter`]: runs requests on so many cores, asks for calls, and tells in each result what it got.
-//! - [`directory`]: takes reports.
+//! - [`dependency`]: has a fixed number of slots, slows down under overload, and can be slow, failing,
+//!   refusing, hanging or down.
+//! - [`disk`]: a simulated disk that loses unsynced writes, tears writes, runs full and fails.
+//! - [`fleet`]: several nodos as one fleet with breakable links.
+//! - [`interpreter`]: runs requests on a fixed number of cores, makes calls, and lists in each result what it
+//!   received.
+//! - [`directory`]: accepts reports.
 //! - [`balancer`]: sends requests over FastCGI and reads the answers.
-//! - [`link`]: a connection between two processes that can be cut, slowed and reset, each way.
-//! - [`partial`]: a fleet in three regions with keyed work, faults of all kinds, and histories of it all.
-//! - [`process`]: a program that can be killed, frozen and woken.
-//! - [`resource`]: what the tasks of a fleet act on; records who acted when.
-//! - [`nodo`]: several starts of the program as one nodo, with what they speak with.
-//! - [`script`]: what goes wrong, and when; from a list or from a seed.
-//! - [`wire`]: one connection of a balancer, byte by byte: halves of requests, closes and resets.
-//! - [`truth`]: holds the answers of a nodo against the records.
+//! - [`link`]: a relay between two processes that can be cut, slowed and reset in each direction.
+//! - [`partial`]: a fleet in three regions with keyed work, faults of all kinds, and histories.
+//! - [`process`]: a child process that can be paused, resumed and killed.
+//! - [`resource`]: what the tasks of a fleet call; records who acted when.
+//! - [`nodo`]: one nodo across several incarnations, with its interpreters, directory and balancers.
+//! - [`script`]: schedules of a dependency's faults, listed or drawn from a seed.
+//! - [`wire`]: a raw balancer connection for partial requests, closes and resets.
+//! - [`truth`]: checks a nodo's answers against the records.
 
 pub mod balancer;
 pub mod dependency;
--- a/crates/stand-ins/src/partial/clients.rs
+++ b/crates/stand-ins/src/partial/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a fleet under faults: each asks for one key after another, of either class, at one nodo after another, and writes down
-//! what it asked and heard.
+//! Clients of a fleet under faults. Each sends one key after another, of either class, to one nodo after
+//! another, and records its requests and their answers.
 
 use super::{ASKS, FENCED, NODOS, now};
 use crate::balancer::{Answer, Balancer, Request};
@@ -16,25 +16,25 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// A try is given up after this, and made again elsewhere.
+/// Timeout of a try, after which it is retried at another nodo.
 pub const TRY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Between two tries of one key.
+/// Delay between two tries of one key.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Answers that it failed after which a client believes it.
+/// Number of failure answers after which a client stops retrying.
 const MAX_FAILURES: usize = 3;
 
-/// One answer.
+/// One try.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Try {
-    /// By which nodo.
+    /// Index of the nodo.
     pub at: usize,
-    /// The status, 0 where none came.
+    /// Status; 0 if no answer arrived.
     pub status: u16,
-    /// The body.
+    /// Body of the answer.
     pub body: String,
 }
 
-/// What all clients share.
+/// State shared by all clients.
 #[derive(Clone)]
 pub struct Clients {
     nodos: Rc<Vec<(SocketAddr, LatestInterpreter)>>,
@@ -42,7 +42,7 @@
     balancers: Rc<Cell<u64>>,
     tries: Rc<RefCell<BTreeMap<String, Vec<Try>>>>,
     running: Rc<Cell<bool>>,
-    /// Why a history could not be written.
+    /// First error in writing the history.
     broken: Rc<RefCell<Option<String>>>,
 }
 
@@ -58,30 +58,31 @@
         }
     }
 
-    /// All keys so far.
+    /// Returns all keys so far.
     pub fn keys(&self) -> Vec<String> {
         self.tries.borrow().keys().cloned().collect()
     }
 
-    /// All tries of all keys.
+    /// Returns all tries by key.
     pub fn tries(&self) -> BTreeMap<String, Vec<Try>> {
         self.tries.borrow().clone()
     }
 
-    /// Why the clients' history could not be written, if so.
+    /// Returns the first error in writing the history, if any.
     pub fn broken(&self) -> Option<String> {
         self.broken.borrow().clone()
     }
 
-    /// Sends a key once to a nodo. What is asked is written down before it is, and what came of it after: one that was turned away ran
-    /// nothing, what was told of the key is written, and whatever else came is unknown.
+    /// Sends a key once to a nodo. The request is recorded before it is sent and the answer afterwards: a
+    /// refusal means that nothing ran, a 200 carries the outcome, and any other answer counts as unknown.
     pub async fn send(&self, key: &str, at: usize, resent: bool) -> Answer {
         let due = now() + 60_000_000_000;
         let op = Op::Offer { key: key.to_string(), due, leaves_effect: true };
         let ticket = self.writer.borrow_mut().begin(now(), op);
         self.balancers.set(self.balancers.get() + 1);
         let (address, interpreter) = &self.nodos[at];
-        // Guards against runs that wait for a call for ever, once their requests are over.
+        // The balancer reports answers to the interpreter; otherwise runs of ended requests could wait for a
+        // call forever.
         let balancer = Balancer::new(*address, self.balancers.get(), interpreter.borrow().clone());
         let class = if key.starts_with(ASKS) { "sign" } else { "note" };
         let request = Request { key: Some(key.to_string()), resent, ..Request::new(class, key.as_bytes()) };
@@ -100,7 +101,8 @@
         answer
     }
 
-    /// Tries one nodo after another, from this one on, until the key is served, or is said to have failed often enough.
+    /// Tries one nodo after another, beginning with `first`, until the key is served or has failed
+    /// [`MAX_FAILURES`] times.
     pub async fn send_until_answered(&self, key: &str, first: usize, patience: Duration) -> bool {
         let (began, mut failed) = (Instant::now(), 0);
         for n in 0.. {
@@ -118,8 +120,8 @@
         false
     }
 
-    /// So many clients, each with one key after another until [`Clients::stop`]. At the end each goes on with the key that it has, within
-    /// its patience. Every other key is of either class.
+    /// Starts clients that each send one key after another, alternating between the classes, until
+    /// [`Clients::stop`]; each then finishes its current key within its patience.
     pub fn load(&self, seed: u64, clients: u64, pause: Duration, patience: Duration) -> Vec<JoinHandle<()>> {
         let client = |client: u64| {
             let all = self.clone();
@@ -139,12 +141,13 @@
         (0..clients).map(client).collect()
     }
 
-    /// No new keys from here on.
+    /// Stops sending new keys.
     pub fn stop(&self) {
         self.running.set(false);
     }
 
-    /// Asks for every key once more, so many at once, each at a nodo of the seed's choice; how many were not told anything in time.
+    /// Sends every key once more, `at_once` concurrently, to nodos chosen by the seed; returns how many were
+    /// not answered in time.
     pub async fn query_all(&self, seed: u64, at_once: usize, patience: Duration) -> usize {
         let left = Rc::new(RefCell::new(self.keys()));
         let unanswered = Rc::new(Cell::new(0));
@@ -164,7 +167,7 @@
             })
             .collect();
         for asker in askers {
-            // An error means that it panicked, which says so itself.
+            // An error means that the task panicked, which is reported by itself.
             let _ = asker.await;
         }
         unanswered.get()
--- a/crates/stand-ins/src/partial/editors.rs
+++ b/crates/stand-ins/src/partial/editors.rs
@@ -1,5 +1,6 @@
-//! Four teams that edit the route table while parts of the fleet fail: each on any nodo, one edit after another, again and again until it
-//! hears what became of it. What was asked and heard is written down; nothing is judged here.
+//! Four teams that edit the route table while parts of the fleet fail. Each submits one edit after another at
+//! any nodo and retries it until its outcome is known. Requests and answers are recorded but not checked
+//! here.
 
 use super::{CONVERGENCE_TIMEOUT, NODOS, now};
 use jaspershunt_histories::format::{Came, Op, Table, Told, Value as Of, Who, Writer};
@@ -18,30 +19,31 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// The teams.
+/// Names of the teams.
 pub const TEAMS: [&str; 4] = ["alfa", "brio", "casa", "dado"];
-/// Their blocks in an operator's file.
+/// Configuration blocks of the teams in an operator's file.
 pub const BLOCKS: &str = "team \"alfa\" {}\nteam \"brio\" {}\nteam \"casa\" {}\nteam \"dado\" {}\n";
-/// The table's name in the histories.
+/// Name of the table in the histories.
 const TABLE: &str = "routes";
-/// A nodo that says nothing for so long is left for another.
+/// Timeout of a call, after which another nodo is tried.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Between two tries of one edit.
+/// Delay between two tries of one edit.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Where operators reach a nodo by now.
+/// Current operators' address of a nodo.
 pub type Admin = Rc<Cell<Option<SocketAddr>>>;
 
-/// What all teams share.
+/// State shared by all teams.
 #[derive(Clone)]
 pub struct Editors {
     admins: Rc<Vec<Admin>>,
     writer: Rc<RefCell<Writer<File>>>,
     running: Rc<Cell<bool>>,
-    /// Edits in force, in conflict once, otherwise ended, and those of which nothing was heard in time.
+    /// Number of edits in force, in conflict at least once, ended otherwise, and without a known outcome in
+    /// time.
     tally: Rc<Cell<[usize; 4]>>,
     broken: Rc<RefCell<Option<String>>>,
-    /// What was answered last to an edit of which nothing more was heard in time.
+    /// Last answers to edits whose outcome did not become known in time.
     unresolved: Rc<RefCell<Vec<String>>>,
 }
 
@@ -57,17 +59,18 @@
         }
     }
 
-    /// Edits in force, in conflict once, otherwise ended, and those of which nothing was heard in time.
+    /// Returns the number of edits in force, in conflict at least once, ended otherwise, and without a known
+    /// outcome in time.
     pub fn tally(&self) -> [usize; 4] {
         self.tally.get()
     }
 
-    /// Why their history could not be written, if so.
+    /// Returns the first error in writing the history, if any.
     pub fn broken(&self) -> Option<String> {
         self.broken.borrow().clone()
     }
 
-    /// No new edits from here on.
+    /// Stops submitting new edits.
     pub fn stop(&self) {
         self.running.set(false);
     }
@@ -78,7 +81,7 @@
         self.tally.set(tally);
     }
 
-    /// What a nodo answers: `None` where nothing whole came.
+    /// Calls a nodo; returns its answer, or `None` if it was incomplete.
     async fn call(&self, n: usize, line: &str) -> Option<Result<Value, String>> {
         let at = self.admins[n].get()?;
         let asked = async {
@@ -104,7 +107,7 @@
         done.map_err(|e| self.broken.borrow_mut().get_or_insert(e.to_string()).clone()).ok()
     }
 
-    /// Says an edit at one nodo after another until something is known of it.
+    /// Submits an edit to one nodo after another until its outcome is known.
     async fn submit_until_known(&self, edit: &Value, first: usize, patience: Duration) -> Option<Value> {
         let name = format!("{}/{}", edit["id"]["team"].as_str().unwrap_or_default(), edit["id"]["number"]);
         let began = Instant::now();
@@ -139,7 +142,8 @@
         None
     }
 
-    /// A team's next edit: of what is its own, which all may take together, or of what all share, which they may not.
+    /// Generates a team's next edit: to its own resources, which cannot conflict, or to shared ones, which
+    /// can.
     fn next_edit(team: &str, number: u64, base: u64, random: &mut StdRng) -> Value {
         let value = random.random_range(1..100_u64);
         let own = format!("dependency/{team}");
@@ -148,7 +152,7 @@
         let add = |thing: &str| json!([{"add": {"thing": thing, "fields": {"budget": {"number": value}}}}]);
         let changes = match (number, random.random_range(0..3)) {
             (1, _) => add(&own),
-            // All add it, each with another budget: all but one are in conflict, or refused.
+            // All teams add this with different budgets, so all but one are in conflict or refused.
             (2, _) => add("dependency/comun"),
             (_, 0) => set("dependency/comun"),
             (_, 1) => set(&own),
@@ -157,18 +161,18 @@
         json!({"id": {"team": team, "number": number}, "base": base, "reason": "for the torment", "changes": changes})
     }
 
-    /// A team settles the conflicts of its edit for itself, and takes the edit back if that does not end them all: what is left open by
-    /// everybody would fill the room for edits of one field.
+    /// Settles the conflicts of a team's edit in its own favor, and withdraws the edit if conflicts remain:
+    /// open edits would otherwise use up the limit on edits of one field.
     async fn end_conflicts(&self, team: &str, number: u64, told: &Value, at: usize, patience: Duration) {
         let edit = json!({"team": team, "number": number});
         for conflict in told["conflicts"].as_array().into_iter().flatten() {
             let settle = json!({"settle": {"conflict": conflict["id"], "by": team, "keep": [edit.clone()]}});
-            // Whether it was the first to settle it shows in what becomes of the edits.
+            // Whether this settlement came first follows from the later state of the edits.
             let _ = self.say(at, &settle).await;
         }
         let (began, back) = (Instant::now(), json!({"withdraw": {"edit": edit}}));
         for n in 0.. {
-            // Another error says that it has ended.
+            // Any other error means that the edit has ended.
             let done = match self.say((at + n) % NODOS, &back).await {
                 Some(Ok(_)) => true,
                 Some(Err(why)) => !why.contains("does not answer"),
@@ -181,7 +185,7 @@
         }
     }
 
-    /// The four teams, each with one edit after another until [`Editors::stop`].
+    /// Starts the four teams, each submitting one edit after another until [`Editors::stop`].
     pub fn load(&self, seed: u64, pause: Duration, patience: Duration) -> Vec<JoinHandle<()>> {
         let team = |(place, team): (usize, &'static str)| {
             let all = self.clone();
@@ -216,10 +220,11 @@
         TEAMS.into_iter().enumerate().map(team).collect()
     }
 
-    /// Waits until all nodos show the same table and nothing is held back anywhere, and writes down what each shows; or says what differs.
+    /// Waits until all nodos show the same table and none has queued edits, then records each nodo's view;
+    /// returns the revision.
     ///
     /// # Errors
-    /// They do not, in time, or it cannot be written down.
+    /// Fails if they do not converge in time or the view cannot be recorded.
     pub async fn wait_for_convergence(&self, histories: &Path) -> Result<u64, String> {
         let until = Instant::now() + CONVERGENCE_TIMEOUT;
         loop {
@@ -263,10 +268,10 @@
     }
 }
 
-/// Writes down the table that a nodo goes by.
+/// Records the table that a nodo uses.
 fn record_seen_table(histories: &Path, n: usize, begin: u64, shown: &Value, revision: u64) -> io::Result<()> {
     let lines = shown["fleet"]["log"].as_array().cloned().unwrap_or_default();
-    // A log that was shortened has not all of it, and says nothing.
+    // A truncated log is incomplete and yields no edits.
     let whole = lines.first().is_some_and(|line| line["revision"] == 1);
     let edit = |line: &Value| line["edit"].as_str().map(str::to_string);
     let edits = lines.iter().filter(|_| whole).filter_map(edit).collect();
--- a/crates/stand-ins/src/partial/faults.rs
+++ b/crates/stand-ins/src/partial/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a fleet, and how it is drawn from a seed.
+//! Faults of a fleet and their random selection from a seed.
 
 use super::{NODOS, REGIONS, TTL, VOTERS};
 use crate::link::Way;
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A link.
+/// Identifies a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkId {
     /// From a nodo to a voter.
@@ -16,23 +16,23 @@
     Resource(usize),
 }
 
-/// Which links.
+/// A set of links.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ends {
-    /// All of a nodo to others.
+    /// All links between a nodo and the others.
     Nodo(usize),
-    /// Those between two.
+    /// The links between two nodos.
     Two(usize, usize),
-    /// Those of two halves of the fleet with each other.
+    /// The links between this half of the fleet and the other.
     Halves(Vec<usize>),
-    /// All out of a region to others.
+    /// The links between a region and the others.
     Region(&'static str),
-    /// From a nodo to the resource.
+    /// The link from a nodo to the resource.
     Resource(usize),
 }
 
 impl Ends {
-    /// Whether a link is one of them.
+    /// Returns whether the set contains a link.
     pub fn has(&self, link: LinkId) -> bool {
         match (self, link) {
             (Ends::Resource(n), LinkId::Resource(m)) => *n == m,
@@ -49,39 +49,39 @@
     }
 }
 
-/// One fault.
+/// A fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// These are killed, and started again so much later, with their disk or an empty one.
+    /// Kills nodos and restarts them later, with their disk or an empty one.
     Kill {
-        /// Which.
+        /// Indices of the nodos.
         who: Vec<usize>,
-        /// Their part of the fleet is gone from their disk.
+        /// Whether their fleet state is deleted.
         empty: bool,
-        /// When they are back.
+        /// Delay before the restart.
         back: Duration,
     },
-    /// These are stopped where they are.
+    /// Pauses the processes of nodos.
     Freeze {
-        /// Which.
+        /// Indices of the nodos.
         who: Vec<usize>,
-        /// For so long.
+        /// Duration of the pause.
         lasts: Duration,
     },
-    /// What is sent is held back until it is over.
+    /// Holds back all bytes until the cut ends.
     Cut {
-        /// Which links.
+        /// Links to cut.
         ends: Ends,
-        /// One way, or both.
+        /// Direction, or both if `None`.
         way: Option<Way>,
-        /// On and off again so often.
+        /// Interval at which the cut is toggled, if it flaps.
         flaps: Option<Duration>,
-        /// For so long.
+        /// Duration of the cut.
         lasts: Duration,
     },
-    /// Connections are reset, and what was on its way is lost.
+    /// Resets connections, losing bytes in transit.
     Reset {
-        /// Of which links.
+        /// Links to reset.
         ends: Ends,
     },
 }
@@ -92,7 +92,7 @@
     }
 }
 
-/// The kinds of faults, as a table names them.
+/// Names of the kinds of faults, as shown in tables.
 pub const KINDS: [&str; 9] = [
     "killed",
     "killed, its disk emptied",
@@ -106,7 +106,7 @@
 ];
 
 impl Fault {
-    /// Its place in [`KINDS`].
+    /// Returns the fault's index in [`KINDS`].
     pub fn kind(&self) -> usize {
         match self {
             Fault::Kill { empty: true, .. } => 1,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Voters that it takes out.
+    /// Returns the voters that the fault makes unavailable.
     fn voters(&self) -> Vec<usize> {
         let all: Vec<usize> = match self {
             Fault::Kill { who, .. } | Fault::Freeze { who, .. } => who.clone(),
@@ -137,7 +137,8 @@
     }
 }
 
-/// Mostly far shorter than a lease, so that the fleet goes on and there is work to lose; else long enough for heirs.
+/// Draws a duration. Most are far shorter than a lease, so that the fleet keeps accepting work; the others
+/// are long enough for successors to take over.
 fn duration_in(random: &mut impl Rng, from: f64, to: f64) -> Duration {
     let short = from + (to - from) * 0.2;
     let (from, to) = if random.random_bool(0.6) { (from, short) } else { (short, to) };
@@ -173,8 +174,9 @@
     }
 }
 
-/// The next faults at one moment: one, or a pair. Seldom two voters at once, so that there is something to go wrong: without a quorum
-/// nobody acts. `impaired` are voters that are impaired by now; a disk is emptied only where all others have theirs.
+/// Draws one fault or two simultaneous ones. Faults that make several voters unavailable are mostly rejected,
+/// since nothing happens without a quorum. `impaired` are the voters affected at present; a disk is emptied
+/// only if all other voters have theirs.
 pub fn draw(random: &mut StdRng, impaired: &[usize], repairs: bool) -> Vec<Fault> {
     let count = if random.random_bool(0.3) { 2 } else { 1 };
     let mut impaired = impaired.to_vec();
@@ -184,7 +186,7 @@
         let voters = fault.voters();
         let others = voters.iter().any(|n| !impaired.contains(n)) && !impaired.is_empty();
         let empties = matches!(fault, Fault::Kill { empty: true, .. }) && !voters.is_empty();
-        // Guards against a quorum that is lost for good, which no fleet comes back from.
+        // Prevents the permanent loss of a quorum, from which no fleet recovers.
         if empties && (repairs || !impaired.is_empty()) || others && random.random_bool(0.85) {
             continue;
         }
@@ -194,28 +196,28 @@
     drawn
 }
 
-/// Faults one after another, from a seed.
+/// Injects randomly drawn faults.
 pub struct FaultInjector {
     random: StdRng,
-    /// How many of each of [`KINDS`] there were.
+    /// Number of faults injected of each of [`KINDS`].
     pub counts: [usize; KINDS.len()],
-    /// What there was, and when, for the timeline of a seed.
+    /// Injected faults with their times.
     pub timeline: Vec<(Duration, Fault)>,
 }
 
-/// Between two moments of faults.
+/// Range of the interval between two injections, in milliseconds.
 const INTERVAL_MS: (u64, u64) = (150, 600);
 
 impl FaultInjector {
-    /// The torment of this seed.
+    /// Creates an injector with this random source.
     pub fn new(random: StdRng) -> FaultInjector {
         FaultInjector { random, counts: [0; KINDS.len()], timeline: Vec::new() }
     }
 
-    /// Plays it for so long. What an act of the resource lasts changes as it goes on.
+    /// Injects faults for this long, and varies the duration of the resource's acts.
     ///
     /// # Errors
-    /// A nodo cannot be started.
+    /// Fails if a nodo cannot be started.
     pub async fn play(&mut self, rig: &mut super::Rig, length: Duration) -> std::io::Result<()> {
         let began = tokio::time::Instant::now();
         while began.elapsed() < length {
@@ -234,7 +236,7 @@
         Ok(())
     }
 
-    /// All faults so far.
+    /// Returns the number of faults so far.
     pub fn faults(&self) -> usize {
         self.counts.iter().sum()
     }
--- a/crates/stand-ins/src/partial/mod.rs
+++ b/crates/stand-ins/src/partial/mod.rs
@@ -1,7 +1,8 @@
-//! Seven nodos in three regions with keyed work of two classes, a resource that records, links between all of them that can be broken, and
-//! a history of each process and client. Faults come one by one ([`Rig::inject`]) or drawn from a seed ([`faults::draw`]).
+//! Test rig for partial failures: seven nodos in three regions with keyed work of two classes, a recording
+//! resource, breakable links, and a history of each process and client. Faults are injected one by one
+//! ([`Rig::inject`]) or drawn from a seed ([`faults::draw`]).
 //!
-//! Nothing here judges while it runs: [`Rig::verdict`] reads the histories after the fact.
+//! Histories are checked only after the run, by [`Rig::verdict`].
 
 pub mod clients;
 pub mod editors;
@@ -24,36 +25,36 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Nodos, and how many of them vote; each region has a voter.
+/// Number of nodos.
 pub const NODOS: usize = 7;
-/// See there.
+/// Number of voters, one in each region.
 pub const VOTERS: usize = 3;
-/// The region of each nodo.
+/// Region of each nodo.
 pub const REGIONS: [&str; NODOS] = ["norte", "sur", "oeste", "norte", "sur", "oeste", "norte"];
-/// Leases' time under faults that are drawn.
+/// Lease time under randomly drawn faults.
 pub const TTL: Duration = Duration::from_secs(1);
-/// For the fleet to have its votes.
+/// Timeout for the fleet to recover all votes and converge.
 pub const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Between two looks at what is to be healed.
+/// Interval between checks for faults to remove.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Keys of the class whose resource is asked, and of the one whose resource fences and answers repeats.
+/// Prefix of keys of the class whose resource is queried for the outcome.
 pub const ASKS: &str = "a-";
-/// See there.
+/// Prefix of keys of the class whose resource fences tokens and answers repeats.
 pub const FENCED: &str = "f-";
-/// Keys are known for so long, which is longer than any run: a repeat is never new work.
+/// The key window exceeds the duration of any run, so that a repeat never counts as new work.
 const CLASSES: &str = concat!(
     r#"{"name":"sign","worth":3,"targetS":8,"deadlineS":10,"semantics":"guarded","windowS":150},"#,
     r#"{"name":"note","worth":3,"targetS":8,"deadlineS":10,"semantics":"guarded","windowS":150}"#
 );
 
-/// Nanoseconds of the clock that all histories of a machine share.
+/// Returns nanoseconds of the monotonic clock, which all histories of a machine share.
 pub fn now() -> u64 {
     let time = clock_gettime(ClockId::Monotonic);
     let (seconds, nanos) = (u64::try_from(time.tv_sec), u64::try_from(time.tv_nsec));
     seconds.unwrap_or_default() * 1_000_000_000 + nanos.unwrap_or_default()
 }
 
-/// How a nodo is.
+/// State of a nodo's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Runs,
@@ -61,64 +62,65 @@
     Paused { until: Instant },
 }
 
-/// A cut that is in force.
+/// An active cut.
 struct Cut {
     ends: Ends,
     way: Option<crate::link::Way>,
     began: Instant,
     until: Instant,
-    /// On and off again so often.
+    /// Interval at which the cut is toggled, if it flaps.
     flaps: Option<Duration>,
 }
 
-/// A fleet with its work.
+/// A running fleet with its load.
 pub struct Rig {
-    /// The nodos.
+    /// The fleet.
     pub fleet: Fleet,
-    /// What the work acts on.
+    /// Resource that the work acts on.
     pub resource: Resource,
-    /// From each nodo to the resource.
+    /// Link from each nodo to the resource.
     pub to_resource: Vec<Link>,
-    /// Who sends.
+    /// Clients that send keyed work.
     pub clients: Clients,
-    /// Who edits the route table, where work is handed over.
+    /// Teams that edit the route table, if handover is configured.
     pub editors: Editors,
     histories: PathBuf,
     states: [State; NODOS],
     cuts: Vec<Cut>,
-    /// Links that are cut at this moment, with the way.
+    /// Links that are cut at present, by direction.
     active_cuts: BTreeMap<faults::LinkId, [bool; 2]>,
-    /// A voter whose disk was emptied, until all votes are there again.
+    /// Whether a voter whose disk was emptied has not yet regained its vote.
     is_repairing: bool,
 }
 
-/// What the histories say of a run.
+/// Result of checking the histories of a run.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// Of what.
+    /// Files that were read.
     pub files: Files,
-    /// Each property.
+    /// Verdict on each property.
     pub said: Vec<(&'static str, Said)>,
-    /// Keys that had their effect twice.
+    /// Keys that had their effect more than once.
     pub doubled: Vec<String>,
-    /// Accepted work of which nobody was told an outcome.
+    /// Accepted work without a reported outcome.
     pub without: Vec<String>,
-    /// Keys, and effects.
+    /// Number of keys.
     pub keys: usize,
-    /// See there.
+    /// Number of effects.
     pub effects: usize,
-    /// All records, for figures.
+    /// All records, for statistics.
     pub history: History,
 }
 
 impl Verdict {
-    /// Properties that were not found to hold.
+    /// Returns the properties that were not confirmed.
     pub fn refused(&self) -> Vec<String> {
         let bad = self.said.iter().filter(|(_, said)| !said.is_fine());
         bad.map(|(name, said)| format!("{name}: {}: {said}", said.name())).collect()
     }
 
-    /// What is wrong, and all records of the keys that it concerns: some pages where the whole history is a book.
+    /// Describes what is wrong, with only the records of the keys concerned: the whole history would be too
+    /// long.
     pub fn wrong(&self) -> String {
         let keys: Vec<&String> = self.doubled.iter().chain(&self.without).collect();
         let of = |record: &&Record| match &record.op {
@@ -141,17 +143,18 @@
         std::iter::once(heads).chain(lines).collect()
     }
 
-    /// Whether nothing is wrong at all.
+    /// Returns whether nothing is wrong.
     pub fn is_fine(&self) -> bool {
         self.refused().is_empty() && self.doubled.is_empty() && self.without.is_empty()
     }
 }
 
 impl Rig {
-    /// All started, with leases of this time and acts of the resource that last so long. Without `handover` nothing of it is in the operators' files: what clients do by themselves.
+    /// Starts everything, with this lease time and duration of the resource's acts. Without `handover` the
+    /// operators' files do not configure it, and the clients run alone.
     ///
     /// # Errors
-    /// The fleet cannot be started.
+    /// Fails if the fleet cannot be started.
     pub async fn start(
         program: &Path,
         name: &str,
@@ -208,7 +211,7 @@
         })
     }
 
-    /// Whether all votes are there in time.
+    /// Waits for all votes; returns whether they are present in time.
     pub async fn wait_for_votes(&self) -> bool {
         timeout(CONVERGENCE_TIMEOUT, self.fleet.wait_for_votes()).await.is_ok()
     }
@@ -217,7 +220,7 @@
         self.states[n] != State::Runs
     }
 
-    /// Whether a nodo is cut off from others, one way at least.
+    /// Returns whether a nodo is cut off from others in at least one direction.
     fn is_cut(&self, n: usize) -> bool {
         self.cuts.iter().any(|cut| match &cut.ends {
             Ends::Nodo(m) => *m == n,
@@ -227,10 +230,10 @@
         })
     }
 
-    /// Has this happen, as far as it can to those that run; whether anything did.
+    /// Injects a fault into the nodos that are running; returns whether it had any effect.
     ///
     /// # Errors
-    /// A disk cannot be emptied.
+    /// Fails if a disk cannot be emptied.
     pub async fn inject(&mut self, fault: &Fault) -> io::Result<bool> {
         let now = Instant::now();
         match fault {
@@ -271,10 +274,10 @@
         }
     }
 
-    /// Heals what is over by now.
+    /// Removes the faults that have expired.
     ///
     /// # Errors
-    /// A nodo cannot be started.
+    /// Fails if a nodo cannot be started.
     pub async fn heal(&mut self) -> io::Result<()> {
         let now = Instant::now();
         for n in 0..NODOS {
@@ -298,10 +301,10 @@
         Ok(())
     }
 
-    /// Lets this happen for so long.
+    /// Runs for this long, removing faults as they expire.
     ///
     /// # Errors
-    /// A nodo cannot be started.
+    /// Fails if a nodo cannot be started.
     pub async fn run_for(&mut self, length: Duration) -> io::Result<()> {
         let end = Instant::now() + length;
         while Instant::now() < end {
@@ -311,10 +314,10 @@
         Ok(())
     }
 
-    /// All faults are over, and all run; whether the fleet has its votes in time.
+    /// Removes all faults and starts all nodos; returns whether the fleet recovers its votes in time.
     ///
     /// # Errors
-    /// A nodo cannot be started.
+    /// Fails if a nodo cannot be started.
     pub async fn heal_all(&mut self) -> io::Result<bool> {
         let now = Instant::now();
         self.cuts.clear();
@@ -361,18 +364,18 @@
         self.active_cuts = cut;
     }
 
-    /// All nodos come to show one route table, which is written down; its revision.
+    /// Waits until all nodos show the same route table, records it, and returns its revision.
     ///
     /// # Errors
-    /// What they show instead.
+    /// Returns what the nodos show instead.
     pub async fn wait_for_one_table(&self) -> Result<u64, String> {
         self.editors.wait_for_convergence(&self.histories).await
     }
 
-    /// The resource writes its own record down, and all histories are read.
+    /// Records the resource's effects and checks all histories.
     ///
     /// # Errors
-    /// The histories cannot be read or written.
+    /// Fails if the histories cannot be read or written.
     pub fn verdict(&self) -> io::Result<Verdict> {
         let mut writer = Writer::create(&self.histories, &Who::new("resource", 1), 4 * FILE_BYTES)
             .map_err(io::Error::other)?;
@@ -407,10 +410,10 @@
         })
     }
 
-    /// Keeps histories and logs for a look at them, and says where.
+    /// Copies histories and logs to a folder for inspection and returns its path.
     ///
     /// # Errors
-    /// They cannot be copied.
+    /// Fails if they cannot be copied.
     pub fn keep(&self, name: &str) -> io::Result<PathBuf> {
         let to = std::env::temp_dir().join(format!("jaspershunt-kept-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&to)?;
@@ -425,7 +428,7 @@
     }
 }
 
-/// All links, each with what it joins.
+/// Returns all links with their ids.
 fn links<'a>(fleet: &'a Fleet, to_resource: &'a [Link]) -> impl Iterator<Item = (faults::LinkId, &'a Link)> {
     let between = fleet.links.iter().map(|((from, to), link)| (faults::LinkId::Between(*from, *to), link));
     let below = to_resource.iter().enumerate().map(|(n, link)| (faults::LinkId::Resource(n), link));
--- a/crates/stand-ins/src/script.rs
+++ b/crates/stand-ins/src/script.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with a dependency, and when.
+//! Schedules of a fake dependency's faults.
 
 use crate::dependency::{Dependency, Mode};
 use rand::rngs::StdRng;
@@ -6,17 +6,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Modes with the times from the beginning at which they are entered.
+/// Modes with the times at which they begin, relative to the start of the script.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Script(pub Vec<(Duration, Mode)>);
 
 impl Script {
-    /// One mode, from a time on, until it heals.
+    /// One mode from `from` until `until`.
     pub fn fault(from: Duration, mode: Mode, until: Duration) -> Script {
         Script(vec![(from, mode), (until, Mode::Good)])
     }
 
-    /// Good and bad in turn, for so long each, from a time on until it heals.
+    /// Alternates between a mode and normal service, for `each` per phase, from `from` until `until`.
     pub fn flap(from: Duration, mode: Mode, each: Duration, until: Duration) -> Script {
         let mut steps = Vec::new();
         let (mut at, mut bad) = (from, true);
@@ -28,7 +28,7 @@
         Script(steps)
     }
 
-    /// So many faults drawn from a seed, one after another and each healed, within this time.
+    /// Draws this many consecutive faults from a seed, each followed by recovery, within this time.
     pub fn random(seed: u64, faults: u32, within: Duration) -> Script {
         let mut random = StdRng::seed_from_u64(seed);
         let modes =
@@ -43,7 +43,7 @@
         Script(steps.collect())
     }
 
-    /// Puts a dependency through it.
+    /// Applies the script to a dependency.
     pub async fn play(&self, dependency: &Dependency) {
         let began = Instant::now();
         for (at, mode) in &self.0 {
--- a/crates/stand-ins/src/truth.rs
+++ b/crates/stand-ins/src/truth.rs
@@ -1,4 +1,4 @@
-//! Holds what a nodo answered against what the stand-ins recorded.
+//! Checks a nodo's answers against the records of the fakes.
 
 use crate::balancer::{Answer, Request};
 use crate::dependency::{Dependency, Ended};
@@ -14,38 +14,38 @@
     pub answer: Answer,
 }
 
-/// What does not fit. Each list holds a line for each case.
+/// Mismatches, one line per case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Answers whose label differs from what was recorded.
+    /// Answers whose labels differ from the records.
     pub labels: Vec<String>,
     /// Keys of which more than one try ran.
     pub doubled: Vec<String>,
-    /// Answers of keyed classes that lack something, or were made from kept replies, whatever they say.
+    /// Answers of keyed classes that are incomplete or were made from cached replies, whatever their labels.
     pub partial: Vec<String>,
-    /// Requests without a whole answer.
+    /// Requests without a complete answer.
     pub unanswered: Vec<String>,
-    /// Tries that were turned away though they, or another try of their key, ran.
+    /// Tries that were refused although they ran.
     pub refused: Vec<String>,
-    /// Calls of keyed classes that were made again after one that may have had its effect.
+    /// Calls of keyed classes that were repeated after a call that may have had its effect.
     pub repeated: Vec<String>,
 }
 
 impl Faults {
-    /// Whether all fits.
+    /// Returns whether there are no mismatches.
     pub fn is_empty(&self) -> bool {
         *self == Faults::default()
     }
 }
 
-/// What an answer should say of itself.
+/// Labels that an answer should carry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Truth {
     lacks: bool,
     stale: bool,
 }
 
-/// Compares all that was sent with the records.
+/// Compares all requests and answers with the records.
 pub fn check(sent: &[Sent], interpreter: &Interpreter, dependencies: &[&Dependency]) -> Faults {
     let mut faults = Faults::default();
     let runs = interpreter.runs();
@@ -81,7 +81,7 @@
         if one.answer.status != 200 {
             continue;
         }
-        // A repeat is answered with what another try of its key made.
+        // A repeat is answered with the result of another try of its key.
         let same = |run: &&RunRecord| {
             run.class == one.request.class && run.body == one.request.body && run.end == Some("OK")
         };
@@ -123,8 +123,8 @@
     faults
 }
 
-/// What the answer of a run should say: it lacks what the run was told to go on without, and is stale where a reply was
-/// given to it that no dependency gave to a call of its own.
+/// Derives the labels of a run's answer: incomplete if a call was skipped, stale if a reply does not come
+/// from a successful call made for this run.
 fn truth(run: &RunRecord, well: &BTreeSet<(String, Vec<u8>)>) -> Truth {
     let mut truth = Truth::default();
     for (place, got) in run.got.iter().enumerate() {
--- a/crates/stand-ins/src/wire.rs
+++ b/crates/stand-ins/src/wire.rs
@@ -1,4 +1,4 @@
-//! One connection of a balancer, byte by byte: halves of requests, closes and resets, each at the moment that a test wants.
+//! A raw balancer connection, for tests that send partial requests, close or reset at an exact moment.
 
 use crate::balancer::{Answer, END_REQUEST, Request, STDOUT, encode_request, parse_answer};
 use std::collections::BTreeMap;
@@ -11,13 +11,13 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The other end said that it sends nothing more.
+    /// Closed in order by the peer.
     Closed,
-    /// It was reset.
+    /// Reset.
     Reset,
 }
 
-/// A connection.
+/// A raw FastCGI connection.
 #[derive(Debug)]
 pub struct Wire {
     stream: TcpStream,
@@ -27,30 +27,30 @@
     open: BTreeMap<u16, Vec<u8>>,
 }
 
-/// A request as bytes.
+/// An encoded request.
 #[derive(Clone, Debug)]
 pub struct Bytes {
-    /// Its id on the connection.
+    /// Request id on the connection.
     pub id: u16,
-    /// Its correlation id.
+    /// Correlation id.
     pub uid: String,
-    /// All of it.
+    /// All records of the request.
     pub bytes: Vec<u8>,
 }
 
 impl Wire {
-    /// Connects, as the balancer of this number, of which there is no other.
+    /// Connects as the balancer with this number, which must be unique.
     ///
     /// # Errors
-    /// Nobody takes the connection.
+    /// Fails if the connection is not accepted.
     pub async fn connect(to: SocketAddr, number: u64) -> io::Result<Wire> {
         Wire::with_receive_buffer(to, number, None).await
     }
 
-    /// The same, with so many bytes of room for what is not read yet.
+    /// Connects with a receive buffer of this size.
     ///
     /// # Errors
-    /// Nobody takes the connection.
+    /// Fails if the connection is not accepted.
     pub async fn with_receive_buffer(to: SocketAddr, number: u64, room: Option<u32>) -> io::Result<Wire> {
         let socket = TcpSocket::new_v4()?;
         if let Some(room) = room {
@@ -61,7 +61,7 @@
         Ok(Wire { stream, number, next: 0, input: Vec::new(), open: BTreeMap::new() })
     }
 
-    /// The bytes of a request, which has come to the machine now.
+    /// Encodes a request with the present time as its arrival.
     pub fn bytes(&mut self, request: &Request) -> Bytes {
         self.next = self.next.wrapping_add(1).max(1);
         let uid = format!("{:08x}{:08x}", self.number, self.next);
@@ -70,7 +70,8 @@
         Bytes { id: self.next, uid, bytes }
     }
 
-    /// Writes bytes; how many left, which is all of them unless the connection has no room or has ended.
+    /// Writes bytes; returns how many were written, which is fewer than all if the buffers are full or the
+    /// connection ended.
     pub fn write(&mut self, bytes: &[u8]) -> usize {
         let mut left = 0;
         while left < bytes.len() {
@@ -82,16 +83,16 @@
         left
     }
 
-    /// Writes a whole request; its ids, if all of it left.
+    /// Writes a whole request; returns it if all of it was written.
     pub fn send(&mut self, request: &Request) -> Option<Bytes> {
         let request = self.bytes(request);
         (self.write(&request.bytes) == request.bytes.len()).then_some(request)
     }
 
-    /// The next record: its kind, its request and its content.
+    /// Reads the next record: its type, request id and content.
     ///
     /// # Errors
-    /// How the connection ended.
+    /// Returns how the connection ended.
     pub async fn record(&mut self) -> Result<(u8, u16, Vec<u8>), End> {
         loop {
             if self.input.len() >= 8 {
@@ -112,10 +113,10 @@
         }
     }
 
-    /// The next whole answer, with the id of its request on the connection.
+    /// Reads the next complete answer, with the request id.
     ///
     /// # Errors
-    /// How the connection ended.
+    /// Returns how the connection ended.
     pub async fn answer(&mut self) -> Result<(u16, Answer), End> {
         loop {
             match self.record().await? {
@@ -129,9 +130,9 @@
         }
     }
 
-    /// Ends the connection with a reset: what was sent and not read at either end is lost.
+    /// Resets the connection; data not yet read at either end is lost.
     pub fn reset(self) {
-        // An error means that it has ended.
+        // An error means that the connection has ended.
         let _ = self.stream.set_zero_linger();
     }
 }
