--- a/crates/lab/src/freezes.rs
+++ b/crates/lab/src/freezes.rs
@@ -73,7 +73,7 @@
             if row == 0 {
                 began = Instant::now();
             }
-            record.pair(nodo.address, &key, PATIENCE).await;
+            record.send_twice(nodo.address, &key, PATIENCE).await;
             let both = record.answers().get(&key).is_some_and(|all| all.iter().all(|one| one.status == 200));
             (row, n) = (if both { row + 1 } else { 0 }, n + 1);
         }
--- a/crates/lab/src/partial/killed.rs
+++ b/crates/lab/src/partial/killed.rs
@@ -115,11 +115,11 @@
     };
     killed.unserved = rig.clients.tries().values().filter(|tries| !served(tries)).count();
     if handover {
-        killed.without = verdict.without.len();
-        killed.refused = verdict.refused();
+        killed.without = verdict.without_outcome.len();
+        killed.refused = verdict.unconfirmed();
         killed.times = times(&verdict.history.records, &moments);
         if !verdict.is_fine() || killed.times.iter().any(|time| *time > SLOW) {
-            eprintln!("{name}: histories and logs are kept in {}", rig.keep(&name)?.display());
+            eprintln!("{name}: histories and logs are kept in {}", rig.save_artifacts(&name)?.display());
         }
     }
     Ok(killed)
--- a/crates/lab/src/partial/mod.rs
+++ b/crates/lab/src/partial/mod.rs
@@ -95,7 +95,7 @@
     let (counts, goes_on, edits) = (torment.counts, ready && healed, rig.editors.tally());
     let came = Came { seed, counts, verdict, goes_on, untold, statuses, edits, table, broken };
     if !came.verdict.is_fine() || came.untold > 0 || !came.goes_on || came.table.is_err() {
-        let kept = rig.keep(&seed.to_string())?;
+        let kept = rig.save_artifacts(&seed.to_string())?;
         let story: String = torment
             .timeline
             .iter()
@@ -160,8 +160,8 @@
     let faults = add(|came| came.counts.iter().sum()) + killed.kills;
     let least = FAULTS * play.rounds as usize;
     let doubled = add(|came| came.verdict.doubled.len()) + killed.doubled;
-    let without = add(|came| came.verdict.without.len()) + killed.without;
-    let refused = add(|came| usize::from(!came.verdict.refused().is_empty())) + killed.refused.len();
+    let without = add(|came| came.verdict.without_outcome.len()) + killed.without;
+    let refused = add(|came| usize::from(!came.verdict.unconfirmed().is_empty())) + killed.refused.len();
     let (p50, p99) = (percentile(&killed.times, 0.5), percentile(&killed.times, 0.99));
     let figures = [
         Figure::new("faults injected", faults, format!("≥ {least}"), faults >= least),
@@ -204,7 +204,7 @@
     let kinds = table(&["fault", "so many"], &kinds.collect::<Vec<_>>());
     let each = fleets.iter().map(|came| {
         let [served, failed, refused, nothing] = came.statuses;
-        let Verdict { files, keys, effects, doubled, without, .. } = &came.verdict;
+        let Verdict { files, keys, effects, doubled, without_outcome: without, .. } = &came.verdict;
         vec![
             came.seed.to_string(),
             came.counts.iter().sum::<usize>().to_string(),
@@ -218,7 +218,7 @@
             came.table.as_ref().map_or("none".to_string(), |(revision, took)| {
                 format!("{revision}, {:.2} s", took.as_secs_f64())
             }),
-            if came.verdict.refused().is_empty() { "fine" } else { "refused" }.to_string(),
+            if came.verdict.unconfirmed().is_empty() { "fine" } else { "refused" }.to_string(),
         ]
     });
     let each = table(
@@ -254,12 +254,12 @@
         alone.unserved,
     );
     for came in fleets {
-        for what in came.verdict.refused().iter().chain(&came.broken).chain(came.table.as_ref().err()) {
+        for what in came.verdict.unconfirmed().iter().chain(&came.broken).chain(came.table.as_ref().err()) {
             let _ = writeln!(text, "\nseed {}: {what}", came.seed);
         }
-        if came.verdict.doubled.len() + came.verdict.without.len() > 0 {
+        if came.verdict.doubled.len() + came.verdict.without_outcome.len() > 0 {
             let few = |keys: &[String]| keys.iter().take(5).cloned().collect::<Vec<_>>().join(", ");
-            let (twice, none) = (few(&came.verdict.doubled), few(&came.verdict.without));
+            let (twice, none) = (few(&came.verdict.doubled), few(&came.verdict.without_outcome));
             let _ = writeln!(text, "\nseed {}: twice {twice}; no outcome {none}", came.seed);
         }
     }
--- a/crates/node/tests/crossing_directory.rs
+++ b/crates/node/tests/crossing_directory.rs
@@ -225,7 +225,7 @@
         self.fill().await;
         let key = format!("crowded-{}", self.number);
         assert_eq!(self.status(&keyed("sign", &key, false)).await, 200, "{}", self.nodo.logs());
-        assert_eq!(self.nodo.signed(&key), 1);
+        assert_eq!(self.nodo.sign_runs(&key), 1);
         self.fill().await;
         let interpreter = self.nodo.interpreters[0].clone();
         let links = interpreter.links();
--- a/crates/node/tests/frozen.rs
+++ b/crates/node/tests/frozen.rs
@@ -43,7 +43,7 @@
         let (mut served, mut n) = (0, record.answers().len());
         while served < 10 {
             let key = format!("again-{n}");
-            record.pair(nodo.address, &key, PATIENCE).await;
+            record.send_twice(nodo.address, &key, PATIENCE).await;
             let both = record.answers()[&key].iter().all(|answer| answer.status == 200);
             (served, n) = (if both { served + 1 } else { 0 }, n + 1);
         }
@@ -106,7 +106,7 @@
         // What the earlier one ran is known to the later one, and served from there.
         let balancer = Balancer::new(nodo.address, 9, None);
         let again = balancer.send(&keyed("sign", "before-0", true), GENEROUS).await;
-        assert_eq!((again.status, nodo.signed("before-0")), (200, 1), "{}", nodo.logs());
+        assert_eq!((again.status, nodo.sign_runs("before-0")), (200, 1), "{}", nodo.logs());
     });
 }
 
@@ -132,14 +132,14 @@
         serves_again(&nodo, &record).await;
         let balancer = Balancer::new(nodo.address, 9, None);
         let again = balancer.send(&keyed("sign", "there-0", true), GENEROUS).await;
-        assert_eq!((again.status, nodo.signed("there-0")), (500, 1), "it ran where nobody can tell");
+        assert_eq!((again.status, nodo.sign_runs("there-0")), (500, 1), "it ran where nobody can tell");
         later.process.resume();
         assert_eq!(the_one_that_serves(&[&earlier, &later], &nodo).await, 0);
         record.burst(nodo.address, "woken", 60, 12, PATIENCE).await;
         serves_again(&nodo, &record).await;
         // It has told by now.
         let again = balancer.send(&keyed("sign", "there-0", true), GENEROUS).await;
-        assert_eq!((again.status, nodo.signed("there-0")), (200, 1), "{}", nodo.logs());
+        assert_eq!((again.status, nodo.sign_runs("there-0")), (200, 1), "{}", nodo.logs());
         is_safe(&nodo, &record, "later frozen");
         // A notice to leave reaches it in its time, and is none for the nodo.
         let mut later = later;
@@ -291,11 +291,11 @@
         serves_again(&nodo, &record).await;
         assert!(earlier.is_ready().await);
         let served: Vec<String> =
-            record.answers().keys().filter(|key| nodo.signed(key) == 1).cloned().collect();
+            record.answers().keys().filter(|key| nodo.sign_runs(key) == 1).cloned().collect();
         let there = served.iter().find(|key| key.starts_with("there")).unwrap();
         let balancer = Balancer::new(nodo.address, 9, None);
         let again = balancer.send(&keyed("sign", there, true), GENEROUS).await;
-        assert_eq!((again.status, nodo.signed(there)), (500, 1), "it ran where nobody can tell");
+        assert_eq!((again.status, nodo.sign_runs(there)), (500, 1), "it ran where nobody can tell");
         is_safe(&nodo, &record, "widow");
     });
 }
--- a/crates/node/tests/narrow_starts.rs
+++ b/crates/node/tests/narrow_starts.rs
@@ -233,7 +233,7 @@
             let answers = pair.await.unwrap();
             let seen = || format!("{what}, key {key}: {answers:?} {}", nodo.logs());
             let served: Vec<_> = answers.iter().filter(|answer| answer.status == 200).collect();
-            assert!(nodo.signed(&key) <= 1, "it ran twice: {}", seen());
+            assert!(nodo.sign_runs(&key) <= 1, "it ran twice: {}", seen());
             assert!(served.iter().all(|answer| answer.body == served[0].body), "they differ: {}", seen());
             assert!(served.len() == answers.len() || !stalls.none(), "not served: {}", seen());
         }
@@ -295,7 +295,7 @@
             wire.reset();
             let again =
                 Balancer::new(nodo.address, 500 + n, None).send(&keyed("sign", &key, true), GENEROUS).await;
-            assert_eq!((again.status, nodo.signed(&key)), (200, 1), "{}", nodo.logs());
+            assert_eq!((again.status, nodo.sign_runs(&key)), (200, 1), "{}", nodo.logs());
             let end = || interpreter.runs().iter().find(|run| run.uid == open.uid).and_then(|run| run.end);
             within(&nodo, "the end of what nobody waits for", async {
                 while end().is_none() {
--- a/crates/node/tests/torment.rs
+++ b/crates/node/tests/torment.rs
@@ -72,7 +72,7 @@
     }
     let untold = rig.clients.query_all(seed, AT_ONCE, GENEROUS).await;
     let verdict = rig.verdict().unwrap();
-    assert!(verdict.is_fine(), "{name}, seed {seed}: {} {}", verdict.wrong(), rig.fleet.logs());
+    assert!(verdict.is_fine(), "{name}, seed {seed}: {} {}", verdict.describe_problems(), rig.fleet.logs());
     assert_eq!(untold, 0, "{name}, seed {seed}: {:#?} {}", rig.clients.tries(), rig.fleet.logs());
     assert_eq!(rig.clients.broken(), None);
     // Guards against a verdict on nothing: there is work in the histories of nodos too.
--- a/crates/stand-ins/src/balancer.rs
+++ b/crates/stand-ins/src/balancer.rs
@@ -80,22 +80,22 @@
 type PendingAnswer = (Vec<u8>, oneshot::Sender<Vec<u8>>);
 
 struct Connection {
-    out: mpsc::Sender<Vec<u8>>,
-    open: RefCell<BTreeMap<u16, PendingAnswer>>,
-    next: Cell<u16>,
+    outgoing: mpsc::Sender<Vec<u8>>,
+    pending: RefCell<BTreeMap<u16, PendingAnswer>>,
+    next_id: Cell<u16>,
     broken: Cell<bool>,
 }
 
 /// A fake balancer of one nodo.
 #[derive(Clone)]
 pub struct Balancer {
-    to: SocketAddr,
+    address: SocketAddr,
     number: u64,
     connections: Rc<RefCell<Vec<Rc<Connection>>>>,
     sent: Rc<Cell<u64>>,
     /// Wall-clock time at creation, with the matching instant. Later times follow the runtime's clock, which
     /// tests can pause.
-    began: (Duration, Instant),
+    started: (Duration, Instant),
     /// The number of free slots that the nodo advertised last.
     last_advertised: Rc<Cell<Option<f64>>>,
     /// Notified of answers: on the platform an answered request ends its run at a call.
@@ -105,10 +105,10 @@
 impl Balancer {
     /// Creates a balancer that connects to the nodo on its first request and notifies the interpreter of
     /// answers.
-    pub fn new(to: SocketAddr, number: u64, interpreter: Option<Interpreter>) -> Balancer {
+    pub fn new(address: SocketAddr, number: u64, interpreter: Option<Interpreter>) -> Balancer {
         let (connections, sent, last_advertised) = Default::default();
-        let began = (UNIX_EPOCH.elapsed().unwrap_or_default(), Instant::now());
-        Balancer { to, number, connections, sent, began, last_advertised, interpreter }
+        let started = (UNIX_EPOCH.elapsed().unwrap_or_default(), Instant::now());
+        Balancer { address, number, connections, sent, started, last_advertised, interpreter }
     }
 
     /// Returns the number of free slots that the nodo advertised last.
@@ -118,7 +118,7 @@
 
     /// Sends a request and waits for the answer up to `answer_timeout`.
     pub async fn send(&self, request: &Request, answer_timeout: Duration) -> Answer {
-        let began = Instant::now();
+        let started = Instant::now();
         self.sent.set(self.sent.get() + 1);
         let uid = format!("{:04x}{:012x}", self.number & 0xffff, self.sent.get());
         let answer = timeout(answer_timeout, self.exchange(request, &uid)).await.ok().flatten();
@@ -126,7 +126,7 @@
         if let Some(interpreter) = &self.interpreter {
             interpreter.request_ended(&uid);
         }
-        (answer.uid, answer.took) = (uid, began.elapsed());
+        (answer.uid, answer.took) = (uid, started.elapsed());
         if let Some(value) = answer.header("x-backend-says").and_then(|text| text.parse().ok()) {
             self.last_advertised.set(Some(value));
         }
@@ -134,38 +134,38 @@
     }
 
     fn now_ms(&self) -> u128 {
-        (self.began.0 + self.began.1.elapsed()).as_millis()
+        (self.started.0 + self.started.1.elapsed()).as_millis()
     }
 
     async fn exchange(&self, request: &Request, uid: &str) -> Option<Answer> {
         let connection = self.connection().await?;
         let id = loop {
-            let id = connection.next.get().max(1);
-            connection.next.set(id.wrapping_add(1));
-            if !connection.open.borrow().contains_key(&id) {
+            let id = connection.next_id.get().max(1);
+            connection.next_id.set(id.wrapping_add(1));
+            if !connection.pending.borrow().contains_key(&id) {
                 break id;
             }
         };
-        let (way, answered) = oneshot::channel();
-        connection.open.borrow_mut().insert(id, (Vec::new(), way));
-        connection.out.send(encode_request(id, self.number, uid, self.now_ms(), request)).await.ok()?;
+        let (sender, answered) = oneshot::channel();
+        connection.pending.borrow_mut().insert(id, (Vec::new(), sender));
+        connection.outgoing.send(encode_request(id, self.number, uid, self.now_ms(), request)).await.ok()?;
         parse_answer(&answered.await.ok()?)
     }
 
     async fn connection(&self) -> Option<Rc<Connection>> {
         self.connections.borrow_mut().retain(|connection| !connection.broken.get());
-        let free =
-            |connection: &&Rc<Connection>| connection.open.borrow().len() < MAX_REQUESTS_PER_CONNECTION;
-        if let Some(connection) = self.connections.borrow().iter().find(free) {
+        let has_capacity =
+            |connection: &&Rc<Connection>| connection.pending.borrow().len() < MAX_REQUESTS_PER_CONNECTION;
+        if let Some(connection) = self.connections.borrow().iter().find(has_capacity) {
             return Some(connection.clone());
         }
-        let stream = TcpStream::connect(self.to).await.ok()?;
+        let stream = TcpStream::connect(self.address).await.ok()?;
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
-        let (out, waiting) = mpsc::channel(MAX_REQUESTS_PER_CONNECTION);
-        let (open, next, broken) = (RefCell::default(), Cell::new(1), Cell::new(false));
-        let connection = Rc::new(Connection { out, open, next, broken });
-        spawn_local(write_all(write, waiting));
+        let (outgoing, queued) = mpsc::channel(MAX_REQUESTS_PER_CONNECTION);
+        let (pending, next_id, broken) = (RefCell::default(), Cell::new(1), Cell::new(false));
+        let connection = Rc::new(Connection { outgoing, pending, next_id, broken });
+        spawn_local(write_all(write, queued));
         // A weak reference, so that the connection closes once the balancer is dropped.
         spawn_local(read_all(Rc::downgrade(&connection), read));
         self.connections.borrow_mut().push(connection.clone());
@@ -173,52 +173,52 @@
     }
 }
 
-async fn write_all(mut to: OwnedWriteHalf, mut waiting: mpsc::Receiver<Vec<u8>>) {
-    while let Some(bytes) = waiting.recv().await {
-        if to.write_all(&bytes).await.is_err() {
+async fn write_all(mut stream: OwnedWriteHalf, mut queued: mpsc::Receiver<Vec<u8>>) {
+    while let Some(bytes) = queued.recv().await {
+        if stream.write_all(&bytes).await.is_err() {
             return;
         }
     }
 }
 
-async fn read_all(connection: Weak<Connection>, mut from: OwnedReadHalf) {
+async fn read_all(connection: Weak<Connection>, mut stream: OwnedReadHalf) {
     let mut input: Vec<u8> = Vec::new();
     loop {
         let Some(connection) = connection.upgrade() else { return };
         while input.len() >= 8 {
             let (kind, id) = (input[1], u16::from_be_bytes([input[2], input[3]]));
             let length = usize::from(u16::from_be_bytes([input[4], input[5]]));
-            let whole = 8 + length + usize::from(input[6]);
-            if input.len() < whole {
+            let record_length = 8 + length + usize::from(input[6]);
+            if input.len() < record_length {
                 break;
             }
             let content = input[8..8 + length].to_vec();
-            input.drain(..whole);
+            input.drain(..record_length);
             match kind {
                 STDOUT => {
-                    if let Some((text, _)) = connection.open.borrow_mut().get_mut(&id) {
+                    if let Some((text, _)) = connection.pending.borrow_mut().get_mut(&id) {
                         text.extend(content);
                     }
                 }
                 END_REQUEST => {
-                    if let Some((mut text, way)) = connection.open.borrow_mut().remove(&id) {
+                    if let Some((mut text, sender)) = connection.pending.borrow_mut().remove(&id) {
                         if content.get(4) == Some(&2) {
                             text = b"Status: 503 Overloaded\r\n\r\n".to_vec();
                         }
-                        let _ = way.send(text);
+                        let _ = sender.send(text);
                     }
                 }
                 _ => {}
             }
         }
         drop(connection);
-        if !matches!(from.read_buf(&mut input).await, Ok(1..)) {
+        if !matches!(stream.read_buf(&mut input).await, Ok(1..)) {
             break;
         }
     }
     if let Some(connection) = connection.upgrade() {
         connection.broken.set(true);
-        connection.open.borrow_mut().clear();
+        connection.pending.borrow_mut().clear();
     }
 }
 
@@ -235,13 +235,13 @@
     Some(answer)
 }
 
-fn put(out: &mut Vec<u8>, kind: u8, id: u16, content: &[u8]) {
+fn put_record(out: &mut Vec<u8>, kind: u8, id: u16, content: &[u8]) {
     let (id, length) = (id.to_be_bytes(), (content.len() as u16).to_be_bytes());
     out.extend([1, kind, id[0], id[1], length[0], length[1], 0, 0]);
     out.extend(content);
 }
 
-fn put_pair(out: &mut Vec<u8>, name: &str, value: &str) {
+fn put_param(out: &mut Vec<u8>, name: &str, value: &str) {
     for text in [name, value] {
         match u8::try_from(text.len()) {
             Ok(short) if short < 128 => out.push(short),
@@ -268,24 +268,24 @@
         ("HTTP_X_NEED_KB", "20"),
         ("HTTP_X_CRITICALITY", &rank),
     ] {
-        put_pair(&mut params, name, value);
+        put_param(&mut params, name, value);
     }
     if let Some(key) = &request.key {
-        put_pair(&mut params, "HTTP_X_OPERATION_KEY", key);
+        put_param(&mut params, "HTTP_X_OPERATION_KEY", key);
     }
     if let Some(ms) = request.deadline_ms {
-        put_pair(&mut params, "HTTP_X_DEADLINE_MS", &ms.to_string());
+        put_param(&mut params, "HTTP_X_DEADLINE_MS", &ms.to_string());
     }
     if request.resent {
-        put_pair(&mut params, "HTTP_X_RESENT", "1");
+        put_param(&mut params, "HTTP_X_RESENT", "1");
     }
     let mut out = Vec::new();
-    put(&mut out, BEGIN_REQUEST, id, &[0, 1, 1, 0, 0, 0, 0, 0]);
-    put(&mut out, PARAMS, id, &params);
-    put(&mut out, PARAMS, id, b"");
+    put_record(&mut out, BEGIN_REQUEST, id, &[0, 1, 1, 0, 0, 0, 0, 0]);
+    put_record(&mut out, PARAMS, id, &params);
+    put_record(&mut out, PARAMS, id, b"");
     if !request.body.is_empty() {
-        put(&mut out, STDIN, id, &request.body);
+        put_record(&mut out, STDIN, id, &request.body);
     }
-    put(&mut out, STDIN, id, b"");
+    put_record(&mut out, STDIN, id, b"");
     out
 }
--- a/crates/stand-ins/src/dependency.rs
+++ b/crates/stand-ins/src/dependency.rs
@@ -128,7 +128,7 @@
 struct State {
     config: DependencyConfig,
     address: SocketAddr,
-    began: Instant,
+    started: Instant,
     mode: Cell<Mode>,
     changed: Notify,
     slots: Semaphore,
@@ -140,7 +140,7 @@
 }
 
 impl State {
-    fn record_level(&self) {
+    fn record_in_flight(&self) {
         self.in_flight_history.borrow_mut().push((Instant::now(), self.in_flight.get()));
     }
 }
@@ -155,7 +155,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.in_flight.set(self.0.in_flight.get() - 1);
-        self.0.record_level();
+        self.0.record_in_flight();
     }
 }
 
@@ -177,7 +177,7 @@
         let address = holder.local_addr().expect("an address");
         let state = Rc::new(State {
             address,
-            began: Instant::now(),
+            started: Instant::now(),
             mode: Cell::new(Mode::Good),
             changed: Notify::new(),
             slots: Semaphore::new(config.slots),
@@ -221,7 +221,7 @@
 
     /// Returns the time since the start, the base of the recorded times.
     pub fn age(&self) -> Duration {
-        self.0.began.elapsed()
+        self.0.started.elapsed()
     }
 
     /// Returns the number of calls in flight, including abandoned ones.
@@ -270,17 +270,17 @@
             accepted = listening.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
                 state.connections.set(state.connections.get() + 1);
-                let later = state.clone();
+                let recorder = state.clone();
                 spawn_local(async move {
                     // An overlapping close and open can be observed in either order.
                     sleep(CONNECTION_COUNT_DELAY).await;
-                    let mut record = later.record.borrow_mut();
-                    record.max_connections = record.max_connections.max(later.connections.get());
+                    let mut record = recorder.record.borrow_mut();
+                    record.max_connections = record.max_connections.max(recorder.connections.get());
                 });
                 let connected = Connected(state.clone());
                 spawn_local(async move {
-                    let mine = connected.0.clone();
-                    let _ = serve(&move |_| Some(mine.clone()), stream).await;
+                    let state = connected.0.clone();
+                    let _ = serve(&move |_| Some(state.clone()), stream).await;
                     drop(connected);
                 });
             }
@@ -304,14 +304,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("an address");
         let routes: Vec<(String, Rc<State>)> =
-            routes.iter().map(|(word, dependency)| (word.to_string(), dependency.0.clone())).collect();
+            routes.iter().map(|(prefix, dependency)| (prefix.to_string(), dependency.0.clone())).collect();
         let routes = Rc::new(routes);
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let routes = routes.clone();
                 spawn_local(async move {
                     let select = move |request: &Request| {
-                        let route = routes.iter().find(|(word, _)| request.body.starts_with(word.as_bytes()));
+                        let route =
+                            routes.iter().find(|(prefix, _)| request.body.starts_with(prefix.as_bytes()));
                         route.map(|(_, state)| state.clone())
                     };
                     let _ = serve(&select, stream).await;
@@ -336,7 +337,7 @@
         if state.mode.get() == Mode::Down {
             return reset(stream);
         }
-        let (place, guard) = record_call(state, &request);
+        let (index, guard) = record_call(state, &request);
         let mut byte = [0];
         // The client must send nothing while a call is unanswered, so any read event means that it has
         // closed.
@@ -345,7 +346,7 @@
             _ = stream.read(&mut byte) => None,
         };
         let Some(end) = end else {
-            state.record.borrow_mut().calls[place].ended = Ended::Abandoned;
+            state.record.borrow_mut().calls[index].ended = Ended::Abandoned;
             // The abandoned call stays in flight for a while.
             let extra = state.config.abandoned_call_time;
             spawn_local(async move {
@@ -357,7 +358,7 @@
         // Released before the reply is written, since the client may count its calls as soon as it reads the
         // reply.
         drop(guard);
-        state.record.borrow_mut().calls[place].ended = end;
+        state.record.borrow_mut().calls[index].ended = end;
         let reply = match end {
             Ended::Succeeded => {
                 let body = format!("{}:{}", state.config.name, String::from_utf8_lossy(&request.body));
@@ -368,10 +369,10 @@
                 Mode::Noisy => b"\x00\x01noise\r\n\r\n".to_vec(),
                 Mode::Endless => {
                     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n").await?;
-                    let part = [b'x'; 4096];
+                    let chunk = [b'x'; 4096];
                     // Bounded in case the client keeps reading.
                     for _ in 0..1000 {
-                        let written = timeout(Duration::from_secs(1), stream.write_all(&part)).await;
+                        let written = timeout(Duration::from_secs(1), stream.write_all(&chunk)).await;
                         written.map_err(|_| std::io::ErrorKind::TimedOut)??;
                     }
                     return Ok(());
@@ -392,22 +393,22 @@
 
 fn record_call(state: &Rc<State>, request: &Request) -> (usize, InFlight) {
     state.in_flight.set(state.in_flight.get() + 1);
-    state.record_level();
+    state.record_in_flight();
     let guard = InFlight(state.clone());
     let mut record = state.record.borrow_mut();
     let in_flight = state.in_flight.get();
     record.max_in_flight = record.max_in_flight.max(in_flight);
     let uid = request.header("request-ref").to_string();
     let ms = request.header("statement-timeout-ms").parse().unwrap_or(0);
-    let seen = CallRecord {
+    let call = CallRecord {
         uid,
         body: request.body.clone(),
         timeout: Duration::from_millis(ms),
-        arrived: state.began.elapsed(),
+        arrived: state.started.elapsed(),
         ended: Ended::Open,
         in_flight,
     };
-    record.calls.push(seen);
+    record.calls.push(call);
     (record.calls.len() - 1, guard)
 }
 
@@ -428,13 +429,13 @@
     }
     let Ok(_slot) = state.slots.acquire().await else { return Ended::Failed };
     let spread = state.random.borrow_mut().random_range(-1.0..=1.0) * state.config.spread;
-    let crowd = (state.in_flight.get() as f64 / state.config.slots.max(1) as f64 - 1.0).max(0.0);
-    let slow = if let Mode::Slow(times) = state.mode.get() { times } else { 1.0 };
+    let overload = (state.in_flight.get() as f64 / state.config.slots.max(1) as f64 - 1.0).max(0.0);
+    let slowdown = if let Mode::Slow(times) = state.mode.get() { times } else { 1.0 };
     sleep(
         state
             .config
             .service_time
-            .mul_f64((1.0 + spread) * (1.0 + state.config.overload_slowdown * crowd) * slow),
+            .mul_f64((1.0 + spread) * (1.0 + state.config.overload_slowdown * overload) * slowdown),
     )
     .await;
     Ended::Succeeded
--- a/crates/stand-ins/src/interpreter.rs
+++ b/crates/stand-ins/src/interpreter.rs
@@ -60,20 +60,20 @@
     /// Body of the request.
     pub body: Vec<u8>,
     /// What the run received for its calls, in order.
-    pub got: Vec<CallResult>,
+    pub call_results: Vec<CallResult>,
     /// How the run ended; `None` while it runs.
     pub end: Option<&'static str>,
 }
 
 struct Running {
-    place: usize,
+    index: usize,
     /// The call that the run waits for, by the number of its notice.
-    waits: Option<(u64, oneshot::Sender<CallResult>)>,
+    pending_call: Option<(u64, oneshot::Sender<CallResult>)>,
     stop: Rc<Notify>,
     /// Whether the run is paused and waits for `resume`.
     paused: bool,
     resume: Rc<Notify>,
-    over: bool,
+    request_ended: bool,
 }
 
 struct State {
@@ -90,14 +90,14 @@
     changed: Notify,
     link: RefCell<u64>,
     /// When the interpreter became ready, if it has; one that is not ready at its start is cold.
-    up: RefCell<Option<Instant>>,
+    ready_since: RefCell<Option<Instant>>,
     cold: bool,
     max_on_cores: RefCell<usize>,
     /// Each change of `on_cores` with its time.
     on_cores_history: RefCell<Vec<(Instant, usize)>>,
     /// Bodies that start with [`BLOCKING_PREFIX`] and whose runs are to fail.
     failing: RefCell<BTreeSet<Vec<u8>>>,
-    fails: Notify,
+    failing_changed: Notify,
 }
 
 /// A listening fake interpreter.
@@ -126,7 +126,7 @@
 
     /// Marks the interpreter as ready.
     pub fn become_ready(&self) {
-        *self.state.up.borrow_mut() = Some(Instant::now());
+        *self.state.ready_since.borrow_mut() = Some(Instant::now());
         self.state.changed.notify_waiters();
     }
 
@@ -163,20 +163,20 @@
             pos: RefCell::new(0),
             changed: Notify::new(),
             link: RefCell::new(0),
-            up: RefCell::new((!cold).then(Instant::now)),
+            ready_since: RefCell::new((!cold).then(Instant::now)),
             cold,
             max_on_cores: RefCell::new(0),
             on_cores_history: RefCell::default(),
             failing: RefCell::default(),
-            fails: Notify::new(),
+            failing_changed: Notify::new(),
         });
-        let all = state.clone();
+        let shared = state.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 // A new link replaces the previous one.
-                *all.link.borrow_mut() += 1;
-                all.changed.notify_waiters();
-                spawn_local(serve(all.clone(), stream));
+                *shared.link.borrow_mut() += 1;
+                shared.changed.notify_waiters();
+                spawn_local(serve(shared.clone(), stream));
             }
         });
         Interpreter { address, state }
@@ -191,8 +191,8 @@
     /// call, and otherwise at its next call.
     pub fn request_ended(&self, uid: &str) {
         if let Some(run) = self.state.running.borrow_mut().get_mut(uid) {
-            run.over = true;
-            if run.waits.is_some() {
+            run.request_ended = true;
+            if run.pending_call.is_some() {
                 run.stop.notify_one();
             }
         }
@@ -201,7 +201,7 @@
     /// Fails the present and future runs of this body, which must start with [`BLOCKING_PREFIX`].
     pub fn fail(&self, body: &[u8]) {
         self.state.failing.borrow_mut().insert(body.to_vec());
-        self.state.fails.notify_waiters();
+        self.state.failing_changed.notify_waiters();
     }
 
     /// Returns the maximum number of runs that occupied or waited for a core at the same time.
@@ -226,15 +226,15 @@
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read).lines();
     let mut last_sent = u64::MAX;
-    let mut greets = false;
+    let mut send_banner = false;
     let mut output = Vec::new();
     loop {
         let changed = state.changed.notified();
-        if greets && let Some(up) = *state.up.borrow() {
-            greets = false;
-            let age = up.elapsed().as_millis() as u64 + if state.cold { 0 } else { 60_000 };
+        if send_banner && let Some(ready_since) = *state.ready_since.borrow() {
+            send_banner = false;
+            let age = ready_since.elapsed().as_millis() as u64 + if state.cold { 0 } else { 60_000 };
             let code = if state.cold { "COLD" } else { "WARM" };
-            output.extend(line_of(&json!({"action": "BANNER", "code": code, "wall_ms": age})));
+            output.extend(json_line(&json!({"action": "BANNER", "code": code, "wall_ms": age})));
         }
         if last_sent != u64::MAX {
             let notices = state.notices.borrow();
@@ -256,28 +256,28 @@
                 match command["action"].as_str() {
                     Some("CONNECT") => {
                         last_sent = command["pos"].as_u64().unwrap_or(0);
-                        greets = true;
+                        send_banner = true;
                     }
                     Some("TOP") => {
                         // Runs that wait for a core count as busy; runs that wait for a call do not.
                         let busy = *state.on_cores.borrow();
                         let gauges = json!({"action": "TOPS", "echo": command["echo"], "meters": [0.5, busy, 0.1, 1]});
-                        output.extend(line_of(&gauges));
+                        output.extend(json_line(&gauges));
                     }
                     Some("APPLY") => apply(&state, &command),
                     Some("BREAK") => {
                         let running = state.running.borrow();
-                        let run = running.get(text(&command, "uid"));
+                        let run = running.get(text_field(&command, "uid"));
                         match run.filter(|_| state.halt != Halt::Never) {
                             // A run that waits for a call occupies no core and cannot be paused.
-                            Some(run) if state.halt == Halt::Drop || run.waits.is_none() => run.stop.notify_one(),
+                            Some(run) if state.halt == Halt::Drop || run.pending_call.is_none() => run.stop.notify_one(),
                             Some(_) => {}
                             None => output.extend(rejected(&command)),
                         }
                     }
                     Some("CONTINUE") => {
                         let mut running = state.running.borrow_mut();
-                        match running.get_mut(text(&command, "uid")).filter(|_| state.halt == Halt::Pause) {
+                        match running.get_mut(text_field(&command, "uid")).filter(|_| state.halt == Halt::Pause) {
                             Some(run) if run.paused => {
                                 run.paused = false;
                                 run.resume.notify_one();
@@ -287,11 +287,11 @@
                         }
                     }
                     Some("RESOLVE") => {
-                        let content = BASE64.decode(text(&command, "content")).unwrap_or_default();
-                        resume(&state, text(&command, "uid"), None, CallResult::Reply(content));
+                        let content = BASE64.decode(text_field(&command, "content")).unwrap_or_default();
+                        resume(&state, text_field(&command, "uid"), None, CallResult::Reply(content));
                     }
                     Some("STUB") => {
-                        resume(&state, text(&command, "uid"), command["pos"].as_u64(), CallResult::Nothing);
+                        resume(&state, text_field(&command, "uid"), command["pos"].as_u64(), CallResult::Nothing);
                     }
                     _ => return,
                 }
@@ -302,24 +302,25 @@
 }
 
 fn rejected(command: &Value) -> Vec<u8> {
-    line_of(&json!({"action": "ERROR", "code": command["action"], "uid": command["uid"]}))
+    json_line(&json!({"action": "ERROR", "code": command["action"], "uid": command["uid"]}))
 }
 
-fn text<'a>(command: &'a Value, name: &str) -> &'a str {
+fn text_field<'a>(command: &'a Value, name: &str) -> &'a str {
     command[name].as_str().unwrap_or_default()
 }
 
-fn line_of(value: &Value) -> Vec<u8> {
+fn json_line(value: &Value) -> Vec<u8> {
     format!("{value}\n").into_bytes()
 }
 
-fn resume(state: &State, uid: &str, pos: Option<u64>, got: CallResult) {
+fn resume(state: &State, uid: &str, pos: Option<u64>, result: CallResult) {
     if let Some(run) = state.running.borrow_mut().get_mut(uid)
-        && let Some((asked, way)) = run.waits.take_if(|(asked, _)| pos.is_none_or(|pos| pos == *asked))
+        && let Some((asked, reply)) =
+            run.pending_call.take_if(|(asked, _)| pos.is_none_or(|pos| pos == *asked))
     {
         let _ = asked;
-        state.runs.borrow_mut()[run.place].got.push(got.clone());
-        let _ = way.send(got);
+        state.runs.borrow_mut()[run.index].call_results.push(result.clone());
+        let _ = reply.send(result);
     }
 }
 
@@ -338,43 +339,53 @@
 }
 
 fn apply(state: &Rc<State>, command: &Value) {
-    let (uid, class) = (text(command, "uid").to_string(), text(command, "lane").to_string());
+    let (uid, class) = (text_field(command, "uid").to_string(), text_field(command, "lane").to_string());
     if state.running.borrow().contains_key(&uid) {
         return;
     }
-    let body = BASE64.decode(text(command, "content")).unwrap_or_default();
+    let body = BASE64.decode(text_field(command, "content")).unwrap_or_default();
     let (stop, resume) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-    let place = state.runs.borrow().len();
-    state.runs.borrow_mut().push(RunRecord { uid: uid.clone(), class, body, got: Vec::new(), end: None });
+    let index = state.runs.borrow().len();
+    state.runs.borrow_mut().push(RunRecord {
+        uid: uid.clone(),
+        class,
+        body,
+        call_results: Vec::new(),
+        end: None,
+    });
     state.running.borrow_mut().insert(
         uid.clone(),
         Running {
-            place,
-            waits: None,
+            index,
+            pending_call: None,
             stop: stop.clone(),
             paused: false,
             resume: resume.clone(),
-            over: false,
+            request_ended: false,
         },
     );
     let state = state.clone();
     spawn_local(async move {
-        let began = Instant::now();
-        let mut runs = std::pin::pin!(run(&state, &uid, place));
+        let started = Instant::now();
+        let mut runs = std::pin::pin!(run(&state, &uid, index));
         let (end, content) = loop {
             tokio::select! {
                 ended = &mut runs => break ended,
                 () = stop.notified() => {}
             }
             // A run ends if its request has been answered, or on a stop command that does not pause.
-            let over = state.running.borrow().get(&uid).is_none_or(|run| run.over && run.waits.is_some());
-            if state.halt != Halt::Pause || over {
+            let request_ended = state
+                .running
+                .borrow()
+                .get(&uid)
+                .is_none_or(|run| run.request_ended && run.pending_call.is_some());
+            if state.halt != Halt::Pause || request_ended {
                 break ("STOPPED", String::new());
             }
             if let Some(run) = state.running.borrow_mut().get_mut(&uid) {
                 run.paused = true;
             }
-            let ms = began.elapsed().as_secs_f64() * 1000.0;
+            let ms = started.elapsed().as_secs_f64() * 1000.0;
             notice(
                 &state,
                 json!({"action": "VALUE", "uid": uid, "code": "STOPPED", "wall_ms": ms, "content": ""}),
@@ -382,8 +393,8 @@
             resume.notified().await;
         };
         state.running.borrow_mut().remove(&uid);
-        state.runs.borrow_mut()[place].end = Some(end);
-        let ms = began.elapsed().as_secs_f64() * 1000.0;
+        state.runs.borrow_mut()[index].end = Some(end);
+        let ms = started.elapsed().as_secs_f64() * 1000.0;
         let content = BASE64.encode(content);
         notice(
             &state,
@@ -393,9 +404,9 @@
 }
 
 /// Performs a run; returns how it ended and its result, which lists what it received for each call, in order.
-async fn run(state: &State, uid: &str, place: usize) -> (&'static str, String) {
+async fn run(state: &State, uid: &str, index: usize) -> (&'static str, String) {
     let (class, body) = {
-        let run = &state.runs.borrow()[place];
+        let run = &state.runs.borrow()[index];
         (run.class.clone(), String::from_utf8_lossy(&run.body).into_owned())
     };
     if body.as_bytes().starts_with(BLOCKING_PREFIX) {
@@ -403,43 +414,43 @@
         return ("ERROR", String::new());
     }
     let work = state.classes.get(&class).cloned().unwrap_or_default();
-    let mut got = Vec::new();
+    let mut results = Vec::new();
     for call in 1..=work.calls {
         on_core(state, work.core_time).await;
-        let (way, answer) = oneshot::channel();
+        let (sender, answer) = oneshot::channel();
         let content = BASE64.encode(format!("{body}#{call}"));
         // The channel must be registered before the notice is sent, or the reply could arrive too early.
         let pos = *state.pos.borrow() + 1;
-        let over = match state.running.borrow_mut().get_mut(uid) {
+        let request_ended = match state.running.borrow_mut().get_mut(uid) {
             Some(run) => {
-                run.waits = Some((pos, way));
-                run.over
+                run.pending_call = Some((pos, sender));
+                run.request_ended
             }
             None => true,
         };
-        if over {
+        if request_ended {
             if let Some(run) = state.running.borrow().get(uid) {
                 run.stop.notify_one();
             }
             std::future::pending::<()>().await;
         }
         notice(state, json!({"action": "AWAIT", "uid": uid, "content": content}));
-        got.push(match answer.await {
+        results.push(match answer.await {
             Ok(CallResult::Reply(reply)) => String::from_utf8_lossy(&reply).into_owned(),
             _ => "-".to_string(),
         });
     }
     on_core(state, work.core_time).await;
-    ("OK", format!("{class} {body} [{}]", got.join(", ")))
+    ("OK", format!("{class} {body} [{}]", results.join(", ")))
 }
 
 async fn wait_for_failure(state: &State, body: &[u8]) {
     loop {
-        let fails = state.fails.notified();
+        let failing_changed = state.failing_changed.notified();
         if state.failing.borrow().contains(body) {
             return;
         }
-        fails.await;
+        failing_changed.await;
     }
 }
 
@@ -456,8 +467,8 @@
     fn new(state: &'a State) -> OnCore<'a> {
         *state.on_cores.borrow_mut() += 1;
         let now = *state.on_cores.borrow();
-        let most = now.max(*state.max_on_cores.borrow());
-        *state.max_on_cores.borrow_mut() = most;
+        let max = now.max(*state.max_on_cores.borrow());
+        *state.max_on_cores.borrow_mut() = max;
         state.on_cores_history.borrow_mut().push((Instant::now(), now));
         OnCore(state)
     }
--- a/crates/stand-ins/src/link.rs
+++ b/crates/stand-ins/src/link.rs
@@ -107,11 +107,11 @@
             bytes_passed: Cell::new([0; 2]),
             connections: Cell::new(0),
         });
-        let all = state.clone();
+        let shared = state.clone();
         let accepting = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                all.connections.set(all.connections.get() + 1);
-                spawn_local(relay(all.clone(), stream));
+                shared.connections.set(shared.connections.get() + 1);
+                spawn_local(relay(shared.clone(), stream));
             }
         });
         Link { address, state, _accepting: Rc::new(Aborts(accepting)) }
@@ -226,7 +226,7 @@
         let Ok(n) = from.read_buf(&mut buffered).await else { return false };
         while !buffered.is_empty() || n == 0 {
             let present = *fault.borrow_and_update();
-            let some = match present {
+            let count = match present {
                 Fault::None => buffered.len(),
                 Fault::Late(time, more) => {
                     let part = state.random.borrow_mut().random_range(0.0..1.0);
@@ -244,19 +244,19 @@
                     continue;
                 }
                 Fault::CutAfter(left) => {
-                    let some = left.min(buffered.len());
-                    let left = left - some;
+                    let count = left.min(buffered.len());
+                    let left = left - count;
                     faults.send_replace(if left == 0 { Fault::Cut } else { Fault::CutAfter(left) });
-                    some
+                    count
                 }
             };
             if n == 0 && buffered.is_empty() {
                 return to.shutdown().await.is_ok();
             }
-            let Ok(()) = to.write_all(&buffered[..some]).await else { return false };
-            buffered.drain(..some);
+            let Ok(()) = to.write_all(&buffered[..count]).await else { return false };
+            buffered.drain(..count);
             let mut passed = state.bytes_passed.get();
-            passed[way] += some as u64;
+            passed[way] += count as u64;
             state.bytes_passed.set(passed);
         }
     }
--- a/crates/stand-ins/src/nodo.rs
+++ b/crates/stand-ins/src/nodo.rs
@@ -134,10 +134,10 @@
     /// # Errors
     /// Fails if it cannot be started.
     pub async fn start_without_waiting(&mut self) -> io::Result<Incarnation> {
-        let part = |ms| Work { core_time: Duration::from_millis(ms), calls: 0 };
-        let sign = Work { calls: usize::from(self.database.is_some()), ..part(8) };
-        let mut classes = vec![("read", part(4)), ("sign", sign), ("slow", part(700))];
-        classes.extend(self.extra_classes.iter().map(|name| (name.as_str(), Work { calls: 1, ..part(8) })));
+        let work = |ms| Work { core_time: Duration::from_millis(ms), calls: 0 };
+        let sign = Work { calls: usize::from(self.database.is_some()), ..work(8) };
+        let mut classes = vec![("read", work(4)), ("sign", sign), ("slow", work(700))];
+        classes.extend(self.extra_classes.iter().map(|name| (name.as_str(), Work { calls: 1, ..work(8) })));
         let interpreter = Interpreter::start(8, &classes).await;
         let at = interpreter.address();
         *self.latest_interpreter.borrow_mut() = Some(interpreter.clone());
@@ -176,7 +176,7 @@
         }
         let process = Process::start(&mut command, &self.log(self.started))?;
         let admin = process.wait_for_output("answers operators on ").await;
-        let admin = admin.parse().map_err(|_| io::Error::other(format!("{admin} is no address")))?;
+        let admin = admin.parse().map_err(|_| io::Error::other(format!("{admin} is not an address")))?;
         self.admin_address.set(Some(admin));
         Ok(Incarnation { process, admin })
     }
@@ -184,9 +184,9 @@
     /// Returns the command for the program; with a descriptor limit, a shell lowers the limit and then
     /// executes it.
     fn command(&self) -> Command {
-        let Some(most) = self.max_descriptors else { return Command::new(&self.program) };
+        let Some(limit) = self.max_descriptors else { return Command::new(&self.program) };
         let mut command = Command::new("sh");
-        command.args(["-c", &format!(r#"ulimit -n {most} && exec "$0" "$@""#)]).arg(&self.program);
+        command.args(["-c", &format!(r#"ulimit -n {limit} && exec "$0" "$@""#)]).arg(&self.program);
         command
     }
 
@@ -196,8 +196,8 @@
 
     /// Returns the logs of all incarnations.
     pub fn logs(&self) -> String {
-        let said = |n| std::fs::read_to_string(self.log(n)).unwrap_or_default();
-        (1..=self.started).map(|n| format!("\nstart {n}:\n{}", said(n))).collect()
+        let log = |n| std::fs::read_to_string(self.log(n)).unwrap_or_default();
+        (1..=self.started).map(|n| format!("\nstart {n}:\n{}", log(n))).collect()
     }
 
     /// Returns how often the body was run, according to the interpreters.
@@ -206,7 +206,7 @@
     }
 
     /// Returns how often a keyed request of class `sign` was run.
-    pub fn signed(&self, key: &str) -> usize {
+    pub fn sign_runs(&self, key: &str) -> usize {
         self.count(|ran| ran.class == "sign" && ran.body == key.as_bytes())
     }
 
@@ -280,7 +280,7 @@
 
 impl AnswerLog {
     /// Sends a keyed request twice, first as an original and then as a retry, each over its own connection.
-    pub async fn pair(&self, to: SocketAddr, key: &str, patience: Duration) {
+    pub async fn send_twice(&self, to: SocketAddr, key: &str, patience: Duration) {
         for resent in [false, true] {
             self.balancers.set(self.balancers.get() + 1);
             let balancer = Balancer::new(to, FIRST_LOG_BALANCER + self.balancers.get(), None);
@@ -297,7 +297,7 @@
             spawn_local(async move {
                 while next.get() < count {
                     let n = next.replace(next.get() + 1);
-                    record.pair(to, &format!("{name}-{n}"), patience).await;
+                    record.send_twice(to, &format!("{name}-{n}"), patience).await;
                 }
             })
         };
@@ -356,7 +356,7 @@
 
 /// Balancers that send continuously: reads, and keyed requests twice each.
 pub struct Load {
-    go: Rc<Cell<bool>>,
+    running: Rc<Cell<bool>>,
     reads: Rc<RefCell<Vec<Answer>>>,
     record: AnswerLog,
     senders: Vec<JoinHandle<()>>,
@@ -365,17 +365,17 @@
 impl Load {
     /// Starts two balancers with three senders each, which wait up to `patience` for an answer.
     pub fn start(address: SocketAddr, patience: Duration) -> Load {
-        let (go, reads, record) =
+        let (running, reads, record) =
             (Rc::new(Cell::new(true)), Rc::<RefCell<Vec<_>>>::default(), AnswerLog::default());
         let mut senders = Vec::new();
         for number in 0..2u64 {
             let balancer = Balancer::new(address, number, None);
             for sender in 0..3 {
-                let (balancer, go, reads, record) =
-                    (balancer.clone(), go.clone(), reads.clone(), record.clone());
+                let (balancer, running, reads, record) =
+                    (balancer.clone(), running.clone(), reads.clone(), record.clone());
                 senders.push(spawn_local(async move {
                     for n in 0.. {
-                        if !go.get() {
+                        if !running.get() {
                             return;
                         }
                         let key = format!("{number}-{sender}-{n}");
@@ -388,7 +388,7 @@
                 }));
             }
         }
-        Load { go, reads, record, senders }
+        Load { running, reads, record, senders }
     }
 
     /// Waits for this many more answers to reads.
@@ -401,7 +401,7 @@
 
     /// Stops the load once all sent requests are answered; returns the outcome and the answers to the reads.
     pub async fn end(self, nodo: &Nodo) -> (Tally, Vec<Answer>) {
-        self.go.set(false);
+        self.running.set(false);
         for sender in self.senders {
             // An error means that the task panicked, which is reported by itself.
             let _ = sender.await;
--- a/crates/stand-ins/src/partial/clients.rs
+++ b/crates/stand-ins/src/partial/clients.rs
@@ -87,24 +87,24 @@
         let class = if key.starts_with(ASKS) { "sign" } else { "note" };
         let request = Request { key: Some(key.to_string()), resent, ..Request::new(class, key.as_bytes()) };
         let answer = balancer.send(&request, TRY_TIMEOUT).await;
-        let came = match answer.status {
+        let outcome = match answer.status {
             200 => Came::Ok(Told::Work { end: WorkEnd::Done(Value::of(&answer.body)), token: None }),
             503 => Came::Failed,
             _ => Came::Unknown,
         };
-        let written = ticket.and_then(|ticket| self.writer.borrow_mut().end(ticket, now(), came));
+        let written = ticket.and_then(|ticket| self.writer.borrow_mut().end(ticket, now(), outcome));
         if let Err(e) = written {
             self.broken.borrow_mut().get_or_insert(e.to_string());
         }
-        let one = Try { at, status: answer.status, body: answer.text() };
-        self.tries.borrow_mut().entry(key.to_string()).or_default().push(one);
+        let record = Try { at, status: answer.status, body: answer.text() };
+        self.tries.borrow_mut().entry(key.to_string()).or_default().push(record);
         answer
     }
 
     /// Tries one nodo after another, beginning with `first`, until the key is served or has failed
     /// [`MAX_FAILURES`] times.
     pub async fn send_until_answered(&self, key: &str, first: usize, patience: Duration) -> bool {
-        let (began, mut failed) = (Instant::now(), 0);
+        let (started, mut failed) = (Instant::now(), 0);
         for n in 0.. {
             let resent = n > 0 || self.tries.borrow().contains_key(key);
             let status = self.send(key, (first + n) % NODOS, resent).await.status;
@@ -112,7 +112,7 @@
             if status == 200 || failed >= MAX_FAILURES {
                 return true;
             }
-            if began.elapsed() > patience {
+            if started.elapsed() > patience {
                 return false;
             }
             sleep(RETRY_DELAY).await;
--- a/crates/stand-ins/src/partial/editors.rs
+++ b/crates/stand-ins/src/partial/editors.rs
@@ -75,9 +75,9 @@
         self.running.set(false);
     }
 
-    fn count(&self, place: usize) {
+    fn count(&self, index: usize) {
         let mut tally = self.tally.get();
-        tally[place] += 1;
+        tally[index] += 1;
         self.tally.set(tally);
     }
 
@@ -93,13 +93,13 @@
         };
         let answer = timeout(ANSWER_TIMEOUT, asked).await.ok()?.ok()?;
         match answer.strip_suffix("\r\n.\r\n") {
-            Some(told) => serde_json::from_str(told).ok().map(Ok),
+            Some(body) => serde_json::from_str(body).ok().map(Ok),
             None => answer.starts_with("-ERR").then_some(Err(answer)),
         }
     }
 
-    async fn say(&self, n: usize, said: &Value) -> Option<Result<Value, String>> {
-        let body = said.to_string();
+    async fn submit_change(&self, n: usize, change: &Value) -> Option<Result<Value, String>> {
+        let body = change.to_string();
         self.call(n, &format!("ROUTES SAY {}\r\n{body}", body.len())).await
     }
 
@@ -110,29 +110,29 @@
     /// Submits an edit to one nodo after another until its outcome is known.
     async fn submit_until_known(&self, edit: &Value, first: usize, patience: Duration) -> Option<Value> {
         let name = format!("{}/{}", edit["id"]["team"].as_str().unwrap_or_default(), edit["id"]["number"]);
-        let began = Instant::now();
+        let started = Instant::now();
         for n in 0.. {
             let op = Op::Edit { table: TABLE.into(), edit: name.clone() };
             let ticket = self.writer.borrow_mut().begin(now(), op);
-            let told = self.say((first + n) % NODOS, &json!({"edit": edit})).await;
-            let state = match &told {
-                Some(Ok(told)) => told["state"].as_str().unwrap_or_default(),
+            let answer = self.submit_change((first + n) % NODOS, &json!({"edit": edit})).await;
+            let state = match &answer {
+                Some(Ok(answer)) => answer["state"].as_str().unwrap_or_default(),
                 _ => "",
             };
-            let came = match (state, &told) {
-                ("in force", Some(Ok(told))) => {
-                    Came::Ok(Told::Revision(told["revision"].as_u64().unwrap_or_default()))
+            let outcome = match (state, &answer) {
+                ("in force", Some(Ok(answer))) => {
+                    Came::Ok(Told::Revision(answer["revision"].as_u64().unwrap_or_default()))
                 }
                 ("refused" | "withdrawn", _) => Came::Failed,
                 _ => Came::Unknown,
             };
             if let Some(ticket) = self.written(ticket) {
-                let ended = self.writer.borrow_mut().end(ticket, now(), came);
+                let ended = self.writer.borrow_mut().end(ticket, now(), outcome);
                 self.written(ended);
             }
-            match told {
-                Some(Ok(told)) if !["taken", "held", ""].contains(&state) => return Some(told),
-                other if began.elapsed() > patience => {
+            match answer {
+                Some(Ok(answer)) if !["taken", "held", ""].contains(&state) => return Some(answer),
+                other if started.elapsed() > patience => {
                     self.unresolved.borrow_mut().push(format!("{name}: {other:?}"));
                     return None;
                 }
@@ -163,22 +163,22 @@
 
     /// Settles the conflicts of a team's edit in its own favor, and withdraws the edit if conflicts remain:
     /// open edits would otherwise use up the limit on edits of one field.
-    async fn end_conflicts(&self, team: &str, number: u64, told: &Value, at: usize, patience: Duration) {
+    async fn end_conflicts(&self, team: &str, number: u64, answer: &Value, at: usize, patience: Duration) {
         let edit = json!({"team": team, "number": number});
-        for conflict in told["conflicts"].as_array().into_iter().flatten() {
+        for conflict in answer["conflicts"].as_array().into_iter().flatten() {
             let settle = json!({"settle": {"conflict": conflict["id"], "by": team, "keep": [edit.clone()]}});
             // Whether this settlement came first follows from the later state of the edits.
-            let _ = self.say(at, &settle).await;
+            let _ = self.submit_change(at, &settle).await;
         }
-        let (began, back) = (Instant::now(), json!({"withdraw": {"edit": edit}}));
+        let (started, withdrawal) = (Instant::now(), json!({"withdraw": {"edit": edit}}));
         for n in 0.. {
             // Any other error means that the edit has ended.
-            let done = match self.say((at + n) % NODOS, &back).await {
+            let done = match self.submit_change((at + n) % NODOS, &withdrawal).await {
                 Some(Ok(_)) => true,
                 Some(Err(why)) => !why.contains("does not answer"),
                 None => false,
             };
-            if done || began.elapsed() > patience {
+            if done || started.elapsed() > patience {
                 return;
             }
             sleep(RETRY_DELAY).await;
@@ -187,10 +187,10 @@
 
     /// Starts the four teams, each submitting one edit after another until [`Editors::stop`].
     pub fn load(&self, seed: u64, pause: Duration, patience: Duration) -> Vec<JoinHandle<()>> {
-        let team = |(place, team): (usize, &'static str)| {
+        let team = |(index, team): (usize, &'static str)| {
             let all = self.clone();
             spawn_local(async move {
-                let mut random = StdRng::seed_from_u64(seed << 8 | place as u64);
+                let mut random = StdRng::seed_from_u64(seed << 8 | index as u64);
                 let mut base = 0;
                 for number in 1u64.. {
                     if !all.running.get() {
@@ -201,17 +201,18 @@
                         base = shown["here"]["revision"].as_u64().unwrap_or(base);
                     }
                     let edit = Editors::next_edit(team, number, base, &mut random);
-                    let told = all.submit_until_known(&edit, first, patience).await;
-                    let state = told.as_ref().and_then(|told| told["state"].as_str()).unwrap_or_default();
+                    let answer = all.submit_until_known(&edit, first, patience).await;
+                    let state =
+                        answer.as_ref().and_then(|answer| answer["state"].as_str()).unwrap_or_default();
                     all.count(match state {
                         "in force" => 0,
                         "in conflict" => 1,
                         "" => 3,
                         _ => 2,
                     });
-                    if let Some(told) = told.filter(|told| told["state"] == "in conflict") {
+                    if let Some(answer) = answer.filter(|answer| answer["state"] == "in conflict") {
                         let at = random.random_range(0..NODOS);
-                        all.end_conflicts(team, number, &told, at, patience).await;
+                        all.end_conflicts(team, number, &answer, at, patience).await;
                     }
                     sleep(pause.mul_f64(random.random_range(0.5..1.5))).await;
                 }
@@ -232,7 +233,7 @@
             for n in 0..NODOS {
                 all.push(self.call(n, "ROUTES SHOW").await.and_then(Result::ok).unwrap_or_default());
             }
-            let of = |shown: &Value| {
+            let compared = |shown: &Value| {
                 json!([
                     shown["here"]["table"],
                     shown["here"]["revision"],
@@ -240,16 +241,16 @@
                     shown["held"]
                 ])
             };
-            let first = of(&all[0]);
+            let first = compared(&all[0]);
             let agreed = first[1].as_u64().filter(|revision| first[2] == *revision && first[3] == json!([]));
-            if let Some(revision) = agreed.filter(|_| all.iter().all(|shown| of(shown) == first)) {
+            if let Some(revision) = agreed.filter(|_| all.iter().all(|shown| compared(shown) == first)) {
                 for (n, shown) in all.iter().enumerate() {
                     record_seen_table(histories, n, begin, shown, revision).map_err(|e| e.to_string())?;
                 }
                 return Ok(revision);
             }
             if Instant::now() > until {
-                let short = |shown: &Value| {
+                let summary = |shown: &Value| {
                     let count = |list: &Value| list.as_array().map_or(0, Vec::len);
                     let (here, fleet) = (&shown["here"], &shown["fleet"]);
                     json!([
@@ -260,7 +261,7 @@
                         shown["held"]
                     ])
                 };
-                let all: Vec<String> = all.iter().map(|shown| short(shown).to_string()).collect();
+                let all: Vec<String> = all.iter().map(|shown| summary(shown).to_string()).collect();
                 return Err(format!("{all:#?} {:#?}", self.unresolved.borrow()));
             }
             sleep(RETRY_DELAY).await;
--- a/crates/stand-ins/src/partial/mod.rs
+++ b/crates/stand-ins/src/partial/mod.rs
@@ -16,7 +16,7 @@
 use faults::{Ends, Fault};
 use jaspershunt_histories::folder::{Files, check, read_all};
 use jaspershunt_histories::format::{Came, FILE_BYTES, Op, Record, Told, Who, Writer};
-use jaspershunt_histories::verdict::{History, Verdict as Said};
+use jaspershunt_histories::verdict::{History, Verdict as PropertyVerdict};
 use jaspershunt_histories::work::without_outcome;
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::{BTreeMap, BTreeSet};
@@ -99,11 +99,11 @@
     /// Files that were read.
     pub files: Files,
     /// Verdict on each property.
-    pub said: Vec<(&'static str, Said)>,
+    pub verdicts: Vec<(&'static str, PropertyVerdict)>,
     /// Keys that had their effect more than once.
     pub doubled: Vec<String>,
     /// Accepted work without a reported outcome.
-    pub without: Vec<String>,
+    pub without_outcome: Vec<String>,
     /// Number of keys.
     pub keys: usize,
     /// Number of effects.
@@ -114,15 +114,15 @@
 
 impl Verdict {
     /// Returns the properties that were not confirmed.
-    pub fn refused(&self) -> Vec<String> {
-        let bad = self.said.iter().filter(|(_, said)| !said.is_fine());
-        bad.map(|(name, said)| format!("{name}: {}: {said}", said.name())).collect()
+    pub fn unconfirmed(&self) -> Vec<String> {
+        let unconfirmed = self.verdicts.iter().filter(|(_, verdict)| !verdict.is_fine());
+        unconfirmed.map(|(name, verdict)| format!("{name}: {}: {verdict}", verdict.name())).collect()
     }
 
     /// Describes what is wrong, with only the records of the keys concerned: the whole history would be too
     /// long.
-    pub fn wrong(&self) -> String {
-        let keys: Vec<&String> = self.doubled.iter().chain(&self.without).collect();
+    pub fn describe_problems(&self) -> String {
+        let keys: Vec<&String> = self.doubled.iter().chain(&self.without_outcome).collect();
         let of = |record: &&Record| match &record.op {
             Op::Offer { key, .. }
             | Op::Begun { key, .. }
@@ -136,16 +136,16 @@
         let lines = records.iter().map(|record| format!("{record:?}\n"));
         let heads = format!(
             "{:#?}\ntwice {:?}, without an outcome {:?}\n",
-            self.refused(),
+            self.unconfirmed(),
             self.doubled,
-            self.without
+            self.without_outcome
         );
         std::iter::once(heads).chain(lines).collect()
     }
 
     /// Returns whether nothing is wrong.
     pub fn is_fine(&self) -> bool {
-        self.refused().is_empty() && self.doubled.is_empty() && self.without.is_empty()
+        self.unconfirmed().is_empty() && self.doubled.is_empty() && self.without_outcome.is_empty()
     }
 }
 
@@ -401,9 +401,9 @@
         let (history, files) = read_all(&self.histories)?;
         Ok(Verdict {
             files,
-            said: check(&history),
+            verdicts: check(&history),
             doubled,
-            without: without_outcome(&history),
+            without_outcome: without_outcome(&history),
             keys: self.clients.keys().len(),
             effects: effects.len(),
             history,
@@ -414,7 +414,7 @@
     ///
     /// # Errors
     /// Fails if they cannot be copied.
-    pub fn keep(&self, name: &str) -> io::Result<PathBuf> {
+    pub fn save_artifacts(&self, name: &str) -> io::Result<PathBuf> {
         let to = std::env::temp_dir().join(format!("jaspershunt-kept-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&to)?;
         for file in std::fs::read_dir(&self.histories)? {
@@ -431,6 +431,6 @@
 /// Returns all links with their ids.
 fn links<'a>(fleet: &'a Fleet, to_resource: &'a [Link]) -> impl Iterator<Item = (faults::LinkId, &'a Link)> {
     let between = fleet.links.iter().map(|((from, to), link)| (faults::LinkId::Between(*from, *to), link));
-    let below = to_resource.iter().enumerate().map(|(n, link)| (faults::LinkId::Resource(n), link));
-    between.chain(below)
+    let to_resource = to_resource.iter().enumerate().map(|(n, link)| (faults::LinkId::Resource(n), link));
+    between.chain(to_resource)
 }
--- a/crates/stand-ins/src/resource.rs
+++ b/crates/stand-ins/src/resource.rs
@@ -86,7 +86,7 @@
     checks: bool,
     length: Cell<Duration>,
     reply: RefCell<Reply>,
-    began: Instant,
+    started: Instant,
     acts: RefCell<Vec<Act>>,
     effects: RefCell<Vec<Effect>>,
     /// The highest token of each operation key in a call or query.
@@ -118,7 +118,7 @@
             checks,
             length: Cell::new(length),
             reply: RefCell::new(Reply::Done),
-            began: Instant::now(),
+            started: Instant::now(),
             acts: RefCell::default(),
             effects: RefCell::default(),
             fences: RefCell::default(),
@@ -126,10 +126,10 @@
             asked: Cell::new(0),
             answers_repeats: RefCell::default(),
         });
-        let all = state.clone();
+        let shared = state.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(serve(all.clone(), stream));
+                spawn_local(serve(shared.clone(), stream));
             }
         });
         Resource { address, state }
@@ -172,7 +172,7 @@
 
     /// Returns the time since the start, the base of the recorded times.
     pub fn elapsed(&self) -> Duration {
-        self.state.began.elapsed()
+        self.state.started.elapsed()
     }
 
     /// Returns all acts, in order of their start.
@@ -242,8 +242,8 @@
         let (token, key) = (number(TOKEN), number(KEY));
         let seen = state.acts.borrow().iter().filter(|act| !act.turned_away).map(|act| act.token).max();
         let turned_away = state.checks && seen.is_some_and(|seen| token < seen);
-        let begin = state.began.elapsed();
-        let place = state.acts.borrow().len();
+        let begin = state.started.elapsed();
+        let index = state.acts.borrow().len();
         let holder = request.header(HOLDER).to_string();
         let (end, body) = (turned_away.then_some(begin), request.body.clone());
         state.acts.borrow_mut().push(Act { holder, token, key, begin, end, turned_away, body });
@@ -259,10 +259,10 @@
         if reply == Reply::Hangs {
             // Until the caller disconnects.
             while let Ok(1..) = tokio::io::AsyncReadExt::read(&mut stream, &mut [0; 64]).await {}
-            state.acts.borrow_mut()[place].end = Some(state.began.elapsed());
+            state.acts.borrow_mut()[index].end = Some(state.started.elapsed());
             return;
         }
-        state.acts.borrow_mut()[place].end = Some(state.began.elapsed());
+        state.acts.borrow_mut()[index].end = Some(state.started.elapsed());
         let reply_bytes = match reply {
             Reply::Done => http::reply("200 OK", "", b"done"),
             Reply::More(cursor) => http::reply("202 Accepted", "", &cursor),
@@ -287,29 +287,29 @@
     state.fences.borrow_mut().insert(key.clone(), token);
     let answers = state.answers_repeats.borrow().as_ref().is_some_and(|keys| key.starts_with(keys));
     let known = state.effects.borrow().iter().position(|effect| effect.key == key);
-    let place = match known {
-        Some(place) if asks => place,
-        Some(place) if answers => {
+    let index = match known {
+        Some(index) if asks => index,
+        Some(index) if answers => {
             // A repeat takes as long as an act: otherwise callers would learn from fast repeats to use short
             // timeouts and would abandon the next act midway.
             sleep(state.length.get()).await;
-            place
+            index
         }
         None if asks => return http::reply("404 Not Found", "", b""),
         _ => {
-            let effect = Effect { key, token, begin: state.began.elapsed(), end: None };
+            let effect = Effect { key, token, begin: state.started.elapsed(), end: None };
             state.effects.borrow_mut().push(effect);
-            let place = state.effects.borrow().len() - 1;
+            let index = state.effects.borrow().len() - 1;
             sleep(state.length.get()).await;
-            state.effects.borrow_mut()[place].end = Some(state.began.elapsed());
-            place
+            state.effects.borrow_mut()[index].end = Some(state.started.elapsed());
+            index
         }
     };
     // Waits for an effect in progress.
-    while state.effects.borrow()[place].end.is_none() {
+    while state.effects.borrow()[index].end.is_none() {
         sleep(Duration::from_millis(5)).await;
     }
-    let result = state.effects.borrow()[place].result();
+    let result = state.effects.borrow()[index].result();
     http::reply("200 OK", "", &result)
 }
 
--- a/crates/stand-ins/src/truth.rs
+++ b/crates/stand-ins/src/truth.rs
@@ -56,12 +56,12 @@
         *tries.entry((&run.class, &run.body)).or_default() += 1;
     }
     let mut keyed: BTreeSet<&str> = BTreeSet::new();
-    let well: BTreeSet<(String, Vec<u8>)> = dependencies
+    let succeeded: BTreeSet<(String, Vec<u8>)> = dependencies
         .iter()
         .flat_map(|d| {
             let record = d.record();
-            let well = record.calls.iter().filter(|call| call.ended == Ended::Succeeded);
-            well.map(|call| (call.uid.clone(), call.body.clone())).collect::<Vec<_>>()
+            let succeeded = record.calls.iter().filter(|call| call.ended == Ended::Succeeded);
+            succeeded.map(|call| (call.uid.clone(), call.body.clone())).collect::<Vec<_>>()
         })
         .collect();
     for one in sent {
@@ -86,16 +86,18 @@
             run.class == one.request.class && run.body == one.request.body && run.end == Some("OK")
         };
         let Some(run) = ran.or_else(|| runs.iter().find(same)) else {
-            faults.labels.push(format!("{uid} was served with what no run made"));
+            faults.labels.push(format!("{uid} was served with a result that no run produced"));
             continue;
         };
-        let truth = truth(run, &well);
-        let said = Truth {
+        let truth = truth(run, &succeeded);
+        let labels = Truth {
             lacks: one.answer.header("x-answer-lacks").is_some(),
             stale: one.answer.header("x-answer-stale-ms").is_some(),
         };
-        if said != truth {
-            faults.labels.push(format!("{uid} of {} says {said:?}, and it is {truth:?}", one.request.class));
+        if labels != truth {
+            faults
+                .labels
+                .push(format!("{uid} of {} is labeled {labels:?}, expected {truth:?}", one.request.class));
         }
         if is_keyed && truth != Truth::default() {
             faults.partial.push(format!("{uid} of {}: {truth:?}", one.request.class));
@@ -125,13 +127,13 @@
 
 /// Derives the labels of a run's answer: incomplete if a call was skipped, stale if a reply does not come
 /// from a successful call made for this run.
-fn truth(run: &RunRecord, well: &BTreeSet<(String, Vec<u8>)>) -> Truth {
+fn truth(run: &RunRecord, succeeded: &BTreeSet<(String, Vec<u8>)>) -> Truth {
     let mut truth = Truth::default();
-    for (place, got) in run.got.iter().enumerate() {
-        let call = [&run.body[..], format!("#{}", place + 1).as_bytes()].concat();
-        match got {
+    for (index, result) in run.call_results.iter().enumerate() {
+        let call = [&run.body[..], format!("#{}", index + 1).as_bytes()].concat();
+        match result {
             CallResult::Nothing => truth.lacks = true,
-            CallResult::Reply(_) => truth.stale |= !well.contains(&(run.uid.clone(), call)),
+            CallResult::Reply(_) => truth.stale |= !succeeded.contains(&(run.uid.clone(), call)),
         }
     }
     truth
