--- a/crates/lab/src/partial/killed.rs
+++ b/crates/lab/src/partial/killed.rs
@@ -3,7 +3,7 @@
 
 use jaspershunt_histories::format::{Op, Record, Told};
 use jaspershunt_stand_ins::partial::faults::Fault;
-use jaspershunt_stand_ins::partial::{ASKS, FENCED, NODOS, Rig, now};
+use jaspershunt_stand_ins::partial::{FENCED_PREFIX, NODOS, QUERIED_PREFIX, Rig, now};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -79,7 +79,7 @@
         let lost = random.random_range(0..NODOS);
         let ask = |n: usize| {
             let (clients, kill) = (rig.clients.clone(), moments.len());
-            let class = if n.is_multiple_of(2) { ASKS } else { FENCED };
+            let class = if n.is_multiple_of(2) { QUERIED_PREFIX } else { FENCED_PREFIX };
             spawn_local(async move {
                 clients.send_until_answered(&format!("{class}{kill}-{n}"), lost, PATIENCE).await
             })
--- a/crates/lab/src/partial/mod.rs
+++ b/crates/lab/src/partial/mod.rs
@@ -91,7 +91,7 @@
         };
         statuses[place] += 1;
     }
-    let broken = rig.clients.broken().or(rig.editors.broken());
+    let broken = rig.clients.write_error().or(rig.editors.write_error());
     let (counts, goes_on, edits) = (torment.counts, ready && healed, rig.editors.tally());
     let came = Came { seed, counts, verdict, goes_on, untold, statuses, edits, table, broken };
     if !came.verdict.is_fine() || came.untold > 0 || !came.goes_on || came.table.is_err() {
--- a/crates/node/tests/common/moments.rs
+++ b/crates/node/tests/common/moments.rs
@@ -207,7 +207,7 @@
 /// Writes the first bytes of a request at one time and the rest at another, and reads until the connection ends.
 pub async fn in_parts(mut wire: Wire, request: Request, cut: usize, times: (Instant, Instant)) -> Sent {
     sleep_until(times.0).await;
-    let (keyed, request) = (request.key.is_some(), wire.bytes(&request));
+    let (keyed, request) = (request.key.is_some(), wire.encode(&request));
     let mut left = wire.write(&request.bytes[..cut]);
     sleep_until(times.1).await;
     let before = Instant::now();
--- a/crates/node/tests/narrow.rs
+++ b/crates/node/tests/narrow.rs
@@ -63,8 +63,8 @@
     };
     let senders = swept(wires, |n| (at - 30 * MS, last(n)));
     // In the very instant, nothing between the byte and the notice, on either side of it.
-    let (one, other) = (before.bytes(&read()), after.bytes(&read()));
-    let news_bytes = news.bytes(&read());
+    let (one, other) = (before.encode(&read()), after.encode(&read()));
+    let news_bytes = news.encode(&read());
     let cuts = [one.bytes.len() - 1, other.bytes.len() - 1, news_bytes.bytes.len() - 1];
     before.write(&one.bytes[..cuts[0]]);
     after.write(&other.bytes[..cuts[1]]);
@@ -267,12 +267,12 @@
 /// So many open at once, all the time. With `halves`, each write ends within a request, so that the connection is never at rest.
 async fn keeps_on(mut wire: Wire, depth: usize, halves: bool) -> Kept {
     let mut kept = Kept { uids: Vec::new(), answers: BTreeMap::new(), end: End::Closed };
-    let (mut answered, mut begun) = (0, wire.bytes(&read()));
+    let (mut answered, mut begun) = (0, wire.encode(&read()));
     let mut left = if halves { begun.bytes.len() / 2 } else { 0 };
     wire.write(&begun.bytes[..left]);
     loop {
         while kept.uids.len() - answered < depth {
-            let next = wire.bytes(&read());
+            let next = wire.encode(&read());
             let half = if halves { next.bytes.len() / 2 } else { 0 };
             let rest = begun.bytes.len() - left;
             let put = wire.write(&[&begun.bytes[left..], &next.bytes[..half]].concat());
--- a/crates/node/tests/torment.rs
+++ b/crates/node/tests/torment.rs
@@ -74,7 +74,7 @@
     let verdict = rig.verdict().unwrap();
     assert!(verdict.is_fine(), "{name}, seed {seed}: {} {}", verdict.describe_problems(), rig.fleet.logs());
     assert_eq!(untold, 0, "{name}, seed {seed}: {:#?} {}", rig.clients.tries(), rig.fleet.logs());
-    assert_eq!(rig.clients.broken(), None);
+    assert_eq!(rig.clients.write_error(), None);
     // Guards against a verdict on nothing: there is work in the histories of nodos too.
     let begun = verdict.history.records.iter().filter(|record| {
         matches!(record.op, jaspershunt_histories::format::Op::Begun { .. })
@@ -148,7 +148,7 @@
             // Guards against a table that nobody edited.
             let [in_force, _, _, unheard] = rig.editors.tally();
             assert!(in_force >= 10 && unheard == 0, "{name}: {:?} {}", rig.editors.tally(), rig.fleet.logs());
-            assert_eq!(rig.editors.broken(), None);
+            assert_eq!(rig.editors.write_error(), None);
             ends(&mut rig, &name, seed, load).await;
         }
     });
--- a/crates/stand-ins/src/fleet.rs
+++ b/crates/stand-ins/src/fleet.rs
@@ -200,8 +200,8 @@
 
     /// Returns a nodo's view of the fleet, or `None` if it does not answer.
     pub async fn show(&self, n: usize) -> Option<Value> {
-        let asked = self.incarnations[n].as_ref()?.call("FLEET SHOW");
-        let answer = timeout(ANSWER_TIMEOUT, asked).await.ok()?;
+        let answer = self.incarnations[n].as_ref()?.call("FLEET SHOW");
+        let answer = timeout(ANSWER_TIMEOUT, answer).await.ok()?;
         serde_json::from_str(answer.strip_suffix("\r\n.\r\n")?).ok()
     }
 
--- a/crates/stand-ins/src/partial/clients.rs
+++ b/crates/stand-ins/src/partial/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of a fleet under faults. Each sends one key after another, of either class, to one nodo after
 //! another, and records its requests and their answers.
 
-use super::{ASKS, FENCED, NODOS, now};
+use super::{FENCED_PREFIX, NODOS, QUERIED_PREFIX, now};
 use crate::balancer::{Answer, Balancer, Request};
 use crate::nodo::LatestInterpreter;
 use jaspershunt_histories::format::{Came, Op, Told, Value, WorkEnd, Writer};
@@ -43,7 +43,7 @@
     tries: Rc<RefCell<BTreeMap<String, Vec<Try>>>>,
     running: Rc<Cell<bool>>,
     /// First error in writing the history.
-    broken: Rc<RefCell<Option<String>>>,
+    write_error: Rc<RefCell<Option<String>>>,
 }
 
 impl Clients {
@@ -54,7 +54,7 @@
             balancers: Rc::default(),
             tries: Rc::default(),
             running: Rc::new(Cell::new(true)),
-            broken: Rc::default(),
+            write_error: Rc::default(),
         }
     }
 
@@ -69,8 +69,8 @@
     }
 
     /// Returns the first error in writing the history, if any.
-    pub fn broken(&self) -> Option<String> {
-        self.broken.borrow().clone()
+    pub fn write_error(&self) -> Option<String> {
+        self.write_error.borrow().clone()
     }
 
     /// Sends a key once to a nodo. The request is recorded before it is sent and the answer afterwards: a
@@ -84,7 +84,7 @@
         // The balancer reports answers to the interpreter; otherwise runs of ended requests could wait for a
         // call forever.
         let balancer = Balancer::new(*address, self.balancers.get(), interpreter.borrow().clone());
-        let class = if key.starts_with(ASKS) { "sign" } else { "note" };
+        let class = if key.starts_with(QUERIED_PREFIX) { "sign" } else { "note" };
         let request = Request { key: Some(key.to_string()), resent, ..Request::new(class, key.as_bytes()) };
         let answer = balancer.send(&request, TRY_TIMEOUT).await;
         let outcome = match answer.status {
@@ -94,7 +94,7 @@
         };
         let written = ticket.and_then(|ticket| self.writer.borrow_mut().end(ticket, now(), outcome));
         if let Err(e) = written {
-            self.broken.borrow_mut().get_or_insert(e.to_string());
+            self.write_error.borrow_mut().get_or_insert(e.to_string());
         }
         let record = Try { at, status: answer.status, body: answer.text() };
         self.tries.borrow_mut().entry(key.to_string()).or_default().push(record);
@@ -131,7 +131,7 @@
                     if !all.running.get() {
                         return;
                     }
-                    let class = if (n + client).is_multiple_of(2) { ASKS } else { FENCED };
+                    let class = if (n + client).is_multiple_of(2) { QUERIED_PREFIX } else { FENCED_PREFIX };
                     let first = random.random_range(0..NODOS);
                     all.send_until_answered(&format!("{class}{client}-{n}"), first, patience).await;
                     sleep(pause.mul_f64(random.random_range(0.5..1.5))).await;
--- a/crates/stand-ins/src/partial/editors.rs
+++ b/crates/stand-ins/src/partial/editors.rs
@@ -42,7 +42,7 @@
     /// Number of edits in force, in conflict at least once, ended otherwise, and without a known outcome in
     /// time.
     tally: Rc<Cell<[usize; 4]>>,
-    broken: Rc<RefCell<Option<String>>>,
+    write_error: Rc<RefCell<Option<String>>>,
     /// Last answers to edits whose outcome did not become known in time.
     unresolved: Rc<RefCell<Vec<String>>>,
 }
@@ -54,7 +54,7 @@
             writer: Rc::new(RefCell::new(writer)),
             running: Rc::new(Cell::new(true)),
             tally: Rc::default(),
-            broken: Rc::default(),
+            write_error: Rc::default(),
             unresolved: Rc::default(),
         }
     }
@@ -66,8 +66,8 @@
     }
 
     /// Returns the first error in writing the history, if any.
-    pub fn broken(&self) -> Option<String> {
-        self.broken.borrow().clone()
+    pub fn write_error(&self) -> Option<String> {
+        self.write_error.borrow().clone()
     }
 
     /// Stops submitting new edits.
@@ -84,14 +84,14 @@
     /// Calls a nodo; returns its answer, or `None` if it was incomplete.
     async fn call(&self, n: usize, line: &str) -> Option<Result<Value, String>> {
         let at = self.admins[n].get()?;
-        let asked = async {
+        let exchange = async {
             let mut stream = TcpStream::connect(at).await?;
             stream.write_all(format!("{line}\n").as_bytes()).await?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer).await?;
             Ok::<_, io::Error>(answer)
         };
-        let answer = timeout(ANSWER_TIMEOUT, asked).await.ok()?.ok()?;
+        let answer = timeout(ANSWER_TIMEOUT, exchange).await.ok()?.ok()?;
         match answer.strip_suffix("\r\n.\r\n") {
             Some(body) => serde_json::from_str(body).ok().map(Ok),
             None => answer.starts_with("-ERR").then_some(Err(answer)),
@@ -103,8 +103,8 @@
         self.call(n, &format!("ROUTES SAY {}\r\n{body}", body.len())).await
     }
 
-    fn written<T>(&self, done: Result<T, impl ToString>) -> Option<T> {
-        done.map_err(|e| self.broken.borrow_mut().get_or_insert(e.to_string()).clone()).ok()
+    fn record_error<T>(&self, done: Result<T, impl ToString>) -> Option<T> {
+        done.map_err(|e| self.write_error.borrow_mut().get_or_insert(e.to_string()).clone()).ok()
     }
 
     /// Submits an edit to one nodo after another until its outcome is known.
@@ -126,9 +126,9 @@
                 ("refused" | "withdrawn", _) => Came::Failed,
                 _ => Came::Unknown,
             };
-            if let Some(ticket) = self.written(ticket) {
+            if let Some(ticket) = self.record_error(ticket) {
                 let ended = self.writer.borrow_mut().end(ticket, now(), outcome);
-                self.written(ended);
+                self.record_error(ended);
             }
             match answer {
                 Some(Ok(answer)) if !["taken", "held", ""].contains(&state) => return Some(answer),
@@ -161,8 +161,8 @@
         json!({"id": {"team": team, "number": number}, "base": base, "reason": "for the torment", "changes": changes})
     }
 
-    /// Settles the conflicts of a team's edit in its own favor, and withdraws the edit if conflicts remain:
-    /// open edits would otherwise use up the limit on edits of one field.
+    /// Settles the conflicts of a team's edit in its own favor, then withdraws the edit in case it is
+    /// still open: open edits would otherwise use up the limit on edits of one field.
     async fn end_conflicts(&self, team: &str, number: u64, answer: &Value, at: usize, patience: Duration) {
         let edit = json!({"team": team, "number": number});
         for conflict in answer["conflicts"].as_array().into_iter().flatten() {
--- a/crates/stand-ins/src/partial/mod.rs
+++ b/crates/stand-ins/src/partial/mod.rs
@@ -38,9 +38,9 @@
 /// Interval between checks for faults to remove.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Prefix of keys of the class whose resource is queried for the outcome.
-pub const ASKS: &str = "a-";
+pub const QUERIED_PREFIX: &str = "a-";
 /// Prefix of keys of the class whose resource fences tokens and answers repeats.
-pub const FENCED: &str = "f-";
+pub const FENCED_PREFIX: &str = "f-";
 /// The key window exceeds the duration of any run, so that a repeat never counts as new work.
 const CLASSES: &str = concat!(
     r#"{"name":"sign","worth":3,"targetS":8,"deadlineS":10,"semantics":"guarded","windowS":150},"#,
@@ -162,7 +162,7 @@
         (ttl, lasts): (Duration, Duration),
     ) -> io::Result<Rig> {
         let resource = Resource::start(true, lasts).await;
-        resource.answers_repeats_of(FENCED);
+        resource.answers_repeats_of(FENCED_PREFIX);
         let mut fleet = Fleet::new(program, name, (NODOS, VOTERS), ttl, &[]).await?;
         let histories = fleet.nodos[0].folder.join("histories");
         std::fs::create_dir_all(&histories)?;
--- a/crates/stand-ins/src/resource.rs
+++ b/crates/stand-ins/src/resource.rs
@@ -19,16 +19,16 @@
 use tokio::time::{Instant, sleep};
 
 /// Header with the token of the lease under which an act is performed.
-pub const TOKEN: &str = "x-fleet-token";
+pub const TOKEN_HEADER: &str = "x-fleet-token";
 /// Header with the number of the operation, the same across retries and holders.
-pub const KEY: &str = "x-fleet-key";
+pub const KEY_HEADER: &str = "x-fleet-key";
 /// Header with the name of the holder.
-pub const HOLDER: &str = "x-fleet-holder";
+pub const HOLDER_HEADER: &str = "x-fleet-holder";
 
 /// Header with the operation key of a request.
-pub const OPERATION: &str = "x-operation-key";
+pub const OPERATION_KEY_HEADER: &str = "x-operation-key";
 /// Header of a query, which has no effect and returns the recorded one.
-pub const ASK: &str = "x-ask";
+pub const QUERY_HEADER: &str = "x-ask";
 
 /// One effect of an operation key.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -83,8 +83,8 @@
 }
 
 struct State {
-    checks: bool,
-    length: Cell<Duration>,
+    checks_tokens: bool,
+    duration: Cell<Duration>,
     reply: RefCell<Reply>,
     started: Instant,
     acts: RefCell<Vec<Act>>,
@@ -106,17 +106,17 @@
 }
 
 impl Resource {
-    /// Starts a resource on a port chosen by the system, with acts of this duration. With `checks`, acts
+    /// Starts a resource on a port chosen by the system, with acts of this duration. With `checks_tokens`, acts
     /// under an outdated token are rejected.
     ///
     /// # Panics
     /// Panics if loopback has no free port.
-    pub async fn start(checks: bool, length: Duration) -> Resource {
+    pub async fn start(checks_tokens: bool, duration: Duration) -> Resource {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("an address");
         let state = Rc::new(State {
-            checks,
-            length: Cell::new(length),
+            checks_tokens,
+            duration: Cell::new(duration),
             reply: RefCell::new(Reply::Done),
             started: Instant::now(),
             acts: RefCell::default(),
@@ -141,8 +141,8 @@
     }
 
     /// Sets the duration of later acts.
-    pub fn set_duration(&self, length: Duration) {
-        self.state.length.set(length);
+    pub fn set_duration(&self, duration: Duration) {
+        self.state.duration.set(duration);
     }
 
     /// Sets how later acts are answered.
@@ -232,19 +232,19 @@
     let mut input = Vec::new();
     while let Ok(Some(request)) = http::read(&mut stream, &mut input).await {
         let number = |name| request.header(name).parse().unwrap_or(0);
-        if !request.header(OPERATION).is_empty() {
-            let reply_bytes = operation(&state, &request, number(TOKEN)).await;
+        if !request.header(OPERATION_KEY_HEADER).is_empty() {
+            let reply_bytes = operation(&state, &request, number(TOKEN_HEADER)).await;
             if stream.write_all(&reply_bytes).await.is_err() {
                 return;
             }
             continue;
         }
-        let (token, key) = (number(TOKEN), number(KEY));
+        let (token, key) = (number(TOKEN_HEADER), number(KEY_HEADER));
         let seen = state.acts.borrow().iter().filter(|act| !act.turned_away).map(|act| act.token).max();
-        let turned_away = state.checks && seen.is_some_and(|seen| token < seen);
+        let turned_away = state.checks_tokens && seen.is_some_and(|seen| token < seen);
         let begin = state.started.elapsed();
         let index = state.acts.borrow().len();
-        let holder = request.header(HOLDER).to_string();
+        let holder = request.header(HOLDER_HEADER).to_string();
         let (end, body) = (turned_away.then_some(begin), request.body.clone());
         state.acts.borrow_mut().push(Act { holder, token, key, begin, end, turned_away, body });
         if turned_away {
@@ -254,7 +254,7 @@
             }
             continue;
         }
-        sleep(state.length.get()).await;
+        sleep(state.duration.get()).await;
         let reply = state.reply.borrow().clone();
         if reply == Reply::Hangs {
             // Until the caller disconnects.
@@ -276,31 +276,31 @@
 
 /// Returns the answer to a call or query with an operation key.
 async fn operation(state: &State, request: &http::Request, token: u64) -> Vec<u8> {
-    let key = request.header(OPERATION).to_string();
-    let asks = request.header(ASK) == "1";
-    state.asked.set(state.asked.get() + usize::from(asks));
+    let key = request.header(OPERATION_KEY_HEADER).to_string();
+    let is_query = request.header(QUERY_HEADER) == "1";
+    state.asked.set(state.asked.get() + usize::from(is_query));
     let fence = state.fences.borrow().get(&key).copied().unwrap_or(0);
     if token < fence {
         state.turned_away.set(state.turned_away.get() + 1);
         return http::reply("412 Precondition Failed", "", b"a higher token was seen");
     }
     state.fences.borrow_mut().insert(key.clone(), token);
-    let answers = state.answers_repeats.borrow().as_ref().is_some_and(|keys| key.starts_with(keys));
+    let is_deduplicated = state.answers_repeats.borrow().as_ref().is_some_and(|keys| key.starts_with(keys));
     let known = state.effects.borrow().iter().position(|effect| effect.key == key);
     let index = match known {
-        Some(index) if asks => index,
-        Some(index) if answers => {
+        Some(index) if is_query => index,
+        Some(index) if is_deduplicated => {
             // A repeat takes as long as an act: otherwise callers would learn from fast repeats to use short
             // timeouts and would abandon the next act midway.
-            sleep(state.length.get()).await;
+            sleep(state.duration.get()).await;
             index
         }
-        None if asks => return http::reply("404 Not Found", "", b""),
+        None if is_query => return http::reply("404 Not Found", "", b""),
         _ => {
             let effect = Effect { key, token, begin: state.started.elapsed(), end: None };
             state.effects.borrow_mut().push(effect);
             let index = state.effects.borrow().len() - 1;
-            sleep(state.length.get()).await;
+            sleep(state.duration.get()).await;
             state.effects.borrow_mut()[index].end = Some(state.started.elapsed());
             index
         }
--- a/crates/stand-ins/src/resource/tests.rs
+++ b/crates/stand-ins/src/resource/tests.rs
@@ -11,7 +11,7 @@
 async fn act(to: SocketAddr, token: u64, key: u64) -> String {
     let mut stream = TcpStream::connect(to).await.unwrap();
     let text = format!(
-        "POST /act HTTP/1.1\r\n{HOLDER}: n{token}\r\n{TOKEN}: {token}\r\n{KEY}: {key}\r\nContent-Length: 0\r\n\r\n"
+        "POST /act HTTP/1.1\r\n{HOLDER_HEADER}: n{token}\r\n{TOKEN_HEADER}: {token}\r\n{KEY_HEADER}: {key}\r\nContent-Length: 0\r\n\r\n"
     );
     stream.write_all(text.as_bytes()).await.unwrap();
     let mut answer = vec![0; 256];
@@ -60,11 +60,11 @@
 }
 
 /// Sends a call or query with an operation key; returns the status and the body.
-async fn operate(to: SocketAddr, token: u64, key: &str, asks: bool) -> (String, String) {
+async fn operate(to: SocketAddr, token: u64, key: &str, is_query: bool) -> (String, String) {
     let mut stream = TcpStream::connect(to).await.unwrap();
-    let ask = if asks { "x-ask: 1\r\n" } else { "" };
+    let ask = if is_query { "x-ask: 1\r\n" } else { "" };
     let head = format!(
-        "POST / HTTP/1.1\r\n{OPERATION}: {key}\r\n{TOKEN}: {token}\r\n{ask}Content-Length: 0\r\n\r\n"
+        "POST / HTTP/1.1\r\n{OPERATION_KEY_HEADER}: {key}\r\n{TOKEN_HEADER}: {token}\r\n{ask}Content-Length: 0\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await.unwrap();
     let mut answer = vec![0; 256];
--- a/crates/stand-ins/src/wire.rs
+++ b/crates/stand-ins/src/wire.rs
@@ -29,7 +29,7 @@
 
 /// An encoded request.
 #[derive(Clone, Debug)]
-pub struct Bytes {
+pub struct EncodedRequest {
     /// Request id on the connection.
     pub id: u16,
     /// Correlation id.
@@ -51,10 +51,14 @@
     ///
     /// # Errors
     /// Fails if the connection is not accepted.
-    pub async fn with_receive_buffer(to: SocketAddr, number: u64, room: Option<u32>) -> io::Result<Wire> {
+    pub async fn with_receive_buffer(
+        to: SocketAddr,
+        number: u64,
+        buffer_bytes: Option<u32>,
+    ) -> io::Result<Wire> {
         let socket = TcpSocket::new_v4()?;
-        if let Some(room) = room {
-            socket.set_recv_buffer_size(room)?;
+        if let Some(buffer_bytes) = buffer_bytes {
+            socket.set_recv_buffer_size(buffer_bytes)?;
         }
         let stream = socket.connect(to).await?;
         stream.set_nodelay(true)?;
@@ -62,30 +66,30 @@
     }
 
     /// Encodes a request with the present time as its arrival.
-    pub fn bytes(&mut self, request: &Request) -> Bytes {
+    pub fn encode(&mut self, request: &Request) -> EncodedRequest {
         self.next = self.next.wrapping_add(1).max(1);
         let uid = format!("{:08x}{:08x}", self.number, self.next);
         let now = UNIX_EPOCH.elapsed().unwrap_or_default().as_millis();
         let bytes = encode_request(self.next, self.number, &uid, now, request);
-        Bytes { id: self.next, uid, bytes }
+        EncodedRequest { id: self.next, uid, bytes }
     }
 
     /// Writes bytes; returns how many were written, which is fewer than all if the buffers are full or the
     /// connection ended.
     pub fn write(&mut self, bytes: &[u8]) -> usize {
-        let mut left = 0;
-        while left < bytes.len() {
-            match self.stream.try_write(&bytes[left..]) {
-                Ok(n) => left += n,
+        let mut written = 0;
+        while written < bytes.len() {
+            match self.stream.try_write(&bytes[written..]) {
+                Ok(n) => written += n,
                 Err(_) => break,
             }
         }
-        left
+        written
     }
 
     /// Writes a whole request; returns it if all of it was written.
-    pub fn send(&mut self, request: &Request) -> Option<Bytes> {
-        let request = self.bytes(request);
+    pub fn send(&mut self, request: &Request) -> Option<EncodedRequest> {
+        let request = self.encode(request);
         (self.write(&request.bytes) == request.bytes.len()).then_some(request)
     }
 
