--- a/crates/stand-ins/src/partial/clients.rs
+++ b/crates/stand-ins/src/partial/clients.rs
@@ -102,7 +102,7 @@
     }
 
     /// Tries one nodo after another, beginning with `first`, until the key is served or has failed
-    /// [`MAX_FAILURES`] times.
+    /// `MAX_FAILURES` times.
     pub async fn send_until_answered(&self, key: &str, first: usize, patience: Duration) -> bool {
         let (started, mut failed) = (Instant::now(), 0);
         for n in 0.. {
