--- a/crates/lab/src/partial/killed.rs
+++ b/crates/lab/src/partial/killed.rs
@@ -3,7 +3,7 @@
 
 use jaspershunt_histories::format::{Op, Record, Told};
 use jaspershunt_stand_ins::partial::faults::Fault;
-use jaspershunt_stand_ins::partial::{ASKS, FENCED, NODOS, Rig, now};
+use jaspershunt_stand_ins::partial::{FENCED_PREFIX, NODOS, QUERIED_PREFIX, Rig, now};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,7 +71,7 @@
     let mut killed = Killed::default();
     let mut random = StdRng::seed_from_u64(seed);
     let (mut moments, began) = (Vec::new(), Instant::now());
-    if !rig.has_its_votes().await {
+    if !rig.wait_for_votes().await {
         killed.untold += 1;
         return Ok(killed);
     }
@@ -79,10 +79,10 @@
         let lost = random.random_range(0..NODOS);
         let ask = |n: usize| {
             let (clients, kill) = (rig.clients.clone(), moments.len());
-            let class = if n.is_multiple_of(2) { ASKS } else { FENCED };
-            spawn_local(
-                async move { clients.until_told(&format!("{class}{kill}-{n}"), lost, PATIENCE).await },
-            )
+            let class = if n.is_multiple_of(2) { QUERIED_PREFIX } else { FENCED_PREFIX };
+            spawn_local(async move {
+                clients.send_until_answered(&format!("{class}{kill}-{n}"), lost, PATIENCE).await
+            })
         };
         let asked: Vec<_> = (0..AT_ONCE).map(ask).collect();
         let under_way = async {
@@ -96,8 +96,8 @@
         let _ = timeout(WITHIN, under_way).await;
         sleep(Duration::from_millis(random.random_range(AFTER.0..AFTER.1))).await;
         moments.push((now(), lost));
-        rig.hurt(&Fault::Kill { who: vec![lost], empty: false, back: LEASE * 2 }).await?;
-        rig.go_on(LEASE * 2).await?;
+        rig.inject(&Fault::Kill { who: vec![lost], empty: false, back: LEASE * 2 }).await?;
+        rig.run_for(LEASE * 2).await?;
         for client in asked {
             killed.untold += usize::from(!client.await.unwrap_or(false));
         }
@@ -106,7 +106,7 @@
         }
     }
     killed.kills = moments.len();
-    killed.untold += rig.clients.ask_for_all(seed, AT_ONCE, PATIENCE).await;
+    killed.untold += rig.clients.query_all(seed, AT_ONCE, PATIENCE).await;
     let verdict = rig.verdict()?;
     killed.keys = verdict.keys;
     killed.doubled = verdict.doubled.iter().collect::<BTreeSet<_>>().len() + acts_doubled(&rig);
@@ -115,11 +115,11 @@
     };
     killed.unserved = rig.clients.tries().values().filter(|tries| !served(tries)).count();
     if handover {
-        killed.without = verdict.without.len();
-        killed.refused = verdict.refused();
+        killed.without = verdict.without_outcome.len();
+        killed.refused = verdict.unconfirmed();
         killed.times = times(&verdict.history.records, &moments);
         if !verdict.is_fine() || killed.times.iter().any(|time| *time > SLOW) {
-            eprintln!("{name}: histories and logs are kept in {}", rig.keep(&name)?.display());
+            eprintln!("{name}: histories and logs are kept in {}", rig.save_artifacts(&name)?.display());
         }
     }
     Ok(killed)
--- a/crates/lab/src/partial/mod.rs
+++ b/crates/lab/src/partial/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::report::{Figure, table, verdict};
 use crate::site::on_one_thread;
-use jaspershunt_stand_ins::partial::faults::{KINDS, Torment};
+use jaspershunt_stand_ins::partial::faults::{FaultInjector, KINDS};
 use jaspershunt_stand_ins::partial::{NODOS, Rig, TTL, Verdict};
 use killed::Killed;
 use rand::SeedableRng;
@@ -61,10 +61,10 @@
 async fn torment(nodo: &Path, seed: u64, length: Duration) -> io::Result<Came> {
     let mut rig =
         Rig::start(nodo, &format!("partial-{seed}"), true, (TTL, Duration::from_millis(100))).await?;
-    let ready = rig.has_its_votes().await;
+    let ready = rig.wait_for_votes().await;
     let load = rig.clients.load(seed, CLIENTS, PAUSE, TOLD_WITHIN);
     let teams = rig.editors.load(seed, PAUSE, TOLD_WITHIN);
-    let mut torment = Torment::new(StdRng::seed_from_u64(seed));
+    let mut torment = FaultInjector::new(StdRng::seed_from_u64(seed));
     torment.play(&mut rig, length).await?;
     rig.editors.stop();
     let healed = rig.heal_all().await?;
@@ -72,14 +72,14 @@
         let _ = timeout(TOLD_WITHIN, team).await;
     }
     let ended = Instant::now();
-    let table = rig.one_table().await.map(|revision| (revision, ended.elapsed()));
+    let table = rig.wait_for_one_table().await.map(|revision| (revision, ended.elapsed()));
     rig.clients.stop();
-    rig.resource.lasts(Duration::from_millis(20));
+    rig.resource.set_duration(Duration::from_millis(20));
     for client in load {
         // An error means that it panicked, which says so itself.
         let _ = timeout(TOLD_WITHIN, client).await;
     }
-    let untold = rig.clients.ask_for_all(seed, AT_ONCE, TOLD_WITHIN).await;
+    let untold = rig.clients.query_all(seed, AT_ONCE, TOLD_WITHIN).await;
     let verdict = rig.verdict()?;
     let mut statuses = [0; 4];
     for one in rig.clients.tries().values().flatten() {
@@ -91,13 +91,16 @@
         };
         statuses[place] += 1;
     }
-    let broken = rig.clients.broken().or(rig.editors.broken());
+    let broken = rig.clients.write_error().or(rig.editors.write_error());
     let (counts, goes_on, edits) = (torment.counts, ready && healed, rig.editors.tally());
     let came = Came { seed, counts, verdict, goes_on, untold, statuses, edits, table, broken };
     if !came.verdict.is_fine() || came.untold > 0 || !came.goes_on || came.table.is_err() {
-        let kept = rig.keep(&seed.to_string())?;
-        let story: String =
-            torment.story.iter().map(|(at, fault)| format!("{:7.3} {fault}\n", at.as_secs_f64())).collect();
+        let kept = rig.save_artifacts(&seed.to_string())?;
+        let story: String = torment
+            .timeline
+            .iter()
+            .map(|(at, fault)| format!("{:7.3} {fault}\n", at.as_secs_f64()))
+            .collect();
         std::fs::write(kept.join("faults"), story)?;
         eprintln!("seed {seed}: histories, logs and faults are kept in {}", kept.display());
     }
@@ -157,8 +160,8 @@
     let faults = add(|came| came.counts.iter().sum()) + killed.kills;
     let least = FAULTS * play.rounds as usize;
     let doubled = add(|came| came.verdict.doubled.len()) + killed.doubled;
-    let without = add(|came| came.verdict.without.len()) + killed.without;
-    let refused = add(|came| usize::from(!came.verdict.refused().is_empty())) + killed.refused.len();
+    let without = add(|came| came.verdict.without_outcome.len()) + killed.without;
+    let refused = add(|came| usize::from(!came.verdict.unconfirmed().is_empty())) + killed.refused.len();
     let (p50, p99) = (percentile(&killed.times, 0.5), percentile(&killed.times, 0.99));
     let figures = [
         Figure::new("faults injected", faults, format!("≥ {least}"), faults >= least),
@@ -201,7 +204,7 @@
     let kinds = table(&["fault", "so many"], &kinds.collect::<Vec<_>>());
     let each = fleets.iter().map(|came| {
         let [served, failed, refused, nothing] = came.statuses;
-        let Verdict { files, keys, effects, doubled, without, .. } = &came.verdict;
+        let Verdict { files, keys, effects, doubled, without_outcome: without, .. } = &came.verdict;
         vec![
             came.seed.to_string(),
             came.counts.iter().sum::<usize>().to_string(),
@@ -215,7 +218,7 @@
             came.table.as_ref().map_or("none".to_string(), |(revision, took)| {
                 format!("{revision}, {:.2} s", took.as_secs_f64())
             }),
-            if came.verdict.refused().is_empty() { "fine" } else { "refused" }.to_string(),
+            if came.verdict.unconfirmed().is_empty() { "fine" } else { "refused" }.to_string(),
         ]
     });
     let each = table(
@@ -251,12 +254,12 @@
         alone.unserved,
     );
     for came in fleets {
-        for what in came.verdict.refused().iter().chain(&came.broken).chain(came.table.as_ref().err()) {
+        for what in came.verdict.unconfirmed().iter().chain(&came.broken).chain(came.table.as_ref().err()) {
             let _ = writeln!(text, "\nseed {}: {what}", came.seed);
         }
-        if came.verdict.doubled.len() + came.verdict.without.len() > 0 {
+        if came.verdict.doubled.len() + came.verdict.without_outcome.len() > 0 {
             let few = |keys: &[String]| keys.iter().take(5).cloned().collect::<Vec<_>>().join(", ");
-            let (twice, none) = (few(&came.verdict.doubled), few(&came.verdict.without));
+            let (twice, none) = (few(&came.verdict.doubled), few(&came.verdict.without_outcome));
             let _ = writeln!(text, "\nseed {}: twice {twice}; no outcome {none}", came.seed);
         }
     }
--- a/crates/stand-ins/src/dependency.rs
+++ b/crates/stand-ins/src/dependency.rs
@@ -1,5 +1,5 @@
-//! A dependency with a fixed number of slots. A call waits for a slot and holds it for the time of the service, which
-//! grows when more calls are in hand than there are slots.
+//! A fake dependency with a fixed number of slots. A call waits for a slot and occupies it for the service
+//! time, which grows when more calls are in flight than there are slots.
 
 use crate::http::{self, Request};
 use rand::rngs::StdRng;
@@ -14,140 +14,148 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// So long after a connection was accepted those are counted that are open.
-const CROSSING: Duration = Duration::from_millis(2);
+/// Delay between accepting a connection and sampling the number of open ones.
+const CONNECTION_COUNT_DELAY: Duration = Duration::from_millis(2);
 
-/// Connections that wait to be accepted.
+/// Length of the accept queue.
 const BACKLOG: u32 = 1024;
 
-/// How a dependency is made.
+/// Configuration of a fake dependency.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// Its name, which stands in its replies.
+pub struct DependencyConfig {
+    /// Name, which prefixes its replies.
     pub name: String,
-    /// Calls that it works on at once.
+    /// Calls served concurrently.
     pub slots: usize,
-    /// How long one takes.
-    pub service: Duration,
-    /// That time varies by this share each way.
+    /// Service time of a call.
+    pub service_time: Duration,
+    /// Random variation of the service time, as a share of it in each direction.
     pub spread: f64,
-    /// For each call beyond the slots, as a multiple of them, a call takes this share longer.
-    pub thrash: f64,
-    /// A call that was given up goes on for so long at most.
-    pub linger: Duration,
-    /// What all that is random is made from.
+    /// Relative increase of the service time per call in flight beyond the slots, in multiples of the slots.
+    pub overload_slowdown: f64,
+    /// How long an abandoned call stays in flight.
+    pub abandoned_call_time: Duration,
+    /// Seed of the random variation.
     pub seed: u64,
 }
 
-impl Plan {
-    /// A dependency of so many slots and this time for a call, otherwise ordinary.
-    pub fn new(name: &str, slots: usize, service: Duration) -> Plan {
-        let linger = Duration::from_millis(100);
-        Plan { name: name.to_string(), slots, service, spread: 0.2, thrash: 0.3, linger, seed: 1 }
+impl DependencyConfig {
+    /// Creates a configuration with default variation and overload behavior.
+    pub fn new(name: &str, slots: usize, service_time: Duration) -> DependencyConfig {
+        let abandoned_call_time = Duration::from_millis(100);
+        DependencyConfig {
+            name: name.to_string(),
+            slots,
+            service_time,
+            spread: 0.2,
+            overload_slowdown: 0.3,
+            abandoned_call_time,
+            seed: 1,
+        }
     }
 }
 
-/// What a dependency does at present.
+/// Behavior of a dependency.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// What it should.
+    /// Serves calls normally.
     Good,
-    /// Each call takes so many times as long.
+    /// Multiplies the service time by this factor.
     Slow(f64),
-    /// Each call fails at once, and may have had its effect.
+    /// Answers each call at once with an error; the call may have had its effect.
     Failing,
-    /// Each call is turned away.
+    /// Rejects each call before it starts.
     Refusing,
-    /// Calls are taken and never answered.
+    /// Accepts calls and never answers them.
     Hanging,
-    /// Each call is answered after exactly this time.
+    /// Answers each call after exactly this time.
     After(Duration),
-    /// Connections are reset once a call was read.
+    /// Resets the connection once a call has been read.
     Resetting,
-    /// Replies are noise.
+    /// Replies with bytes that are not HTTP.
     Noisy,
-    /// Replies announce 3 GB and begin to come.
+    /// Announces a reply of 3 GB and sends the beginning of it.
     Endless,
-    /// Nothing listens.
+    /// Does not listen.
     Down,
 }
 
-/// How a call ended, as the dependency saw it.
+/// How a call ended, from the dependency's side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// It has not.
+    /// Not ended yet.
     Open,
-    /// It went well and was answered.
-    Well,
-    /// It failed and was answered so.
+    /// Answered with success.
+    Succeeded,
+    /// Answered with an error.
     Failed,
-    /// It was turned away.
-    TurnedAway,
-    /// The nodo gave it up.
-    GivenUp,
-    /// It was answered with something that is no reply, or with a reset.
-    Spoilt,
+    /// Rejected before it started.
+    Rejected,
+    /// Abandoned by the nodo.
+    Abandoned,
+    /// Answered with an invalid reply or a reset.
+    Malformed,
 }
 
-/// A call, as the dependency saw it.
+/// The record of a call.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// The request that it was made for.
+pub struct CallRecord {
+    /// Correlation id of the request that the call was made for.
     pub uid: String,
-    /// Its body.
+    /// Call body.
     pub body: Vec<u8>,
-    /// The time the nodo said it would wait.
+    /// Timeout announced by the nodo.
     pub timeout: Duration,
-    /// When it came, from the beginning.
-    pub came: Duration,
-    /// How it ended.
+    /// Time of arrival since the dependency's start.
+    pub arrived: Duration,
+    /// How the call ended.
     pub ended: Ended,
-    /// Calls in hand when it came, itself and those given up included.
-    pub in_hand: usize,
+    /// Calls in flight at its arrival, including itself and abandoned ones.
+    pub in_flight: usize,
 }
 
-/// What crossed a dependency.
+/// What a dependency recorded.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// All calls, in the order in which they came.
-    pub calls: Vec<Seen>,
-    /// The most that were in hand at any moment, those given up included that went on.
-    pub most_in_hand: usize,
-    /// The most connections at any moment.
-    pub most_connections: usize,
+    /// All calls, in order of arrival.
+    pub calls: Vec<CallRecord>,
+    /// Maximum number of calls in flight, including abandoned ones.
+    pub max_in_flight: usize,
+    /// Maximum number of open connections.
+    pub max_connections: usize,
 }
 
 struct State {
-    plan: Plan,
+    config: DependencyConfig,
     address: SocketAddr,
-    began: Instant,
+    started: Instant,
     mode: Cell<Mode>,
     changed: Notify,
     slots: Semaphore,
-    in_hand: Cell<usize>,
+    in_flight: Cell<usize>,
     connections: Cell<usize>,
     random: RefCell<StdRng>,
     record: RefCell<Record>,
-    levels: RefCell<Vec<(Instant, usize)>>,
+    in_flight_history: RefCell<Vec<(Instant, usize)>>,
 }
 
 impl State {
-    fn note_level(&self) {
-        self.levels.borrow_mut().push((Instant::now(), self.in_hand.get()));
+    fn record_in_flight(&self) {
+        self.in_flight_history.borrow_mut().push((Instant::now(), self.in_flight.get()));
     }
 }
 
-/// A dependency that listens.
+/// A listening fake dependency.
 #[derive(Clone)]
 pub struct Dependency(Rc<State>);
 
-/// Counts a call as in hand until it is dropped.
-struct InHand(Rc<State>);
+/// Counts a call as in flight until dropped.
+struct InFlight(Rc<State>);
 
-impl Drop for InHand {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.in_hand.set(self.0.in_hand.get() - 1);
-        self.0.note_level();
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
+        self.0.record_in_flight();
     }
 }
 
@@ -160,79 +168,79 @@
 }
 
 impl Dependency {
-    /// Starts one on a port of the system's choice.
+    /// Starts a dependency on a port chosen by the system.
     ///
     /// # Panics
-    /// Where loopback has no port left.
-    pub async fn start(plan: Plan) -> Dependency {
+    /// Panics if loopback has no free port.
+    pub async fn start(config: DependencyConfig) -> Dependency {
         let holder = socket_at(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port on loopback");
         let address = holder.local_addr().expect("an address");
         let state = Rc::new(State {
             address,
-            began: Instant::now(),
+            started: Instant::now(),
             mode: Cell::new(Mode::Good),
             changed: Notify::new(),
-            slots: Semaphore::new(plan.slots),
-            in_hand: Cell::new(0),
+            slots: Semaphore::new(config.slots),
+            in_flight: Cell::new(0),
             connections: Cell::new(0),
-            random: RefCell::new(StdRng::seed_from_u64(plan.seed)),
+            random: RefCell::new(StdRng::seed_from_u64(config.seed)),
             record: RefCell::default(),
-            levels: RefCell::default(),
-            plan,
+            in_flight_history: RefCell::default(),
+            config,
         });
         let listener = socket_at(address).and_then(|socket| socket.listen(BACKLOG)).expect("a listener");
         spawn_local(listen(state.clone(), listener, holder));
         Dependency(state)
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.0.address
     }
 
-    /// Its name.
+    /// Returns the configured name.
     pub fn name(&self) -> &str {
-        &self.0.plan.name
+        &self.0.config.name
     }
 
-    /// What it does from now on. Calls that hang are answered once it does something else.
+    /// Sets the behavior of calls that arrive from now on. A change does not answer calls that already hang.
     pub fn set(&self, mode: Mode) {
         self.0.mode.set(mode);
         self.0.changed.notify_waiters();
     }
 
-    /// What it does.
+    /// Returns the current behavior.
     pub fn mode(&self) -> Mode {
         self.0.mode.get()
     }
 
-    /// What crossed it so far.
+    /// Returns what was recorded so far.
     pub fn record(&self) -> std::cell::Ref<'_, Record> {
         self.0.record.borrow()
     }
 
-    /// The time since its beginning, from which the times of its record count.
+    /// Returns the time since the start, the base of the recorded times.
     pub fn age(&self) -> Duration {
-        self.0.began.elapsed()
+        self.0.started.elapsed()
     }
 
-    /// Calls in hand, those given up included that go on.
-    pub fn in_hand(&self) -> usize {
-        self.0.in_hand.get()
+    /// Returns the number of calls in flight, including abandoned ones.
+    pub fn in_flight(&self) -> usize {
+        self.0.in_flight.get()
     }
 
-    /// Calls in hand, those given up included that go on, from each moment on at which that changed.
-    pub fn levels(&self) -> Vec<(Instant, usize)> {
-        self.0.levels.borrow().clone()
+    /// Returns each change of the number of calls in flight, including abandoned ones, with its time.
+    pub fn in_flight_history(&self) -> Vec<(Instant, usize)> {
+        self.0.in_flight_history.borrow().clone()
     }
 
-    /// Connections open.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.0.connections.get()
     }
 }
 
-/// A socket that is bound and does not listen; several can be bound to one address.
+/// Creates a socket that is bound but does not listen; several can be bound to one address.
 fn socket_at(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseport(true)?;
@@ -240,13 +248,13 @@
     Ok(socket)
 }
 
-/// The holder keeps the port while nothing listens: given back, it could be taken by another test, and calls that should
-/// find nobody would find a stranger.
+/// Accepts connections, and keeps the port bound through `_holder` while nothing listens: another test could
+/// otherwise take the port and receive the calls.
 async fn listen(state: Rc<State>, listener: TcpListener, _holder: TcpSocket) {
     let mut listener = Some(listener);
     loop {
         if state.mode.get() == Mode::Down {
-            // Without a listener the system itself refuses connections.
+            // Without a listener the operating system refuses connections.
             listener = None;
             state.changed.notified().await;
             continue;
@@ -262,17 +270,17 @@
             accepted = listening.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
                 state.connections.set(state.connections.get() + 1);
-                let later = state.clone();
+                let recorder = state.clone();
                 spawn_local(async move {
-                    // A close and an open that cross are seen in either order.
-                    sleep(CROSSING).await;
-                    let mut record = later.record.borrow_mut();
-                    record.most_connections = record.most_connections.max(later.connections.get());
+                    // An overlapping close and open can be observed in either order.
+                    sleep(CONNECTION_COUNT_DELAY).await;
+                    let mut record = recorder.record.borrow_mut();
+                    record.max_connections = record.max_connections.max(recorder.connections.get());
                 });
                 let connected = Connected(state.clone());
                 spawn_local(async move {
-                    let mine = connected.0.clone();
-                    let _ = serve(&move |_| Some(mine.clone()), stream).await;
+                    let state = connected.0.clone();
+                    let _ = serve(&move |_| Some(state.clone()), stream).await;
                     drop(connected);
                 });
             }
@@ -281,87 +289,90 @@
     }
 }
 
-/// One address in front of several dependencies, as where a nodo knows only one: each call goes to the first whose word
-/// its body begins with.
+/// One address in front of several dependencies, for nodos that know only one. Each call goes to the first
+/// dependency whose prefix its body starts with.
 pub struct Gateway {
     address: SocketAddr,
 }
 
 impl Gateway {
-    /// Starts one on a port of the system's choice.
+    /// Starts a gateway on a port chosen by the system.
     ///
     /// # Panics
-    /// Where loopback has no port left.
-    pub async fn start(ways: &[(&str, &Dependency)]) -> Gateway {
+    /// Panics if loopback has no free port.
+    pub async fn start(routes: &[(&str, &Dependency)]) -> Gateway {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("an address");
-        let ways: Vec<(String, Rc<State>)> =
-            ways.iter().map(|(word, dependency)| (word.to_string(), dependency.0.clone())).collect();
-        let ways = Rc::new(ways);
+        let routes: Vec<(String, Rc<State>)> =
+            routes.iter().map(|(prefix, dependency)| (prefix.to_string(), dependency.0.clone())).collect();
+        let routes = Rc::new(routes);
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let ways = ways.clone();
+                let routes = routes.clone();
                 spawn_local(async move {
-                    let pick = move |request: &Request| {
-                        let way = ways.iter().find(|(word, _)| request.body.starts_with(word.as_bytes()));
-                        way.map(|(_, state)| state.clone())
+                    let select = move |request: &Request| {
+                        let route =
+                            routes.iter().find(|(prefix, _)| request.body.starts_with(prefix.as_bytes()));
+                        route.map(|(_, state)| state.clone())
                     };
-                    let _ = serve(&pick, stream).await;
+                    let _ = serve(&select, stream).await;
                 });
             }
         });
         Gateway { address }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Serves a connection; each call by the dependency that is picked for it.
-async fn serve(pick: &dyn Fn(&Request) -> Option<Rc<State>>, mut stream: TcpStream) -> std::io::Result<()> {
+/// Serves a connection, each call by the dependency selected for it.
+async fn serve(select: &dyn Fn(&Request) -> Option<Rc<State>>, mut stream: TcpStream) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
     let mut input = Vec::new();
     while let Some(request) = http::read(&mut stream, &mut input).await? {
-        let Some(state) = &pick(&request) else { return Ok(()) };
+        let Some(state) = &select(&request) else { return Ok(()) };
         if state.mode.get() == Mode::Down {
             return reset(stream);
         }
-        let (place, held) = note(state, &request);
+        let (index, guard) = record_call(state, &request);
         let mut byte = [0];
-        // Nothing may come on a connection whose call is not answered: what comes is its end.
+        // The client must send nothing while a call is unanswered, so any read event means that it has
+        // closed.
         let end = tokio::select! {
-            end = work(state) => Some(end),
+            end = serve_call(state) => Some(end),
             _ = stream.read(&mut byte) => None,
         };
         let Some(end) = end else {
-            state.record.borrow_mut().calls[place].ended = Ended::GivenUp;
-            // The call goes on below for a while, and takes a slot's place in what is in hand.
-            let linger = state.plan.linger;
+            state.record.borrow_mut().calls[index].ended = Ended::Abandoned;
+            // The abandoned call stays in flight for a while.
+            let extra = state.config.abandoned_call_time;
             spawn_local(async move {
-                sleep(linger).await;
-                drop(held);
+                sleep(extra).await;
+                drop(guard);
             });
             return Ok(());
         };
-        // Before the reply is written, since what comes back may be counted from then on.
-        drop(held);
-        state.record.borrow_mut().calls[place].ended = end;
+        // Released before the reply is written, since the client may count its calls as soon as it reads the
+        // reply.
+        drop(guard);
+        state.record.borrow_mut().calls[index].ended = end;
         let reply = match end {
-            Ended::Well => {
-                let body = format!("{}:{}", state.plan.name, String::from_utf8_lossy(&request.body));
+            Ended::Succeeded => {
+                let body = format!("{}:{}", state.config.name, String::from_utf8_lossy(&request.body));
                 http::reply("200 OK", "", body.as_bytes())
             }
-            Ended::TurnedAway => http::reply("503 Busy", "Never-Started: 1\r\n", b""),
-            Ended::Spoilt => match state.mode.get() {
+            Ended::Rejected => http::reply("503 Busy", "Never-Started: 1\r\n", b""),
+            Ended::Malformed => match state.mode.get() {
                 Mode::Noisy => b"\x00\x01noise\r\n\r\n".to_vec(),
                 Mode::Endless => {
                     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n").await?;
-                    let part = [b'x'; 4096];
-                    // Bounded, and ended by whoever has had enough of it first.
+                    let chunk = [b'x'; 4096];
+                    // Bounded in case the client keeps reading.
                     for _ in 0..1000 {
-                        let written = timeout(Duration::from_secs(1), stream.write_all(&part)).await;
+                        let written = timeout(Duration::from_secs(1), stream.write_all(&chunk)).await;
                         written.map_err(|_| std::io::ErrorKind::TimedOut)??;
                     }
                     return Ok(());
@@ -375,51 +386,57 @@
     Ok(())
 }
 
-/// Ends a connection with a reset.
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) -> std::io::Result<()> {
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO))
 }
 
-fn note(state: &Rc<State>, request: &Request) -> (usize, InHand) {
-    state.in_hand.set(state.in_hand.get() + 1);
-    state.note_level();
-    let held = InHand(state.clone());
+fn record_call(state: &Rc<State>, request: &Request) -> (usize, InFlight) {
+    state.in_flight.set(state.in_flight.get() + 1);
+    state.record_in_flight();
+    let guard = InFlight(state.clone());
     let mut record = state.record.borrow_mut();
-    let in_hand = state.in_hand.get();
-    record.most_in_hand = record.most_in_hand.max(in_hand);
+    let in_flight = state.in_flight.get();
+    record.max_in_flight = record.max_in_flight.max(in_flight);
     let uid = request.header("request-ref").to_string();
     let ms = request.header("statement-timeout-ms").parse().unwrap_or(0);
-    let seen = Seen {
+    let call = CallRecord {
         uid,
         body: request.body.clone(),
         timeout: Duration::from_millis(ms),
-        came: state.began.elapsed(),
+        arrived: state.started.elapsed(),
         ended: Ended::Open,
-        in_hand,
+        in_flight,
     };
-    record.calls.push(seen);
-    (record.calls.len() - 1, held)
+    record.calls.push(call);
+    (record.calls.len() - 1, guard)
 }
 
-async fn work(state: &State) -> Ended {
+async fn serve_call(state: &State) -> Ended {
     match state.mode.get() {
         Mode::Failing => return Ended::Failed,
-        Mode::Refusing => return Ended::TurnedAway,
-        Mode::Resetting | Mode::Noisy | Mode::Endless => return Ended::Spoilt,
+        Mode::Refusing => return Ended::Rejected,
+        Mode::Resetting | Mode::Noisy | Mode::Endless => return Ended::Malformed,
         Mode::After(time) => {
             sleep(time).await;
-            return Ended::Well;
+            return Ended::Succeeded;
         }
         Mode::Hanging | Mode::Down => {
-            // What hangs does not come back by itself; the connection's end is what ends it.
+            // Never answers; only the end of the connection ends the call.
             std::future::pending::<()>().await;
         }
         Mode::Good | Mode::Slow(_) => {}
     }
     let Ok(_slot) = state.slots.acquire().await else { return Ended::Failed };
-    let spread = state.random.borrow_mut().random_range(-1.0..=1.0) * state.plan.spread;
-    let crowd = (state.in_hand.get() as f64 / state.plan.slots.max(1) as f64 - 1.0).max(0.0);
-    let slow = if let Mode::Slow(times) = state.mode.get() { times } else { 1.0 };
-    sleep(state.plan.service.mul_f64((1.0 + spread) * (1.0 + state.plan.thrash * crowd) * slow)).await;
-    Ended::Well
+    let spread = state.random.borrow_mut().random_range(-1.0..=1.0) * state.config.spread;
+    let overload = (state.in_flight.get() as f64 / state.config.slots.max(1) as f64 - 1.0).max(0.0);
+    let slowdown = if let Mode::Slow(times) = state.mode.get() { times } else { 1.0 };
+    sleep(
+        state
+            .config
+            .service_time
+            .mul_f64((1.0 + spread) * (1.0 + state.config.overload_slowdown * overload) * slowdown),
+    )
+    .await;
+    Ended::Succeeded
 }
--- a/crates/stand-ins/src/disk.rs
+++ b/crates/stand-ins/src/disk.rs
@@ -1,5 +1,6 @@
-//! A disk that can be broken, as a storage backend of `redb`. It knows what was synced and what was not; a crash keeps any part of the
-//! rest, sector by sector, in any order. It fills up, fails a sync, and can be put back to an earlier state or emptied.
+//! A simulated disk with faults, as a storage backend of `redb`. It distinguishes synced from unsynced
+//! writes; a crash keeps an arbitrary subset of the unsynced sectors. It can also run full, fail syncs, and
+//! be restored to an earlier state or emptied.
 
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
@@ -8,12 +9,12 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What is written as one, or not at all.
-const SECTOR: usize = 512;
-/// What is kept as one piece in memory.
-const PAGE: usize = 4096;
+/// Unit of an atomic write.
+const SECTOR_BYTES: usize = 512;
+/// Unit of storage in memory.
+const PAGE_BYTES: usize = 4096;
 
-/// What a disk holds; pages that were never written are not kept.
+/// Contents of a disk; pages that were never written are not stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Image {
     pages: BTreeMap<u64, Box<[u8]>>,
@@ -26,8 +27,8 @@
         let mut done = 0;
         while done < len {
             let at = offset + done as u64;
-            let (page, within) = (at / PAGE as u64, (at % PAGE as u64) as usize);
-            let part = (PAGE - within).min(len - done);
+            let (page, within) = (at / PAGE_BYTES as u64, (at % PAGE_BYTES as u64) as usize);
+            let part = (PAGE_BYTES - within).min(len - done);
             if let Some(page) = self.pages.get(&page) {
                 out[done..done + part].copy_from_slice(&page[within..within + part]);
             }
@@ -40,9 +41,9 @@
         let mut done = 0;
         while done < data.len() {
             let at = offset + done as u64;
-            let (page, within) = (at / PAGE as u64, (at % PAGE as u64) as usize);
-            let part = (PAGE - within).min(data.len() - done);
-            let page = self.pages.entry(page).or_insert_with(|| vec![0; PAGE].into());
+            let (page, within) = (at / PAGE_BYTES as u64, (at % PAGE_BYTES as u64) as usize);
+            let part = (PAGE_BYTES - within).min(data.len() - done);
+            let page = self.pages.entry(page).or_insert_with(|| vec![0; PAGE_BYTES].into());
             page[within..within + part].copy_from_slice(&data[done..done + part]);
             done += part;
         }
@@ -51,9 +52,9 @@
 
     fn set_len(&mut self, len: u64) {
         if len < self.len {
-            self.pages.retain(|page, _| page * (PAGE as u64) < len);
-            let within = (len % PAGE as u64) as usize;
-            if let Some(page) = self.pages.get_mut(&(len / PAGE as u64)) {
+            self.pages.retain(|page, _| page * (PAGE_BYTES as u64) < len);
+            let within = (len % PAGE_BYTES as u64) as usize;
+            if let Some(page) = self.pages.get_mut(&(len / PAGE_BYTES as u64)) {
                 page[within..].fill(0);
             }
         }
@@ -69,116 +70,124 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// What is there after a loss of power.
+    /// Contents that survive a power failure.
     synced: Image,
-    /// What the process reads.
+    /// Contents that the process reads.
     now: Image,
     unsynced: Vec<Change>,
-    /// Opened so often: an earlier opening reads and writes nothing more.
+    /// Number of times the disk was opened; handles of earlier openings fail.
     openings: u64,
-    /// Bytes that fit.
+    /// Capacity in bytes, if limited.
     capacity: Option<u64>,
-    /// So many more syncs succeed.
+    /// Number of syncs that will still succeed, if limited.
     syncs_left: Option<u64>,
     syncs: u64,
 }
 
-/// A disk. Clones are the same disk.
+/// A simulated disk. Clones share the same contents.
 #[derive(Clone, Debug, Default)]
 pub struct Disk(Arc<Mutex<State>>);
 
 impl Disk {
     fn state(&self) -> MutexGuard<'_, State> {
-        // A panic elsewhere leaves nothing half done here.
+        // State is consistent even after a panic elsewhere.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens it; whoever had it open has lost it.
+    /// Opens the disk and invalidates earlier handles.
     pub fn open(&self) -> Box<dyn StorageBackend> {
         let mut state = self.state();
         state.openings += 1;
-        Box::new(Opened { disk: self.clone(), opening: state.openings })
+        Box::new(OpenDisk { disk: self.clone(), opening: state.openings })
     }
 
-    /// The process that has it open is gone. What it wrote is there.
+    /// Invalidates the open handle as if its process had been killed; its writes are kept.
     pub fn kill(&self) {
         self.state().openings += 1;
     }
 
-    /// The power fails: what was not synced is there or not, each sector for itself.
+    /// Simulates a power failure: each unsynced sector is kept or lost independently.
     pub fn crash(&self, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut state = self.state();
         state.openings += 1;
         let mut image = std::mem::take(&mut state.synced);
-        // Some crashes keep nothing, some nearly all.
-        let kept: f64 = [0.0, 0.5, 0.95][rng.random_range(0..3)];
+        // Covers crashes that keep nothing and ones that keep nearly everything.
+        let keep_probability: f64 = [0.0, 0.5, 0.95][rng.random_range(0..3)];
         let mut order: Vec<Change> = std::mem::take(&mut state.unsynced);
         for n in (1..order.len()).rev() {
             order.swap(n, rng.random_range(0..=n));
         }
         for change in order {
             match change {
-                Change::Len(len) if rng.random_bool(kept) => image.set_len(len),
+                Change::Len(len) if rng.random_bool(keep_probability) => image.set_len(len),
                 Change::Len(_) => {}
-                Change::Write(offset, data) => keep_some(&mut image, offset, &data, kept, &mut rng),
+                Change::Write(offset, data) => {
+                    apply_some_sectors(&mut image, offset, &data, keep_probability, &mut rng)
+                }
             }
         }
         state.now = image.clone();
         state.synced = image;
     }
 
-    /// What it holds, as the process that has it open would find it.
+    /// Returns the current contents, as the process that has the disk open reads them.
     pub fn image(&self) -> Image {
         self.state().now.clone()
     }
 
-    /// Puts back what it held once, or empties it with the default. Whoever had it open has lost it.
-    pub fn put_back(&self, image: Image) {
+    /// Restores earlier contents, or empties the disk with the default image. Invalidates open handles.
+    pub fn restore(&self, image: Image) {
         let mut state = self.state();
         state.openings += 1;
         state.unsynced.clear();
         (state.now, state.synced) = (image.clone(), image);
     }
 
-    /// From now on so many bytes fit; `None` for any number.
-    pub fn fits(&self, capacity: Option<u64>) {
+    /// Limits the capacity to this many bytes; `None` removes the limit.
+    pub fn set_capacity(&self, capacity: Option<u64>) {
         self.state().capacity = capacity;
     }
 
-    /// After so many more syncs each one fails, until this is called with `None`.
-    pub fn fails_after(&self, syncs: Option<u64>) {
+    /// Fails each sync after this many more have succeeded; `None` removes the fault.
+    pub fn fail_syncs_after(&self, syncs: Option<u64>) {
         self.state().syncs_left = syncs;
     }
 
-    /// Syncs that succeeded so far.
+    /// Returns the number of successful syncs.
     pub fn syncs(&self) -> u64 {
         self.state().syncs
     }
 }
 
-fn keep_some(image: &mut Image, offset: u64, data: &[u8], kept: f64, rng: &mut impl Rng) {
-    for (n, sector) in data.chunks(SECTOR).enumerate() {
-        if rng.random_bool(kept) {
-            image.write(offset + (n * SECTOR) as u64, sector);
+fn apply_some_sectors(
+    image: &mut Image,
+    offset: u64,
+    data: &[u8],
+    keep_probability: f64,
+    rng: &mut impl Rng,
+) {
+    for (n, sector) in data.chunks(SECTOR_BYTES).enumerate() {
+        if rng.random_bool(keep_probability) {
+            image.write(offset + (n * SECTOR_BYTES) as u64, sector);
         }
     }
 }
 
 #[derive(Debug)]
-struct Opened {
+struct OpenDisk {
     disk: Disk,
     opening: u64,
 }
 
-impl Opened {
+impl OpenDisk {
     fn state(&self) -> io::Result<MutexGuard<'_, State>> {
         let state = self.disk.state();
         if state.openings == self.opening { Ok(state) } else { Err(io::Error::other("the process is gone")) }
     }
 }
 
-impl StorageBackend for Opened {
+impl StorageBackend for OpenDisk {
     fn len(&self) -> io::Result<u64> {
         Ok(self.state()?.now.len)
     }
@@ -218,7 +227,7 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let mut state = self.state()?;
-        // Blocks that were never written are given out as they are written: a disk that is full fails here too.
+        // Blocks are allocated when written, so a full disk also fails writes within the file's length.
         if state.capacity.is_some_and(|capacity| offset + data.len() as u64 > capacity) {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
@@ -233,7 +242,7 @@
     use super::*;
 
     #[test]
-    fn what_was_synced_outlives_a_crash_and_the_rest_may_not() {
+    fn synced_data_survives_a_crash_and_unsynced_data_may_be_lost() {
         let disk = Disk::default();
         let opened = disk.open();
         opened.set_len(8192).unwrap();
@@ -242,7 +251,7 @@
         let image = disk.image();
         let mut seen = std::collections::BTreeSet::new();
         for seed in 0..40 {
-            disk.put_back(image.clone());
+            disk.restore(image.clone());
             let opened = disk.open();
             opened.write(0, &[7; 2048]).unwrap();
             disk.crash(seed);
@@ -251,9 +260,9 @@
             let kept = opened.read(0, 2048).unwrap();
             assert_eq!(opened.len().unwrap(), 8192);
             assert!(kept[100..106] == *b"synced" || kept[100..106] == [7; 6]);
-            seen.insert(kept.chunks(SECTOR).map(|sector| sector[0] == 7).collect::<Vec<bool>>());
+            seen.insert(kept.chunks(SECTOR_BYTES).map(|sector| sector[0] == 7).collect::<Vec<bool>>());
         }
-        // All, nothing, and torn in more than one way.
+        // All kept, none kept, and several torn writes.
         assert!(
             seen.contains(&vec![false; 4]) && seen.contains(&vec![true; 4]) && seen.len() > 4,
             "{seen:?}"
@@ -261,17 +270,17 @@
     }
 
     #[test]
-    fn it_fills_up_and_fails_a_sync() {
+    fn a_disk_runs_full_and_fails_syncs() {
         let disk = Disk::default();
         let opened = disk.open();
-        disk.fits(Some(4096));
+        disk.set_capacity(Some(4096));
         opened.write(0, &[1; 4096]).unwrap();
         let full = opened.write(4000, &[1; 200]).unwrap_err();
         assert_eq!(full.kind(), io::ErrorKind::StorageFull);
         assert!(opened.set_len(9000).is_err());
-        disk.fails_after(Some(1));
+        disk.fail_syncs_after(Some(1));
         assert!(opened.sync_data(false).is_ok() && opened.sync_data(false).is_err());
-        disk.fails_after(None);
+        disk.fail_syncs_after(None);
         assert!(opened.sync_data(false).is_ok());
         assert_eq!(disk.syncs(), 2);
     }
--- a/crates/stand-ins/src/interpreter.rs
+++ b/crates/stand-ins/src/interpreter.rs
@@ -1,5 +1,5 @@
-//! The interpreter: runs requests on so many cores, asks for the calls that its plan has for their class, and tells in
-//! each result what it got for them.
+//! A fake interpreter: runs requests on a fixed number of cores, makes the calls configured for their class,
+//! and reports in each result what it received for them.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -15,92 +15,92 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// Notices that are kept for a new link.
-const KEPT_NOTICES: usize = 4000;
+/// Notices kept for replay on a new link.
+const MAX_KEPT_NOTICES: usize = 4000;
 
-/// A run whose body begins so does nothing, and ends with an error at [`Interpreter::fail`].
-pub const HELD: &[u8] = b"held";
+/// A run whose body starts with this prefix does nothing and ends with an error on [`Interpreter::fail`].
+pub const BLOCKING_PREFIX: &[u8] = b"held";
 
-/// What a run of a class does.
+/// The work of one run of a class.
 #[derive(Clone, Debug, Default)]
 pub struct Work {
-    /// Time on a core before each call and after the last.
-    pub part: Duration,
-    /// Calls, one after another.
+    /// Time on a core before each call and after the last one.
+    pub core_time: Duration,
+    /// Number of sequential calls.
     pub calls: usize,
 }
 
-/// What becomes of a run that is told to stop.
+/// How the interpreter handles a command to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Halt {
-    /// Nothing: the command is not carried out.
+    /// Rejects the command.
     Never,
-    /// It ends, and what it did is lost.
+    /// Ends the run and discards its work.
     Drop,
-    /// One on a core stands still until it is told to go on.
+    /// Pauses a run that is on a core until it is told to continue.
     Pause,
 }
 
-/// What a run got for a call.
+/// What a run received for a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum CallResult {
     /// A reply.
     Reply(Vec<u8>),
-    /// Word to go on without.
+    /// No reply: the run continues without one.
     Nothing,
 }
 
-/// A run, as the interpreter saw it.
+/// The record of a run.
 #[derive(Clone, Debug)]
-pub struct Ran {
-    /// The request.
+pub struct RunRecord {
+    /// Correlation id of the request.
     pub uid: String,
-    /// Its class.
+    /// Class of the request.
     pub class: String,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// What it got for its calls.
-    pub got: Vec<Got>,
-    /// How it ended; `None` while it runs.
+    /// What the run received for its calls, in order.
+    pub call_results: Vec<CallResult>,
+    /// How the run ended; `None` while it runs.
     pub end: Option<&'static str>,
 }
 
 struct Running {
-    place: usize,
-    /// What the run waits for, with the notice that asked.
-    waits: Option<(u64, oneshot::Sender<Got>)>,
+    index: usize,
+    /// The call that the run waits for, by the number of its notice.
+    pending_call: Option<(u64, oneshot::Sender<CallResult>)>,
     stop: Rc<Notify>,
-    /// It is paused; told of the order to go on.
+    /// Whether the run is paused and waits for `resume`.
     paused: bool,
-    go_on: Rc<Notify>,
-    over: bool,
+    resume: Rc<Notify>,
+    request_ended: bool,
 }
 
 struct State {
     classes: BTreeMap<String, Work>,
     halt: Halt,
     cores: Semaphore,
-    /// Runs that have a core or wait for one.
+    /// Runs that occupy a core or wait for one.
     on_cores: RefCell<usize>,
-    runs: RefCell<Vec<Ran>>,
+    runs: RefCell<Vec<RunRecord>>,
     running: RefCell<BTreeMap<String, Running>>,
     notices: RefCell<VecDeque<(u64, String)>>,
     pos: RefCell<u64>,
-    /// Told of each notice, and of each new link.
-    news: Notify,
+    /// Notified on each notice and each new link.
+    changed: Notify,
     link: RefCell<u64>,
-    /// When it came up, if it has; one that comes up later is cold.
-    up: RefCell<Option<Instant>>,
+    /// When the interpreter became ready, if it has; one that is not ready at its start is cold.
+    ready_since: RefCell<Option<Instant>>,
     cold: bool,
-    most_on_cores: RefCell<usize>,
-    /// How many have a core or wait for one, from each moment on at which that changed.
-    levels: RefCell<Vec<(Instant, usize)>>,
-    /// Bodies that begin with [`HELD`] and whose runs end.
+    max_on_cores: RefCell<usize>,
+    /// Each change of `on_cores` with its time.
+    on_cores_history: RefCell<Vec<(Instant, usize)>>,
+    /// Bodies that start with [`BLOCKING_PREFIX`] and whose runs are to fail.
     failing: RefCell<BTreeSet<Vec<u8>>>,
-    fails: Notify,
+    failing_changed: Notify,
 }
 
-/// An interpreter that listens.
+/// A listening fake interpreter.
 #[derive(Clone)]
 pub struct Interpreter {
     address: SocketAddr,
@@ -108,43 +108,43 @@
 }
 
 impl Interpreter {
-    /// Starts one on a port of the system's choice, warm, with so many cores.
+    /// Starts a warm interpreter with this many cores on a port chosen by the system.
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start(cores: usize, classes: &[(&str, Work)]) -> Interpreter {
         Interpreter::start_with(cores, Halt::Drop, classes).await
     }
 
-    /// A cold one, which takes links and answers none before [`Interpreter::come_up`].
+    /// Starts a cold interpreter, which accepts links but answers none before [`Interpreter::become_ready`].
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start_cold(cores: usize, classes: &[(&str, Work)]) -> Interpreter {
         Interpreter::start_as(cores, Halt::Drop, classes, true).await
     }
 
-    /// It is up from now on.
-    pub fn come_up(&self) {
-        *self.state.up.borrow_mut() = Some(Instant::now());
-        self.state.news.notify_waiters();
+    /// Marks the interpreter as ready.
+    pub fn become_ready(&self) {
+        *self.state.ready_since.borrow_mut() = Some(Instant::now());
+        self.state.changed.notify_waiters();
     }
 
-    /// Closes the present link; runs go on.
+    /// Closes the current link without ending the runs.
     pub fn drop_link(&self) {
         *self.state.link.borrow_mut() += 1;
-        self.state.news.notify_waiters();
+        self.state.changed.notify_waiters();
     }
 
-    /// Links that were taken so far, and breaks of them.
+    /// Returns the number of links accepted and links dropped so far.
     pub fn links(&self) -> u64 {
         *self.state.link.borrow()
     }
 
-    /// The same, where runs that are told to stop do this.
+    /// Starts a warm interpreter that handles commands to stop a run as `halt` states.
     ///
     /// # Panics
-    /// Where loopback has no port left.
+    /// Panics if loopback has no free port.
     pub async fn start_with(cores: usize, halt: Halt, classes: &[(&str, Work)]) -> Interpreter {
         Interpreter::start_as(cores, halt, classes, false).await
     }
@@ -161,91 +161,91 @@
             running: RefCell::default(),
             notices: RefCell::default(),
             pos: RefCell::new(0),
-            news: Notify::new(),
+            changed: Notify::new(),
             link: RefCell::new(0),
-            up: RefCell::new((!cold).then(Instant::now)),
+            ready_since: RefCell::new((!cold).then(Instant::now)),
             cold,
-            most_on_cores: RefCell::new(0),
-            levels: RefCell::default(),
+            max_on_cores: RefCell::new(0),
+            on_cores_history: RefCell::default(),
             failing: RefCell::default(),
-            fails: Notify::new(),
+            failing_changed: Notify::new(),
         });
-        let all = state.clone();
+        let shared = state.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // A new link replaces the one before.
-                *all.link.borrow_mut() += 1;
-                all.news.notify_waiters();
-                spawn_local(serve(all.clone(), stream));
+                // A new link replaces the previous one.
+                *shared.link.borrow_mut() += 1;
+                shared.changed.notify_waiters();
+                spawn_local(serve(shared.clone(), stream));
             }
         });
         Interpreter { address, state }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The request is over: it was answered. As the platform has it, a run that waits for a call ends there, and one that
-    /// is on a core ends at its next call.
-    pub fn over(&self, uid: &str) {
+    /// Reports that the request has been answered. As on the platform, its run ends at once if it waits for a
+    /// call, and otherwise at its next call.
+    pub fn request_ended(&self, uid: &str) {
         if let Some(run) = self.state.running.borrow_mut().get_mut(uid) {
-            run.over = true;
-            if run.waits.is_some() {
+            run.request_ended = true;
+            if run.pending_call.is_some() {
                 run.stop.notify_one();
             }
         }
     }
 
-    /// Runs of this body, which begins with [`HELD`], end with an error from now on.
+    /// Fails the present and future runs of this body, which must start with [`BLOCKING_PREFIX`].
     pub fn fail(&self, body: &[u8]) {
         self.state.failing.borrow_mut().insert(body.to_vec());
-        self.state.fails.notify_waiters();
+        self.state.failing_changed.notify_waiters();
     }
 
-    /// The most runs that had a core or waited for one at a time.
-    pub fn most_on_cores(&self) -> usize {
-        *self.state.most_on_cores.borrow()
+    /// Returns the maximum number of runs that occupied or waited for a core at the same time.
+    pub fn max_on_cores(&self) -> usize {
+        *self.state.max_on_cores.borrow()
     }
 
-    /// How many runs had a core or waited for one, from each moment on at which that changed.
-    pub fn levels(&self) -> Vec<(Instant, usize)> {
-        self.state.levels.borrow().clone()
+    /// Returns each change of the number of runs that occupy or wait for a core, with its time.
+    pub fn on_cores_history(&self) -> Vec<(Instant, usize)> {
+        self.state.on_cores_history.borrow().clone()
     }
 
-    /// All runs so far, in the order in which they began.
-    pub fn runs(&self) -> std::cell::Ref<'_, Vec<Ran>> {
+    /// Returns all runs so far, in order of their start.
+    pub fn runs(&self) -> std::cell::Ref<'_, Vec<RunRecord>> {
         self.state.runs.borrow()
     }
 }
 
 async fn serve(state: Rc<State>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let mine = *state.link.borrow();
+    let own_link = *state.link.borrow();
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read).lines();
-    let mut told = u64::MAX;
-    let mut greets = false;
+    let mut last_sent = u64::MAX;
+    let mut send_banner = false;
     let mut output = Vec::new();
     loop {
-        let news = state.news.notified();
-        if greets && let Some(up) = *state.up.borrow() {
-            greets = false;
-            let age = up.elapsed().as_millis() as u64 + if state.cold { 0 } else { 60_000 };
+        let changed = state.changed.notified();
+        if send_banner && let Some(ready_since) = *state.ready_since.borrow() {
+            send_banner = false;
+            let age = ready_since.elapsed().as_millis() as u64 + if state.cold { 0 } else { 60_000 };
             let code = if state.cold { "COLD" } else { "WARM" };
-            output.extend(line_of(&json!({"action": "BANNER", "code": code, "wall_ms": age})));
+            output.extend(json_line(&json!({"action": "BANNER", "code": code, "wall_ms": age})));
         }
-        if told != u64::MAX {
+        if last_sent != u64::MAX {
             let notices = state.notices.borrow();
             let first = notices.front().map_or(0, |(pos, _)| *pos);
-            let skipped = (told + 1).saturating_sub(first) as usize;
+            let skipped = (last_sent + 1).saturating_sub(first) as usize;
             for (pos, notice) in notices.iter().skip(skipped) {
                 output.extend(notice.as_bytes());
-                told = *pos;
+                last_sent = *pos;
             }
         }
-        if *state.link.borrow() != mine || write.write_all(&output).await.is_err() {
+        if *state.link.borrow() != own_link || write.write_all(&output).await.is_err() {
             return;
         }
         output.clear();
@@ -255,128 +255,146 @@
                 let Ok(command) = serde_json::from_str::<Value>(&line) else { return };
                 match command["action"].as_str() {
                     Some("CONNECT") => {
-                        told = command["pos"].as_u64().unwrap_or(0);
-                        greets = true;
+                        last_sent = command["pos"].as_u64().unwrap_or(0);
+                        send_banner = true;
                     }
                     Some("TOP") => {
-                        // Those that wait for a core want one too; those at calls do not.
+                        // Runs that wait for a core count as busy; runs that wait for a call do not.
                         let busy = *state.on_cores.borrow();
                         let gauges = json!({"action": "TOPS", "echo": command["echo"], "meters": [0.5, busy, 0.1, 1]});
-                        output.extend(line_of(&gauges));
+                        output.extend(json_line(&gauges));
                     }
                     Some("APPLY") => apply(&state, &command),
                     Some("BREAK") => {
                         let running = state.running.borrow();
-                        let run = running.get(text(&command, "uid"));
+                        let run = running.get(text_field(&command, "uid"));
                         match run.filter(|_| state.halt != Halt::Never) {
-                            // One that waits for a call is on no core, and so has nothing to pause.
-                            Some(run) if state.halt == Halt::Drop || run.waits.is_none() => run.stop.notify_one(),
+                            // A run that waits for a call occupies no core and cannot be paused.
+                            Some(run) if state.halt == Halt::Drop || run.pending_call.is_none() => run.stop.notify_one(),
                             Some(_) => {}
                             None => output.extend(rejected(&command)),
                         }
                     }
                     Some("CONTINUE") => {
                         let mut running = state.running.borrow_mut();
-                        match running.get_mut(text(&command, "uid")).filter(|_| state.halt == Halt::Pause) {
+                        match running.get_mut(text_field(&command, "uid")).filter(|_| state.halt == Halt::Pause) {
                             Some(run) if run.paused => {
                                 run.paused = false;
-                                run.go_on.notify_one();
+                                run.resume.notify_one();
                             }
                             Some(_) => {}
                             None => output.extend(rejected(&command)),
                         }
                     }
                     Some("RESOLVE") => {
-                        let content = BASE64.decode(text(&command, "content")).unwrap_or_default();
-                        go_on(&state, text(&command, "uid"), None, Got::Reply(content));
+                        let content = BASE64.decode(text_field(&command, "content")).unwrap_or_default();
+                        resume(&state, text_field(&command, "uid"), None, CallResult::Reply(content));
                     }
                     Some("STUB") => {
-                        go_on(&state, text(&command, "uid"), command["pos"].as_u64(), Got::Nothing);
+                        resume(&state, text_field(&command, "uid"), command["pos"].as_u64(), CallResult::Nothing);
                     }
                     _ => return,
                 }
             }
-            () = news => {}
+            () = changed => {}
         }
     }
 }
 
 fn rejected(command: &Value) -> Vec<u8> {
-    line_of(&json!({"action": "ERROR", "code": command["action"], "uid": command["uid"]}))
+    json_line(&json!({"action": "ERROR", "code": command["action"], "uid": command["uid"]}))
 }
 
-fn text<'a>(command: &'a Value, name: &str) -> &'a str {
+fn text_field<'a>(command: &'a Value, name: &str) -> &'a str {
     command[name].as_str().unwrap_or_default()
 }
 
-fn line_of(value: &Value) -> Vec<u8> {
+fn json_line(value: &Value) -> Vec<u8> {
     format!("{value}\n").into_bytes()
 }
 
-fn go_on(state: &State, uid: &str, pos: Option<u64>, got: Got) {
+fn resume(state: &State, uid: &str, pos: Option<u64>, result: CallResult) {
     if let Some(run) = state.running.borrow_mut().get_mut(uid)
-        && let Some((asked, way)) = run.waits.take_if(|(asked, _)| pos.is_none_or(|pos| pos == *asked))
+        && let Some((asked, reply)) =
+            run.pending_call.take_if(|(asked, _)| pos.is_none_or(|pos| pos == *asked))
     {
         let _ = asked;
-        state.runs.borrow_mut()[run.place].got.push(got.clone());
-        let _ = way.send(got);
+        state.runs.borrow_mut()[run.index].call_results.push(result.clone());
+        let _ = reply.send(result);
     }
 }
 
-/// Adds a notice; returns its number.
+/// Appends a notice and returns its number.
 fn notice(state: &State, mut value: Value) -> u64 {
     let mut pos = state.pos.borrow_mut();
     *pos += 1;
     value["pos"] = json!(*pos);
     let mut notices = state.notices.borrow_mut();
     notices.push_back((*pos, format!("{value}\n")));
-    if notices.len() > KEPT_NOTICES {
+    if notices.len() > MAX_KEPT_NOTICES {
         notices.pop_front();
     }
-    state.news.notify_waiters();
+    state.changed.notify_waiters();
     *pos
 }
 
 fn apply(state: &Rc<State>, command: &Value) {
-    let (uid, class) = (text(command, "uid").to_string(), text(command, "lane").to_string());
+    let (uid, class) = (text_field(command, "uid").to_string(), text_field(command, "lane").to_string());
     if state.running.borrow().contains_key(&uid) {
         return;
     }
-    let body = BASE64.decode(text(command, "content")).unwrap_or_default();
-    let (stop, go_on) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-    let place = state.runs.borrow().len();
-    state.runs.borrow_mut().push(Ran { uid: uid.clone(), class, body, got: Vec::new(), end: None });
+    let body = BASE64.decode(text_field(command, "content")).unwrap_or_default();
+    let (stop, resume) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
+    let index = state.runs.borrow().len();
+    state.runs.borrow_mut().push(RunRecord {
+        uid: uid.clone(),
+        class,
+        body,
+        call_results: Vec::new(),
+        end: None,
+    });
     state.running.borrow_mut().insert(
         uid.clone(),
-        Running { place, waits: None, stop: stop.clone(), paused: false, go_on: go_on.clone(), over: false },
+        Running {
+            index,
+            pending_call: None,
+            stop: stop.clone(),
+            paused: false,
+            resume: resume.clone(),
+            request_ended: false,
+        },
     );
     let state = state.clone();
     spawn_local(async move {
-        let began = Instant::now();
-        let mut runs = std::pin::pin!(run(&state, &uid, place));
+        let started = Instant::now();
+        let mut runs = std::pin::pin!(run(&state, &uid, index));
         let (end, content) = loop {
             tokio::select! {
                 ended = &mut runs => break ended,
                 () = stop.notified() => {}
             }
-            // A request that is over ends its run, and so does an order to stop where nothing is paused.
-            let over = state.running.borrow().get(&uid).is_none_or(|run| run.over && run.waits.is_some());
-            if state.halt != Halt::Pause || over {
+            // A run ends if its request has been answered, or on a stop command that does not pause.
+            let request_ended = state
+                .running
+                .borrow()
+                .get(&uid)
+                .is_none_or(|run| run.request_ended && run.pending_call.is_some());
+            if state.halt != Halt::Pause || request_ended {
                 break ("STOPPED", String::new());
             }
             if let Some(run) = state.running.borrow_mut().get_mut(&uid) {
                 run.paused = true;
             }
-            let ms = began.elapsed().as_secs_f64() * 1000.0;
+            let ms = started.elapsed().as_secs_f64() * 1000.0;
             notice(
                 &state,
                 json!({"action": "VALUE", "uid": uid, "code": "STOPPED", "wall_ms": ms, "content": ""}),
             );
-            go_on.notified().await;
+            resume.notified().await;
         };
         state.running.borrow_mut().remove(&uid);
-        state.runs.borrow_mut()[place].end = Some(end);
-        let ms = began.elapsed().as_secs_f64() * 1000.0;
+        state.runs.borrow_mut()[index].end = Some(end);
+        let ms = started.elapsed().as_secs_f64() * 1000.0;
         let content = BASE64.encode(content);
         notice(
             &state,
@@ -385,54 +403,54 @@
     });
 }
 
-/// Does the work of a run; how it ended, and its result, which names what it got for each call, in order.
-async fn run(state: &State, uid: &str, place: usize) -> (&'static str, String) {
+/// Performs a run; returns how it ended and its result, which lists what it received for each call, in order.
+async fn run(state: &State, uid: &str, index: usize) -> (&'static str, String) {
     let (class, body) = {
-        let run = &state.runs.borrow()[place];
+        let run = &state.runs.borrow()[index];
         (run.class.clone(), String::from_utf8_lossy(&run.body).into_owned())
     };
-    if body.as_bytes().starts_with(HELD) {
-        until_failing(state, body.as_bytes()).await;
+    if body.as_bytes().starts_with(BLOCKING_PREFIX) {
+        wait_for_failure(state, body.as_bytes()).await;
         return ("ERROR", String::new());
     }
     let work = state.classes.get(&class).cloned().unwrap_or_default();
-    let mut got = Vec::new();
+    let mut results = Vec::new();
     for call in 1..=work.calls {
-        on_core(state, work.part).await;
-        let (way, answer) = oneshot::channel();
+        on_core(state, work.core_time).await;
+        let (sender, answer) = oneshot::channel();
         let content = BASE64.encode(format!("{body}#{call}"));
-        // The way must be there before the notice is, or the reply could come too soon.
+        // The channel must be registered before the notice is sent, or the reply could arrive too early.
         let pos = *state.pos.borrow() + 1;
-        let over = match state.running.borrow_mut().get_mut(uid) {
+        let request_ended = match state.running.borrow_mut().get_mut(uid) {
             Some(run) => {
-                run.waits = Some((pos, way));
-                run.over
+                run.pending_call = Some((pos, sender));
+                run.request_ended
             }
             None => true,
         };
-        if over {
+        if request_ended {
             if let Some(run) = state.running.borrow().get(uid) {
                 run.stop.notify_one();
             }
             std::future::pending::<()>().await;
         }
         notice(state, json!({"action": "AWAIT", "uid": uid, "content": content}));
-        got.push(match answer.await {
-            Ok(Got::Reply(reply)) => String::from_utf8_lossy(&reply).into_owned(),
+        results.push(match answer.await {
+            Ok(CallResult::Reply(reply)) => String::from_utf8_lossy(&reply).into_owned(),
             _ => "-".to_string(),
         });
     }
-    on_core(state, work.part).await;
-    ("OK", format!("{class} {body} [{}]", got.join(", ")))
+    on_core(state, work.core_time).await;
+    ("OK", format!("{class} {body} [{}]", results.join(", ")))
 }
 
-async fn until_failing(state: &State, body: &[u8]) {
+async fn wait_for_failure(state: &State, body: &[u8]) {
     loop {
-        let fails = state.fails.notified();
+        let failing_changed = state.failing_changed.notified();
         if state.failing.borrow().contains(body) {
             return;
         }
-        fails.await;
+        failing_changed.await;
     }
 }
 
@@ -442,16 +460,16 @@
     sleep(time).await;
 }
 
-/// Counts a run as on the cores until it is dropped, as when the run is stopped.
+/// Counts a run as on the cores until dropped, which also covers runs that are stopped.
 struct OnCore<'a>(&'a State);
 
 impl<'a> OnCore<'a> {
     fn new(state: &'a State) -> OnCore<'a> {
         *state.on_cores.borrow_mut() += 1;
         let now = *state.on_cores.borrow();
-        let most = now.max(*state.most_on_cores.borrow());
-        *state.most_on_cores.borrow_mut() = most;
-        state.levels.borrow_mut().push((Instant::now(), now));
+        let max = now.max(*state.max_on_cores.borrow());
+        *state.max_on_cores.borrow_mut() = max;
+        state.on_cores_history.borrow_mut().push((Instant::now(), now));
         OnCore(state)
     }
 }
@@ -460,6 +478,6 @@
     fn drop(&mut self) {
         *self.0.on_cores.borrow_mut() -= 1;
         let now = *self.0.on_cores.borrow();
-        self.0.levels.borrow_mut().push((Instant::now(), now));
+        self.0.on_cores_history.borrow_mut().push((Instant::now(), now));
     }
 }
--- a/crates/stand-ins/src/truth.rs
+++ b/crates/stand-ins/src/truth.rs
@@ -1,8 +1,8 @@
-//! Holds what a nodo answered against what the stand-ins recorded.
+//! Checks a nodo's answers against the records of the fakes.
 
 use crate::balancer::{Answer, Request};
 use crate::dependency::{Dependency, Ended};
-use crate::interpreter::{Got, Interpreter, Ran};
+use crate::interpreter::{CallResult, Interpreter, RunRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A request and its answer.
@@ -14,54 +14,54 @@
     pub answer: Answer,
 }
 
-/// What does not fit. Each list holds a line for each case.
+/// Mismatches, one line per case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Answers whose label differs from what was recorded.
+    /// Answers whose labels differ from the records.
     pub labels: Vec<String>,
     /// Keys of which more than one try ran.
     pub doubled: Vec<String>,
-    /// Answers of keyed classes that lack something, or were made from kept replies, whatever they say.
+    /// Answers of keyed classes that are incomplete or were made from cached replies, whatever their labels.
     pub partial: Vec<String>,
-    /// Requests without a whole answer.
+    /// Requests without a complete answer.
     pub unanswered: Vec<String>,
-    /// Tries that were turned away though they, or another try of their key, ran.
+    /// Tries that were refused although they ran.
     pub refused: Vec<String>,
-    /// Calls of keyed classes that were made again after one that may have had its effect.
+    /// Calls of keyed classes that were repeated after a call that may have had its effect.
     pub repeated: Vec<String>,
 }
 
 impl Faults {
-    /// Whether all fits.
+    /// Returns whether there are no mismatches.
     pub fn is_empty(&self) -> bool {
         *self == Faults::default()
     }
 }
 
-/// What an answer should say of itself.
+/// Labels that an answer should carry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Truth {
     lacks: bool,
     stale: bool,
 }
 
-/// Compares all that was sent with the records.
+/// Compares all requests and answers with the records.
 pub fn check(sent: &[Sent], interpreter: &Interpreter, dependencies: &[&Dependency]) -> Faults {
     let mut faults = Faults::default();
     let runs = interpreter.runs();
-    let mut by_uid: BTreeMap<&str, &Ran> = BTreeMap::new();
+    let mut by_uid: BTreeMap<&str, &RunRecord> = BTreeMap::new();
     let mut tries: BTreeMap<(&str, &[u8]), usize> = BTreeMap::new();
     for run in runs.iter() {
         by_uid.insert(&run.uid, run);
         *tries.entry((&run.class, &run.body)).or_default() += 1;
     }
     let mut keyed: BTreeSet<&str> = BTreeSet::new();
-    let well: BTreeSet<(String, Vec<u8>)> = dependencies
+    let succeeded: BTreeSet<(String, Vec<u8>)> = dependencies
         .iter()
         .flat_map(|d| {
             let record = d.record();
-            let well = record.calls.iter().filter(|call| call.ended == Ended::Well);
-            well.map(|call| (call.uid.clone(), call.body.clone())).collect::<Vec<_>>()
+            let succeeded = record.calls.iter().filter(|call| call.ended == Ended::Succeeded);
+            succeeded.map(|call| (call.uid.clone(), call.body.clone())).collect::<Vec<_>>()
         })
         .collect();
     for one in sent {
@@ -81,21 +81,23 @@
         if one.answer.status != 200 {
             continue;
         }
-        // A repeat is answered with what another try of its key made.
-        let same = |run: &&Ran| {
+        // A repeat is answered with the result of another try of its key.
+        let same = |run: &&RunRecord| {
             run.class == one.request.class && run.body == one.request.body && run.end == Some("OK")
         };
         let Some(run) = ran.or_else(|| runs.iter().find(same)) else {
-            faults.labels.push(format!("{uid} was served with what no run made"));
+            faults.labels.push(format!("{uid} was served with a result that no run produced"));
             continue;
         };
-        let truth = truth(run, &well);
-        let said = Truth {
+        let truth = truth(run, &succeeded);
+        let labels = Truth {
             lacks: one.answer.header("x-answer-lacks").is_some(),
             stale: one.answer.header("x-answer-stale-ms").is_some(),
         };
-        if said != truth {
-            faults.labels.push(format!("{uid} of {} says {said:?}, and it is {truth:?}", one.request.class));
+        if labels != truth {
+            faults
+                .labels
+                .push(format!("{uid} of {} is labeled {labels:?}, expected {truth:?}", one.request.class));
         }
         if is_keyed && truth != Truth::default() {
             faults.partial.push(format!("{uid} of {}: {truth:?}", one.request.class));
@@ -112,7 +114,7 @@
     let mut effects: BTreeMap<(String, Vec<u8>), usize> = BTreeMap::new();
     for dependency in dependencies {
         for call in &dependency.record().calls {
-            if keyed.contains(call.uid.as_str()) && call.ended != Ended::TurnedAway {
+            if keyed.contains(call.uid.as_str()) && call.ended != Ended::Rejected {
                 *effects.entry((call.uid.clone(), call.body.clone())).or_default() += 1;
             }
         }
@@ -123,15 +125,15 @@
     faults
 }
 
-/// What the answer of a run should say: it lacks what the run was told to go on without, and is stale where a reply was
-/// given to it that no dependency gave to a call of its own.
-fn truth(run: &Ran, well: &BTreeSet<(String, Vec<u8>)>) -> Truth {
+/// Derives the labels of a run's answer: incomplete if a call was skipped, stale if a reply does not come
+/// from a successful call made for this run.
+fn truth(run: &RunRecord, succeeded: &BTreeSet<(String, Vec<u8>)>) -> Truth {
     let mut truth = Truth::default();
-    for (place, got) in run.got.iter().enumerate() {
-        let call = [&run.body[..], format!("#{}", place + 1).as_bytes()].concat();
-        match got {
-            Got::Nothing => truth.lacks = true,
-            Got::Reply(_) => truth.stale |= !well.contains(&(run.uid.clone(), call)),
+    for (index, result) in run.call_results.iter().enumerate() {
+        let call = [&run.body[..], format!("#{}", index + 1).as_bytes()].concat();
+        match result {
+            CallResult::Nothing => truth.lacks = true,
+            CallResult::Reply(_) => truth.stale |= !succeeded.contains(&(run.uid.clone(), call)),
         }
     }
     truth
--- a/crates/stand-ins/src/wire.rs
+++ b/crates/stand-ins/src/wire.rs
@@ -1,6 +1,6 @@
-//! One connection of a balancer, byte by byte: halves of requests, closes and resets, each at the moment that a test wants.
+//! A raw balancer connection, for tests that send partial requests, close or reset at an exact moment.
 
-use crate::balancer::{Answer, END_REQUEST, Request, STDOUT, parse, records};
+use crate::balancer::{Answer, END_REQUEST, Request, STDOUT, encode_request, parse_answer};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The other end said that it sends nothing more.
+    /// Closed in order by the peer.
     Closed,
-    /// It was reset.
+    /// Reset.
     Reset,
 }
 
-/// A connection.
+/// A raw FastCGI connection.
 #[derive(Debug)]
 pub struct Wire {
     stream: TcpStream,
@@ -27,71 +27,76 @@
     open: BTreeMap<u16, Vec<u8>>,
 }
 
-/// A request as bytes.
+/// An encoded request.
 #[derive(Clone, Debug)]
-pub struct Bytes {
-    /// Its id on the connection.
+pub struct EncodedRequest {
+    /// Request id on the connection.
     pub id: u16,
-    /// Its correlation id.
+    /// Correlation id.
     pub uid: String,
-    /// All of it.
+    /// All records of the request.
     pub bytes: Vec<u8>,
 }
 
 impl Wire {
-    /// Connects, as the balancer of this number, of which there is no other.
+    /// Connects as the balancer with this number, which must be unique.
     ///
     /// # Errors
-    /// Nobody takes the connection.
+    /// Fails if the connection is not accepted.
     pub async fn connect(to: SocketAddr, number: u64) -> io::Result<Wire> {
-        Wire::with_room(to, number, None).await
+        Wire::with_receive_buffer(to, number, None).await
     }
 
-    /// The same, with so many bytes of room for what is not read yet.
+    /// Connects with a receive buffer of this size.
     ///
     /// # Errors
-    /// Nobody takes the connection.
-    pub async fn with_room(to: SocketAddr, number: u64, room: Option<u32>) -> io::Result<Wire> {
+    /// Fails if the connection is not accepted.
+    pub async fn with_receive_buffer(
+        to: SocketAddr,
+        number: u64,
+        buffer_bytes: Option<u32>,
+    ) -> io::Result<Wire> {
         let socket = TcpSocket::new_v4()?;
-        if let Some(room) = room {
-            socket.set_recv_buffer_size(room)?;
+        if let Some(buffer_bytes) = buffer_bytes {
+            socket.set_recv_buffer_size(buffer_bytes)?;
         }
         let stream = socket.connect(to).await?;
         stream.set_nodelay(true)?;
         Ok(Wire { stream, number, next: 0, input: Vec::new(), open: BTreeMap::new() })
     }
 
-    /// The bytes of a request, which has come to the machine now.
-    pub fn bytes(&mut self, request: &Request) -> Bytes {
+    /// Encodes a request with the present time as its arrival.
+    pub fn encode(&mut self, request: &Request) -> EncodedRequest {
         self.next = self.next.wrapping_add(1).max(1);
         let uid = format!("{:08x}{:08x}", self.number, self.next);
         let now = UNIX_EPOCH.elapsed().unwrap_or_default().as_millis();
-        let bytes = records(self.next, self.number, &uid, now, request);
-        Bytes { id: self.next, uid, bytes }
+        let bytes = encode_request(self.next, self.number, &uid, now, request);
+        EncodedRequest { id: self.next, uid, bytes }
     }
 
-    /// Writes bytes; how many left, which is all of them unless the connection has no room or has ended.
-    pub fn put(&mut self, bytes: &[u8]) -> usize {
-        let mut left = 0;
-        while left < bytes.len() {
-            match self.stream.try_write(&bytes[left..]) {
-                Ok(n) => left += n,
+    /// Writes bytes; returns how many were written, which is fewer than all if the buffers are full or the
+    /// connection ended.
+    pub fn write(&mut self, bytes: &[u8]) -> usize {
+        let mut written = 0;
+        while written < bytes.len() {
+            match self.stream.try_write(&bytes[written..]) {
+                Ok(n) => written += n,
                 Err(_) => break,
             }
         }
-        left
+        written
     }
 
-    /// Writes a whole request; its ids, if all of it left.
-    pub fn send(&mut self, request: &Request) -> Option<Bytes> {
-        let request = self.bytes(request);
-        (self.put(&request.bytes) == request.bytes.len()).then_some(request)
+    /// Writes a whole request; returns it if all of it was written.
+    pub fn send(&mut self, request: &Request) -> Option<EncodedRequest> {
+        let request = self.encode(request);
+        (self.write(&request.bytes) == request.bytes.len()).then_some(request)
     }
 
-    /// The next record: its kind, its request and its content.
+    /// Reads the next record: its type, request id and content.
     ///
     /// # Errors
-    /// How the connection ended.
+    /// Returns how the connection ended.
     pub async fn record(&mut self) -> Result<(u8, u16, Vec<u8>), End> {
         loop {
             if self.input.len() >= 8 {
@@ -112,26 +117,26 @@
         }
     }
 
-    /// The next whole answer, with the id of its request on the connection.
+    /// Reads the next complete answer, with the request id.
     ///
     /// # Errors
-    /// How the connection ended.
+    /// Returns how the connection ended.
     pub async fn answer(&mut self) -> Result<(u16, Answer), End> {
         loop {
             match self.record().await? {
                 (STDOUT, id, content) => self.open.entry(id).or_default().extend(content),
                 (END_REQUEST, id, _) => {
                     let text = self.open.remove(&id).unwrap_or_default();
-                    return Ok((id, parse(&text).unwrap_or_default()));
+                    return Ok((id, parse_answer(&text).unwrap_or_default()));
                 }
                 _ => {}
             }
         }
     }
 
-    /// Ends the connection with a reset: what was sent and not read at either end is lost.
+    /// Resets the connection; data not yet read at either end is lost.
     pub fn reset(self) {
-        // An error means that it has ended.
+        // An error means that the connection has ended.
         let _ = self.stream.set_zero_linger();
     }
 }
