--- a/crates/agreed/src/lib.rs
+++ b/crates/agreed/src/lib.rs
@@ -118,7 +118,8 @@
         (Group::Field(tenant), Some(routes)) => routes.allows("", tenant),
         _ => BTreeSet::new(),
     };
-    let entries = part.ground().wants(now_ms, part.tables(), |name| present.contains(name), allowed);
+    let entries =
+        part.planning_state().propose(now_ms, part.tables(), |name| present.contains(name), allowed);
     entries.iter().map(|entry| (steering::part::NAME.to_string(), entry.to_bytes())).collect()
 }
 
@@ -143,7 +144,9 @@
     }
     let prefers = |orphan: &Orphan, regions: Vec<String>| match tables(agreed) {
         // A set of none would mean all that the table knows.
-        Some(tables) if !regions.is_empty() => tables.prefers(&group(orphan), &regions.into_iter().collect()),
+        Some(tables) if !regions.is_empty() => {
+            tables.preferred_regions(&group(orphan), &regions.into_iter().collect())
+        }
         _ => regions,
     };
     plan_takeovers(&orphans, &work.eligible_members(&agreed.fleet), now_ms, allowed, prefers)
--- a/crates/node/src/cli/steering.rs
+++ b/crates/node/src/cli/steering.rs
@@ -74,7 +74,7 @@
 }
 
 fn why(shown: &Value, group: &str) -> String {
-    format!("{}\n", tables(shown).why(&Group::named(group)))
+    format!("{}\n", tables(shown).explain(&Group::named(group)))
 }
 
 #[cfg(test)]
--- a/crates/node/src/steering.rs
+++ b/crates/node/src/steering.rs
@@ -9,8 +9,8 @@
 use jaspershunt_fleet::Entry;
 use jaspershunt_member::driver::Order;
 use jaspershunt_operator::{By, Delays, File};
-use jaspershunt_steering::part::{NAME, Seen as Shown};
-use jaspershunt_steering::{Client, Edge, Entry as OfSteering, Tables, Told, What};
+use jaspershunt_steering::part::{MemberView as Shown, NAME};
+use jaspershunt_steering::{Client, Edge, EdgeReport, Entry as OfSteering, Observation, Tables};
 use kernel::Kernel;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -129,7 +129,7 @@
             capacity_milli: (steering.capacity.0 * 1000.0).min(f64::from(u32::MAX)) as u32,
             kernel: None,
             gaps: steering.delays == Delays::Gaps,
-            edge: Edge::new(name, &region, window).apart(),
+            edge: Edge::new(name, &region, window).splitting_all(),
             epoch: 0,
             over: BTreeMap::new(),
             asked: 0,
@@ -252,16 +252,16 @@
         }
     }
 
-    fn sample(&mut self, client: &Client, what: What) {
+    fn sample(&mut self, client: &Client, what: Observation) {
         self.figures.samples.fetch_add(1, Ordering::Relaxed);
-        self.edge.sample(client, what);
+        self.edge.record(client, what);
     }
 
     fn take(&mut self, seen: Seen) {
         match seen {
             Seen::Asked { peer, client, gap } => {
                 self.asked += 1;
-                self.sample(&client, What::Asked);
+                self.sample(&client, Observation::Request);
                 if self.over.len() >= MAX_PEERS && !self.over.contains_key(&peer) {
                     return;
                 }
@@ -272,8 +272,8 @@
                     clients.push((client, gap));
                 }
             }
-            Seen::Reset(client) => self.sample(&client, What::Reset),
-            Seen::TimedOut(client) => self.sample(&client, What::TimedOut),
+            Seen::Reset(client) => self.sample(&client, Observation::Reset),
+            Seen::TimedOut(client) => self.sample(&client, Observation::TimedOut),
         }
     }
 
@@ -288,7 +288,7 @@
         if self.gaps {
             for (client, gap) in over.into_values().flat_map(|over| over.clients) {
                 if let Some(gap) = gap {
-                    self.sample(&client, What::RoundTrip { us: us(gap) });
+                    self.sample(&client, Observation::RoundTrip { us: us(gap) });
                 }
             }
             return;
@@ -306,10 +306,10 @@
         for (peer, over) in over {
             for (client, gap) in over.clients {
                 if let Some(us) = trips.get(&peer) {
-                    self.sample(&client, What::RoundTrip { us: *us });
+                    self.sample(&client, Observation::RoundTrip { us: *us });
                 }
                 if let Some(gap) = gap {
-                    self.sample(&client, What::Gap { us: us(gap), queue_us: 0 });
+                    self.sample(&client, Observation::Gap { us: us(gap), queue_us: 0 });
                 }
             }
         }
@@ -322,22 +322,22 @@
             && epoch != self.epoch
         {
             self.epoch = epoch;
-            self.edge.agree(&tables);
+            self.edge.follow_table(&tables);
         }
-        let summary = self.edge.close();
-        self.figures.untold.store(self.edge.untold, Ordering::Relaxed);
+        let summary = self.edge.close_window();
+        self.figures.untold.store(self.edge.dropped_samples, Ordering::Relaxed);
         let asked = std::mem::take(&mut self.asked);
         let load = asked as f64 / self.every.as_secs_f64() * 1000.0;
-        let told = Told {
+        let told = EdgeReport {
             edge: self.name.clone(),
             region: self.region.clone(),
-            every_ms: self.every.as_millis() as u32,
+            interval_ms: self.every.as_millis() as u32,
             capacity_milli: self.capacity_milli,
             load_milli: load.min(f64::from(u32::MAX)) as u32,
             summary: summary.to_bytes(),
         };
         let Some(way) = way else { return };
-        let entry = Entry::Part { part: NAME.to_string(), bytes: OfSteering::Told(told).to_bytes() };
+        let entry = Entry::Part { part: NAME.to_string(), bytes: OfSteering::Report(told).to_bytes() };
         // Nobody waits for what comes of it.
         let (answer, _) = oneshot::channel();
         if way.orders.try_send(Order::Propose { entry, answer }).is_ok() {
--- a/crates/node/src/steering/tests.rs
+++ b/crates/node/src/steering/tests.rs
@@ -62,11 +62,11 @@
             thread.take(Seen::Asked { peer: peer(1), client: client(7), gap });
         }
         thread.look();
-        let summary = thread.edge.close();
-        let (_, cells) = summary.seen().next().unwrap();
+        let summary = thread.edge.close_window();
+        let (_, cells) = summary.by_source().next().unwrap();
         let cell = cells.values().next().unwrap();
-        assert_eq!((cell.asked, cell.paths.count()), (3, delays));
-        assert!(delays == 0 || (8_800..9_200).contains(&cell.paths.at(0).unwrap()));
+        assert_eq!((cell.requests, cell.round_trips.count()), (3, delays));
+        assert!(delays == 0 || (8_800..9_200).contains(&cell.round_trips.value_at_rank(0).unwrap()));
     }
 }
 
--- a/crates/steering/examples/unmeasured.rs
+++ b/crates/steering/examples/unmeasured.rs
@@ -10,26 +10,26 @@
 
 fn main() {
     let number = |at: usize, or: u64| std::env::args().nth(at).and_then(|n| n.parse().ok()).unwrap_or(or);
-    let (from, worlds) = (number(1, 0), number(2, 10));
+    let (from, simulations) = (number(1, 0), number(2, 10));
     let mut by: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-    for seed in from..from + worlds {
-        let mut run = Run::new(measure::world(seed), Strategy::Ours, seed);
+    for seed in from..from + simulations {
+        let mut run = Run::new(measure::simulation(seed), Strategy::Steering, seed);
         while run.window < measure::WINDOWS {
             run.step();
             if run.window < LEARNS || !run.window.is_multiple_of(LOOKS) {
                 continue;
             }
-            for g in 0..run.world.groups.len() {
+            for g in 0..run.simulation.groups.len() {
                 let pairs: Vec<_> = run.estimates.measured_pairs().collect();
-                let group = &run.world.groups[g].group;
+                let group = &run.simulation.groups[g].group;
                 let of: Vec<&str> = pairs.iter().filter(|pair| pair.0 == group).map(|pair| pair.1).collect();
-                for r in 0..run.world.regions.len() {
-                    let region = run.world.regions[r].name.as_str();
+                for r in 0..run.simulation.regions.len() {
+                    let region = run.simulation.regions[r].name.as_str();
                     if of.contains(&region) {
                         continue;
                     }
                     if let Some(estimate) = run.estimates.estimate(run.now_ms(), group, region) {
-                        let truth = run.world.path_ms(run.window - 1, g, r);
+                        let truth = run.simulation.path_ms(run.window - 1, g, r);
                         by.entry(of.len()).or_default().push((estimate.ms / truth).ln());
                     }
                 }
--- a/crates/steering/src/coordinates.rs
+++ b/crates/steering/src/coordinates.rs
@@ -10,28 +10,28 @@
 /// Sweeps over all pairs for each window.
 const SWEEPS: usize = 6;
 /// Starts that are tried when the present fit is bad or regions are new: one can end in a bad place.
-const STARTS: u64 = 8;
+const RESTARTS: u64 = 8;
 /// Sweeps for each of these.
-const SWEEPS_AT_START: usize = 60;
+const SWEEPS_PER_RESTART: usize = 60;
 /// A fit with a greater error is begun anew.
 const BAD_FIT: f64 = 0.20;
 /// Windows between two such.
-const RETRY_WINDOWS: u64 = 12;
+const MIN_WINDOWS_BETWEEN_RESTARTS: u64 = 12;
 /// No delay is guessed shorter, in milliseconds.
-const SHORTEST_MS: f64 = 0.2;
+const MIN_DELAY_MS: f64 = 0.2;
 /// How much of an error is mended at once, at first and at last.
-const RATE: (f64, f64) = (0.5, 0.08);
+const LEARNING_RATES: (f64, f64) = (0.5, 0.08);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Point {
-    at: [f64; DIMENSIONS],
+    position: [f64; DIMENSIONS],
     height: f64,
     pairs: usize,
 }
 
 /// A pair of which something is known.
 #[derive(Clone, Copy, Debug)]
-pub struct Known<'a> {
+pub struct KnownDelay<'a> {
     /// The group.
     pub group: &'a Group,
     /// The region.
@@ -50,14 +50,14 @@
 }
 
 /// Numbers that look drawn and are the same everywhere: a start only has to be in general position.
-fn scatter(of: u64, at: u64) -> f64 {
+fn unit_hash(of: u64, at: u64) -> f64 {
     let mut x = of.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ at.wrapping_mul(0xd1b5_4a32_d192_ed03);
     x = (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     ((x ^ (x >> 32)) % 2000) as f64 / 1000.0 - 1.0
 }
 
 fn distance(one: &Point, two: &Point) -> f64 {
-    one.at.iter().zip(two.at).map(|(a, b)| (a - b).powi(2)).sum::<f64>().sqrt()
+    one.position.iter().zip(two.position).map(|(a, b)| (a - b).powi(2)).sum::<f64>().sqrt()
 }
 
 struct Fit {
@@ -71,23 +71,23 @@
             let (group, region) = (self.groups[g], self.regions[r]);
             let apart = distance(&group, &region).max(1e-6);
             // Near pairs count more, as what matters is the error in proportion.
-            let mend = rate * (ms - apart - group.height) * (30.0 / ms).clamp(0.3, 1.0);
-            let shift = 0.5 * mend / apart;
+            let correction = rate * (ms - apart - group.height) * (30.0 / ms).clamp(0.3, 1.0);
+            let shift = 0.5 * correction / apart;
             // A region is held by many groups, and moves less for each.
-            let slower = 4.0 / (4.0 + region.pairs as f64);
+            let damping = 4.0 / (4.0 + region.pairs as f64);
             for d in 0..DIMENSIONS {
-                let along = group.at[d] - region.at[d];
-                self.groups[g].at[d] += shift * along;
-                self.regions[r].at[d] -= shift * along * slower;
+                let along = group.position[d] - region.position[d];
+                self.groups[g].position[d] += shift * along;
+                self.regions[r].position[d] -= shift * along * damping;
             }
-            self.groups[g].height = (group.height + 0.3 * mend).max(0.0);
+            self.groups[g].height = (group.height + 0.3 * correction).max(0.0);
         }
     }
 
     fn error(&self, pairs: &[(usize, usize, f64)]) -> f64 {
         let off = |&(g, r, ms): &(usize, usize, f64)| {
             let (group, region) = (&self.groups[g], &self.regions[r]);
-            ((distance(group, region) + group.height).max(SHORTEST_MS) / ms).ln().powi(2)
+            ((distance(group, region) + group.height).max(MIN_DELAY_MS) / ms).ln().powi(2)
         };
         (pairs.iter().map(off).sum::<f64>() / pairs.len().max(1) as f64).sqrt()
     }
@@ -95,7 +95,7 @@
 
 impl Coordinates {
     /// Goes on with the fit, by all that is known now. The work is bounded: a fixed number of sweeps over the pairs.
-    pub fn fit(&mut self, known: &[Known]) {
+    pub fn fit(&mut self, known: &[KnownDelay]) {
         if known.is_empty() {
             return;
         }
@@ -119,19 +119,20 @@
             let r = regions.binary_search(&pair.region).unwrap_or_default();
             of_group[g] += 1;
             of_region[r] += 1;
-            pairs.push((g, r, pair.ms.max(SHORTEST_MS)));
+            pairs.push((g, r, pair.ms.max(MIN_DELAY_MS)));
         }
         let new = regions.iter().any(|&region| !self.regions.contains_key(region));
-        let anew = new || (self.error > BAD_FIT && self.windows.is_multiple_of(RETRY_WINDOWS));
-        let mut best = self.present(&groups, &regions, (&of_group, &of_region), &pairs);
+        let restart =
+            new || (self.error > BAD_FIT && self.windows.is_multiple_of(MIN_WINDOWS_BETWEEN_RESTARTS));
+        let mut best = self.warm_start(&groups, &regions, (&of_group, &of_region), &pairs);
         for _ in 0..SWEEPS {
-            best.sweep(&pairs, RATE.1);
+            best.sweep(&pairs, LEARNING_RATES.1);
         }
-        for start in 0..if anew { STARTS } else { 0 } {
-            let mut fit = self.scattered((&of_group, &of_region), start);
-            for sweep in 0..SWEEPS_AT_START {
-                let done = sweep as f64 / SWEEPS_AT_START as f64;
-                fit.sweep(&pairs, RATE.0 + (RATE.1 - RATE.0) * done);
+        for start in 0..if restart { RESTARTS } else { 0 } {
+            let mut fit = self.random_start((&of_group, &of_region), start);
+            for sweep in 0..SWEEPS_PER_RESTART {
+                let done = sweep as f64 / SWEEPS_PER_RESTART as f64;
+                fit.sweep(&pairs, LEARNING_RATES.0 + (LEARNING_RATES.1 - LEARNING_RATES.0) * done);
             }
             if fit.error(&pairs) < best.error(&pairs) {
                 best = fit;
@@ -142,7 +143,7 @@
         self.regions = regions.into_iter().map(String::from).zip(best.regions).collect();
     }
 
-    fn present(
+    fn warm_start(
         &self,
         groups: &[&Group],
         regions: &[&str],
@@ -151,7 +152,7 @@
     ) -> Fit {
         let region = |(r, name): (usize, &&str)| {
             let fresh = || Point {
-                at: std::array::from_fn(|d| 30.0 * scatter(r as u64 + 1, d as u64)),
+                position: std::array::from_fn(|d| 30.0 * unit_hash(r as u64 + 1, d as u64)),
                 ..Point::default()
             };
             Point { pairs: of.1[r], ..self.regions.get(*name).copied().unwrap_or_else(fresh) }
@@ -161,10 +162,14 @@
             // A new one begins where its wider group's others are, or at the region that has it.
             let fresh = || {
                 let parent = group.parent();
-                let kin = self.groups.iter().find(|(of, _)| of.parent() == parent).map(|(_, point)| *point);
+                let sibling =
+                    self.groups.iter().find(|(of, _)| of.parent() == parent).map(|(_, point)| *point);
                 let near = pairs.iter().filter(|pair| pair.0 == g).min_by(|a, b| a.2.total_cmp(&b.2));
-                let mut at = kin.or(near.map(|pair| regions[pair.1])).unwrap_or_default();
-                at.at.iter_mut().enumerate().for_each(|(d, x)| *x += scatter(g as u64 + 99, d as u64));
+                let mut at = sibling.or(near.map(|pair| regions[pair.1])).unwrap_or_default();
+                at.position
+                    .iter_mut()
+                    .enumerate()
+                    .for_each(|(d, x)| *x += unit_hash(g as u64 + 99, d as u64));
                 at
             };
             Point { pairs: of.0[g], ..self.groups.get(*group).copied().unwrap_or_else(fresh) }
@@ -172,9 +177,9 @@
         Fit { groups: groups.iter().enumerate().map(group).collect(), regions }
     }
 
-    fn scattered(&self, of: (&[usize], &[usize]), start: u64) -> Fit {
+    fn random_start(&self, of: (&[usize], &[usize]), start: u64) -> Fit {
         let point = |side: u64, i: usize, pairs: usize| Point {
-            at: std::array::from_fn(|d| 60.0 * scatter(start * 7919 + side + i as u64, d as u64)),
+            position: std::array::from_fn(|d| 60.0 * unit_hash(start * 7919 + side + i as u64, d as u64)),
             height: 2.0,
             pairs,
         };
@@ -183,10 +188,10 @@
     }
 
     /// The logarithm of a delay in milliseconds and how far it may be off; `None` where nothing is known of either.
-    pub fn guess(&self, group: &Group, region: &str) -> Option<(f64, f64)> {
+    pub fn predict(&self, group: &Group, region: &str) -> Option<(f64, f64)> {
         let to = self.regions.get(region)?;
         let (up, at) = group.upwards().enumerate().find_map(|(up, of)| Some((up, self.groups.get(&of)?)))?;
-        let ms = (distance(at, to) + at.height).max(SHORTEST_MS);
+        let ms = (distance(at, to) + at.height).max(MIN_DELAY_MS);
         // One distance leaves all directions open, two leave two; a wider group is somewhere about.
         let open = [1.0, 0.6, 0.3, 0.15].get(at.pairs).copied().unwrap_or(0.08);
         Some((ms.ln(), (1.5 * self.error).max(0.10) + open + 0.2 * up as f64))
--- a/crates/steering/src/emulator.rs
+++ b/crates/steering/src/emulator.rs
@@ -3,29 +3,29 @@
 
 pub mod measure;
 mod oracle;
+mod simulation;
 mod soak;
-mod world;
 
-pub use soak::{Sum, check, soak};
-pub use world::{Fault, World};
+pub use simulation::{Fault, Simulation};
+pub use soak::{SoakReport, check, soak};
 
 use crate::group::{Client, Group};
-use crate::model::{Estimates, GAVE_UP_MS};
+use crate::model::{Estimates, TIMEOUT_DELAY_MS};
 use crate::part::{Entry, Outcome, Part};
-use crate::samples::{Edge, What};
-use crate::steer::{Demand, FULL, LEARNS, Planner, Region, Scene};
+use crate::planner::{Demand, EXPLORATION_SHARE, MAX_FILL, Planner, Region, TrafficSnapshot};
+use crate::samples::{Edge, Observation};
 use crate::summary::{Summary, WINDOW_MS};
-use crate::tables::{Place, Row, Tables, WHOLE, Why};
+use crate::tables::{Place, Row, TOTAL_SHARE, Tables, Why};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What all chances of a run come from.
 #[derive(Clone, Debug)]
-pub struct Dice(u64);
+pub struct SeededRng(u64);
 
-impl Dice {
+impl SeededRng {
     /// From a seed.
-    pub fn new(seed: u64) -> Dice {
-        Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5eed)
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5eed)
     }
 
     fn next(&mut self) -> u64 {
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
     /// This crate.
-    Ours,
+    Steering,
     /// Everyone stays at home; the next by the map if that is lost.
     Static,
     /// The region whose last sample was shortest.
@@ -76,11 +76,11 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The truth.
-    pub world: World,
+    pub simulation: Simulation,
     /// The next window.
     pub window: u64,
     strategy: Strategy,
-    dice: Dice,
+    rng: SeededRng,
     edges: Vec<Vec<Edge>>,
     /// What is estimated.
     pub estimates: Estimates,
@@ -93,13 +93,23 @@
 
 impl Run {
     /// A run in a world. Runs with the same seed see the same samples as long as they do the same.
-    pub fn new(world: World, strategy: Strategy, seed: u64) -> Run {
+    pub fn new(simulation: Simulation, strategy: Strategy, seed: u64) -> Run {
         let edge = |r: usize, e: usize| Edge::new(&format!("n{r}-{e}"), &format!("r{r}"), 1);
-        let edges = |r: usize| (0..world.regions[r].clocks.len()).map(|e| edge(r, e)).collect();
-        let edges = (0..world.regions.len()).map(edges).collect();
+        let edges = |r: usize| (0..simulation.regions[r].clocks.len()).map(|e| edge(r, e)).collect();
+        let edges = (0..simulation.regions.len()).map(edges).collect();
         let (estimates, part) = (Estimates::default(), Part::default());
         let (sampled, raw) = (BTreeSet::new(), BTreeMap::new());
-        Run { world, window: 0, strategy, dice: Dice::new(seed), edges, estimates, part, sampled, raw }
+        Run {
+            simulation,
+            window: 0,
+            strategy,
+            rng: SeededRng::new(seed),
+            edges,
+            estimates,
+            part,
+            sampled,
+            raw,
+        }
     }
 
     /// The virtual time.
@@ -108,43 +118,47 @@
     }
 
     /// What the planner is told of the world.
-    pub fn scene(&self) -> Scene {
-        let mut scene = Scene::default();
-        for (r, place) in self.world.regions.iter().enumerate() {
-            let up = self.world.up(self.window, r);
-            scene.regions.insert(place.name.clone(), Region { capacity: place.capacity, load: 0.0, up });
+    pub fn snapshot(&self) -> TrafficSnapshot {
+        let mut snapshot = TrafficSnapshot::default();
+        for (r, place) in self.simulation.regions.iter().enumerate() {
+            let up = self.simulation.up(self.window, r);
+            snapshot.regions.insert(place.name.clone(), Region { capacity: place.capacity, load: 0.0, up });
         }
-        for (g, clients) in self.world.groups.iter().enumerate() {
-            let home = Some(self.world.regions[clients.home].name.clone());
-            scene
+        for (g, clients) in self.simulation.groups.iter().enumerate() {
+            let home = Some(self.simulation.regions[clients.home].name.clone());
+            snapshot
                 .demand
-                .insert(clients.group.clone(), Demand { rate: self.world.rate(self.window, g), home });
+                .insert(clients.group.clone(), Demand { rate: self.simulation.rate(self.window, g), home });
             let forbidden =
-                |r: &usize| self.world.broken(self.window).any(|fault| fault == Fault::Forbidden(g, *r));
-            let allowed = (0..self.world.regions.len()).filter(|r| !forbidden(r));
-            let allowed = allowed.map(|r| self.world.regions[r].name.clone()).collect();
-            scene.allowed.insert(clients.group.clone(), allowed);
+                |r: &usize| self.simulation.broken(self.window).any(|fault| fault == Fault::Forbidden(g, *r));
+            let allowed = (0..self.simulation.regions.len()).filter(|r| !forbidden(r));
+            let allowed = allowed.map(|r| self.simulation.regions[r].name.clone()).collect();
+            snapshot.allowed.insert(clients.group.clone(), allowed);
         }
-        scene
+        snapshot
     }
 
     /// The shares of a group, by the number of the region.
     pub fn shares(&self, g: usize) -> Vec<(usize, f64)> {
-        let shares = self.part.tables().shares(&self.world.groups[g].group);
+        let shares = self.part.tables().shares(&self.simulation.groups[g].group);
         if shares.is_empty() {
-            return vec![(self.world.groups[g].home, 1.0)];
+            return vec![(self.simulation.groups[g].home, 1.0)];
         }
-        let number =
-            |name: &str| self.world.regions.iter().position(|place| place.name == name).unwrap_or_default();
-        shares.iter().map(|(name, share)| (number(name), f64::from(*share) / f64::from(WHOLE))).collect()
+        let number = |name: &str| {
+            self.simulation.regions.iter().position(|place| place.name == name).unwrap_or_default()
+        };
+        shares
+            .iter()
+            .map(|(name, share)| (number(name), f64::from(*share) / f64::from(TOTAL_SHARE)))
+            .collect()
     }
 
     /// Requests a second in each region.
     pub fn loads(&self) -> Vec<f64> {
-        let mut loads = vec![0.0; self.world.regions.len()];
-        for g in 0..self.world.groups.len() {
+        let mut loads = vec![0.0; self.simulation.regions.len()];
+        for g in 0..self.simulation.groups.len() {
             for (r, share) in self.shares(g) {
-                loads[r] += share * self.world.rate(self.window, g);
+                loads[r] += share * self.simulation.rate(self.window, g);
             }
         }
         loads
@@ -153,8 +167,8 @@
     /// The mean delay of all requests in this window, in milliseconds: path, queue, and what the lost ones waited.
     pub fn served_ms(&self) -> f64 {
         let (loads, mut sum, mut all) = (self.loads(), 0.0, 0.0);
-        for g in 0..self.world.groups.len() {
-            let rate = self.world.rate(self.window, g);
+        for g in 0..self.simulation.groups.len() {
+            let rate = self.simulation.rate(self.window, g);
             all += rate;
             for (r, share) in self.shares(g) {
                 sum += rate * share * self.cost(g, r, loads[r]);
@@ -164,19 +178,20 @@
     }
 
     fn cost(&self, g: usize, r: usize, load: f64) -> f64 {
-        let loss = self.world.loss(self.window, g, r);
-        loss * GAVE_UP_MS
-            + (1.0 - loss) * (self.world.path_ms(self.window, g, r) + self.world.queue_ms(r, load))
+        let loss = self.simulation.loss(self.window, g, r);
+        loss * TIMEOUT_DELAY_MS
+            + (1.0 - loss) * (self.simulation.path_ms(self.window, g, r) + self.simulation.queue_ms(r, load))
     }
 
     /// The same for one who knows all and moves everyone at once, up to as much of each region as steering fills.
     pub fn oracle_ms(&self) -> f64 {
-        let all = 0..self.world.regions.len();
+        let all = 0..self.simulation.regions.len();
         let delay = |g: usize| all.clone().map(|r| self.cost(g, r, 0.0)).collect();
-        let delays: Vec<Vec<f64>> = (0..self.world.groups.len()).map(delay).collect();
-        let rates: Vec<f64> = (0..self.world.groups.len()).map(|g| self.world.rate(self.window, g)).collect();
-        let up = |r: usize| if self.world.up(self.window, r) { FULL } else { 0.0 };
-        let room: Vec<f64> = all.clone().map(|r| up(r) * self.world.regions[r].capacity).collect();
+        let delays: Vec<Vec<f64>> = (0..self.simulation.groups.len()).map(delay).collect();
+        let rates: Vec<f64> =
+            (0..self.simulation.groups.len()).map(|g| self.simulation.rate(self.window, g)).collect();
+        let up = |r: usize| if self.simulation.up(self.window, r) { MAX_FILL } else { 0.0 };
+        let room: Vec<f64> = all.clone().map(|r| up(r) * self.simulation.regions[r].capacity).collect();
         let flows = oracle::best(&delays, &rates, &room);
         let load = |r: usize| flows.iter().map(|of| of[r]).sum::<f64>();
         let loads: Vec<f64> = all.clone().map(load).collect();
@@ -188,25 +203,26 @@
             }
         }
         let lost = rates.iter().sum::<f64>() - served;
-        (sum + lost.max(0.0) * GAVE_UP_MS) / rates.iter().sum::<f64>()
+        (sum + lost.max(0.0) * TIMEOUT_DELAY_MS) / rates.iter().sum::<f64>()
     }
 
     fn sample(&mut self, g: usize, r: usize, load: f64) {
-        let e = self.dice.below(self.world.regions[r].clocks.len() as u64) as usize;
-        let Group::V4(of, _) = self.world.groups[g].group else { return };
+        let e = self.rng.below(self.simulation.regions[r].clocks.len() as u64) as usize;
+        let Group::V4(of, _) = self.simulation.groups[g].group else { return };
         let client =
-            Client::Address(std::net::Ipv4Addr::from(of + self.dice.below(4) as u32 * 256 + 9).into());
+            Client::Address(std::net::Ipv4Addr::from(of + self.rng.below(4) as u32 * 256 + 9).into());
         self.sampled.insert((g, r));
         let raw = self.raw.entry((g, r)).or_default();
-        if self.dice.unit() < self.world.loss(self.window, g, r) {
-            *raw = (GAVE_UP_MS, raw.1 + GAVE_UP_MS, raw.2 + 1.0);
-            self.edges[r][e].sample(&client, What::TimedOut);
+        if self.rng.unit() < self.simulation.loss(self.window, g, r) {
+            *raw = (TIMEOUT_DELAY_MS, raw.1 + TIMEOUT_DELAY_MS, raw.2 + 1.0);
+            self.edges[r][e].record(&client, Observation::TimedOut);
             return;
         }
-        let jitter = -self.dice.unit().max(1e-9).ln();
-        let mut ms = self.world.path_ms(self.window, g, r) * (0.08 * self.dice.normal()).exp() + 0.5 * jitter;
-        let mut queue = self.world.queue_ms(r, load);
-        for fault in self.world.broken(self.window) {
+        let jitter = -self.rng.unit().max(1e-9).ln();
+        let mut ms =
+            self.simulation.path_ms(self.window, g, r) * (0.08 * self.rng.normal()).exp() + 0.5 * jitter;
+        let mut queue = self.simulation.queue_ms(r, load);
+        for fault in self.simulation.broken(self.window) {
             match fault {
                 Fault::Lying(of, edge, factor) if (of, edge) == (r, e) => ms *= factor,
                 Fault::Queue(of, edge, ms) if (of, edge) == (r, e) => queue += ms,
@@ -215,20 +231,20 @@
         }
         *raw = (ms + queue, raw.1 + ms + queue, raw.2 + 1.0);
         let us = |ms: f64| (ms * 1000.0) as u32;
-        let (offset, drift) = self.world.regions[r].clocks[e];
+        let (offset, drift) = self.simulation.regions[r].clocks[e];
         let received_us = (self.now_ms() * 1000) as i64;
         let edge = &mut self.edges[r][e];
-        edge.sample(
+        edge.record(
             &client,
-            match self.dice.below(20) {
-                0..=8 => What::RoundTrip { us: us(ms) },
-                9..=14 => What::Handshake { us: us(ms + queue), queue_us: us(queue) },
-                15..=16 => What::Gap { us: us(ms + queue + 300.0 * jitter), queue_us: us(queue) },
+            match self.rng.below(20) {
+                0..=8 => Observation::RoundTrip { us: us(ms) },
+                9..=14 => Observation::Handshake { us: us(ms + queue), queue_us: us(queue) },
+                15..=16 => Observation::Gap { us: us(ms + queue + 300.0 * jitter), queue_us: us(queue) },
                 17..=18 => {
                     let off = offset + drift * self.window as i64 * (WINDOW_MS / 1000) as i64;
-                    What::Arrival { sent_us: received_us - i64::from(us(ms / 2.0)) + off, received_us }
+                    Observation::Arrival { sent_us: received_us - i64::from(us(ms / 2.0)) + off, received_us }
                 }
-                _ => What::SteeredAway,
+                _ => Observation::SteeredAway,
             },
         );
     }
@@ -236,10 +252,10 @@
     /// One window: clients come, edges tell, and who decides proposes. Returns the entries that were proposed.
     pub fn step(&mut self) -> Vec<Entry> {
         let loads = self.loads();
-        for g in 0..self.world.groups.len() {
+        for g in 0..self.simulation.groups.len() {
             for (r, share) in self.shares(g) {
-                let seen = self.world.rate(self.window, g) * share * (WINDOW_MS / 1000) as f64 * 0.5;
-                let more = f64::from(u8::from(self.dice.unit() < seen.fract()));
+                let seen = self.simulation.rate(self.window, g) * share * (WINDOW_MS / 1000) as f64 * 0.5;
+                let more = f64::from(u8::from(self.rng.unit() < seen.fract()));
                 for _ in 0..(seen.floor() + more).min(MAX_SAMPLES) as u64 {
                     self.sample(g, r, loads[r]);
                 }
@@ -247,7 +263,7 @@
         }
         self.window += 1;
         match self.strategy {
-            Strategy::Ours => self.decide(),
+            Strategy::Steering => self.decide(),
             _ => self.decide_simply(),
         }
     }
@@ -256,27 +272,28 @@
         let mut summary = Summary::default();
         for r in 0..self.edges.len() {
             let silent =
-                self.world.broken(self.window - 1).any(|f| f == Fault::Silent(r) || f == Fault::Lost(r));
+                self.simulation.broken(self.window - 1).any(|f| f == Fault::Silent(r) || f == Fault::Lost(r));
             for edge in &mut self.edges[r] {
-                edge.agree(self.part.tables());
-                let told = Summary::from_bytes(&edge.close().to_bytes()).unwrap_or_default();
+                edge.follow_table(self.part.tables());
+                let summary_of_edge =
+                    Summary::from_bytes(&edge.close_window().to_bytes()).unwrap_or_default();
                 if !silent {
-                    summary.merge(&told);
+                    summary.merge(&summary_of_edge);
                 }
             }
         }
         let now_ms = self.now_ms();
-        self.estimates.take(now_ms, &summary);
+        self.estimates.update(now_ms, &summary);
         // Whoever leads plans from what is agreed, and it is another one at any time.
-        let number = self.part.ground().window() + 1;
-        self.part.take(&Entry::Window { number, now_ms });
-        let ground = self.part.ground();
-        let mut planner = Planner::of(ground.memory(), ground.learning());
-        let next = planner.plan(now_ms, &self.scene(), &self.estimates, self.part.tables());
-        self.part.take(&Entry::Planned { number, memory: planner.memory().clone() });
+        let number = self.part.planning_state().window() + 1;
+        self.part.apply_entry(&Entry::Window { number, now_ms });
+        let planning_state = self.part.planning_state();
+        let mut planner = Planner::of(planning_state.memory(), planning_state.explorations());
+        let next = planner.plan(now_ms, &self.snapshot(), &self.estimates, self.part.tables());
+        self.part.apply_entry(&Entry::Planned { number, memory: planner.memory().clone() });
         let entries = next.map(|next| Entry::between(self.part.tables(), &next)).unwrap_or_default();
         for entry in &entries {
-            let outcome = self.part.take(entry);
+            let outcome = self.part.apply_entry(entry);
             debug_assert!(matches!(outcome, Outcome::Taken { .. }), "{outcome:?}");
         }
         entries
@@ -284,15 +301,15 @@
 
     /// The baselines know which regions are up and allowed, and learn by as many requests as we may, of each region in turn.
     fn decide_simply(&mut self) -> Vec<Entry> {
-        let (scene, mut wanted) = (self.scene(), Tables::default());
-        for g in 0..self.world.groups.len() {
-            let clients = &self.world.groups[g];
+        let (snapshot, mut wanted) = (self.snapshot(), Tables::default());
+        for g in 0..self.simulation.groups.len() {
+            let clients = &self.simulation.groups[g];
             let open = |r: &usize| {
-                let name = &self.world.regions[*r].name;
-                scene.regions[name].up && scene.allowed[&clients.group].contains(name)
+                let name = &self.simulation.regions[*r].name;
+                snapshot.regions[name].up && snapshot.allowed[&clients.group].contains(name)
             };
-            let open: Vec<usize> = (0..self.world.regions.len()).filter(open).collect();
-            let map = |r: usize| if r == clients.home { 0.0 } else { self.world.by_map(g, r) };
+            let open: Vec<usize> = (0..self.simulation.regions.len()).filter(open).collect();
+            let map = |r: usize| if r == clients.home { 0.0 } else { self.simulation.by_map(g, r) };
             let cost = |r: usize| match (self.strategy, self.raw.get(&(g, r))) {
                 (Strategy::LastSample, Some(raw)) => raw.0,
                 (Strategy::PlainMean, Some(raw)) => raw.1 / raw.2,
@@ -307,28 +324,28 @@
             .then_some(learns);
             let place = |r: usize| {
                 let share = match learns {
-                    Some(learns) if learns == r => LEARNS,
-                    Some(_) if r == main => WHOLE - LEARNS,
-                    None if r == main => WHOLE,
+                    Some(learns) if learns == r => EXPLORATION_SHARE,
+                    Some(_) if r == main => TOTAL_SHARE - EXPLORATION_SHARE,
+                    None if r == main => TOTAL_SHARE,
                     _ => 0,
                 };
-                Place { region: self.world.regions[r].name.clone(), share, delay_ms: None }
+                Place { region: self.simulation.regions[r].name.clone(), share, delay_ms: None }
             };
-            let places = (0..self.world.regions.len()).map(place).collect();
+            let places = (0..self.simulation.regions.len()).map(place).collect();
             wanted
                 .rows
                 .insert(clients.group.clone(), Row { places, why: Why::Found, moved_ms: 0, before: None });
         }
         let entries = Entry::between(self.part.tables(), &wanted);
         for entry in &entries {
-            self.part.take(entry);
+            self.part.apply_entry(entry);
         }
         entries
     }
 
     /// The main region of each group.
     pub fn mains(&self) -> BTreeMap<Group, String> {
-        let main = |(group, row): (&Group, &Row)| Some((group.clone(), row.main()?.to_string()));
+        let main = |(group, row): (&Group, &Row)| Some((group.clone(), row.main_region()?.to_string()));
         self.part.tables().rows.iter().filter_map(main).collect()
     }
 }
--- a/crates/steering/src/emulator/measure.rs
+++ b/crates/steering/src/emulator/measure.rs
@@ -1,14 +1,14 @@
 //! Figures of an hour of virtual time in each of many worlds, with the baselines in the same worlds.
 
-use super::{Dice, Fault, Run, Strategy, World};
-use crate::steer::FULL_AT_LOSS;
+use super::{Fault, Run, SeededRng, Simulation, Strategy};
+use crate::planner::MAX_FILL_AT_LOSS;
 
 /// Windows that are played: an hour and ten minutes, two days of load.
 pub const WINDOWS: u64 = 420;
 /// Windows before anything is counted, for all strategies: ten minutes to learn.
-const LEARNS: u64 = 60;
+const WARM_UP_WINDOWS: u64 = 60;
 /// Every so many windows the delay served and the oracle's are looked at.
-const LOOKS: u64 = 7;
+const CHECK_INTERVAL_WINDOWS: u64 = 7;
 
 /// What was seen in one world.
 #[derive(Clone, Debug, Default)]
@@ -30,13 +30,13 @@
 }
 
 /// A world of six regions with five edges each, forty groups, and what breaks in an hour.
-pub fn world(seed: u64) -> World {
-    let mut dice = Dice::new(seed ^ 0x9e0);
-    let mut world = World::new(&mut dice, 6, 5, 40);
+pub fn simulation(seed: u64) -> Simulation {
+    let mut rng = SeededRng::new(seed ^ 0x9e0);
+    let mut simulation = Simulation::new(&mut rng, 6, 5, 40);
     let mut add = |fault: Fault, windows: u64| {
-        let from = LEARNS + dice.below(WINDOWS - LEARNS - windows);
-        world.faults.push((fault, from, from + windows));
-        dice.unit()
+        let from = WARM_UP_WINDOWS + rng.below(WINDOWS - WARM_UP_WINDOWS - windows);
+        simulation.faults.push((fault, from, from + windows));
+        rng.unit()
     };
     let mut x = 0.37;
     for i in 0..12 {
@@ -51,22 +51,22 @@
     add(Fault::Lost(r), 40);
     x = add(Fault::Silent(s), 20);
     add(Fault::Lying(s, (x * 5.0) as usize, 0.3), 60);
-    world
+    simulation
 }
 
 fn errors(run: &Run, figures: &mut Figures) {
     let (now_ms, at) = (run.now_ms(), run.window - 1);
     let measured: std::collections::BTreeMap<_, _> =
         run.estimates.measured_pairs().map(|(group, region, at)| ((group, region), at)).collect();
-    for g in 0..run.world.groups.len() {
-        for r in 0..run.world.regions.len() {
-            let (group, region) = (&run.world.groups[g].group, run.world.regions[r].name.as_str());
+    for g in 0..run.simulation.groups.len() {
+        for r in 0..run.simulation.regions.len() {
+            let (group, region) = (&run.simulation.groups[g].group, run.simulation.regions[r].name.as_str());
             // A pair that answers nothing has no delay to be off from.
-            let lossy = (at.saturating_sub(60)..=at).any(|then| run.world.loss(then, g, r) > 0.0);
+            let lossy = (at.saturating_sub(60)..=at).any(|then| run.simulation.loss(then, g, r) > 0.0);
             let Some(estimate) = run.estimates.estimate(now_ms, group, region).filter(|_| !lossy) else {
                 continue;
             };
-            let truth = run.world.path_ms(at, g, r);
+            let truth = run.simulation.path_ms(at, g, r);
             let off = (estimate.ms / truth - 1.0).abs();
             match measured.get(&(group, region)) {
                 Some(at) if now_ms.saturating_sub(*at) <= 60_000 => figures.measured.push(off),
@@ -78,27 +78,30 @@
 }
 
 /// Plays one world with all strategies.
-pub fn play(seed: u64) -> Figures {
+pub fn measure_seed(seed: u64) -> Figures {
     let mut figures = Figures::default();
-    let all = [Strategy::Ours, Strategy::Static, Strategy::LastSample, Strategy::PlainMean];
+    let all = [Strategy::Steering, Strategy::Static, Strategy::LastSample, Strategy::PlainMean];
     for (at, strategy) in all.into_iter().enumerate() {
-        let mut run = Run::new(world(seed), strategy, seed);
+        let mut run = Run::new(simulation(seed), strategy, seed);
         let mut changes: std::collections::BTreeMap<crate::Group, (u64, String)> = Default::default();
-        let mut looks = 0.0;
+        let mut checks = 0.0;
         while run.window < WINDOWS {
             let before = run.mains();
-            let shares: Vec<_> = (0..run.world.groups.len()).map(|g| run.shares(g)).collect();
+            let shares: Vec<_> = (0..run.simulation.groups.len()).map(|g| run.shares(g)).collect();
             run.step();
-            if strategy == Strategy::Ours {
-                let (loads, mut old) = (run.loads(), vec![0.0; run.world.regions.len()]);
+            if strategy == Strategy::Steering {
+                let (loads, mut old) = (run.loads(), vec![0.0; run.simulation.regions.len()]);
                 for (g, shares) in shares.iter().enumerate() {
-                    shares.iter().for_each(|(r, share)| old[*r] += share * run.world.rate(run.window, g));
+                    shares
+                        .iter()
+                        .for_each(|(r, share)| old[*r] += share * run.simulation.rate(run.window, g));
                 }
                 let over = |r: &usize| {
-                    loads[*r] > old[*r] + 0.01 && loads[*r] > run.world.regions[*r].capacity * FULL_AT_LOSS
+                    loads[*r] > old[*r] + 0.01
+                        && loads[*r] > run.simulation.regions[*r].capacity * MAX_FILL_AT_LOSS
                 };
                 figures.overloads +=
-                    (0..loads.len()).filter(|r| over(r) && run.world.up(run.window, *r)).count() as u64;
+                    (0..loads.len()).filter(|r| over(r) && run.simulation.up(run.window, *r)).count() as u64;
                 for (group, main) in run.mains() {
                     let Some(was) = before.get(&group).filter(|was| **was != main) else { continue };
                     figures.changes.0 += 1;
@@ -107,31 +110,31 @@
                     }
                 }
             }
-            if run.window < LEARNS {
+            if run.window < WARM_UP_WINDOWS {
                 continue;
             }
-            figures.always[at] += run.served_ms() / (WINDOWS - LEARNS + 1) as f64;
-            if !run.window.is_multiple_of(LOOKS) {
+            figures.always[at] += run.served_ms() / (WINDOWS - WARM_UP_WINDOWS + 1) as f64;
+            if !run.window.is_multiple_of(CHECK_INTERVAL_WINDOWS) {
                 continue;
             }
-            looks += 1.0;
+            checks += 1.0;
             figures.served[at] += run.served_ms();
-            if strategy == Strategy::Ours {
+            if strategy == Strategy::Steering {
                 figures.oracle += run.oracle_ms();
                 errors(&run, &mut figures);
             }
         }
-        figures.served[at] /= looks;
-        if strategy == Strategy::Ours {
-            figures.oracle /= looks;
+        figures.served[at] /= checks;
+        if strategy == Strategy::Steering {
+            figures.oracle /= checks;
         }
     }
     figures
 }
 
 /// The table of so many worlds from this one on, and what falls short.
-pub fn table(from: u64, worlds: u64) -> (String, Vec<&'static str>) {
-    let all: Vec<Figures> = (from..from + worlds).map(play).collect();
+pub fn table(from: u64, simulations: u64) -> (String, Vec<&'static str>) {
+    let all: Vec<Figures> = (from..from + simulations).map(measure_seed).collect();
     let pooled = |of: fn(&Figures) -> &Vec<f64>| {
         let mut pool: Vec<f64> = all.iter().flat_map(|figures| of(figures).iter().copied()).collect();
         pool.sort_by(f64::total_cmp);
@@ -167,13 +170,13 @@
     let names = ["static regions", "nearest by last sample", "plain mean"];
     row(
         "worlds where a baseline is as good, by the looks",
-        format!("{} of {worlds}: {at_looks:?}", at_looks.len()),
+        format!("{} of {simulations}: {at_looks:?}", at_looks.len()),
         "0",
         at_looks.is_empty(),
     );
     row(
         "the same, by every window",
-        format!("{} of {worlds}: {always:?}", always.len()),
+        format!("{} of {simulations}: {always:?}", always.len()),
         "0",
         always.is_empty(),
     );
--- a/crates/steering/src/emulator/world.rs
+++ b/crates/steering/src/emulator/simulation.rs
@@ -1,11 +1,11 @@
 //! The truth: where regions and groups are, how long a way takes, and what breaks when.
 
-use super::Dice;
+use super::SeededRng;
 use crate::group::Group;
 
 /// A region.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct SimulatedRegion {
     /// Its name.
     pub name: String,
     at: [f64; 3],
@@ -49,9 +49,9 @@
 
 /// A geography.
 #[derive(Clone, Debug)]
-pub struct World {
+pub struct Simulation {
     /// The regions.
-    pub regions: Vec<Place>,
+    pub regions: Vec<SimulatedRegion>,
     /// The groups.
     pub groups: Vec<Clients>,
     stretch: Vec<Vec<f64>>,
@@ -64,67 +64,67 @@
 /// A way in light's own time through glass, there and back, over the radius of the globe, in milliseconds.
 const RADIUS_MS: f64 = 6371.0 / 100.0;
 
-fn on_globe(dice: &mut Dice, near: Option<[f64; 3]>) -> [f64; 3] {
+fn on_globe(rng: &mut SeededRng, near: Option<[f64; 3]>) -> [f64; 3] {
     let mut at = match near {
         // Half a continent: regions of one fleet do not lie all around the globe.
         None => {
-            let (north, east) = (dice.between(-0.7, 0.8), dice.between(0.0, 2.0));
+            let (north, east) = (rng.between(-0.7, 0.8), rng.between(0.0, 2.0));
             [north.cos() * east.cos(), north.cos() * east.sin(), north.sin()]
         }
-        Some(near) => near.map(|x| x + dice.between(-0.15, 0.15)),
+        Some(near) => near.map(|x| x + rng.between(-0.15, 0.15)),
     };
     let length = at.iter().map(|x| x * x).sum::<f64>().sqrt();
     at.iter_mut().for_each(|x| *x /= length);
     at
 }
 
-impl World {
+impl Simulation {
     /// A geography with so many regions, edges in each, and groups.
-    pub fn new(dice: &mut Dice, regions: usize, edges: usize, groups: usize) -> World {
-        let mut places: Vec<Place> = (0..regions)
+    pub fn new(rng: &mut SeededRng, regions: usize, edges: usize, groups: usize) -> Simulation {
+        let mut all_regions: Vec<SimulatedRegion> = (0..regions)
             .map(|r| {
-                let clock = |_| (dice.between(-4e9, 4e9) as i64, dice.between(-200.0, 200.0) as i64);
+                let clock = |_| (rng.between(-4e9, 4e9) as i64, rng.between(-200.0, 200.0) as i64);
                 let clocks = (0..edges).map(clock).collect();
-                Place { name: format!("r{r}"), at: on_globe(dice, None), capacity: 0.0, clocks }
+                SimulatedRegion { name: format!("r{r}"), at: on_globe(rng, None), capacity: 0.0, clocks }
             })
             .collect();
         let towns: Vec<[f64; 3]> = (0..8)
             .map(|town| {
-                let by = (town % 2 == 0).then(|| places[town % regions].at);
-                on_globe(dice, by)
+                let by = (town % 2 == 0).then(|| all_regions[town % regions].at);
+                on_globe(rng, by)
             })
             .collect();
-        let mut world =
-            World { regions: Vec::new(), groups: Vec::new(), stretch: Vec::new(), faults: Vec::new() };
+        let mut simulation =
+            Simulation { regions: Vec::new(), groups: Vec::new(), stretch: Vec::new(), faults: Vec::new() };
         for g in 0..groups {
-            let town = dice.below(towns.len() as u64) as usize;
-            let at = on_globe(dice, Some(towns[town]));
-            let (last_mile_ms, phase) = (dice.between(2.0, 25.0), at[1].atan2(at[0]));
-            let rate = 5.0 * 12f64.powf(dice.unit());
+            let town = rng.below(towns.len() as u64) as usize;
+            let at = on_globe(rng, Some(towns[town]));
+            let (last_mile_ms, phase) = (rng.between(2.0, 25.0), at[1].atan2(at[0]));
+            let rate = 5.0 * 12f64.powf(rng.unit());
             // Groups of one town often have neighbouring prefixes.
             let group = Group::named(&format!("{}.{g}.0.0/16", 10 + town));
             // Each way has a route of its own.
-            let mut way = || 1.3 * (0.14 * dice.normal()).exp();
-            world.stretch.push((0..regions).map(|_| (way() + way()) / 2.0).collect());
-            world.groups.push(Clients { group, at, last_mile_ms, rate, phase, home: 0 });
+            let mut way = || 1.3 * (0.14 * rng.normal()).exp();
+            simulation.stretch.push((0..regions).map(|_| (way() + way()) / 2.0).collect());
+            simulation.groups.push(Clients { group, at, last_mile_ms, rate, phase, home: 0 });
         }
-        world.regions = places.clone();
+        simulation.regions = all_regions.clone();
         for g in 0..groups {
             // What operators set by the map is now and then the second best.
             let mut by_map: Vec<usize> = (0..regions).collect();
-            let way = |r: usize| World::way(&world.groups[g].at, &world.regions[r].at);
+            let way = |r: usize| Simulation::way(&simulation.groups[g].at, &simulation.regions[r].at);
             by_map.sort_by(|&one, &two| way(one).total_cmp(&way(two)));
-            world.groups[g].home = by_map[usize::from(dice.unit() < 0.25)];
+            simulation.groups[g].home = by_map[usize::from(rng.unit() < 0.25)];
         }
-        let peak: f64 = world.groups.iter().map(|group| group.rate * 1.4).sum();
-        for (r, place) in places.iter_mut().enumerate() {
+        let peak: f64 = simulation.groups.iter().map(|group| group.rate * 1.4).sum();
+        for (r, region) in all_regions.iter_mut().enumerate() {
             let own: f64 =
-                world.groups.iter().filter(|group| group.home == r).map(|group| group.rate * 1.4).sum();
+                simulation.groups.iter().filter(|group| group.home == r).map(|group| group.rate * 1.4).sum();
             // Sized for its own, and all together for the loss of one.
-            place.capacity = (peak / 0.6 / regions as f64 * dice.between(0.7, 1.3)).max(1.3 * own);
+            region.capacity = (peak / 0.6 / regions as f64 * rng.between(0.7, 1.3)).max(1.3 * own);
         }
-        world.regions = places;
-        world
+        simulation.regions = all_regions;
+        simulation
     }
 
     fn way(one: &[f64; 3], two: &[f64; 3]) -> f64 {
@@ -134,7 +134,7 @@
 
     /// The way by the map alone, which is what operators know.
     pub fn by_map(&self, g: usize, r: usize) -> f64 {
-        World::way(&self.groups[g].at, &self.regions[r].at)
+        Simulation::way(&self.groups[g].at, &self.regions[r].at)
     }
 
     /// What is broken in a window.
@@ -148,7 +148,7 @@
     /// The true delay of a group to a region, without queues and losses, in milliseconds.
     pub fn path_ms(&self, window: u64, g: usize, r: usize) -> f64 {
         let (group, region) = (&self.groups[g], &self.regions[r]);
-        let usual = World::way(&group.at, &region.at) * self.stretch[g][r] + group.last_mile_ms + 0.5;
+        let usual = Simulation::way(&group.at, &region.at) * self.stretch[g][r] + group.last_mile_ms + 0.5;
         self.broken(window).fold(usual, |ms, fault| match fault {
             Fault::Path(of, to, factor) if (of, to) == (g, r) => ms * factor,
             _ => ms,
--- a/crates/steering/src/group.rs
+++ b/crates/steering/src/group.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
 /// Bytes of a group's name.
-pub const MAX_GROUP_NAME: usize = 64;
+pub const MAX_GROUP_NAME_BYTES: usize = 64;
 
 /// Prefixes of addresses that are groups, the widest first.
 const V4: [u8; 3] = [8, 16, 24];
@@ -59,7 +59,7 @@
 }
 
 fn cut(field: &str) -> String {
-    let end = (0..=field.len().min(MAX_GROUP_NAME)).rev().find(|&end| field.is_char_boundary(end));
+    let end = (0..=field.len().min(MAX_GROUP_NAME_BYTES)).rev().find(|&end| field.is_char_boundary(end));
     field[..end.unwrap_or(0)].to_string()
 }
 
@@ -92,12 +92,12 @@
     }
 
     /// Whether it keeps its bounds: what comes from outside may not.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         match self {
             Group::All | Group::Balancer(_) => true,
             Group::V4(prefix, bits) => V4.contains(bits) && prefix & v4_mask(*bits) == *prefix,
             Group::V6(prefix, bits) => V6.contains(bits) && prefix & v6_mask(*bits) == *prefix,
-            Group::Field(field) => field.len() <= MAX_GROUP_NAME,
+            Group::Field(field) => field.len() <= MAX_GROUP_NAME_BYTES,
         }
     }
 
@@ -139,14 +139,14 @@
         assert_eq!(field, ["field:norte/salta", "field:norte", "*"]);
         for name in v4.into_iter().chain(v6).chain(field).chain(up(Client::Balancer(7))) {
             let group = Group::named(&name);
-            assert!(group.is_sound() && group.to_string() == name);
+            assert!(group.is_valid() && group.to_string() == name);
         }
     }
 
     #[test]
     fn a_name_has_a_bound() {
-        assert_eq!(Group::named(&"ñ".repeat(90)), Group::Field("ñ".repeat(MAX_GROUP_NAME / 2)));
-        assert!(!Group::Field("n".repeat(MAX_GROUP_NAME + 1)).is_sound());
-        assert!(!Group::V4(1, 8).is_sound() && !Group::V4(0, 7).is_sound());
+        assert_eq!(Group::named(&"ñ".repeat(90)), Group::Field("ñ".repeat(MAX_GROUP_NAME_BYTES / 2)));
+        assert!(!Group::Field("n".repeat(MAX_GROUP_NAME_BYTES + 1)).is_valid());
+        assert!(!Group::V4(1, 8).is_valid() && !Group::V4(0, 7).is_valid());
     }
 }
--- a/crates/steering/src/model/tests.rs
+++ b/crates/steering/src/model/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::samples::{Edge, What};
-use crate::steer::UNSURE;
+use crate::planner::MAX_SPREAD;
+use crate::samples::{Edge, Observation};
 use crate::tables::{Row, Tables, Why};
 use crate::{Client, Summary};
 
@@ -22,10 +22,11 @@
         for (e, edge) in edges.iter_mut().enumerate() {
             // Until there is a table all clients are told as one; those in sur are near to it.
             if window > 4 {
-                edge.agree(&tables);
+                edge.follow_table(&tables);
             }
             for i in 0..20 {
-                let mut sees = |client, us: u32| edge.sample(&client, What::RoundTrip { us: us + 100 * i });
+                let mut sees =
+                    |client, us: u32| edge.record(&client, Observation::RoundTrip { us: us + 100 * i });
                 if e < 3 {
                     (0..8).for_each(|n| sees(client(10, n), 20_000));
                 } else {
@@ -34,32 +35,33 @@
                     (0..if window > 4 { 3 } else { 0 }).for_each(|n| sees(client(10, n), 90_000));
                 }
             }
-            summary.merge(&edge.close());
+            summary.merge(&edge.close_window());
         }
-        estimates.take(window * 10_000, &summary);
+        estimates.update(window * 10_000, &summary);
     }
     for n in 3..8 {
         let told = estimates.estimate(400_000, &far(n), "sur").unwrap();
         // One distance of theirs is known, so that the guess is wide; what those in sur take, 10 ms, would make it 20.
-        assert!(!told.measured && told.ms > 35.0 && told.spread > UNSURE, "{n}: {told:?}");
+        assert!(!told.measured && told.ms > 35.0 && told.spread > MAX_SPREAD, "{n}: {told:?}");
     }
 }
 
 /// What is estimated after six windows at 40 ms and one in which so many of each edge's requests got no answer.
 fn after_one_window(gone: [u32; 5]) -> f64 {
-    let mut edges: Vec<Edge> = (0..5).map(|e| Edge::new(&format!("n{e}"), "norte", 1).apart()).collect();
+    let mut edges: Vec<Edge> =
+        (0..5).map(|e| Edge::new(&format!("n{e}"), "norte", 1).splitting_all()).collect();
     let mut estimates = Estimates::default();
     for window in 1..=7u64 {
         let mut summary = Summary::default();
         for (edge, gone) in edges.iter_mut().zip(gone) {
             let gone = if window == 7 { gone } else { 0 };
-            (0..gone).for_each(|_| edge.sample(&Client::Balancer(1), What::TimedOut));
+            (0..gone).for_each(|_| edge.record(&Client::Balancer(1), Observation::TimedOut));
             for i in 0..20u32.saturating_sub(gone) {
-                edge.sample(&Client::Balancer(1), What::RoundTrip { us: 40_000 + 100 * i });
+                edge.record(&Client::Balancer(1), Observation::RoundTrip { us: 40_000 + 100 * i });
             }
-            summary.merge(&edge.close());
+            summary.merge(&edge.close_window());
         }
-        estimates.take(window * 10_000, &summary);
+        estimates.update(window * 10_000, &summary);
     }
     estimates.estimate(70_000, &Group::Balancer(1), "norte").unwrap().ms
 }
--- a/crates/steering/src/mutants.rs
+++ b/crates/steering/src/mutants.rs
@@ -51,22 +51,22 @@
 ];
 
 #[cfg(feature = "mutants")]
-static PRESENT: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
+static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
 /// From now on this rule is left out in the whole process; or none.
 #[cfg(feature = "mutants")]
-pub fn leave_out(one: Option<Mutant>) {
-    PRESENT.store(one.map_or(0, |one| one as u8), std::sync::atomic::Ordering::SeqCst);
+pub fn activate(one: Option<Mutant>) {
+    ACTIVE.store(one.map_or(0, |one| one as u8), std::sync::atomic::Ordering::SeqCst);
 }
 
 /// Whether this rule is left out.
 #[cfg(feature = "mutants")]
-pub fn left_out(one: Mutant) -> bool {
-    PRESENT.load(std::sync::atomic::Ordering::Relaxed) == one as u8
+pub fn is_active(one: Mutant) -> bool {
+    ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == one as u8
 }
 
 /// Whether this rule is left out: never.
 #[cfg(not(feature = "mutants"))]
-pub const fn left_out(_: Mutant) -> bool {
+pub const fn is_active(_: Mutant) -> bool {
     false
 }
--- a/crates/steering/src/part.rs
+++ b/crates/steering/src/part.rs
@@ -1,17 +1,17 @@
 //! The table as a part of the agreed state, with what it is planned from: an entry names the epoch that follows the last, or changes
 //! nothing.
 
-use crate::ground::{Ground, Told};
 use crate::group::Group;
-use crate::mutants::{Mutant, left_out};
-use crate::steer::Memory;
+use crate::mutants::{Mutant, is_active};
+use crate::planner::PlannerMemory;
+use crate::planning_state::{EdgeReport, PlanningState};
 use crate::tables::{MAX_GROUPS, Row, Tables};
 use jaspershunt_fleet::{Fleet, Holder, parts};
 use serde::{Deserialize, Serialize};
 use std::any::Any;
 
 /// Bytes of one entry; the log takes no longer ones.
-pub const MAX_ENTRY: usize = 8 * 1024;
+pub const MAX_ENTRY_BYTES: usize = 8 * 1024;
 
 /// The name under which the log has these entries.
 pub const NAME: &str = "steering";
@@ -27,7 +27,7 @@
         rows: Vec<(Group, Option<Row>)>,
     },
     /// What an edge saw in a window of its own.
-    Told(Told),
+    Report(EdgeReport),
     /// All that edges told since the last such entry is taken in.
     Window {
         /// The last number and one.
@@ -40,7 +40,7 @@
         /// The window's.
         number: u64,
         /// What the next plan has to know.
-        memory: Memory,
+        memory: PlannerMemory,
     },
 }
 
@@ -69,11 +69,11 @@
         last: u64,
     },
     /// A row's shares do not sum up, or it breaks a bound.
-    UnsoundRow,
+    InvalidRow,
     /// There would be more groups than a table may have.
     TooManyGroups,
     /// It breaks a bound, or there are too many edges.
-    Unsound,
+    Invalid,
     /// Another window follows, or it was planned from already.
     NotTheNextWindow {
         /// The last window.
@@ -90,7 +90,7 @@
 
     /// From bytes.
     pub fn from_bytes(bytes: &[u8]) -> Option<Entry> {
-        if bytes.len() > MAX_ENTRY {
+        if bytes.len() > MAX_ENTRY_BYTES {
             return None;
         }
         postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(entry, _)| entry)
@@ -111,7 +111,7 @@
             let bytes = postcard::to_stdvec(&change).map_or(0, |bytes| bytes.len());
             // Thirty bytes are more than what an entry takes beside its rows.
             if bytes + 30 > room {
-                room = MAX_ENTRY;
+                room = MAX_ENTRY_BYTES;
                 entries.push(Entry::Step { epoch: now.epoch + entries.len() as u64 + 1, rows: Vec::new() });
             }
             room -= bytes;
@@ -135,20 +135,20 @@
     }
 }
 
-fn kept(taken: bool, or: Refusal) -> Outcome {
+fn accepted_or(taken: bool, or: Refusal) -> Outcome {
     if taken { Outcome::Kept } else { Outcome::Refused(or) }
 }
 
 /// What a start of a member is shown: the whole table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct MemberView {
     /// The table in force.
     pub tables: Tables,
 }
 
-impl Seen {
+impl MemberView {
     /// From bytes.
-    pub fn from_bytes(bytes: &[u8]) -> Option<Seen> {
+    pub fn from_bytes(bytes: &[u8]) -> Option<MemberView> {
         postcard::from_bytes(bytes).ok()
     }
 }
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Part {
     tables: Tables,
-    ground: Ground,
+    planning_state: PlanningState,
 }
 
 impl Part {
@@ -167,39 +167,45 @@
     }
 
     /// What it is planned from.
-    pub fn ground(&self) -> &Ground {
-        &self.ground
+    pub fn planning_state(&self) -> &PlanningState {
+        &self.planning_state
     }
 
     /// Takes in an entry.
-    pub fn take(&mut self, entry: &Entry) -> Outcome {
+    pub fn apply_entry(&mut self, entry: &Entry) -> Outcome {
         let (epoch, rows) = match entry {
             Entry::Step { epoch, rows } => (epoch, rows),
-            Entry::Told(told) => return kept(self.ground.hear(told), Refusal::Unsound),
+            Entry::Report(report) => {
+                return accepted_or(self.planning_state.accept_report(report), Refusal::Invalid);
+            }
             Entry::Window { number, now_ms } => {
-                let last = self.ground.window();
-                let closed = self.ground.close(*number, *now_ms);
+                let last = self.planning_state.window();
+                let closed = self.planning_state.close_window(*number, *now_ms);
                 // What is learned for longer than that is remembered is still learned.
-                self.ground.learns(self.tables.rows.iter());
-                return kept(closed, Refusal::NotTheNextWindow { last });
+                self.planning_state.record_explorations(self.tables.rows.iter());
+                return accepted_or(closed, Refusal::NotTheNextWindow { last });
             }
-            Entry::Planned { memory, .. } if !memory.is_sound() => return Outcome::Refused(Refusal::Unsound),
+            Entry::Planned { memory, .. } if !memory.is_valid() => return Outcome::Refused(Refusal::Invalid),
             Entry::Planned { number, memory } => {
-                let last = self.ground.window();
-                return kept(self.ground.planned(*number, memory), Refusal::NotTheNextWindow { last });
+                let last = self.planning_state.window();
+                return accepted_or(
+                    self.planning_state.record_plan(*number, memory),
+                    Refusal::NotTheNextWindow { last },
+                );
             }
         };
         // A plan of one who led before would undo what was agreed since.
-        if *epoch != self.tables.epoch + 1 && !left_out(Mutant::OldEpochApplied) {
+        if *epoch != self.tables.epoch + 1 && !is_active(Mutant::OldEpochApplied) {
             return Outcome::Refused(Refusal::NotTheNextEpoch { last: self.tables.epoch });
         }
-        let sound =
-            |(group, row): &(Group, Option<Row>)| group.is_sound() && row.as_ref().is_none_or(Row::is_sound);
-        if !rows.iter().all(sound) {
-            return Outcome::Refused(Refusal::UnsoundRow);
+        let valid =
+            |(group, row): &(Group, Option<Row>)| group.is_valid() && row.as_ref().is_none_or(Row::is_valid);
+        if !rows.iter().all(valid) {
+            return Outcome::Refused(Refusal::InvalidRow);
         }
         let mut next = self.tables.rows.clone();
-        self.ground.learns(rows.iter().filter_map(|(group, row)| Some((group, row.as_ref()?))));
+        self.planning_state
+            .record_explorations(rows.iter().filter_map(|(group, row)| Some((group, row.as_ref()?))));
         for (group, row) in rows {
             match row {
                 Some(row) => next.insert(group.clone(), row.clone()),
@@ -221,7 +227,7 @@
 
     fn apply(&mut self, _: &Fleet, entry: &[u8]) -> Vec<u8> {
         let entry = Entry::from_bytes(entry);
-        entry.map_or(Outcome::Refused(Refusal::NotAnEntry), |entry| self.take(&entry)).to_bytes()
+        entry.map_or(Outcome::Refused(Refusal::NotAnEntry), |entry| self.apply_entry(&entry)).to_bytes()
     }
 
     fn members_changed(&mut self, _: &Fleet) {}
@@ -231,22 +237,23 @@
     }
 
     fn seen_by(&self, _: &Holder) -> Vec<u8> {
-        postcard::to_stdvec(&Seen { tables: self.tables.clone() }).unwrap_or_default()
+        postcard::to_stdvec(&MemberView { tables: self.tables.clone() }).unwrap_or_default()
     }
 
     fn save(&self) -> Vec<u8> {
-        [postcard::to_stdvec(&self.tables).unwrap_or_default(), self.ground.to_bytes()].concat()
+        [postcard::to_stdvec(&self.tables).unwrap_or_default(), self.planning_state.to_bytes()].concat()
     }
 
     fn load(&mut self, bytes: &[u8]) -> bool {
         let Ok((tables, rest)) = postcard::take_from_bytes::<Tables>(bytes) else { return false };
-        if tables.rows.len() > MAX_GROUPS || !tables.rows.values().all(Row::is_sound) {
+        if tables.rows.len() > MAX_GROUPS || !tables.rows.values().all(Row::is_valid) {
             return false;
         }
         // Saved before there was anything but the table: that is learned anew.
-        let ground = if rest.is_empty() { Some(Ground::default()) } else { Ground::from_bytes(rest) };
-        let Some(ground) = ground else { return false };
-        (self.tables, self.ground) = (tables, ground);
+        let planning_state =
+            if rest.is_empty() { Some(PlanningState::default()) } else { PlanningState::from_bytes(rest) };
+        let Some(planning_state) = planning_state else { return false };
+        (self.tables, self.planning_state) = (tables, planning_state);
         true
     }
 
--- a/crates/steering/src/steer/prices.rs
+++ b/crates/steering/src/planner/prices.rs
@@ -6,39 +6,39 @@
 /// Rounds of raising and lowering for each plan; prices are kept from one plan to the next.
 const ROUNDS: usize = 40;
 /// How much a price moves in a round, in milliseconds for a region that is wanted twice over.
-const PACE_MS: f64 = 6.0;
+const PRICE_STEP_MS: f64 = 6.0;
 /// The highest price, in milliseconds.
-const DEAREST_MS: f64 = 500.0;
+const MAX_PRICE_MS: f64 = 500.0;
 
 /// What a group wants.
-pub(super) struct Wants<'a> {
+pub(super) struct GroupChoices<'a> {
     pub rate: f64,
     /// Regions and their delays, in milliseconds.
     pub choices: Vec<(&'a str, f64)>,
 }
 
 /// The next prices.
-pub(super) fn next(
-    last: &BTreeMap<String, f64>,
+pub(super) fn next_prices(
+    previous: &BTreeMap<String, f64>,
     room: &BTreeMap<&str, f64>,
-    wants: &[Wants],
+    groups: &[GroupChoices],
 ) -> BTreeMap<String, f64> {
     let mut prices: BTreeMap<&str, f64> =
-        room.keys().map(|&region| (region, last.get(region).copied().unwrap_or(0.0))).collect();
+        room.keys().map(|&region| (region, previous.get(region).copied().unwrap_or(0.0))).collect();
     // The mean over the later rounds: a price that swings about its place settles there.
     let mut sums: BTreeMap<&str, f64> = BTreeMap::new();
     for round in 0..ROUNDS {
-        let mut wanted: BTreeMap<&str, f64> = BTreeMap::new();
-        for group in wants {
+        let mut demand: BTreeMap<&str, f64> = BTreeMap::new();
+        for group in groups {
             let cost = |choice: &(&str, f64)| choice.1 + prices.get(choice.0).unwrap_or(&0.0);
             if let Some(best) = group.choices.iter().min_by(|one, two| cost(one).total_cmp(&cost(two))) {
-                *wanted.entry(best.0).or_default() += group.rate;
+                *demand.entry(best.0).or_default() += group.rate;
             }
         }
         for (region, price) in &mut prices {
-            let over = wanted.get(region).unwrap_or(&0.0) / room[region].max(1e-6) - 1.0;
-            let pace = PACE_MS / (1.0 + round as f64 / 8.0);
-            *price = (*price + pace * over.clamp(-1.0, 1.0)).clamp(0.0, DEAREST_MS);
+            let excess = demand.get(region).unwrap_or(&0.0) / room[region].max(1e-6) - 1.0;
+            let step_ms = PRICE_STEP_MS / (1.0 + round as f64 / 8.0);
+            *price = (*price + step_ms * excess.clamp(-1.0, 1.0)).clamp(0.0, MAX_PRICE_MS);
             if round >= ROUNDS / 2 {
                 *sums.entry(region).or_default() += *price;
             }
--- a/crates/steering/src/ground.rs
+++ b/crates/steering/src/planning_state.rs
@@ -7,35 +7,38 @@
 use crate::group::Group;
 use crate::model::Estimates;
 use crate::part::Entry;
-use crate::steer::{Demand, LEARNS, LEARNS_AGAIN_MS, Learning, MAX_LEARNING, Memory, Planner, Region, Scene};
+use crate::planner::{
+    Demand, EXPLORATION_RETRY_MS, EXPLORATION_SHARE, Explorations, MAX_EXPLORATIONS, Planner, PlannerMemory,
+    Region, TrafficSnapshot,
+};
 use crate::summary::{MAX_SOURCES, MAX_SUMMARY_BYTES, Summary};
-use crate::tables::{MAX_GROUPS, MAX_REGION_NAME, MAX_REGIONS, Row, Tables};
+use crate::tables::{MAX_GROUPS, MAX_REGION_NAME_BYTES, MAX_REGIONS, Row, Tables};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes of an edge's name, as the fleet has it.
-const MAX_EDGE_NAME: usize = 64;
+const MAX_EDGE_NAME_BYTES: usize = 64;
 /// Edges tell no more often than this, and no more seldom, in milliseconds.
-pub const EVERY_MS: (u32, u32) = (100, 600_000);
+pub const REPORT_INTERVAL_MS: (u32, u32) = (100, 600_000);
 /// An edge that has told nothing for so long is forgotten.
-const FORGET_MS: u64 = 3_600_000;
+const EDGE_EXPIRY_MS: u64 = 3_600_000;
 /// Demand of one group in one region under this is none, in thousandths of a request a second.
-const NONE_MILLI: u64 = 10;
+const MIN_DEMAND_MILLI: u64 = 10;
 /// Windows that told of a group before it counts as found where most of it came. The fleet's first window ends as the first edge tells, so
 /// that it is the word of a few. After four the first has a sixteenth of the weight, and a region first told in the second 14 of the 15
 /// sixteenths that others have. In 60 drawn starts of whole fleets 313 of 720 groups were found in a wrong region after one window, 18 after
 /// two, 10 after three, 7 after four; 3 to 6 after five to eight are chance of who asked, and each window more is one without a table.
-pub const SETTLES: u8 = 4;
+pub const MIN_REPORTED_WINDOWS: u8 = 4;
 
 /// What an edge tells of a window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct EdgeReport {
     /// The edge: a member of the fleet.
     pub edge: String,
     /// Where it is.
     pub region: String,
     /// How long its windows are, in milliseconds.
-    pub every_ms: u32,
+    pub interval_ms: u32,
     /// What it can take, in thousandths of a request a second.
     pub capacity_milli: u32,
     /// What it has, in the same.
@@ -48,7 +51,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Edge {
     region: String,
-    every_ms: u32,
+    interval_ms: u32,
     capacity_milli: u32,
     load_milli: u32,
     /// The time of the fleet's window in which it last told something.
@@ -59,46 +62,51 @@
 
 /// What tables are planned from.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ground {
+pub struct PlanningState {
     edges: BTreeMap<String, Edge>,
     /// What edges told that is not taken in yet.
-    waiting: Summary,
+    pending: Summary,
     /// The number and the time of the last window.
     window: u64,
     now_ms: u64,
     /// The last window that was planned from.
-    planned: u64,
-    memory: Memory,
-    learning: Learning,
+    planned_window: u64,
+    memory: PlannerMemory,
+    explorations: Explorations,
     /// Thousandths of a request a second, by group and region.
     demand: BTreeMap<Group, BTreeMap<String, u64>>,
     estimates: Estimates,
     /// Windows that told of a group, up to [`SETTLES`]; saved after all else, as it was not saved at first.
     #[serde(skip)]
-    told: BTreeMap<Group, u8>,
+    reported_windows: BTreeMap<Group, u8>,
 }
 
-impl Ground {
+impl PlanningState {
     /// As bytes.
     pub fn to_bytes(&self) -> Vec<u8> {
         // Maps and numbers can always be written into a vector.
-        [postcard::to_stdvec(self), postcard::to_stdvec(&self.told)].map(Result::unwrap_or_default).concat()
+        [postcard::to_stdvec(self), postcard::to_stdvec(&self.reported_windows)]
+            .map(Result::unwrap_or_default)
+            .concat()
     }
 
     /// From bytes; `None` if they break a bound.
-    pub fn from_bytes(bytes: &[u8]) -> Option<Ground> {
-        let (mut ground, rest) = postcard::take_from_bytes::<Ground>(bytes).ok()?;
-        let sound = ground.edges.len() <= MAX_SOURCES
-            && ground.memory.is_sound()
-            && ground.learning.len() <= MAX_LEARNING
-            && ground.demand.len() <= MAX_GROUPS;
+    pub fn from_bytes(bytes: &[u8]) -> Option<PlanningState> {
+        let (mut state, rest) = postcard::take_from_bytes::<PlanningState>(bytes).ok()?;
+        let valid = state.edges.len() <= MAX_SOURCES
+            && state.memory.is_valid()
+            && state.explorations.len() <= MAX_EXPLORATIONS
+            && state.demand.len() <= MAX_GROUPS;
         // Saved when one window was enough: those groups are found.
-        let found = || Some(ground.demand.keys().map(|group| (group.clone(), SETTLES)).collect());
-        let told = |bytes| {
-            postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(told, _)| told)
+        let found = || Some(state.demand.keys().map(|group| (group.clone(), MIN_REPORTED_WINDOWS)).collect());
+        let read_windows = |bytes| {
+            postcard::take_from_bytes(bytes)
+                .ok()
+                .filter(|(_, rest)| rest.is_empty())
+                .map(|(windows, _)| windows)
         };
-        ground.told = if rest.is_empty() { found() } else { told(rest) }?;
-        (sound && ground.told.keys().eq(ground.demand.keys())).then_some(ground)
+        state.reported_windows = if rest.is_empty() { found() } else { read_windows(rest) }?;
+        (valid && state.reported_windows.keys().eq(state.demand.keys())).then_some(state)
     }
 
     /// The number of the last window.
@@ -112,68 +120,72 @@
     }
 
     /// What the last plan left.
-    pub fn memory(&self) -> &Memory {
+    pub fn memory(&self) -> &PlannerMemory {
         &self.memory
     }
 
     /// Since when each pair is learned.
-    pub fn learning(&self) -> &Learning {
-        &self.learning
+    pub fn explorations(&self) -> &Explorations {
+        &self.explorations
     }
 
     /// Keeps what an edge told until the window ends; whether it keeps the bounds.
-    pub(crate) fn hear(&mut self, told: &Told) -> bool {
-        let named = !told.edge.is_empty()
-            && told.edge.len() <= MAX_EDGE_NAME
-            && !told.region.is_empty()
-            && told.region.len() <= MAX_REGION_NAME;
-        let room = self.edges.len() < MAX_SOURCES || self.edges.contains_key(&told.edge);
-        let every = (EVERY_MS.0..=EVERY_MS.1).contains(&told.every_ms);
-        if !named || !room || !every || told.summary.len() > MAX_SUMMARY_BYTES {
+    pub(crate) fn accept_report(&mut self, report: &EdgeReport) -> bool {
+        let named = !report.edge.is_empty()
+            && report.edge.len() <= MAX_EDGE_NAME_BYTES
+            && !report.region.is_empty()
+            && report.region.len() <= MAX_REGION_NAME_BYTES;
+        let room = self.edges.len() < MAX_SOURCES || self.edges.contains_key(&report.edge);
+        let interval = (REPORT_INTERVAL_MS.0..=REPORT_INTERVAL_MS.1).contains(&report.interval_ms);
+        if !named || !room || !interval || report.summary.len() > MAX_SUMMARY_BYTES {
             return false;
         }
-        let Some(summary) = Summary::from_bytes(&told.summary) else { return false };
+        let Some(summary) = Summary::from_bytes(&report.summary) else { return false };
         // One that tells for another, or for another region, would have that one's voice.
-        if !summary.seen().all(|(source, _)| source.edge == told.edge && source.region == told.region) {
+        if !summary
+            .by_source()
+            .all(|(source, _)| source.edge == report.edge && source.region == report.region)
+        {
             return false;
         }
-        self.waiting.merge(&summary);
+        self.pending.merge(&summary);
         let edge = Edge {
-            region: told.region.clone(),
-            every_ms: told.every_ms,
-            capacity_milli: told.capacity_milli,
-            load_milli: told.load_milli,
+            region: report.region.clone(),
+            interval_ms: report.interval_ms,
+            capacity_milli: report.capacity_milli,
+            load_milli: report.load_milli,
             at_ms: self.now_ms,
             fresh: true,
         };
-        self.edges.insert(told.edge.clone(), edge);
+        self.edges.insert(report.edge.clone(), edge);
         true
     }
 
     /// Takes in all that was told since the last window, if this is the next.
-    pub(crate) fn close(&mut self, number: u64, now_ms: u64) -> bool {
+    pub(crate) fn close_window(&mut self, number: u64, now_ms: u64) -> bool {
         if number != self.window + 1 || now_ms < self.now_ms {
             return false;
         }
         (self.window, self.now_ms) = (number, now_ms);
-        let waiting = std::mem::take(&mut self.waiting);
-        self.count(&waiting);
-        self.estimates.take(now_ms, &waiting);
-        self.learning.retain(|_, since| now_ms.saturating_sub(*since) < LEARNS_AGAIN_MS);
+        let pending = std::mem::take(&mut self.pending);
+        self.update_demand(&pending);
+        self.estimates.update(now_ms, &pending);
+        self.explorations.retain(|_, since| now_ms.saturating_sub(*since) < EXPLORATION_RETRY_MS);
         for edge in self.edges.values_mut().filter(|edge| edge.fresh) {
             (edge.at_ms, edge.fresh) = (now_ms, false);
         }
-        self.edges.retain(|_, edge| now_ms.saturating_sub(edge.at_ms) < FORGET_MS);
+        self.edges.retain(|_, edge| now_ms.saturating_sub(edge.at_ms) < EDGE_EXPIRY_MS);
         true
     }
 
     /// How much each group asks for where: half of what is new, half of what was known. Edges' windows do not end with the fleet's.
-    fn count(&mut self, waiting: &Summary) {
+    fn update_demand(&mut self, pending: &Summary) {
         let mut fresh: BTreeMap<Group, BTreeMap<String, u64>> = BTreeMap::new();
-        for (source, cells) in waiting.seen() {
-            let every_ms = self.edges.get(&source.edge).map_or(EVERY_MS.1, |edge| edge.every_ms);
-            for (group, cell) in cells.iter().filter(|(_, cell)| cell.asked > 0) {
-                let milli = u64::from(cell.asked) * 1_000_000 / u64::from(every_ms.max(1));
+        for (source, stats_by_group) in pending.by_source() {
+            let interval_ms =
+                self.edges.get(&source.edge).map_or(REPORT_INTERVAL_MS.1, |edge| edge.interval_ms);
+            for (group, stats) in stats_by_group.iter().filter(|(_, stats)| stats.requests > 0) {
+                let milli = u64::from(stats.requests) * 1_000_000 / u64::from(interval_ms.max(1));
                 *fresh.entry(group.clone()).or_default().entry(source.region.clone()).or_default() += milli;
             }
         }
@@ -184,8 +196,8 @@
             if self.demand.len() >= MAX_GROUPS && !self.demand.contains_key(&group) {
                 continue;
             }
-            let told = self.told.entry(group.clone()).or_default();
-            *told = (*told + 1).min(SETTLES);
+            let windows = self.reported_windows.entry(group.clone()).or_default();
+            *windows = (*windows + 1).min(MIN_REPORTED_WINDOWS);
             let known = self.demand.entry(group).or_default();
             for (region, milli) in regions {
                 if known.len() < MAX_REGIONS || known.contains_key(&region) {
@@ -194,28 +206,29 @@
             }
         }
         for regions in self.demand.values_mut() {
-            regions.retain(|_, milli| *milli >= NONE_MILLI);
+            regions.retain(|_, milli| *milli >= MIN_DEMAND_MILLI);
         }
         self.demand.retain(|_, regions| !regions.is_empty());
-        self.told.retain(|group, _| self.demand.contains_key(group));
+        self.reported_windows.retain(|group, _| self.demand.contains_key(group));
     }
 
     /// Takes in what a plan from the last window left, once.
-    pub(crate) fn planned(&mut self, number: u64, memory: &Memory) -> bool {
-        if number != self.window || number <= self.planned {
+    pub(crate) fn record_plan(&mut self, number: u64, memory: &PlannerMemory) -> bool {
+        if number != self.window || number <= self.planned_window {
             return false;
         }
-        self.planned = number;
+        self.planned_window = number;
         self.memory = memory.clone();
         true
     }
 
     /// Takes in which pairs these rows learn.
-    pub(crate) fn learns<'a>(&mut self, rows: impl Iterator<Item = (&'a Group, &'a Row)>) {
+    pub(crate) fn record_explorations<'a>(&mut self, rows: impl Iterator<Item = (&'a Group, &'a Row)>) {
         for (group, row) in rows {
-            for place in row.places.iter().filter(|place| place.share > 0 && place.share <= LEARNS) {
-                if self.learning.len() < MAX_LEARNING {
-                    self.learning.entry((group.clone(), place.region.clone())).or_insert(self.now_ms);
+            for place in row.places.iter().filter(|place| place.share > 0 && place.share <= EXPLORATION_SHARE)
+            {
+                if self.explorations.len() < MAX_EXPLORATIONS {
+                    self.explorations.entry((group.clone(), place.region.clone())).or_insert(self.now_ms);
                 }
             }
         }
@@ -240,40 +253,46 @@
         regions
     }
 
-    fn scene(&self, present: impl Fn(&str) -> bool, allowed: impl Fn(&Group) -> BTreeSet<String>) -> Scene {
-        let mut scene = Scene { regions: self.regions(present), ..Scene::default() };
+    fn snapshot(
+        &self,
+        present: impl Fn(&str) -> bool,
+        allowed: impl Fn(&Group) -> BTreeSet<String>,
+    ) -> TrafficSnapshot {
+        let mut snapshot = TrafficSnapshot { regions: self.regions(present), ..TrafficSnapshot::default() };
         // All clients together come from everywhere, and have no home.
         for (group, regions) in self.demand.iter().filter(|(group, _)| **group != Group::All) {
             let rate = regions.values().sum::<u64>() as f64 / 1000.0;
             let home = regions.iter().max_by_key(|(_, milli)| **milli).map(|(region, _)| region.clone());
             // Guards against groups found by the word of a few edges: see `SETTLES`.
-            let home = home.filter(|_| self.told.get(group) >= Some(&SETTLES));
-            scene.demand.insert(group.clone(), Demand { rate, home });
-            scene.allowed.insert(group.clone(), allowed(group));
+            let home = home.filter(|_| self.reported_windows.get(group) >= Some(&MIN_REPORTED_WINDOWS));
+            snapshot.demand.insert(group.clone(), Demand { rate, home });
+            snapshot.allowed.insert(group.clone(), allowed(group));
         }
-        scene
+        snapshot
     }
 
     /// What the one that leads proposes at this time of the fleet's: the end of a window, or the plan from it. The same from whoever leads,
     /// as it goes by what is agreed alone; nothing while no edge tells anything.
-    pub fn wants(
+    pub fn propose(
         &self,
         now_ms: u64,
         tables: &Tables,
         present: impl Fn(&str) -> bool,
         allowed: impl Fn(&Group) -> BTreeSet<String>,
     ) -> Vec<Entry> {
-        if self.planned < self.window {
-            let scene = self.scene(present, allowed);
-            let mut planner = Planner::of(&self.memory, &self.learning);
-            let next = planner.plan(self.now_ms, &scene, &self.estimates, tables);
+        if self.planned_window < self.window {
+            let snapshot = self.snapshot(present, allowed);
+            let mut planner = Planner::of(&self.memory, &self.explorations);
+            let next = planner.plan(self.now_ms, &snapshot, &self.estimates, tables);
             let planned = Entry::Planned { number: self.window, memory: planner.memory().clone() };
             let steps = next.map(|next| Entry::between(tables, &next)).unwrap_or_default();
             return std::iter::once(planned).chain(steps).collect();
         }
         // All that tell have told once.
-        let Some(every_ms) = self.edges.values().map(|edge| edge.every_ms).max() else { return Vec::new() };
-        if now_ms < self.now_ms.saturating_add(u64::from(every_ms)) {
+        let Some(interval_ms) = self.edges.values().map(|edge| edge.interval_ms).max() else {
+            return Vec::new();
+        };
+        if now_ms < self.now_ms.saturating_add(u64::from(interval_ms)) {
             return Vec::new();
         }
         vec![Entry::Window { number: self.window + 1, now_ms }]
--- a/crates/steering/src/samples.rs
+++ b/crates/steering/src/samples.rs
@@ -1,18 +1,18 @@
 //! What an edge sees anyway, taken into its summary.
 
 use crate::group::{Client, Group};
-use crate::groups::Groups;
-use crate::mutants::{Mutant, left_out};
-use crate::summary::{Cell, MAX_CELLS, Source, Summary};
+use crate::group_tree::GroupTree;
+use crate::mutants::{Mutant, is_active};
+use crate::summary::{GroupStats, MAX_GROUPS_PER_SUMMARY, Source, Summary};
 use crate::tables::Tables;
 use std::collections::BTreeMap;
 
 /// Arrival stamps of a group that are kept until the end of a window: enough for a spread.
-pub const MAX_STAMPS: usize = 32;
+pub const MAX_ARRIVAL_OFFSETS: usize = 32;
 
 /// Something that an edge saw of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Observation {
     /// The round trip that the kernel has for a connection.
     RoundTrip {
         /// How long, in microseconds.
@@ -40,7 +40,7 @@
         received_us: i64,
     },
     /// A request came.
-    Asked,
+    Request,
     /// A connection was reset before its answer was read.
     Reset,
     /// A client did not wait any longer.
@@ -55,97 +55,105 @@
     name: String,
     region: String,
     window: u64,
-    groups: Groups,
-    cells: BTreeMap<Group, Cell>,
-    stamps: BTreeMap<Group, Vec<i64>>,
+    groups: GroupTree,
+    stats_by_group: BTreeMap<Group, GroupStats>,
+    arrival_offsets: BTreeMap<Group, Vec<i64>>,
     /// Samples that were not told, as there were too many groups.
-    pub untold: u64,
+    pub dropped_samples: u64,
 }
 
 impl Edge {
     /// An edge in a region, whose next window has this number: higher than that of any before, by a start of the edge or the time.
     pub fn new(name: &str, region: &str, window: u64) -> Edge {
-        let (cells, stamps) = (BTreeMap::new(), BTreeMap::new());
-        let groups = Groups::default();
-        Edge { name: name.into(), region: region.into(), window, groups, cells, stamps, untold: 0 }
+        let (stats_by_group, arrival_offsets) = (BTreeMap::new(), BTreeMap::new());
+        let groups = GroupTree::default();
+        Edge {
+            name: name.into(),
+            region: region.into(),
+            window,
+            groups,
+            stats_by_group,
+            arrival_offsets,
+            dropped_samples: 0,
+        }
     }
 
     /// From now on it tells apart what lies right below all clients, however little that tells: where demand is counted by it.
-    pub fn apart(mut self) -> Edge {
-        self.groups.part_all();
+    pub fn splitting_all(mut self) -> Edge {
+        self.groups.always_split_all();
         self
     }
 
     /// The groups that it tells apart.
-    pub fn groups(&self) -> &Groups {
+    pub fn groups(&self) -> &GroupTree {
         &self.groups
     }
 
     /// Takes in that this table is in force.
-    pub fn agree(&mut self, tables: &Tables) {
-        self.groups.agree(tables.rows.keys());
+    pub fn follow_table(&mut self, tables: &Tables) {
+        self.groups.follow_table(tables.rows.keys());
     }
 
     /// Takes in what was seen of a client.
-    pub fn sample(&mut self, client: &Client, what: What) {
-        let path = match what {
-            What::RoundTrip { us } => Some(us),
+    pub fn record(&mut self, client: &Client, observation: Observation) {
+        let round_trip_us = match observation {
+            Observation::RoundTrip { us } => Some(us),
             // Its own queue is the edge's, and moves nobody nearer or farther.
-            What::Handshake { us, queue_us } if !left_out(Mutant::QueueCountedAsPath) => {
+            Observation::Handshake { us, queue_us } if !is_active(Mutant::QueueCountedAsPath) => {
                 Some(us.saturating_sub(queue_us))
             }
-            What::Handshake { us, .. } => Some(us),
-            What::Arrival { sent_us, received_us } if left_out(Mutant::ClocksBelieved) => {
+            Observation::Handshake { us, .. } => Some(us),
+            Observation::Arrival { sent_us, received_us } if is_active(Mutant::ClocksBelieved) => {
                 u32::try_from(2 * received_us.saturating_sub(sent_us).max(0)).ok()
             }
             _ => None,
         };
-        let group = match path {
-            Some(us) => self.groups.sample(client, us),
-            None => self.groups.of(client),
+        let group = match round_trip_us {
+            Some(us) => self.groups.record(client, us),
+            None => self.groups.group_of(client),
         };
-        if self.cells.len() >= MAX_CELLS && !self.cells.contains_key(&group) {
-            self.untold += 1;
+        if self.stats_by_group.len() >= MAX_GROUPS_PER_SUMMARY && !self.stats_by_group.contains_key(&group) {
+            self.dropped_samples += 1;
             return;
         }
-        let cell = self.cells.entry(group.clone()).or_default();
-        if let Some(us) = path {
-            cell.paths.add(us);
+        let stats = self.stats_by_group.entry(group.clone()).or_default();
+        if let Some(us) = round_trip_us {
+            stats.round_trips.add(us);
         }
-        match what {
-            What::Gap { us, queue_us } => {
+        match observation {
+            Observation::Gap { us, queue_us } => {
                 let gap = us.saturating_sub(queue_us);
-                cell.shortest_gap_us = Some(cell.shortest_gap_us.map_or(gap, |least| least.min(gap)));
+                stats.shortest_gap_us = Some(stats.shortest_gap_us.map_or(gap, |least| least.min(gap)));
             }
-            What::Arrival { sent_us, received_us } => {
-                let stamps = self.stamps.entry(group).or_default();
-                if stamps.len() < MAX_STAMPS {
-                    stamps.push(received_us.saturating_sub(sent_us));
+            Observation::Arrival { sent_us, received_us } => {
+                let arrival_offsets = self.arrival_offsets.entry(group).or_default();
+                if arrival_offsets.len() < MAX_ARRIVAL_OFFSETS {
+                    arrival_offsets.push(received_us.saturating_sub(sent_us));
                 }
             }
-            What::Asked => cell.asked = cell.asked.saturating_add(1),
-            What::Reset => cell.resets = cell.resets.saturating_add(1),
-            What::TimedOut => cell.timed_out = cell.timed_out.saturating_add(1),
-            What::SteeredAway => cell.steered_away = cell.steered_away.saturating_add(1),
-            What::RoundTrip { .. } | What::Handshake { .. } => {}
+            Observation::Request => stats.requests = stats.requests.saturating_add(1),
+            Observation::Reset => stats.resets = stats.resets.saturating_add(1),
+            Observation::TimedOut => stats.timed_out = stats.timed_out.saturating_add(1),
+            Observation::SteeredAway => stats.steered_away = stats.steered_away.saturating_add(1),
+            Observation::RoundTrip { .. } | Observation::Handshake { .. } => {}
         }
     }
 
     /// Ends the window, and tells it.
-    pub fn close(&mut self) -> Summary {
-        for (group, stamps) in std::mem::take(&mut self.stamps) {
+    pub fn close_window(&mut self) -> Summary {
+        for (group, arrival_offsets) in std::mem::take(&mut self.arrival_offsets) {
             // The offset of the clocks is in all of them alike, and drifts little within a window.
-            let Some(&soonest) = stamps.iter().min() else { continue };
-            let Some(cell) = self.cells.get_mut(&group) else { continue };
-            for stamp in stamps {
-                cell.wander.add(u32::try_from(stamp.saturating_sub(soonest)).unwrap_or(u32::MAX));
+            let Some(&earliest) = arrival_offsets.iter().min() else { continue };
+            let Some(stats) = self.stats_by_group.get_mut(&group) else { continue };
+            for offset in arrival_offsets {
+                stats.arrival_jitter.add(u32::try_from(offset.saturating_sub(earliest)).unwrap_or(u32::MAX));
             }
         }
-        self.groups.settle();
+        self.groups.end_window();
         let source = Source { edge: self.name.clone(), region: self.region.clone(), window: self.window };
         self.window += 1;
-        let (summary, untold) = Summary::of(source, std::mem::take(&mut self.cells));
-        self.untold += untold as u64;
+        let (summary, dropped_samples) = Summary::of(source, std::mem::take(&mut self.stats_by_group));
+        self.dropped_samples += dropped_samples as u64;
         summary
     }
 }
@@ -158,19 +166,19 @@
         Client::Balancer(1)
     }
 
-    fn cell(edge: &mut Edge) -> Cell {
-        edge.close().seen().next().unwrap().1.values().next().unwrap().clone()
+    fn stats(edge: &mut Edge) -> GroupStats {
+        edge.close_window().by_source().next().unwrap().1.values().next().unwrap().clone()
     }
 
     #[test]
     fn own_queue_is_no_path_and_gaps_bound_it() {
         let mut edge = Edge::new("n1", "norte", 1);
-        edge.sample(&client(), What::Handshake { us: 90_000, queue_us: 80_000 });
-        edge.sample(&client(), What::Gap { us: 700_000, queue_us: 80_000 });
-        edge.sample(&client(), What::Gap { us: 95_000, queue_us: 80_000 });
-        let cell = cell(&mut edge);
-        assert!((9_840..=10_160).contains(&cell.paths.at(0).unwrap()));
-        assert_eq!(cell.shortest_gap_us, Some(15_000));
+        edge.record(&client(), Observation::Handshake { us: 90_000, queue_us: 80_000 });
+        edge.record(&client(), Observation::Gap { us: 700_000, queue_us: 80_000 });
+        edge.record(&client(), Observation::Gap { us: 95_000, queue_us: 80_000 });
+        let stats = stats(&mut edge);
+        assert!((9_840..=10_160).contains(&stats.round_trips.value_at_rank(0).unwrap()));
+        assert_eq!(stats.shortest_gap_us, Some(15_000));
     }
 
     #[test]
@@ -178,24 +186,27 @@
         let mut edge = Edge::new("n1", "norte", 1);
         for late in 0..80i64 {
             let sent_us = -9_000_000_000 + late * 1000;
-            edge.sample(&client(), What::Arrival { sent_us, received_us: late * 1000 + late * 10 });
+            edge.record(&client(), Observation::Arrival { sent_us, received_us: late * 1000 + late * 10 });
         }
-        let cell = cell(&mut edge);
-        assert_eq!((cell.paths.count(), cell.wander.count()), (0, MAX_STAMPS as u64));
-        assert!(cell.wander.at(31).unwrap() < 320, "{cell:?}");
+        let stats = stats(&mut edge);
+        assert_eq!(
+            (stats.round_trips.count(), stats.arrival_jitter.count()),
+            (0, MAX_ARRIVAL_OFFSETS as u64)
+        );
+        assert!(stats.arrival_jitter.value_at_rank(31).unwrap() < 320, "{stats:?}");
     }
 
     #[test]
     fn more_groups_than_the_bound_are_counted_as_untold() {
         let mut edge = Edge::new("n1", "norte", 1);
         for window in 0..4u32 {
-            for i in 0..MAX_CELLS as u32 * 60 {
+            for i in 0..MAX_GROUPS_PER_SUMMARY as u32 * 60 {
                 let us = 1000 + 997 * (i % 300);
-                edge.sample(&Client::Balancer(i % 300), What::RoundTrip { us: us + window });
+                edge.record(&Client::Balancer(i % 300), Observation::RoundTrip { us: us + window });
             }
-            assert!(edge.cells.len() <= MAX_CELLS);
-            assert!(edge.close().to_bytes().len() <= crate::summary::MAX_SUMMARY_BYTES);
+            assert!(edge.stats_by_group.len() <= MAX_GROUPS_PER_SUMMARY);
+            assert!(edge.close_window().to_bytes().len() <= crate::summary::MAX_SUMMARY_BYTES);
         }
-        assert!(edge.untold > 0);
+        assert!(edge.dropped_samples > 0);
     }
 }
--- a/crates/steering/src/sketch.rs
+++ b/crates/steering/src/sketch.rs
@@ -26,7 +26,7 @@
     ((shift << SUB_BITS) + (us >> shift)) as u16
 }
 
-fn middle(bucket: u16) -> u32 {
+fn bucket_midpoint(bucket: u16) -> u32 {
     let bucket = u32::from(bucket);
     let shift = (bucket >> SUB_BITS).saturating_sub(1);
     let lower = (bucket - (shift << SUB_BITS)) << shift;
@@ -54,16 +54,16 @@
     }
 
     /// The delay in this place of the order, from 0; `None` beyond the last.
-    pub fn at(&self, place: u64) -> Option<u32> {
+    pub fn value_at_rank(&self, rank: u64) -> Option<u32> {
         let mut before = 0;
         self.counts.iter().find_map(|(&bucket, &count)| {
             before += u64::from(count);
-            (place < before).then(|| middle(bucket))
+            (rank < before).then(|| bucket_midpoint(bucket))
         })
     }
 
     /// Whether it can have been made by [`Sketch::add`]: what comes from outside may not.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.counts.iter().all(|(&bucket, &count)| usize::from(bucket) < MAX_BUCKETS && count > 0)
     }
 }
--- a/crates/steering/src/summary/tests.rs
+++ b/crates/steering/src/summary/tests.rs
@@ -6,16 +6,17 @@
 }
 
 fn summaries() -> impl Strategy<Value = Summary> {
-    let cell =
+    let stats =
         (prop::collection::vec(0..5_000_000u32, 0..6), prop::option::of(0..9999u32), 0..3u32, any::<u32>());
-    let one = (0..3u8, 0..2u64, 0..4u8, cell);
+    let one = (0..3u8, 0..2u64, 0..4u8, stats);
     prop::collection::vec(one, 0..6).prop_map(|all| {
         let mut summary = Summary::default();
-        for (edge, window, group, (paths, gap, timed_out, steered_away)) in all {
-            let mut cell = Cell { shortest_gap_us: gap, timed_out, steered_away, ..Cell::default() };
-            paths.into_iter().for_each(|us| cell.paths.add(us));
-            let cells = BTreeMap::from([(Group::named(&format!("10.{group}.0.0/16")), cell)]);
-            summary.merge(&Summary { seen: BTreeMap::from([(source(edge, window), cells)]) });
+        for (edge, window, group, (round_trips, gap, timed_out, steered_away)) in all {
+            let mut stats =
+                GroupStats { shortest_gap_us: gap, timed_out, steered_away, ..GroupStats::default() };
+            round_trips.into_iter().for_each(|us| stats.round_trips.add(us));
+            let stats_by_group = BTreeMap::from([(Group::named(&format!("10.{group}.0.0/16")), stats)]);
+            summary.merge(&Summary { by_source: BTreeMap::from([(source(edge, window), stats_by_group)]) });
         }
         summary
     })
@@ -39,22 +40,28 @@
     #[test]
     fn bytes_that_are_no_summary_are_turned_away(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
         if let Some(summary) = Summary::from_bytes(&bytes) {
-            prop_assert!(summary.seen().all(|(_, cells)| cells.values().all(|cell| cell.paths.is_sound())));
+            prop_assert!(summary.by_source().all(|(_, stats_by_group)| stats_by_group.values().all(|stats| stats.round_trips.is_valid())));
         }
     }
 }
 
 #[test]
 fn a_summary_fits_into_its_bytes_and_loses_no_sample() {
-    let mut cells: BTreeMap<Group, Cell> = BTreeMap::new();
+    let mut stats_by_group: BTreeMap<Group, GroupStats> = BTreeMap::new();
     for group in 0..900u32 {
-        let cell = cells.entry(Group::named(&format!("10.{}.{}.0/24", group / 30, group % 30))).or_default();
-        (0..10).for_each(|i| cell.paths.add(1000 * (i + 1) * (group + 1)));
+        let stats = stats_by_group
+            .entry(Group::named(&format!("10.{}.{}.0/24", group / 30, group % 30)))
+            .or_default();
+        (0..10).for_each(|i| stats.round_trips.add(1000 * (i + 1) * (group + 1)));
     }
-    let (summary, dropped) = Summary::of(source(1, 1), cells);
+    let (summary, dropped) = Summary::of(source(1, 1), stats_by_group);
     assert!(summary.to_bytes().len() <= MAX_SUMMARY_BYTES);
-    let told: u64 = summary.seen().flat_map(|(_, cells)| cells.values()).map(Cell::weight).sum();
-    assert_eq!((told, dropped), (9000, 0));
+    let weight: u64 = summary
+        .by_source()
+        .flat_map(|(_, stats_by_group)| stats_by_group.values())
+        .map(GroupStats::weight)
+        .sum();
+    assert_eq!((weight, dropped), (9000, 0));
 }
 
 #[test]
@@ -62,11 +69,12 @@
     let mut summary = Summary::default();
     for edge in 0..1100 {
         let of = Source { edge: format!("n{edge}"), region: "r".into(), window: 0 };
-        summary.merge(&Summary { seen: BTreeMap::from([(of, BTreeMap::new())]) });
+        summary.merge(&Summary { by_source: BTreeMap::from([(of, BTreeMap::new())]) });
     }
-    assert_eq!(summary.seen.len(), MAX_SOURCES);
-    let cells = (0..300).map(|i| (Group::named(&format!("balancer:{i}")), Cell::default())).collect();
+    assert_eq!(summary.by_source.len(), MAX_SOURCES);
+    let stats_by_group =
+        (0..300).map(|i| (Group::named(&format!("balancer:{i}")), GroupStats::default())).collect();
     let mut many = Summary::default();
-    many.merge(&Summary { seen: BTreeMap::from([(source(1, 1), cells)]) });
-    assert_eq!(many.seen[&source(1, 1)].len(), MAX_CELLS);
+    many.merge(&Summary { by_source: BTreeMap::from([(source(1, 1), stats_by_group)]) });
+    assert_eq!(many.by_source[&source(1, 1)].len(), MAX_GROUPS_PER_SUMMARY);
 }
--- a/crates/steering/src/tables.rs
+++ b/crates/steering/src/tables.rs
@@ -1,18 +1,18 @@
 //! Which share of a group is served in which region: the table that the fleet agrees on, and the words in which it says why.
 
 use crate::group::Group;
-use crate::steer::LEARNS;
+use crate::planner::EXPLORATION_SHARE;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All of a group: shares of a row sum to this.
-pub const WHOLE: u16 = 1000;
+pub const TOTAL_SHARE: u16 = 1000;
 /// Groups in a table. With the bounds below a table has 64 KiB at most, and 16 KiB with names of usual length.
 pub const MAX_GROUPS: usize = 256;
 /// Regions in a row.
 pub const MAX_REGIONS: usize = 16;
 /// Bytes of a region's name.
-pub const MAX_REGION_NAME: usize = 32;
+pub const MAX_REGION_NAME_BYTES: usize = 32;
 
 /// What a row says of one region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,17 +62,17 @@
     }
 
     /// The region with the largest share, the first by name of several.
-    pub fn main(&self) -> Option<&str> {
+    pub fn main_region(&self) -> Option<&str> {
         let main = self.places.iter().rev().max_by_key(|place| place.share)?;
         Some(&main.region)
     }
 
     /// Whether it keeps the bounds and its shares sum to [`WHOLE`].
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let ordered = self.places.windows(2).all(|two| two[0].region < two[1].region);
-        let named = self.places.iter().all(|place| place.region.len() <= MAX_REGION_NAME);
+        let named = self.places.iter().all(|place| place.region.len() <= MAX_REGION_NAME_BYTES);
         let sum: u32 = self.places.iter().map(|place| u32::from(place.share)).sum();
-        ordered && named && self.places.len() <= MAX_REGIONS && sum == u32::from(WHOLE)
+        ordered && named && self.places.len() <= MAX_REGIONS && sum == u32::from(TOTAL_SHARE)
     }
 }
 
@@ -103,7 +103,7 @@
 
     /// The allowed regions (none named: all that the row knows), the best for this group first: by share, then by delay as far as it is
     /// known, then those of which nothing is known.
-    pub fn prefers(&self, group: &Group, allowed: &BTreeSet<String>) -> Vec<String> {
+    pub fn preferred_regions(&self, group: &Group, allowed: &BTreeSet<String>) -> Vec<String> {
         let places = self.row(group).map_or(&[][..], |(_, row)| &row.places);
         let known = |region: &String| places.iter().find(|place| place.region == *region);
         let mut regions: Vec<String> = match allowed.is_empty() {
@@ -119,7 +119,7 @@
     }
 
     /// Why a group is served as it is, in words, from the agreed table alone.
-    pub fn why(&self, group: &Group) -> String {
+    pub fn explain(&self, group: &Group) -> String {
         let Some((of, row)) = self.row(group) else {
             return format!("{group}: not in the table (epoch {}): it is served where it comes.", self.epoch);
         };
@@ -138,8 +138,8 @@
             })
             .collect();
         let before = row.before.as_deref().unwrap_or("elsewhere");
-        let all = if row.share(before) > LEARNS { "part of it" } else { "it" };
-        let because = match row.why {
+        let all = if row.share(before) > EXPLORATION_SHARE { "part of it" } else { "it" };
+        let reason = match row.why {
             Why::Found | Why::Learns => "that is how it came before there was a table".into(),
             Why::Nearer => format!("{all} moved from {before}, which was farther by more than noise"),
             Why::Room => format!(
@@ -148,22 +148,22 @@
             Why::Lost => format!("{all} moved from {before}, which was lost"),
             Why::NotAllowed => format!("{all} moved from {before}, which the routes did not allow any more"),
         };
-        let main = row.places.iter().find(|place| Some(place.region.as_str()) == row.main());
+        let main = row.places.iter().find(|place| Some(place.region.as_str()) == row.main_region());
         let names = |which: &dyn Fn(&Place) -> bool| -> String {
             let names: Vec<&str> = row
                 .places
                 .iter()
-                .filter(|place| Some(place.region.as_str()) != row.main() && which(place))
+                .filter(|place| Some(place.region.as_str()) != row.main_region() && which(place))
                 .map(|place| place.region.as_str())
                 .collect();
             names.join(", ")
         };
-        let learns = match names(&|place| place.share > 0 && place.share <= LEARNS) {
+        let exploring = match names(&|place| place.share > 0 && place.share <= EXPLORATION_SHARE) {
             none if none.is_empty() => none,
             some => format!("; a few requests go to {some}, and tell how far it is"),
         };
-        let here = main.and_then(|main| main.delay_ms).unwrap_or(0);
-        let nearer = match names(&|place| place.delay_ms.is_some_and(|ms| ms < here)) {
+        let current_ms = main.and_then(|main| main.delay_ms).unwrap_or(0);
+        let nearer = match names(&|place| place.delay_ms.is_some_and(|ms| ms < current_ms)) {
             none if none.is_empty() => none,
             some => format!(
                 " Nearer by these: {some}; it goes there once that is open to it, has room and is warm, the gain is sure and worth a move, and \
@@ -176,7 +176,11 @@
         }
         let by = if of == *group { String::new() } else { format!(" (by its wider group {of})") };
         let rest = if others.is_empty() { String::new() } else { format!(" Others: {}.", others.join(", ")) };
-        format!("{group}{by}: {}; {because}{learns}.{rest}{nearer} Table {}.", shares.join(", "), self.epoch)
+        format!(
+            "{group}{by}: {}; {reason}{exploring}.{rest}{nearer} Table {}.",
+            shares.join(", "),
+            self.epoch
+        )
     }
 }
 
--- a/crates/steering/src/tables/tests.rs
+++ b/crates/steering/src/tables/tests.rs
@@ -20,16 +20,16 @@
 #[test]
 fn share_then_delay_then_the_unknown() {
     let group = Group::named("10.3.0.0/16");
-    assert_eq!(tables().prefers(&group, &BTreeSet::new()), ["este", "norte", "sur"]);
+    assert_eq!(tables().preferred_regions(&group, &BTreeSet::new()), ["este", "norte", "sur"]);
     let allowed = ["sur", "oeste", "norte"].map(String::from).into();
-    assert_eq!(tables().prefers(&group, &allowed), ["norte", "oeste", "sur"]);
-    assert_eq!(tables().prefers(&Group::named("balancer:1"), &allowed), ["norte", "oeste", "sur"]);
+    assert_eq!(tables().preferred_regions(&group, &allowed), ["norte", "oeste", "sur"]);
+    assert_eq!(tables().preferred_regions(&Group::named("balancer:1"), &allowed), ["norte", "oeste", "sur"]);
 }
 
 #[test]
 fn a_row_says_why() {
     assert_eq!(
-        tables().why(&Group::named("10.3.7.0/24")),
+        tables().explain(&Group::named("10.3.7.0/24")),
         "10.3.7.0/24 (by its wider group 10.3.0.0/16): 98.0 % in este (12 ms), 2.0 % in norte (9 ms); it moved from sur, which was \
          farther by more than noise; a few requests go to norte, and tell how far it is. Others: sur delay unknown. Nearer by these: \
          norte; it goes there once that is open to it, has room and is warm, the gain is sure and worth a move, and it is its turn. \
@@ -39,7 +39,7 @@
         let places = vec![place("este", shares[0], Some(9)), place("sur", shares[1], Some(12))];
         let row = Row { places, why, moved_ms: 5, before: before.map(String::from) };
         let tables = Tables { epoch: 4, rows: BTreeMap::from([(Group::Balancer(1), row)]) };
-        tables.why(&Group::Balancer(1)).split_once("; ").unwrap().1.split_once('.').unwrap().0.to_string()
+        tables.explain(&Group::Balancer(1)).split_once("; ").unwrap().1.split_once('.').unwrap().0.to_string()
     };
     assert_eq!(says(Why::Lost, Some("sur"), [1000, 0]), "it moved from sur, which was lost");
     assert_eq!(says(Why::Lost, Some("sur"), [700, 300]), "part of it moved from sur, which was lost");
@@ -50,10 +50,11 @@
 #[test]
 fn shares_that_do_not_sum_up_are_no_row() {
     let mut row = tables().rows.into_values().next().unwrap();
-    assert!(row.is_sound());
+    assert!(row.is_valid());
     row.places[0].share = 981;
-    assert!(!row.is_sound());
-    row.places =
-        (0..=MAX_REGIONS).map(|i| place(&format!("r{i:02}"), if i == 0 { WHOLE } else { 0 }, None)).collect();
-    assert!(!row.is_sound());
+    assert!(!row.is_valid());
+    row.places = (0..=MAX_REGIONS)
+        .map(|i| place(&format!("r{i:02}"), if i == 0 { TOTAL_SHARE } else { 0 }, None))
+        .collect();
+    assert!(!row.is_valid());
 }
--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Checks by name, for what schedules from seeds do not show.
 
-use jaspershunt_steering::{Client, Edge, Estimates, Group, Summary, Tables, What};
+use jaspershunt_steering::{Client, Edge, Estimates, Group, Observation, Summary, Tables};
 
 /// One of five edges lies; what it alone tells of a group that all knew before does not count. Five groups are seen by all.
 pub fn a_liar_is_outvoted() -> Result<(), String> {
@@ -17,24 +17,24 @@
     for window in 1..=8u64 {
         let mut summary = Summary::default();
         for (e, edge) in edges.iter_mut().enumerate() {
-            edge.agree(&tables);
+            edge.follow_table(&tables);
             let lies = e == 4 && window > 4;
             for group in 0..6u32 {
                 let seen = group > 0 || window <= 4 || e == 4;
                 for i in 0..if seen { 20 } else { 0 } {
                     let us = 40_000 + 300 * i;
-                    edge.sample(
+                    edge.record(
                         &Client::Balancer(group),
-                        What::RoundTrip { us: if lies { us / 5 } else { us } },
+                        Observation::RoundTrip { us: if lies { us / 5 } else { us } },
                     );
                 }
             }
-            summary.merge(&edge.close());
+            summary.merge(&edge.close_window());
         }
-        estimates.take(window * 10_000, &summary);
+        estimates.update(window * 10_000, &summary);
     }
     let told = estimates.estimate(80_000, &Group::Balancer(0), "norte").ok_or("nothing is known")?;
-    if !estimates.is_doubted("n4") || told.ms < 35.0 {
+    if !estimates.is_distrusted("n4") || told.ms < 35.0 {
         return Err(format!("one liar makes 43 ms {:.1}", told.ms));
     }
     Ok(())
--- a/crates/steering/tests/leaving.rs
+++ b/crates/steering/tests/leaving.rs
@@ -1,8 +1,10 @@
 //! Where the share of a group goes that has to leave a region, soon after the group was moved.
 
-use jaspershunt_steering::steer::{FULL_AT_LOSS, STAY_MS};
+use jaspershunt_steering::planner::{MAX_FILL_AT_LOSS, MIN_STAY_MS};
 use jaspershunt_steering::summary::WINDOW_MS;
-use jaspershunt_steering::{Demand, Estimates, Group, Place, Planner, Region, Row, Scene, Tables, Why};
+use jaspershunt_steering::{
+    Demand, Estimates, Group, Place, Planner, Region, Row, Tables, TrafficSnapshot, Why,
+};
 use std::collections::BTreeMap;
 
 const MOVED_MS: u64 = 1_000_000;
@@ -24,33 +26,33 @@
     let row = Row { places, why: Why::Nearer, moved_ms: MOVED_MS, before: Some("r0".into()) };
     let last = Tables { epoch: 1, rows: BTreeMap::from([(group.clone(), row)]) };
     let regions = [("r0", EMPTY), ("r1", r1), ("r2", EMPTY), ("r3", EMPTY)];
-    let scene = Scene {
+    let snapshot = TrafficSnapshot {
         regions: regions.map(|(name, region)| (name.into(), region)).into(),
         demand: BTreeMap::from([(group.clone(), Demand { rate: RATE, home: Some("r0".into()) })]),
         allowed: BTreeMap::from([(group.clone(), allowed.iter().map(|name| name.to_string()).collect())]),
     };
-    let next = Planner::default().plan(MOVED_MS + after_ms, &scene, &Estimates::default(), &last);
+    let next = Planner::default().plan(MOVED_MS + after_ms, &snapshot, &Estimates::default(), &last);
     next.expect("a table that changes").rows[&group].clone()
 }
 
 #[test]
 fn a_group_that_was_just_moved_keeps_its_main_region() {
     let row = plan(WINDOW_MS, &["r0", "r1"], EMPTY);
-    assert_eq!((row.main(), row.moved_ms), (Some("r1"), MOVED_MS), "{row:?}");
+    assert_eq!((row.main_region(), row.moved_ms), (Some("r1"), MOVED_MS), "{row:?}");
     assert_eq!(shares(&row), [399, 601, 0, 0]);
 }
 
 #[test]
 fn what_finds_no_room_beside_the_main_region_leaves_all_the_same() {
-    let room_for_50 = Region { load: EMPTY.capacity * FULL_AT_LOSS - 0.05 * RATE, ..EMPTY };
+    let room_for_50 = Region { load: EMPTY.capacity * MAX_FILL_AT_LOSS - 0.05 * RATE, ..EMPTY };
     let row = plan(WINDOW_MS, &["r0", "r1"], room_for_50);
     assert_eq!(shares(&row), [550, 450, 0, 0], "{row:?}");
 }
 
 #[test]
 fn a_settled_group_goes_to_the_nearest() {
-    let row = plan(STAY_MS, &["r0", "r1"], EMPTY);
-    assert_eq!((shares(&row), row.moved_ms), ([600, 400, 0, 0], MOVED_MS + STAY_MS), "{row:?}");
+    let row = plan(MIN_STAY_MS, &["r0", "r1"], EMPTY);
+    assert_eq!((shares(&row), row.moved_ms), ([600, 400, 0, 0], MOVED_MS + MIN_STAY_MS), "{row:?}");
 }
 
 #[test]
--- a/crates/steering/tests/mutants.rs
+++ b/crates/steering/tests/mutants.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use jaspershunt_steering::emulator::check;
-use jaspershunt_steering::mutants::{ALL, Mutant, leave_out};
+use jaspershunt_steering::mutants::{ALL, Mutant, activate};
 
 /// Schedules for each, at most.
 const SCHEDULES: u64 = 400;
@@ -15,20 +15,20 @@
     for mutant in ALL {
         if mutant == Mutant::LyingEdgeBelieved {
             // The median over edges hides it in most schedules: a check by name shows what the doubt adds.
-            leave_out(Some(mutant));
+            activate(Some(mutant));
             let found = common::a_liar_is_outvoted();
-            leave_out(None);
+            activate(None);
             println!("| {mutant:?} | a_liar_is_outvoted | {found:?} |");
             assert!(found.is_err(), "{mutant:?} lives");
             continue;
         }
         let found = (0..SCHEDULES).find_map(|seed| {
-            leave_out(None);
+            activate(None);
             check(seed).ok()?;
-            leave_out(Some(mutant));
+            activate(Some(mutant));
             check(seed).err().map(|what| (seed, what))
         });
-        leave_out(None);
+        activate(None);
         match found {
             Some((seed, what)) => {
                 println!("| {mutant:?} | {seed} | {} |", what.split("; broken").next().unwrap_or(&what))
