--- a/crates/steering/src/model.rs
+++ b/crates/steering/src/model.rs
@@ -1,4 +1,5 @@
-//! The delay of each group to each region, with how sure it is: what was measured, and a guess where nobody has.
+//! Estimates the delay of each group to each region and its uncertainty, from measurements and, where there
+//! are none, from network coordinates.
 
 use crate::coordinates::{Coordinates, KnownDelay};
 use crate::group::Group;
@@ -8,41 +9,42 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Pairs that are kept.
+/// Maximum number of pairs of group and region.
 pub const MAX_PAIRS: usize = MAX_GROUPS * MAX_REGIONS;
-/// What one who gave up is counted with, in milliseconds: at least so long.
+/// Delay assumed for requests that got no answer, in milliseconds; a lower bound.
 pub const TIMEOUT_DELAY_MS: f64 = 3000.0;
-/// The variance of what a window tells, at least: routes wander.
+/// Minimum variance of the measurement of a window, as routes vary.
 const MIN_VARIANCE: f64 = 0.03 * 0.03;
-/// How much the variance of old knowledge grows in a second: 10 % in ten minutes.
+/// Growth of the variance of an old estimate per second: 10 % deviation in ten minutes.
 pub const VARIANCE_GROWTH_PER_SECOND: f64 = 0.1 * 0.1 / 600.0;
-/// The same where most gave up: that is a bound and not a delay, and cuts heal.
+/// Growth per second where most requests got no answer: the value is only a bound, and outages end.
 const UNREACHABLE_VARIANCE_GROWTH_PER_SECOND: f64 = 1.0 / 300.0;
-/// So many times its deviation off, a window is strange.
+/// A window that deviates by more standard deviations is an outlier.
 const OUTLIER_DEVIATIONS: f64 = 3.0;
-/// Strange windows on one side, one after the other, that are a change of path and not noise.
+/// Consecutive outliers on the same side that indicate a change of path instead of noise.
 const OUTLIERS_TO_RESET: i8 = 2;
-/// The variance of that when it is new.
+/// Initial variance of an estimate where most requests got no answer.
 const UNREACHABLE_VARIANCE: f64 = 0.05 * 0.05;
-/// What is added to the variance where one edge alone has told, of a region that has more: it cannot be outvoted.
+/// Variance added where only one edge of a region with several has reported: it cannot be outvoted.
 const SINGLE_EDGE_VARIANCE: f64 = 0.25 * 0.25;
-/// An edge whose delays are off by more than this (of the logarithm: 1.4 times) from what others tell is not believed.
+/// Maximum deviation of the logarithm of an edge's delays (a factor of 1.4) from those of other edges; beyond
+/// it the edge is distrusted.
 const MAX_EDGE_BIAS: f64 = 0.35;
-/// Edges of a region that are needed to outvote one.
+/// Number of edges of a region needed to outvote one.
 const QUORUM: usize = 3;
-/// What is known of the next wider group alone is off by 30 %.
+/// Variance added for each level of a wider group that the estimate is taken from: 30 % deviation.
 const WIDER_GROUP_VARIANCE: f64 = 0.3 * 0.3;
-/// No knowledge is less sure than this.
+/// Maximum standard deviation of an estimate.
 const MAX_DEVIATION: f64 = 2.0;
 
-/// What is known of a delay.
+/// Estimated delay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The delay, in milliseconds.
     pub ms: f64,
-    /// The deviation of its logarithm: 0.1 is 10 %.
+    /// Standard deviation of its logarithm: 0.1 is 10 %.
     pub spread: f64,
-    /// Whether it was ever measured, by this group or a wider one.
+    /// Whether this group or a wider one was ever measured.
     pub measured: bool,
 }
 
@@ -56,14 +58,14 @@
     reporter: Reporter,
 }
 
-/// Who told something: one edge, by a number made from its name, or more than one.
+/// Source of a measurement: one edge, by the hash of its name, or several.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Reporter {
     One(u64),
     Many,
 }
 
-/// What one edge tells of a group.
+/// Measurement of one group, by one edge or combined over the edges of a region.
 #[derive(Clone, Copy, Debug)]
 struct Measurement {
     log_ms: f64,
@@ -72,19 +74,19 @@
     answered: u64,
     unanswered: u64,
     reporter: Reporter,
-    /// Most edges say each for itself that most gave up.
+    /// Most edges found independently that most requests got no answer.
     confirmed: bool,
 }
 
-/// What the edges of one region told of each group.
+/// Measurements of each group by the edges of one region.
 type RegionMeasurements<'a> = BTreeMap<Group, Vec<(&'a str, Measurement)>>;
 
-/// All estimates.
+/// Estimates of all pairs of group and region.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Estimates {
     pairs: BTreeMap<(Group, String), PairEstimate>,
     windows: BTreeMap<String, u64>,
-    /// How many edges of a region were ever heard.
+    /// Number of edges that ever reported, by region.
     edges: BTreeMap<String, usize>,
     distrusted: BTreeMap<String, f64>,
     coordinates: Coordinates,
@@ -105,7 +107,8 @@
     let reporter = Reporter::One(edge_hash(edge));
     let n = stats.round_trips.count();
     let unanswered = u64::from(stats.timed_out) + u64::from(stats.resets);
-    // Who gave up took longer than the others: the middle one of all is later than that of those who are left.
+    // Requests without an answer took longer than the answered ones, so the median over all lies above the
+    // median of the answered ones.
     let unanswered = if is_active(Mutant::SurvivorsOnly) { 0 } else { unanswered };
     if n + unanswered == 0 {
         return None;
@@ -126,7 +129,7 @@
     let arrival_jitter = stats.arrival_jitter.value_at_rank(stats.arrival_jitter.count() / 2).unwrap_or(0);
     let spread = ((quartile(3) - quartile(1)) / 1.35).max(if n < 4 { 0.15 } else { 0.03 });
     let jitter = (1.0 + f64::from(arrival_jitter) / f64::from(us.max(1))).ln().min(0.3);
-    // Those sent elsewhere might have been like the rest or not: each makes what is told less sure.
+    // Redirected clients may differ from the measured ones, so they increase the variance.
     let redirected_factor = 1.0 + f64::from(stats.steered_away) / n as f64;
     let v = 1.57 * (spread * spread + jitter * jitter) / n as f64 * redirected_factor;
     Some(Measurement {
@@ -140,7 +143,7 @@
     })
 }
 
-/// What the believed edges of a region tell together.
+/// Combines the measurements of the trusted edges of a region.
 fn combine(measurements: &[Measurement]) -> Option<Measurement> {
     let (answered, unanswered) = measurements
         .iter()
@@ -148,7 +151,7 @@
     if answered + unanswered == 0 {
         return None;
     }
-    // Each edge may have seen too few to say so.
+    // Summed over edges, as each may have seen too few requests.
     if unanswered >= answered {
         let most =
             measurements.iter().filter(|measurement| measurement.unanswered > measurement.answered).count();
@@ -168,7 +171,7 @@
     let x = median(reachable.iter().map(|measurement| measurement.log_ms).collect())?;
     let n = reachable.len() as f64;
     let v = reachable.iter().map(|measurement| measurement.variance).sum::<f64>() / n / n;
-    // Of two that differ nobody knows which is right.
+    // Disagreement between edges increases the variance, as it is unknown which is right.
     let mean_distance = reachable.iter().map(|measurement| (measurement.log_ms - x).abs()).sum::<f64>() / n;
     let disagreement = mean_distance * mean_distance / n;
     let reporter = if reachable.len() == 1 { reachable[0].reporter } else { Reporter::Many };
@@ -185,7 +188,8 @@
 }
 
 impl Estimates {
-    /// Takes in what edges told. A window of an edge counts once, whatever comes twice or late.
+    /// Updates the estimates from a summary. Each window of an edge counts once; duplicates and late ones are
+    /// ignored.
     pub fn update(&mut self, now_ms: u64, summary: &Summary) {
         let mut regions: BTreeMap<&str, RegionMeasurements> = BTreeMap::new();
         let mut gaps: BTreeMap<(Group, &str), u32> = BTreeMap::new();
@@ -247,7 +251,8 @@
             }
         }
         for ((group, region), gap) in gaps {
-            // A client's own thinking is in it: it only bounds from above, where nothing better was told.
+            // A gap includes the client's think time, so it is only an upper bound, used where this window
+            // brought no measurement.
             let pair = self.pairs.get_mut(&(group, region.to_string()));
             if let Some(pair) = pair.filter(|pair| pair.at_ms < now_ms) {
                 pair.log_ms = pair.log_ms.min((f64::from(gap.max(1)) / 1000.0).ln());
@@ -262,7 +267,7 @@
         self.coordinates.fit(&known);
     }
 
-    /// What an edge tells of a group is also told of wider ones that something is known of.
+    /// Adds the statistics of each group to its wider groups that are reported or estimated.
     fn with_wider(
         &self,
         region: &str,
@@ -281,7 +286,7 @@
         all
     }
 
-    /// Which edges of a region are off from what the others tell.
+    /// Finds the edges of a region whose delays deviate from those of the others.
     fn distrust_outliers(&mut self, now_ms: u64, region: &str, groups: &RegionMeasurements) {
         let mut deviations: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for (group, measurements) in groups {
@@ -303,7 +308,7 @@
             .into_iter()
             .filter_map(|(edge, deviations)| Some((edge, median(deviations)?)))
             .collect();
-        // If all are off alike the region's paths have changed.
+        // If all deviate alike, the paths of the region have changed.
         let Some(all) = median(deviations.iter().map(|(_, deviation)| *deviation).collect()) else {
             return;
         };
@@ -319,7 +324,7 @@
         }
     }
 
-    /// Whether an edge's delays do not count at present.
+    /// Whether the delays of an edge are ignored at present.
     pub fn is_distrusted(&self, edge: &str) -> bool {
         self.distrusted.contains_key(edge)
     }
@@ -327,7 +332,7 @@
     fn update_pair(&mut self, now_ms: u64, group: &Group, region: &str, measurement: Measurement) {
         let key = (group.clone(), region.to_string());
         if self.pairs.len() >= MAX_PAIRS && !self.pairs.contains_key(&key) {
-            // The oldest knowledge makes room.
+            // Evicts the oldest pair.
             let oldest = self.pairs.iter().min_by_key(|(_, pair)| pair.at_ms).map(|(key, _)| key.clone());
             oldest.and_then(|key| self.pairs.remove(&key));
         }
@@ -349,15 +354,15 @@
         if deviations.abs() > OUTLIER_DEVIATIONS {
             let side = if deviations > 0.0 { 1 } else { -1 };
             pair.outliers = if pair.outliers * side > 0 { pair.outliers + side } else { side };
-            // Guards against a second window spent where most get no answer: most edges agree, so that it is no noise, and to stay
-            // costs more than to move.
+            // A confirmed outage takes effect at once, without a second window in which most requests get no
+            // answer: most edges agree, so it is not noise, and staying costs more than moving.
             if pair.outliers.abs() >= OUTLIERS_TO_RESET || measurement.confirmed {
                 *pair = replacement;
             }
             return;
         }
         let weight = v / (v + measurement.variance);
-        // That one edge alone told a thing does not make what it told more exact.
+        // The variance added for a single edge must not make its measurement count as more precise.
         let v = pair.variance_at(now_ms, 1);
         let v = (v * measurement.variance / (v + measurement.variance)).max(MIN_VARIANCE / 4.0);
         let reporter =
@@ -379,14 +384,16 @@
         Some((pair.log_ms, pair.variance_at(now_ms, self.edge_count(region))))
     }
 
-    /// What is known of a group's delay to a region; `None` if that is nothing: then it is neither near nor far.
+    /// Returns the estimated delay of a group to a region; `None` if nothing is known, which means neither
+    /// near nor far.
     pub fn estimate(&self, now_ms: u64, group: &Group, region: &str) -> Option<Estimate> {
         let wider = |(up, of): (usize, Group)| {
             let (x, v) = self.measured(now_ms, &of, region)?;
             Some((x, v + WIDER_GROUP_VARIANCE * (up * up) as f64))
         };
-        // Guards against the far taken for near: what all clients together take to a region is told by those who are served there, and
-        // those are the near ones. A guess from what is known of the group itself is better.
+        // The measurement of all clients together is not used for a group: it comes from the clients that a
+        // region serves, which are the near ones, and would make far groups seem near. A prediction from the
+        // group's own delays is better.
         let is_informative = |(up, of): &(usize, Group)| *up == 0 || *of != Group::All;
         let measured = group.upwards().enumerate().filter(is_informative).find_map(wider);
         let guess = self.coordinates.predict(group, region).map(|(x, spread)| (x, spread * spread));
@@ -401,17 +408,17 @@
         Some(Estimate { ms: x.exp(), spread: v.sqrt().min(MAX_DEVIATION), measured: measured.is_some() })
     }
 
-    /// The pairs that were measured, with the time of the last.
+    /// Iterates over the measured pairs, with the time of the last measurement.
     pub fn measured_pairs(&self) -> impl Iterator<Item = (&Group, &str, u64)> {
         self.pairs.iter().map(|((group, region), pair)| (group, region.as_str(), pair.at_ms))
     }
 
-    /// How sure a measurement alone still is: the deviation of its logarithm.
+    /// Returns the standard deviation of the logarithm of the measured delay, without predictions.
     pub fn measured_spread(&self, now_ms: u64, group: &Group, region: &str) -> Option<f64> {
         self.measured(now_ms, group, region).map(|(_, v)| v.sqrt())
     }
 
-    /// What is guessed of a pair, were it not measured.
+    /// Returns the predicted delay of a pair, ignoring its measurements.
     pub fn predicted_ms(&self, group: &Group, region: &str) -> Option<f64> {
         self.coordinates.predict(group, region).map(|(x, _)| x.exp())
     }
--- a/crates/steering/src/part.rs
+++ b/crates/steering/src/part.rs
@@ -1,5 +1,5 @@
-//! The table as a part of the agreed state, with what it is planned from: an entry names the epoch that follows the last, or changes
-//! nothing.
+//! Replicated part of steering: the table and the state that it is planned from. An entry that changes the
+//! table names the next epoch, or is refused.
 
 use crate::group::Group;
 use crate::mutants::{Mutant, is_active};
@@ -10,85 +10,86 @@
 use serde::{Deserialize, Serialize};
 use std::any::Any;
 
-/// Bytes of one entry; the log takes no longer ones.
+/// Maximum length of an entry; the log accepts no longer ones.
 pub const MAX_ENTRY_BYTES: usize = 8 * 1024;
 
-/// The name under which the log has these entries.
+/// Name of this part in the log.
 pub const NAME: &str = "steering";
 
-/// An entry of the agreed log.
+/// Entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// The next table: the last one with these rows in place of theirs; a group without a row leaves the table.
+    /// Changes the table: replaces the given rows; a group with `None` is removed.
     Step {
-        /// The last epoch and one.
+        /// Last epoch plus one.
         epoch: u64,
-        /// What changes.
+        /// Changed rows.
         rows: Vec<(Group, Option<Row>)>,
     },
-    /// What an edge saw in a window of its own.
+    /// Report of an edge for one of its own windows.
     Report(EdgeReport),
-    /// All that edges told since the last such entry is taken in.
+    /// Closes a window: all reports since the last such entry are processed.
     Window {
-        /// The last number and one.
+        /// Last window number plus one.
         number: u64,
-        /// The fleet's time, in Unix milliseconds.
+        /// Time of the fleet, in Unix milliseconds.
         now_ms: u64,
     },
-    /// It was planned from this window. Comes before the rows: if they are not taken, less was moved than was counted, and never more.
+    /// Records that the window was planned from. Precedes the changed rows: if those are refused, less was
+    /// moved than the budget was charged for, and never more.
     Planned {
-        /// The window's.
+        /// Number of the window.
         number: u64,
-        /// What the next plan has to know.
+        /// State for the next plan.
         memory: PlannerMemory,
     },
 }
 
-/// What came of an entry.
+/// Result of applying an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is the table now.
+    /// The table was changed.
     Taken {
-        /// Its epoch.
+        /// Epoch of the new table.
         epoch: u64,
     },
-    /// It is kept for the next table.
+    /// The entry was recorded for the next plan.
     Kept,
-    /// Nothing changed.
+    /// The entry was refused; nothing changed.
     Refused(Refusal),
 }
 
-/// Why an entry changed nothing.
+/// Reason for refusing an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// These bytes are none of our entries, or too many.
+    /// The bytes are no valid entry, or exceed [`MAX_ENTRY_BYTES`].
     NotAnEntry,
-    /// Another table was agreed since it was made, or it was made from none that was agreed.
+    /// The entry is not based on the table in force.
     NotTheNextEpoch {
-        /// The epoch that is in force.
+        /// Epoch in force.
         last: u64,
     },
-    /// A row's shares do not sum up, or it breaks a bound.
+    /// The shares of a row do not sum to [`TOTAL_SHARE`](crate::tables::TOTAL_SHARE), or it violates a bound.
     InvalidRow,
-    /// There would be more groups than a table may have.
+    /// The table would exceed the maximum number of groups.
     TooManyGroups,
-    /// It breaks a bound, or there are too many edges.
+    /// The entry violates a bound, or there are too many edges.
     Invalid,
-    /// Another window follows, or it was planned from already.
+    /// The entry does not name the next window, or the window was planned from already.
     NotTheNextWindow {
-        /// The last window.
+        /// Last window.
         last: u64,
     },
 }
 
 impl Entry {
-    /// As bytes.
+    /// Serializes to bytes.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // Vectors and integers can always be written into a vector.
+        // Serializing vectors and integers into a vector cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// From bytes.
+    /// Deserializes from bytes.
     pub fn from_bytes(bytes: &[u8]) -> Option<Entry> {
         if bytes.len() > MAX_ENTRY_BYTES {
             return None;
@@ -96,8 +97,9 @@
         postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(entry, _)| entry)
     }
 
-    /// The entries that lead from one table to another, in order, each within [`MAX_ENTRY`]. A plan never counts on room that another of
-    /// its moves makes, so that it is as safe when only the first ones are taken.
+    /// Returns the entries that turn one table into another, in order, each within [`MAX_ENTRY_BYTES`]. A
+    /// plan never relies on capacity that another of its moves frees, so applying only the first entries is
+    /// safe.
     pub fn between(now: &Tables, wanted: &Tables) -> Vec<Entry> {
         let gone = now
             .rows
@@ -109,7 +111,7 @@
         let mut room = 0;
         for change in gone.chain(new.map(|(group, row)| (group.clone(), Some(row.clone())))) {
             let bytes = postcard::to_stdvec(&change).map_or(0, |bytes| bytes.len());
-            // Thirty bytes are more than what an entry takes beside its rows.
+            // An entry takes less than 30 bytes besides its rows.
             if bytes + 30 > room {
                 room = MAX_ENTRY_BYTES;
                 entries.push(Entry::Step { epoch: now.epoch + entries.len() as u64 + 1, rows: Vec::new() });
@@ -124,12 +126,12 @@
 }
 
 impl Outcome {
-    /// As bytes.
+    /// Serializes to bytes.
     pub fn to_bytes(self) -> Vec<u8> {
         postcard::to_stdvec(&self).unwrap_or_default()
     }
 
-    /// From bytes.
+    /// Deserializes from bytes.
     pub fn from_bytes(bytes: &[u8]) -> Option<Outcome> {
         postcard::from_bytes(bytes).ok()
     }
@@ -139,21 +141,21 @@
     if taken { Outcome::Kept } else { Outcome::Refused(or) }
 }
 
-/// What a start of a member is shown: the whole table.
+/// View of the part for an incarnation of a member: the whole table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// The table in force.
+    /// Table in force.
     pub tables: Tables,
 }
 
 impl MemberView {
-    /// From bytes.
+    /// Deserializes from bytes.
     pub fn from_bytes(bytes: &[u8]) -> Option<MemberView> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// The agreed table.
+/// Replicated table and planning state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Part {
     tables: Tables,
@@ -161,17 +163,17 @@
 }
 
 impl Part {
-    /// The table in force.
+    /// Table in force.
     pub fn tables(&self) -> &Tables {
         &self.tables
     }
 
-    /// What it is planned from.
+    /// Returns the state that the table is planned from.
     pub fn planning_state(&self) -> &PlanningState {
         &self.planning_state
     }
 
-    /// Takes in an entry.
+    /// Applies an entry.
     pub fn apply_entry(&mut self, entry: &Entry) -> Outcome {
         let (epoch, rows) = match entry {
             Entry::Step { epoch, rows } => (epoch, rows),
@@ -181,7 +183,7 @@
             Entry::Window { number, now_ms } => {
                 let last = self.planning_state.window();
                 let closed = self.planning_state.close_window(*number, *now_ms);
-                // What is learned for longer than that is remembered is still learned.
+                // Explorations that outlast their record are recorded again.
                 self.planning_state.record_explorations(self.tables.rows.iter());
                 return accepted_or(closed, Refusal::NotTheNextWindow { last });
             }
@@ -194,7 +196,7 @@
                 );
             }
         };
-        // A plan of one who led before would undo what was agreed since.
+        // A plan of a former leader would undo what was committed since.
         if *epoch != self.tables.epoch + 1 && !is_active(Mutant::OldEpochApplied) {
             return Outcome::Refused(Refusal::NotTheNextEpoch { last: self.tables.epoch });
         }
@@ -249,7 +251,7 @@
         if tables.rows.len() > MAX_GROUPS || !tables.rows.values().all(Row::is_valid) {
             return false;
         }
-        // Saved before there was anything but the table: that is learned anew.
+        // Saved by a build that had only the table: the planning state is built up again.
         let planning_state =
             if rest.is_empty() { Some(PlanningState::default()) } else { PlanningState::from_bytes(rest) };
         let Some(planning_state) = planning_state else { return false };
--- a/crates/steering/src/planner.rs
+++ b/crates/steering/src/planner.rs
@@ -1,4 +1,5 @@
-//! Which share of which group moves where next: few moves at a time, none into a region without room, and none back and forth.
+//! Plans which share of each group moves to which region next. A plan moves little traffic at a time, moves
+//! none into a region without spare capacity, and does not move a group back and forth.
 
 mod prices;
 
@@ -9,92 +10,97 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How much of all traffic moves in a second, in thousandths, where nothing is broken.
+/// Rate at which the budget for moves grows, in thousandths of all traffic per second. Moves away from a lost
+/// or forbidden region are not limited by it.
 pub const MOVE_BUDGET_PER_SECOND: f64 = 10.0;
-/// What was not moved may be made up for later, up to so many seconds.
+/// Unused move budget is saved up for at most this many seconds.
 pub const MAX_SAVED_BUDGET_SECONDS: f64 = 10.0;
-/// A group stays where it was moved for so long: longer than the minute within which nobody is to see it move back.
+/// Minimum time in a main region after a move. Longer than the minute within which a group must not be seen
+/// to move back.
 pub const MIN_STAY_MS: u64 = 90_000;
-/// Who waits longer than this is not kept anywhere: most of its requests get no answer.
+/// A group with a longer delay may leave its main region at any time: most of its requests get no answer.
 const UNUSABLE_DELAY_MS: f64 = 1500.0;
-/// A move pays if it saves this part of the delay and this many milliseconds: caches and connections are cold after it.
+/// Minimum gain of a move, as a fraction of the delay and in milliseconds: caches and connections are cold
+/// after a move.
 pub const MIN_GAIN: (f64, f64) = (0.08, 1.5);
-/// ... and if what it saves is more than so many times its deviation.
+/// Minimum gain of a move, in standard deviations of the gain.
 const MIN_GAIN_DEVIATIONS: f64 = 1.0;
-/// How much of a region's capacity steering fills.
+/// Fraction of a region's capacity that steering fills.
 pub const MAX_FILL: f64 = 0.85;
-/// The same for those whose region is lost: they have nothing else.
+/// Fraction of a region's capacity that steering fills with groups whose own region is lost: they have no
+/// alternative.
 pub const MAX_FILL_AT_LOSS: f64 = 0.95;
-/// An estimate with more spread is not moved by: it is learned first.
+/// Maximum spread of an estimate that a move may rely on; a less certain one is explored first.
 pub const MAX_SPREAD: f64 = 0.20;
-/// Learning takes so much of a group, in thousandths.
+/// Share of a group that explores another region, in thousandths.
 pub const EXPLORATION_SHARE: u16 = 20;
-/// ... and so much of all traffic.
+/// Maximum fraction of all traffic that explores.
 pub const MAX_EXPLORATION_FRACTION: f64 = 0.01;
-/// What has told nothing in this time is not learned for now.
+/// An exploration that gave no precise estimate ends after this time.
 const EXPLORATION_TIMEOUT_MS: u64 = 60_000;
-/// ... for so long.
+/// Minimum time between the starts of two explorations of the same pair.
 pub const EXPLORATION_RETRY_MS: u64 = 600_000;
-/// A region that came back is given so much of its room, a step each [`WARMS_MS`].
+/// Fractions of its usable capacity that a recovered region is given, one step each [`WARM_UP_STEP_MS`].
 pub const WARM_UP_FACTORS: [f64; 4] = [0.1, 0.25, 0.5, 1.0];
-/// The length of a step.
+/// Duration of one step of the warm-up of a region.
 pub const WARM_UP_STEP_MS: u64 = 30_000;
-/// What a group that nobody knows the delay of is counted with when its region is lost, in milliseconds.
+/// Delay assumed for a group whose delay is not known, in milliseconds.
 const ASSUMED_DELAY_MS: f64 = 400.0;
-/// Pairs whose learning is remembered: as many as there are groups, a few times over.
+/// Maximum number of remembered explorations: a few per group.
 pub const MAX_EXPLORATIONS: usize = 4 * MAX_GROUPS;
 
-/// A region as it is now.
+/// Current state of a region.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Region {
-    /// Requests a second that it can take.
+    /// Capacity in requests per second.
     pub capacity: f64,
-    /// Requests a second that it has; what the table sends it counts if that is more.
+    /// Load in requests per second; the load that the table assigns counts if it is higher.
     pub load: f64,
-    /// Whether it serves.
+    /// Whether the region serves requests.
     pub up: bool,
 }
 
-/// How much a group asks for, and where it comes if no table says.
+/// Request rate of a group, and the region it reaches where the table has no row for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Where it comes by itself; `None` until that is settled.
+    /// Region that its clients reach unsteered; `None` until enough windows were reported.
     pub home: Option<String>,
 }
 
-/// What a plan is made from.
+/// Input of a plan: regions, demand and constraints at present.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficSnapshot {
-    /// The regions, by name; no more than [`MAX_REGIONS`] are looked at.
+    /// Regions by name; only the first [`MAX_REGIONS`] are used.
     pub regions: BTreeMap<String, Region>,
-    /// The groups.
+    /// Demand by group.
     pub demand: BTreeMap<Group, Demand>,
-    /// Where a group may be served; anywhere if it is not named, or no region is.
+    /// Regions that may serve a group; all of them if the group is missing or its set is empty.
     pub allowed: BTreeMap<Group, BTreeSet<String>>,
 }
 
-/// Since when each pair was learned.
+/// Start of the exploration of each pair of group and region, in Unix milliseconds.
 pub type Explorations = BTreeMap<(Group, String), u64>;
 
-/// What a planner has to know beside the last table. It is agreed, so that another that leads goes on where the last one was.
+/// State that a planner carries from one plan to the next besides the table. It is replicated, so that a new
+/// leader continues from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlannerMemory {
-    /// When it planned last, in Unix milliseconds.
+    /// Time of the last plan, in Unix milliseconds.
     pub last_ms: Option<u64>,
-    /// How much may still move, in thousandths of all traffic.
+    /// Remaining move budget, in thousandths of all traffic.
     pub budget: f64,
-    /// Regions that are lost.
+    /// Regions that are down.
     pub lost: BTreeSet<String>,
-    /// Since when those that came back are warming, in Unix milliseconds.
+    /// Recovery time of regions that are warming up, in Unix milliseconds.
     pub recovered_ms: BTreeMap<String, u64>,
-    /// What a place in a full region is worth, in milliseconds.
+    /// Price of capacity in a full region, in milliseconds of delay.
     pub prices: BTreeMap<String, f64>,
 }
 
 impl PlannerMemory {
-    /// Whether it keeps its bounds: what comes from outside may not.
+    /// Checks the bounds, which input from outside may violate.
     pub fn is_valid(&self) -> bool {
         let counts = [self.lost.len(), self.recovered_ms.len(), self.prices.len()];
         let mut names = self.lost.iter().chain(self.recovered_ms.keys()).chain(self.prices.keys());
@@ -105,14 +111,14 @@
     }
 }
 
-/// Plans the next table from the last agreed one, and from what is agreed beside that.
+/// Plans the next table from the last committed one and the replicated planning state.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     memory: PlannerMemory,
     explorations: Explorations,
 }
 
-/// One plan under way.
+/// Plan being computed.
 struct Plan<'a> {
     now_ms: u64,
     snapshot: &'a TrafficSnapshot,
@@ -137,13 +143,14 @@
         self.estimates.get(&(group.clone(), region.to_string())).copied()
     }
 
-    /// Whether a group may get another main region: it has none yet that it was moved to, or was there for [`STAY_MS`].
+    /// Whether a group may get another main region: it was never moved, or its last move is [`MIN_STAY_MS`]
+    /// ago.
     fn settled(&self, row: &Row) -> bool {
         row.moved_ms == 0 || self.now_ms.saturating_sub(row.moved_ms) >= MIN_STAY_MS
     }
 
-    /// The largest share that a region may take of a group without becoming its main region, as long as the group has to stay in the
-    /// one that it has; the whole group otherwise.
+    /// Returns the largest share of a group that a region may take without becoming its main region, while
+    /// the group has to stay in its present one; otherwise the whole group.
     fn max_share_beside_main(&self, group: &Group, region: &str) -> u16 {
         let Some(row) = self.rows.get(group) else { return 0 };
         let serves =
@@ -156,8 +163,8 @@
         }
     }
 
-    /// What is left of a region, in requests a second. What leaves it in this plan is not counted on: it may not have left when others
-    /// come.
+    /// Returns the spare capacity of a region in requests per second. Traffic that leaves the region in this
+    /// plan is not subtracted: it may still be there when other traffic arrives.
     fn room(&self, region: &str, max_load: f64) -> f64 {
         if is_active(Mutant::RoomIgnored) {
             return f64::MAX;
@@ -165,7 +172,7 @@
         max_load - self.base_load.get(region).unwrap_or(&0.0) - self.added_load.get(region).unwrap_or(&0.0)
     }
 
-    /// Moves as much as there is room for, up to a share; returns what was moved.
+    /// Moves up to `share` as far as capacity allows, and returns the share moved.
     fn move_share(
         &mut self,
         group: &Group,
@@ -197,8 +204,9 @@
         if row.main_region().map(String::from) != main {
             row.moved_ms = self.now_ms;
         }
-        // Guards against "R was lost" of a region that was only learned, and "it moved from R" of a few requests that are back at once: who
-        // learns, or has no more than that elsewhere, is where it is for the old reason.
+        // The reason and the previous region change only if more than an exploration share moves. Otherwise a
+        // row would say "R was lost" of a region that was only explored, or "it moved from R" for a few
+        // requests that return at once.
         if why != Why::Learns && had > EXPLORATION_SHARE && row.share(to) > EXPLORATION_SHARE {
             row.why = why;
             row.before = Some(from.to_string());
@@ -210,9 +218,10 @@
 }
 
 impl Planner {
-    /// One that goes on from what is agreed.
+    /// Creates a planner that continues from the replicated state.
     pub fn of(memory: &PlannerMemory, explorations: &Explorations) -> Planner {
-        // A region that came back just before would be full at once, and as much could move again.
+        // Without this state a region that has just recovered would be filled at once, and the move budget
+        // would be granted again.
         let memory = if is_active(Mutant::WarmingForgotten) {
             PlannerMemory { last_ms: memory.last_ms, ..PlannerMemory::default() }
         } else {
@@ -221,12 +230,12 @@
         Planner { memory, explorations: explorations.clone() }
     }
 
-    /// What has to be agreed with the plan that it made last.
+    /// Returns the state to replicate together with the last plan.
     pub fn memory(&self) -> &PlannerMemory {
         &self.memory
     }
 
-    /// The next table, with the epoch after the last; `None` if nothing is to change.
+    /// Returns the next table under the next epoch; `None` if nothing changes.
     pub fn plan(
         &mut self,
         now_ms: u64,
@@ -263,7 +272,7 @@
         }
     }
 
-    /// How much of a region may be filled: all of it, or a part while it is cold.
+    /// Returns the fraction of its usable capacity that a region may be given: less than 1 while it warms up.
     fn warm_up_factor(&self, now_ms: u64, region: &str) -> f64 {
         let Some(recovered_ms) = self.memory.recovered_ms.get(region) else { return 1.0 };
         let step = (now_ms.saturating_sub(*recovered_ms) / WARM_UP_STEP_MS) as usize;
@@ -274,7 +283,7 @@
         }
     }
 
-    /// Requests a second that a region may have by moves of ours.
+    /// Returns the load up to which moves may fill a region, in requests per second.
     pub fn max_load(&self, now_ms: u64, name: &str, region: &Region, max_fill: f64) -> f64 {
         if region.up { region.capacity * max_fill * self.warm_up_factor(now_ms, name) } else { 0.0 }
     }
@@ -303,7 +312,7 @@
                 }
                 continue;
             };
-            // Regions that are new to a row, and those that have gone and have nothing of it.
+            // Adds regions that are new, and drops those that have gone and serve no share.
             row.places.retain(|place| place.share > 0 || names.contains(&&place.region));
             for name in &names {
                 let known = row.places.iter().any(|place| place.region == **name);
@@ -332,8 +341,9 @@
         Plan { now_ms, snapshot, rows, estimates: known, base_load, added_load: BTreeMap::new(), total_rate }
     }
 
-    /// Those whose region is lost or not allowed any more go at once, as far as there is room: first those for whom a second choice
-    /// would be worst. What does not fit stays, as a move that brings down the next region helps nobody.
+    /// Moves shares out of regions that are lost or no longer allowed, as far as capacity allows; first the
+    /// groups whose second choice costs most compared with their first. The rest stays, as overloading the
+    /// next region would help nobody.
     fn evacuate(&self, plan: &mut Plan) {
         let mut displaced: Vec<(f64, Group, String, Vec<String>)> = Vec::new();
         for (group, row) in &plan.rows {
@@ -352,8 +362,8 @@
         displaced.sort_by(|one, two| two.0.total_cmp(&one.0).then_with(|| one.1.cmp(&two.1)));
         for (_, group, from, to) in displaced {
             let why = if plan.allowed(&group, &from) { Why::Lost } else { Why::NotAllowed };
-            // First as far as the group keeps its main region, so that it does not go back and forth; what finds no room so goes
-            // wherever there is room, as it has nothing else.
+            // The first pass keeps the main region of each group, so that it does not move back and forth.
+            // The second uses any spare capacity, as these shares have no alternative.
             for keep_main in [true, false] {
                 for region in &to {
                     let max_load =
@@ -381,7 +391,7 @@
                     continue;
                 };
                 if up && plan.allowed(group, &place.region) {
-                    // Who is there already stays for a little less.
+                    // The region that serves the group now has a small advantage.
                     let stay_share = f64::from(place.share) / f64::from(TOTAL_SHARE);
                     choices.push((
                         place.region.as_str(),
@@ -394,7 +404,7 @@
         self.memory.prices = prices::next_prices(&self.memory.prices, &room, &choices_by_group);
     }
 
-    /// Moves that pay, those that pay most first, within the budget.
+    /// Makes worthwhile moves within the budget, in order of their gain.
     fn move_to_nearer(&mut self, plan: &mut Plan) {
         let mut moves: Vec<(f64, Group, String, String, Why)> = Vec::new();
         let price = |region: &str| self.memory.prices.get(region).copied().unwrap_or(0.0);
@@ -420,17 +430,19 @@
                     }
                     let gain = current.ms + price(&from.region) - target.ms - price(&place.region);
                     let noise = (current.ms * current.spread).hypot(target.ms * target.spread);
-                    // Who is on the way to its main region goes on; who was moved stays.
+                    // A move towards the main region may continue; a group that was moved recently stays.
                     let may_move = settled
                         || place.region == main
                         || (current.ms > UNUSABLE_DELAY_MS && from.region == main);
-                    // Who loses least by it leaves a crowded region, though it gains nothing beyond noise.
+                    // The group that loses least leaves a region over its usable capacity, even if the gain
+                    // is within noise.
                     let worthwhile = gain > (MIN_GAIN.0 * current.ms).max(MIN_GAIN.1)
                         && gain > MIN_GAIN_DEVIATIONS * noise;
                     let worthwhile = (worthwhile || (over_capacity && gain > 0.0))
                         && target.spread <= MAX_SPREAD
                         && may_move;
-                    // By its price alone, or as a crowded region has to be left: that is no reason of distance.
+                    // A move made only for the price, or out of a region over its usable capacity, is not
+                    // given distance as its reason.
                     let saved_ms = current.ms - target.ms;
                     let is_nearer = saved_ms > (MIN_GAIN.0 * current.ms).max(MIN_GAIN.1)
                         && saved_ms > MIN_GAIN_DEVIATIONS * noise;
@@ -444,7 +456,7 @@
         }
         moves.sort_by(|one, two| two.0.total_cmp(&one.0).then_with(|| one.1.cmp(&two.1)));
         for (_, group, from, to, why) in moves {
-            // An earlier move of this plan may have made another region its main one.
+            // An earlier move of this plan may have changed the main region.
             let Some(row) = plan.rows.get(&group) else { continue };
             let settled = plan.settled(row);
             let unusable = plan.known(&group, &from).is_some_and(|current| current.ms > UNUSABLE_DELAY_MS);
@@ -461,7 +473,8 @@
         }
     }
 
-    /// A few requests go where it could be nearer and nobody knows; who was there and is known goes back.
+    /// Sends a small share to regions that could be nearer and whose delay is uncertain; shares whose delay
+    /// has become precise return.
     fn explore(&mut self, plan: &mut Plan) {
         self.explorations.retain(|_, since| plan.now_ms.saturating_sub(*since) < EXPLORATION_RETRY_MS);
         let (mut spent, mut candidates) = (0.0, Vec::new());
@@ -487,7 +500,7 @@
                 exploring = true;
                 spent += f64::from(place.share) / f64::from(TOTAL_SHARE) * traffic_fraction;
             }
-            // Learning does not make another region the main one of a group that is on its way.
+            // Exploration must not change the main region of a group that is being moved.
             if exploring || row.share(&main) <= TOTAL_SHARE / 2 + EXPLORATION_SHARE {
                 continue;
             }
@@ -497,7 +510,7 @@
                 let tried = self.explorations.contains_key(&(group.clone(), place.region.clone()));
                 let optimistic_ms = known.map_or(0.0, |known| known.ms * (-1.5 * known.spread).exp());
                 let imprecise = known.is_none_or(|known| known.spread > MAX_SPREAD);
-                // What is surely farther than the present one changes no choice, however unsure it is.
+                // A region that is certainly farther changes no decision, however imprecise its estimate.
                 if up
                     && !tried
                     && imprecise
--- a/crates/steering/src/planner/prices.rs
+++ b/crates/steering/src/planner/prices.rs
@@ -1,23 +1,23 @@
-//! What a place in a full region is worth: a price in milliseconds for each, at which about as many want to go there as fit. Those who
-//! lose least by it leave first.
+//! Computes a price in milliseconds for each region, at which demand about equals its capacity. The groups
+//! that lose least leave a full region first.
 
 use std::collections::BTreeMap;
 
-/// Rounds of raising and lowering for each plan; prices are kept from one plan to the next.
+/// Iterations of the price adjustment for each plan; prices are kept from one plan to the next.
 const ROUNDS: usize = 40;
-/// How much a price moves in a round, in milliseconds for a region that is wanted twice over.
+/// Price change per round in milliseconds, for a region with twice the demand that it can take.
 const PRICE_STEP_MS: f64 = 6.0;
-/// The highest price, in milliseconds.
+/// Maximum price, in milliseconds.
 const MAX_PRICE_MS: f64 = 500.0;
 
-/// What a group wants.
+/// Demand of a group and the regions that can serve it.
 pub(super) struct GroupChoices<'a> {
     pub rate: f64,
     /// Regions and their delays, in milliseconds.
     pub choices: Vec<(&'a str, f64)>,
 }
 
-/// The next prices.
+/// Returns the prices for the next plan.
 pub(super) fn next_prices(
     previous: &BTreeMap<String, f64>,
     room: &BTreeMap<&str, f64>,
@@ -25,7 +25,7 @@
 ) -> BTreeMap<String, f64> {
     let mut prices: BTreeMap<&str, f64> =
         room.keys().map(|&region| (region, previous.get(region).copied().unwrap_or(0.0))).collect();
-    // The mean over the later rounds: a price that swings about its place settles there.
+    // The mean over the later rounds damps a price that oscillates around its equilibrium.
     let mut sums: BTreeMap<&str, f64> = BTreeMap::new();
     for round in 0..ROUNDS {
         let mut demand: BTreeMap<&str, f64> = BTreeMap::new();
--- a/crates/steering/src/tables.rs
+++ b/crates/steering/src/tables.rs
@@ -1,73 +1,75 @@
-//! Which share of a group is served in which region: the table that the fleet agrees on, and the words in which it says why.
+//! Steering table: which share of each group is served in which region, and the explanation of it for
+//! operators.
 
 use crate::group::Group;
 use crate::planner::EXPLORATION_SHARE;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All of a group: shares of a row sum to this.
+/// Sum of the shares of a row: the whole group.
 pub const TOTAL_SHARE: u16 = 1000;
-/// Groups in a table. With the bounds below a table has 64 KiB at most, and 16 KiB with names of usual length.
+/// Maximum number of groups in a table. With the limits below a table has 64 KiB at most, and 16 KiB with
+/// names of usual length.
 pub const MAX_GROUPS: usize = 256;
-/// Regions in a row.
+/// Maximum number of regions in a row.
 pub const MAX_REGIONS: usize = 16;
-/// Bytes of a region's name.
+/// Maximum length of a region's name.
 pub const MAX_REGION_NAME_BYTES: usize = 32;
 
-/// What a row says of one region.
+/// Share and delay of one region in a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// The region.
+    /// Name of the region.
     pub region: String,
-    /// Of a thousand requests.
+    /// Share in thousandths of the requests.
     pub share: u16,
-    /// The delay when the row was made, in milliseconds; `None` if nothing was known of it.
+    /// Delay in milliseconds when the row was made; `None` if unknown.
     pub delay_ms: Option<u16>,
 }
 
-/// Why a row is as it is.
+/// Reason for the present state of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Why {
-    /// It was served like this before there was a table.
+    /// The group was served like this before there was a table.
     Found,
     /// Another region is nearer by more than noise.
     Nearer,
-    /// More would be served in the region that it left than fit, and others lose more by leaving it.
+    /// The demand for the region it left exceeds its capacity, and other groups would lose more by leaving.
     Room,
     /// Its region is lost.
     Lost,
-    /// Its region may not serve it any more.
+    /// Its region is no longer allowed to serve it.
     NotAllowed,
-    /// In tables of earlier builds: it was served like this before there was a table, and a few requests went elsewhere to learn.
+    /// Written by earlier builds only: like [`Why::Found`], with a few requests sent elsewhere to explore.
     Learns,
 }
 
-/// How a group is served.
+/// Row of the table: how one group is served.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// By region, in the order of their names.
+    /// Regions in the order of their names.
     pub places: Vec<Place>,
-    /// Why.
+    /// Reason for the present state.
     pub why: Why,
-    /// When its main region last changed, in Unix milliseconds.
+    /// Time of the last change of the main region, in Unix milliseconds.
     pub moved_ms: u64,
-    /// The region that it last moved from, for the reason above.
+    /// Region that the group last left, for the reason in `why`.
     pub before: Option<String>,
 }
 
 impl Row {
-    /// The share of a region.
+    /// Returns the share of a region.
     pub fn share(&self, region: &str) -> u16 {
         self.places.iter().find(|place| place.region == region).map_or(0, |place| place.share)
     }
 
-    /// The region with the largest share, the first by name of several.
+    /// Returns the region with the largest share; of equal ones the first by name.
     pub fn main_region(&self) -> Option<&str> {
         let main = self.places.iter().rev().max_by_key(|place| place.share)?;
         Some(&main.region)
     }
 
-    /// Whether it keeps the bounds and its shares sum to [`WHOLE`].
+    /// Checks the bounds and that the shares sum to [`TOTAL_SHARE`].
     pub fn is_valid(&self) -> bool {
         let ordered = self.places.windows(2).all(|two| two[0].region < two[1].region);
         let named = self.places.iter().all(|place| place.region.len() <= MAX_REGION_NAME_BYTES);
@@ -76,22 +78,22 @@
     }
 }
 
-/// Who is served where.
+/// Steering table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tables {
-    /// Grows by one with each agreed change; 0 before the first.
+    /// Incremented by each committed change; 0 before the first.
     pub epoch: u64,
-    /// By group.
+    /// Rows by group.
     pub rows: BTreeMap<Group, Row>,
 }
 
 impl Tables {
-    /// The row that a group goes by: its own, or that of the narrowest wider one.
+    /// Returns the row that applies to a group: its own, or that of the narrowest wider group.
     pub fn row(&self, group: &Group) -> Option<(Group, &Row)> {
         group.upwards().find_map(|group| self.rows.get(&group).map(|row| (group, row)))
     }
 
-    /// The regions that serve a group, with their shares of a thousand.
+    /// Returns the regions that serve a group, with their shares in thousandths.
     pub fn shares(&self, group: &Group) -> Vec<(String, u16)> {
         let places = self.row(group).map_or(&[][..], |(_, row)| &row.places);
         places
@@ -101,8 +103,8 @@
             .collect()
     }
 
-    /// The allowed regions (none named: all that the row knows), the best for this group first: by share, then by delay as far as it is
-    /// known, then those of which nothing is known.
+    /// Returns the allowed regions (all regions of the row if `allowed` is empty) in order of preference: by
+    /// share, then by delay, then those of unknown delay.
     pub fn preferred_regions(&self, group: &Group, allowed: &BTreeSet<String>) -> Vec<String> {
         let places = self.row(group).map_or(&[][..], |(_, row)| &row.places);
         let known = |region: &String| places.iter().find(|place| place.region == *region);
@@ -118,7 +120,7 @@
         regions
     }
 
-    /// Why a group is served as it is, in words, from the agreed table alone.
+    /// Explains for operators why a group is served as it is, from the committed table alone.
     pub fn explain(&self, group: &Group) -> String {
         let Some((of, row)) = self.row(group) else {
             return format!("{group}: not in the table (epoch {}): it is served where it comes.", self.epoch);
