--- a/crates/steering/examples/geography.rs
+++ b/crates/steering/examples/geography.rs
@@ -1,5 +1,5 @@
-//! Measures steering in fifty worlds of the emulator, writes the table, and says at the end whether its bounds hold. The arguments are
-//! the number of worlds and the first of them.
+//! Measures steering in fifty simulations, prints the table, and reports whether its bounds hold. The
+//! arguments are the number of simulations and the first seed.
 
 use jaspershunt_steering::emulator::{Run, Strategy, measure};
 use std::process::ExitCode;
--- a/crates/steering/examples/unmeasured.rs
+++ b/crates/steering/examples/unmeasured.rs
@@ -1,10 +1,10 @@
-//! Where the guesses of pairs that nobody has measured are off, by how many regions of the group were measured, and to which side. The
-//! arguments are the first world and the number of worlds.
+//! Measures the errors of predicted delays of unmeasured pairs, by the number of measured regions of the
+//! group. The arguments are the first seed and the number of simulations.
 
 use jaspershunt_steering::emulator::{Run, Strategy, measure};
 use std::collections::BTreeMap;
 
-/// Windows that are not counted, and between two looks.
+/// Windows that are not counted, and the interval in windows between checks.
 const LEARNS: u64 = 60;
 const LOOKS: u64 = 21;
 
--- a/crates/steering/src/coordinates.rs
+++ b/crates/steering/src/coordinates.rs
@@ -1,25 +1,27 @@
-//! Delays of pairs that nobody has measured: groups and regions as points in a space, with a height for a group's last mile, so that
-//! delay = distance + height. The idea is Vivaldi's; here one process has all pairs, and fits them in sweeps.
+//! Predicts the delays of unmeasured pairs from network coordinates, as in Vivaldi: groups and regions are
+//! points in a space, and a group has a height for its last mile, so that delay = distance + height. Here one
+//! process has all pairs, and fits them in sweeps.
 
 use crate::group::Group;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Dimensions: three hold a globe's surface without a seam.
+/// Number of dimensions: three embed the surface of a globe without a seam.
 const DIMENSIONS: usize = 3;
-/// Sweeps over all pairs for each window.
+/// Sweeps over all pairs per window.
 const SWEEPS: usize = 6;
-/// Starts that are tried when the present fit is bad or regions are new: one can end in a bad place.
+/// Random starts that are tried when the present fit is bad or regions are new, as one can end in a local
+/// minimum.
 const RESTARTS: u64 = 8;
-/// Sweeps for each of these.
+/// Sweeps per random start.
 const SWEEPS_PER_RESTART: usize = 60;
-/// A fit with a greater error is begun anew.
+/// A fit with a greater error is restarted.
 const BAD_FIT: f64 = 0.20;
-/// Windows between two such.
+/// Windows between two restarts.
 const MIN_WINDOWS_BETWEEN_RESTARTS: u64 = 12;
-/// No delay is guessed shorter, in milliseconds.
+/// Minimum predicted delay, in milliseconds.
 const MIN_DELAY_MS: f64 = 0.2;
-/// How much of an error is mended at once, at first and at last.
+/// Fraction of an error that is corrected per step, at the first and at the last sweep.
 const LEARNING_RATES: (f64, f64) = (0.5, 0.08);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -29,18 +31,18 @@
     pairs: usize,
 }
 
-/// A pair of which something is known.
+/// Measured delay of a pair.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownDelay<'a> {
-    /// The group.
+    /// Group.
     pub group: &'a Group,
-    /// The region.
+    /// Region.
     pub region: &'a str,
-    /// The delay, in milliseconds.
+    /// Delay, in milliseconds.
     pub ms: f64,
 }
 
-/// Where groups and regions lie.
+/// Coordinates of groups and regions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Coordinates {
     groups: BTreeMap<Group, Point>,
@@ -49,7 +51,7 @@
     windows: u64,
 }
 
-/// Numbers that look drawn and are the same everywhere: a start only has to be in general position.
+/// Returns a deterministic pseudorandom number from -1 to 1: a start only has to be in general position.
 fn unit_hash(of: u64, at: u64) -> f64 {
     let mut x = of.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ at.wrapping_mul(0xd1b5_4a32_d192_ed03);
     x = (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -70,10 +72,10 @@
         for &(g, r, ms) in pairs {
             let (group, region) = (self.groups[g], self.regions[r]);
             let apart = distance(&group, &region).max(1e-6);
-            // Near pairs count more, as what matters is the error in proportion.
+            // Near pairs count more, as the relative error matters.
             let correction = rate * (ms - apart - group.height) * (30.0 / ms).clamp(0.3, 1.0);
             let shift = 0.5 * correction / apart;
-            // A region is held by many groups, and moves less for each.
+            // A region takes part in many pairs, so it moves less for each.
             let damping = 4.0 / (4.0 + region.pairs as f64);
             for d in 0..DIMENSIONS {
                 let along = group.position[d] - region.position[d];
@@ -94,7 +96,7 @@
 }
 
 impl Coordinates {
-    /// Goes on with the fit, by all that is known now. The work is bounded: a fixed number of sweeps over the pairs.
+    /// Continues the fit with all known delays. The work is bounded: a fixed number of sweeps over the pairs.
     pub fn fit(&mut self, known: &[KnownDelay]) {
         if known.is_empty() {
             return;
@@ -159,7 +161,7 @@
         };
         let regions: Vec<Point> = regions.iter().enumerate().map(region).collect();
         let group = |(g, group): (usize, &&Group)| {
-            // A new one begins where its wider group's others are, or at the region that has it.
+            // A new group starts at a sibling of the same wider group, or else at its nearest region.
             let fresh = || {
                 let parent = group.parent();
                 let sibling =
@@ -187,12 +189,14 @@
         Fit { groups, regions: of.1.iter().enumerate().map(|(i, &pairs)| point(50_000, i, pairs)).collect() }
     }
 
-    /// The logarithm of a delay in milliseconds and how far it may be off; `None` where nothing is known of either.
+    /// Returns the logarithm of the delay in milliseconds and its standard deviation; `None` if the region or
+    /// the group is unknown.
     pub fn predict(&self, group: &Group, region: &str) -> Option<(f64, f64)> {
         let to = self.regions.get(region)?;
         let (up, at) = group.upwards().enumerate().find_map(|(up, of)| Some((up, self.groups.get(&of)?)))?;
         let ms = (distance(at, to) + at.height).max(MIN_DELAY_MS);
-        // One distance leaves all directions open, two leave two; a wider group is somewhere about.
+        // With one distance the direction is unknown, with two there are two solutions; the position of a
+        // wider group is only approximate.
         let open = [1.0, 0.6, 0.3, 0.15].get(at.pairs).copied().unwrap_or(0.08);
         Some((ms.ln(), (1.5 * self.error).max(0.10) + open + 0.2 * up as f64))
     }
--- a/crates/steering/src/emulator.rs
+++ b/crates/steering/src/emulator.rs
@@ -1,5 +1,6 @@
-//! A geography for truth, in virtual time and from a seed: regions, groups, asymmetric routes, a day of load, changes of path, cuts, clocks
-//! that are off. The decisions in it are the ones that a fleet runs; there only with the feature `emulator`.
+//! Simulates a geography in virtual time from a seed: regions, groups, asymmetric routes, a day of load,
+//! changes of path, outages and wrong clocks. The decisions are made by the code that a fleet runs. Only with
+//! the feature `emulator`.
 
 pub mod measure;
 mod oracle;
@@ -18,12 +19,12 @@
 use crate::tables::{Place, Row, TOTAL_SHARE, Tables, Why};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What all chances of a run come from.
+/// Seeded random number generator for all random choices of a run.
 #[derive(Clone, Debug)]
 pub struct SeededRng(u64);
 
 impl SeededRng {
-    /// From a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> SeededRng {
         SeededRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5eed)
     }
@@ -35,64 +36,64 @@
         x ^ (x >> 31)
     }
 
-    /// From 0 to below 1.
+    /// Returns a number from 0 to below 1.
     pub fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// From one to another.
+    /// Returns a number between two bounds.
     pub fn between(&mut self, from: f64, to: f64) -> f64 {
         from + (to - from) * self.unit()
     }
 
-    /// A whole number below another.
+    /// Returns an integer below `n`.
     pub fn below(&mut self, n: u64) -> u64 {
         self.next() % n.max(1)
     }
 
-    /// About 0, with a deviation of 1.
+    /// Returns a normally distributed number with mean 0 and standard deviation 1.
     pub fn normal(&mut self) -> f64 {
         (-2.0 * (1.0 - self.unit()).ln()).sqrt() * (std::f64::consts::TAU * self.unit()).cos()
     }
 }
 
-/// Who decides.
+/// Decision strategy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
-    /// This crate.
+    /// The planner of this crate.
     Steering,
-    /// Everyone stays at home; the next by the map if that is lost.
+    /// Each group stays in its home region; the next by map distance if that is lost.
     Static,
-    /// The region whose last sample was shortest.
+    /// The region with the shortest last sample.
     LastSample,
-    /// The region whose samples have the smallest mean.
+    /// The region with the smallest mean of samples.
     PlainMean,
 }
 
-/// Samples of one group in one region and window, at most: what is beyond tells nothing new.
+/// Maximum number of samples of one group in one region and window: more add no information.
 const MAX_SAMPLES: f64 = 30.0;
 
-/// A run of one strategy in a world.
+/// Run of one strategy in a simulation.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The truth.
+    /// Ground truth.
     pub simulation: Simulation,
-    /// The next window.
+    /// Next window.
     pub window: u64,
     strategy: Strategy,
     rng: SeededRng,
     edges: Vec<Vec<Edge>>,
-    /// What is estimated.
+    /// Estimates made from the samples.
     pub estimates: Estimates,
-    /// What is agreed.
+    /// Replicated table and planning state.
     pub part: Part,
-    /// Pairs of which there ever was a sample, by group and region.
+    /// Pairs of group and region that were ever sampled.
     pub sampled: BTreeSet<(usize, usize)>,
     raw: BTreeMap<(usize, usize), (f64, f64, f64)>,
 }
 
 impl Run {
-    /// A run in a world. Runs with the same seed see the same samples as long as they do the same.
+    /// Creates a run. Runs with the same seed see the same samples as long as they make the same decisions.
     pub fn new(simulation: Simulation, strategy: Strategy, seed: u64) -> Run {
         let edge = |r: usize, e: usize| Edge::new(&format!("n{r}-{e}"), &format!("r{r}"), 1);
         let edges = |r: usize| (0..simulation.regions[r].clocks.len()).map(|e| edge(r, e)).collect();
@@ -112,12 +113,12 @@
         }
     }
 
-    /// The virtual time.
+    /// Returns the virtual time.
     pub fn now_ms(&self) -> u64 {
         1_000_000 + self.window * WINDOW_MS
     }
 
-    /// What the planner is told of the world.
+    /// Returns the planner's input.
     pub fn snapshot(&self) -> TrafficSnapshot {
         let mut snapshot = TrafficSnapshot::default();
         for (r, place) in self.simulation.regions.iter().enumerate() {
@@ -138,7 +139,7 @@
         snapshot
     }
 
-    /// The shares of a group, by the number of the region.
+    /// Returns the shares of a group, by the index of the region.
     pub fn shares(&self, g: usize) -> Vec<(usize, f64)> {
         let shares = self.part.tables().shares(&self.simulation.groups[g].group);
         if shares.is_empty() {
@@ -153,7 +154,7 @@
             .collect()
     }
 
-    /// Requests a second in each region.
+    /// Returns the requests per second in each region.
     pub fn loads(&self) -> Vec<f64> {
         let mut loads = vec![0.0; self.simulation.regions.len()];
         for g in 0..self.simulation.groups.len() {
@@ -164,7 +165,7 @@
         loads
     }
 
-    /// The mean delay of all requests in this window, in milliseconds: path, queue, and what the lost ones waited.
+    /// Returns the mean delay of all requests in this window, in milliseconds: path, queue and time-outs.
     pub fn served_ms(&self) -> f64 {
         let (loads, mut sum, mut all) = (self.loads(), 0.0, 0.0);
         for g in 0..self.simulation.groups.len() {
@@ -183,7 +184,8 @@
             + (1.0 - loss) * (self.simulation.path_ms(self.window, g, r) + self.simulation.queue_ms(r, load))
     }
 
-    /// The same for one who knows all and moves everyone at once, up to as much of each region as steering fills.
+    /// Returns the same for an oracle that knows all delays and moves every group at once, up to the fraction
+    /// of each region that steering fills.
     pub fn oracle_ms(&self) -> f64 {
         let all = 0..self.simulation.regions.len();
         let delay = |g: usize| all.clone().map(|r| self.cost(g, r, 0.0)).collect();
@@ -249,7 +251,8 @@
         );
     }
 
-    /// One window: clients come, edges tell, and who decides proposes. Returns the entries that were proposed.
+    /// Runs one window: clients send requests, edges report, and the strategy proposes. Returns the proposed
+    /// entries.
     pub fn step(&mut self) -> Vec<Entry> {
         let loads = self.loads();
         for g in 0..self.simulation.groups.len() {
@@ -284,7 +287,8 @@
         }
         let now_ms = self.now_ms();
         self.estimates.update(now_ms, &summary);
-        // Whoever leads plans from what is agreed, and it is another one at any time.
+        // Each window is planned by a new planner from the replicated state, as the leader may change at any
+        // time.
         let number = self.part.planning_state().window() + 1;
         self.part.apply_entry(&Entry::Window { number, now_ms });
         let planning_state = self.part.planning_state();
@@ -299,7 +303,8 @@
         entries
     }
 
-    /// The baselines know which regions are up and allowed, and learn by as many requests as we may, of each region in turn.
+    /// Decides for a baseline. Baselines know which regions are up and allowed, and explore with as many
+    /// requests as the planner may, each region in turn.
     fn decide_simply(&mut self) -> Vec<Entry> {
         let (snapshot, mut wanted) = (self.snapshot(), Tables::default());
         for g in 0..self.simulation.groups.len() {
@@ -343,7 +348,7 @@
         entries
     }
 
-    /// The main region of each group.
+    /// Returns the main region of each group.
     pub fn mains(&self) -> BTreeMap<Group, String> {
         let main = |(group, row): (&Group, &Row)| Some((group.clone(), row.main_region()?.to_string()));
         self.part.tables().rows.iter().filter_map(main).collect()
--- a/crates/steering/src/emulator/measure.rs
+++ b/crates/steering/src/emulator/measure.rs
@@ -1,35 +1,36 @@
-//! Figures of an hour of virtual time in each of many worlds, with the baselines in the same worlds.
+//! Measures an hour of virtual time in each of many simulations, and the baselines in the same ones.
 
 use super::{Fault, Run, SeededRng, Simulation, Strategy};
 use crate::planner::MAX_FILL_AT_LOSS;
 
-/// Windows that are played: an hour and ten minutes, two days of load.
+/// Windows of a run: 70 minutes, two days of load.
 pub const WINDOWS: u64 = 420;
-/// Windows before anything is counted, for all strategies: ten minutes to learn.
+/// Windows before anything is counted, for all strategies: ten minutes to explore.
 const WARM_UP_WINDOWS: u64 = 60;
-/// Every so many windows the delay served and the oracle's are looked at.
+/// Interval in windows between comparisons of the served delay and the oracle's.
 const CHECK_INTERVAL_WINDOWS: u64 = 7;
 
-/// What was seen in one world.
+/// Results of one simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
-    /// Errors in proportion of pairs measured within the last minute.
+    /// Relative errors of pairs measured within the last minute.
     pub measured: Vec<f64>,
-    /// The same of pairs that were never measured by then.
+    /// Relative errors of pairs that were never measured by then.
     pub unmeasured: Vec<f64>,
-    /// The mean delay served: ours, static, last sample, plain mean.
+    /// Mean served delay at the checks: steering, static, last sample, plain mean.
     pub served: [f64; 4],
-    /// The same over every window and not the looks alone: one window in which most of a group get no answer is much in 52 looks.
+    /// Mean served delay over every window instead of the checks alone: one window in which most requests of
+    /// a group get no answer weighs much in 52 checks.
     pub always: [f64; 4],
-    /// The oracle's.
+    /// Mean delay of the oracle.
     pub oracle: f64,
-    /// Times that a move brought a region over its capacity.
+    /// Number of moves that brought a region over its capacity.
     pub overloads: u64,
-    /// Changes of a group's main region, and how many of them took back one of the last minute.
+    /// Changes of a group's main region, and how many of them reverted one of the last minute.
     pub changes: (u64, u64),
 }
 
-/// A world of six regions with five edges each, forty groups, and what breaks in an hour.
+/// Creates a simulation of six regions with five edges each, forty groups, and the faults of an hour.
 pub fn simulation(seed: u64) -> Simulation {
     let mut rng = SeededRng::new(seed ^ 0x9e0);
     let mut simulation = Simulation::new(&mut rng, 6, 5, 40);
@@ -61,7 +62,7 @@
     for g in 0..run.simulation.groups.len() {
         for r in 0..run.simulation.regions.len() {
             let (group, region) = (&run.simulation.groups[g].group, run.simulation.regions[r].name.as_str());
-            // A pair that answers nothing has no delay to be off from.
+            // A pair without answers has no delay to compare with.
             let lossy = (at.saturating_sub(60)..=at).any(|then| run.simulation.loss(then, g, r) > 0.0);
             let Some(estimate) = run.estimates.estimate(now_ms, group, region).filter(|_| !lossy) else {
                 continue;
@@ -77,7 +78,7 @@
     }
 }
 
-/// Plays one world with all strategies.
+/// Runs one simulation with all strategies.
 pub fn measure_seed(seed: u64) -> Figures {
     let mut figures = Figures::default();
     let all = [Strategy::Steering, Strategy::Static, Strategy::LastSample, Strategy::PlainMean];
@@ -132,7 +133,7 @@
     figures
 }
 
-/// The table of so many worlds from this one on, and what falls short.
+/// Returns the table for the given number of simulations, and the figures that miss their bounds.
 pub fn table(from: u64, simulations: u64) -> (String, Vec<&'static str>) {
     let all: Vec<Figures> = (from..from + simulations).map(measure_seed).collect();
     let pooled = |of: fn(&Figures) -> &Vec<f64>| {
--- a/crates/steering/src/emulator/oracle.rs
+++ b/crates/steering/src/emulator/oracle.rs
@@ -1,6 +1,7 @@
-//! The least mean delay that there is for one who knows all: flow at least cost, exact.
+//! Exact minimum mean delay with full knowledge: a minimum-cost flow.
 
-/// What is served where, in requests a second, for delays and rates of groups and room of regions. What does not fit anywhere is left out.
+/// Returns the requests per second of each group in each region, for the delays and rates of groups and the
+/// capacity of regions. What fits nowhere is left out.
 pub(super) fn best(delays: &[Vec<f64>], rates: &[f64], room: &[f64]) -> Vec<Vec<f64>> {
     let regions = room.len();
     let mut flows = vec![vec![0.0; regions]; rates.len()];
@@ -8,7 +9,8 @@
     for g in 0..rates.len() {
         let mut rest = rates[g];
         while rest > 1e-6 {
-            // Cheapest ways to a place for this group; others may be pushed on from region to region.
+            // Cheapest paths to spare capacity for this group; other groups may be displaced from region to
+            // region.
             let mut cost = delays[g].clone();
             let mut from: Vec<Option<(usize, usize)>> = vec![None; regions];
             for _ in 0..regions {
@@ -51,7 +53,7 @@
     use super::*;
 
     #[test]
-    fn who_loses_least_makes_room() {
+    fn the_group_that_loses_least_is_displaced() {
         let delays = vec![vec![10.0, 11.0], vec![10.0, 90.0]];
         let flows = best(&delays, &[5.0, 5.0], &[5.0, 9.0]);
         assert_eq!(flows, [[0.0, 5.0], [5.0, 0.0]]);
--- a/crates/steering/src/emulator/simulation.rs
+++ b/crates/steering/src/emulator/simulation.rs
@@ -1,67 +1,67 @@
-//! The truth: where regions and groups are, how long a way takes, and what breaks when.
+//! Ground truth of a run: positions of regions and groups, delays between them, and scheduled faults.
 
 use super::SeededRng;
 use crate::group::Group;
 
-/// A region.
+/// Simulated region.
 #[derive(Clone, Debug)]
 pub struct SimulatedRegion {
-    /// Its name.
+    /// Name.
     pub name: String,
     at: [f64; 3],
-    /// Requests a second that it can take.
+    /// Capacity in requests per second.
     pub capacity: f64,
-    /// How far the clock of each of its edges is off, in microseconds, and how much that grows in a second.
+    /// Clock offset of each edge in microseconds, and its drift per second.
     pub clocks: Vec<(i64, i64)>,
 }
 
-/// A group of clients.
+/// Simulated group of clients.
 #[derive(Clone, Debug)]
 pub struct Clients {
-    /// Its name.
+    /// Name.
     pub group: Group,
     at: [f64; 3],
     last_mile_ms: f64,
     rate: f64,
     phase: f64,
-    /// The region where they come by themselves.
+    /// Region that its clients reach unsteered.
     pub home: usize,
 }
 
-/// Something that is not as usual, for a while.
+/// Temporary fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The path of a group to a region takes so many times as long.
+    /// The delay of a group to a region is multiplied by a factor.
     Path(usize, usize, f64),
-    /// So many of a group's requests to a region get no answer.
+    /// A fraction of a group's requests to a region gets no answer.
     Lossy(usize, usize, f64),
     /// A region is down.
     Lost(usize),
-    /// A region's edges tell nothing.
+    /// The edges of a region do not report.
     Silent(usize),
-    /// An edge of a region tells so many times the delays.
+    /// An edge of a region reports delays multiplied by a factor.
     Lying(usize, usize, f64),
-    /// An edge of a region has such a queue, in milliseconds.
+    /// An edge of a region has a queue, in milliseconds.
     Queue(usize, usize, f64),
-    /// The routes do not allow a region to a group.
+    /// The routes forbid a region to a group.
     Forbidden(usize, usize),
 }
 
-/// A geography.
+/// Simulated geography.
 #[derive(Clone, Debug)]
 pub struct Simulation {
-    /// The regions.
+    /// Regions.
     pub regions: Vec<SimulatedRegion>,
-    /// The groups.
+    /// Groups.
     pub groups: Vec<Clients>,
     stretch: Vec<Vec<f64>>,
-    /// What breaks, from one window until before another.
+    /// Faults, each with its first window and the window after its last.
     pub faults: Vec<(Fault, u64, u64)>,
 }
 
-/// The length of a day, in windows: shortened to half an hour, so that a run sees whole ones.
+/// Length of a day, in windows: shortened to half an hour, so that a run covers whole days.
 const DAY: f64 = 180.0;
-/// A way in light's own time through glass, there and back, over the radius of the globe, in milliseconds.
+/// Round-trip time of light in fibre over the length of the globe's radius, in milliseconds.
 const RADIUS_MS: f64 = 6371.0 / 100.0;
 
 fn on_globe(rng: &mut SeededRng, near: Option<[f64; 3]>) -> [f64; 3] {
@@ -79,7 +79,7 @@
 }
 
 impl Simulation {
-    /// A geography with so many regions, edges in each, and groups.
+    /// Creates a geography with the given numbers of regions, edges in each, and groups.
     pub fn new(rng: &mut SeededRng, regions: usize, edges: usize, groups: usize) -> Simulation {
         let mut all_regions: Vec<SimulatedRegion> = (0..regions)
             .map(|r| {
@@ -103,14 +103,14 @@
             let rate = 5.0 * 12f64.powf(rng.unit());
             // Groups of one town often have neighbouring prefixes.
             let group = Group::named(&format!("{}.{g}.0.0/16", 10 + town));
-            // Each way has a route of its own.
+            // Each direction has a route of its own.
             let mut way = || 1.3 * (0.14 * rng.normal()).exp();
             simulation.stretch.push((0..regions).map(|_| (way() + way()) / 2.0).collect());
             simulation.groups.push(Clients { group, at, last_mile_ms, rate, phase, home: 0 });
         }
         simulation.regions = all_regions.clone();
         for g in 0..groups {
-            // What operators set by the map is now and then the second best.
+            // The home region is the nearest by map, or in some cases the second nearest.
             let mut by_map: Vec<usize> = (0..regions).collect();
             let way = |r: usize| Simulation::way(&simulation.groups[g].at, &simulation.regions[r].at);
             by_map.sort_by(|&one, &two| way(one).total_cmp(&way(two)));
@@ -120,7 +120,7 @@
         for (r, region) in all_regions.iter_mut().enumerate() {
             let own: f64 =
                 simulation.groups.iter().filter(|group| group.home == r).map(|group| group.rate * 1.4).sum();
-            // Sized for its own, and all together for the loss of one.
+            // Each region is sized for its own groups, and all together for the loss of one.
             region.capacity = (peak / 0.6 / regions as f64 * rng.between(0.7, 1.3)).max(1.3 * own);
         }
         simulation.regions = all_regions;
@@ -132,12 +132,12 @@
         RADIUS_MS * cosine.clamp(-1.0, 1.0).acos()
     }
 
-    /// The way by the map alone, which is what operators know.
+    /// Returns the delay by map distance alone, which is what operators know.
     pub fn by_map(&self, g: usize, r: usize) -> f64 {
         Simulation::way(&self.groups[g].at, &self.regions[r].at)
     }
 
-    /// What is broken in a window.
+    /// Iterates over the faults in a window.
     pub fn broken(&self, window: u64) -> impl Iterator<Item = Fault> {
         self.faults
             .iter()
@@ -145,7 +145,7 @@
             .map(|(fault, ..)| *fault)
     }
 
-    /// The true delay of a group to a region, without queues and losses, in milliseconds.
+    /// Returns the true delay of a group to a region, without queues and losses, in milliseconds.
     pub fn path_ms(&self, window: u64, g: usize, r: usize) -> f64 {
         let (group, region) = (&self.groups[g], &self.regions[r]);
         let usual = Simulation::way(&group.at, &region.at) * self.stretch[g][r] + group.last_mile_ms + 0.5;
@@ -155,7 +155,7 @@
         })
     }
 
-    /// The part of requests that get no answer.
+    /// Returns the fraction of requests that get no answer.
     pub fn loss(&self, window: u64, g: usize, r: usize) -> f64 {
         let lost = |fault| match fault {
             Fault::Lossy(of, to, part) if (of, to) == (g, r) => part,
@@ -165,18 +165,18 @@
         self.broken(window).map(lost).fold(0.0, f64::max)
     }
 
-    /// Whether a region serves.
+    /// Whether a region is up.
     pub fn up(&self, window: u64, r: usize) -> bool {
         !self.broken(window).any(|fault| fault == Fault::Lost(r))
     }
 
-    /// Requests a second of a group: more by day.
+    /// Returns the requests per second of a group: more by day.
     pub fn rate(&self, window: u64, g: usize) -> f64 {
         let group = &self.groups[g];
         group.rate * (1.0 + 0.4 * (window as f64 / DAY * std::f64::consts::TAU + group.phase).sin())
     }
 
-    /// What a request waits in a region with such a load, in milliseconds.
+    /// Returns the queueing delay in a region under this load, in milliseconds.
     pub fn queue_ms(&self, r: usize, load: f64) -> f64 {
         let full = load / self.regions[r].capacity;
         if full < 0.95 { full / (1.0 - full) } else { 19.0 + 1000.0 * (full - 0.95) }
--- a/crates/steering/src/emulator/soak.rs
+++ b/crates/steering/src/emulator/soak.rs
@@ -1,4 +1,4 @@
-//! Short schedules from a seed, with what must hold after every step.
+//! Short schedules from a seed, with invariants checked after every step.
 
 use super::{Fault, Run, SeededRng, Simulation, Strategy};
 use crate::model::{TIMEOUT_DELAY_MS, VARIANCE_GROWTH_PER_SECOND};
@@ -13,25 +13,25 @@
 
 /// Windows of a schedule.
 const WINDOWS: u64 = 24;
-/// Windows after a change of the truth within which an estimate need not follow.
+/// Windows after a change of the true delays within which an estimate may lag.
 const SETTLING_WINDOWS: u64 = 5;
-/// So many times the truth an estimate may say once it has followed: far more than noise makes.
+/// Maximum ratio of an estimate to the true delay after that time: far more than noise causes.
 const MAX_ERROR_FACTOR: f64 = 1.5;
 
-/// What became of many schedules.
+/// Result of many schedules.
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
-    /// How many were played.
+    /// Number of schedules.
     pub schedules: u64,
-    /// Tables that were agreed.
+    /// Number of committed tables.
     pub tables: u64,
-    /// Groups that got another main region.
+    /// Number of changes of a main region.
     pub moves: u64,
-    /// What must never be, with its seed.
+    /// Violated invariants with their seeds.
     pub violations: Vec<(u64, String)>,
 }
 
-/// Plays so many schedules from this seed on.
+/// Runs `n` schedules from this seed on.
 pub fn soak(seed: u64, n: u64) -> SoakReport {
     let mut report = SoakReport::default();
     for seed in seed..seed + n {
@@ -63,32 +63,32 @@
     (fault, from, from + 1 + rng.below(WINDOWS / 2))
 }
 
-/// What is watched besides the run.
+/// State of the invariant checks.
 #[derive(Default)]
 struct Checker {
-    /// When a region came back.
+    /// Window in which a region recovered.
     recovered: BTreeMap<usize, u64>,
-    /// The last changes of each group's main region: window, from, to.
+    /// Last changes of each group's main region: window, from, to.
     changes: BTreeMap<usize, Vec<(u64, usize, usize)>>,
-    /// Windows in a row of which a pair has samples.
+    /// Consecutive windows with samples of a pair.
     sampled_windows: BTreeMap<(usize, usize), u64>,
-    /// Windows in a row in which more than a few requests of a pair came.
+    /// Consecutive windows with more than an exploration share of a pair.
     busy_windows: BTreeMap<(usize, usize), u64>,
     old: Vec<Entry>,
     moves: u64,
 }
 
-/// Plays one schedule; how many tables were agreed and groups moved, or what must never be.
+/// Runs one schedule; returns the numbers of committed tables and of moves, or the violated invariant.
 pub fn check(seed: u64) -> Result<(u64, u64), String> {
     let mut rng = SeededRng::new(seed);
     let (regions, groups) = (3 + rng.below(3) as usize, 4 + rng.below(5) as usize);
-    // Five edges: a liar and one with a queue leave three.
+    // Of five edges, three are left beside a wrong one and one with a queue.
     let size = (regions, 5, groups);
     let mut simulation = Simulation::new(&mut rng, size.0, size.1, size.2);
     for _ in 0..1 + rng.below(4) {
         simulation.faults.push(fault(&mut rng, size));
     }
-    // Two liars in one region are beyond what can be outvoted.
+    // Two wrong edges in one region cannot be outvoted.
     let mut liars = Vec::new();
     simulation.faults.retain(|(fault, ..)| match fault {
         Fault::Lying(r, ..) => {
@@ -105,21 +105,21 @@
         let before = run.part.tables().clone();
         let entries = run.step();
         let violation =
-            |what: String| Err(format!("window {}: {what}; broken: {:?}", run.window, run.simulation.faults));
-        checker.regions(&run);
-        let found = tables(&run, &checker, &before)
-            .or_else(|| checker.back_and_forth(&run, &before))
-            .or_else(|| checker.estimates(&run));
+            |what: String| Err(format!("window {}: {what}; faults: {:?}", run.window, run.simulation.faults));
+        checker.track_recoveries(&run);
+        let found = check_table(&run, &checker, &before)
+            .or_else(|| checker.check_reversals(&run, &before))
+            .or_else(|| checker.check_estimates(&run));
         if let Some(what) = found {
             return violation(what);
         }
-        // One who led before proposes again what it had planned.
+        // A former leader proposes its old plan again.
         if let (Some(old), true) = (checker.old.last(), rng.unit() < 0.3) {
             let at = run.part.tables().epoch;
             if run.part.apply_entry(old)
                 != Outcome::Refused(crate::part::Refusal::NotTheNextEpoch { last: at })
             {
-                return violation(format!("an entry of an old epoch is taken over {at}"));
+                return violation(format!("an entry of a past epoch is applied at epoch {at}"));
             }
         }
         checker.old.extend(entries);
@@ -131,18 +131,18 @@
     tables.rows.get(&run.simulation.groups[g].group)
 }
 
-/// Whether a row says of a region what never was.
+/// Returns a message if a row gives a reason that never applied.
 fn false_reason(run: &Run, g: usize, row: &Row, was: Option<&Row>) -> Option<String> {
     let before = row.before.as_deref()?;
     let r = run.simulation.regions.iter().position(|place| place.name == before)?;
     let ever = |fault| (0..=run.window).any(|at| run.simulation.broken(at).any(|broken| broken == fault));
     if row.share(before) == TOTAL_SHARE {
-        return Some(format!("it left {before} and is there: {row:?}"));
+        return Some(format!("the row says that it left {before}, which serves all of it: {row:?}"));
     }
-    let holds = match row.why {
+    let is_true = match row.why {
         Why::Lost => ever(Fault::Lost(r)),
         Why::NotAllowed => ever(Fault::Forbidden(g, r)),
-        // Only as it moves: the delays are looked at again with each change of the row.
+        // Checked only at the move, as delays are updated with each change of the row.
         Why::Nearer if was.is_some_and(|was| (was.why, &was.before) != (row.why, &row.before)) => {
             let ms = |place: &Place| place.delay_ms.unwrap_or_default();
             let left = row.places.iter().find(|place| place.region == before).map_or(0, ms);
@@ -150,11 +150,11 @@
         }
         _ => true,
     };
-    (!holds).then(|| format!("{:?} of {before} is untrue: {row:?}", row.why))
+    (!is_true).then(|| format!("the reason {:?} for leaving {before} is false: {row:?}", row.why))
 }
 
-/// What a step may do to the table.
-fn tables(run: &Run, checker: &Checker, before: &Tables) -> Option<String> {
+/// Checks the changes that a step makes to the table.
+fn check_table(run: &Run, checker: &Checker, before: &Tables) -> Option<String> {
     let now = run.part.tables();
     if now.epoch < before.epoch || (now.epoch == before.epoch) != (now.rows == before.rows) {
         return Some(format!("epoch {} after {}", now.epoch, before.epoch));
@@ -167,7 +167,7 @@
         total += rate;
         let Some(row) = row_of(run, now, g) else { continue };
         if !row.is_valid() {
-            return Some(format!("{}: the row is not sound: {row:?}", run.simulation.groups[g].group));
+            return Some(format!("{}: the row is invalid: {row:?}", run.simulation.groups[g].group));
         }
         if let Some(what) = false_reason(run, g, row, row_of(run, before, g)) {
             return Some(format!("{}: {what}", run.simulation.groups[g].group));
@@ -198,7 +198,7 @@
                 && !run.sampled.contains(&(g, r))
             {
                 return Some(format!(
-                    "{} moves to {}, of which nothing is known",
+                    "{} moves to {}, which was never measured",
                     run.simulation.groups[g].group, place.name
                 ));
             }
@@ -210,25 +210,25 @@
             let step = (run.window - recovered) * WINDOW_MS / WARM_UP_STEP_MS;
             WARM_UP_FACTORS[(step as usize).min(WARM_UP_FACTORS.len() - 1)]
         });
-        let most = place.capacity * MAX_FILL_AT_LOSS * warm_up_factor;
-        if grown[r] > 0.01 && loads[r] > most + 0.01 {
+        let max_load = place.capacity * MAX_FILL_AT_LOSS * warm_up_factor;
+        if grown[r] > 0.01 && loads[r] > max_load + 0.01 {
             return Some(format!(
-                "a move brings {} to {:.1} of {most:.1} requests a second",
+                "a move brings {} to {:.1} requests per second, above its limit of {max_load:.1}",
                 place.name, loads[r]
             ));
         }
     }
-    // Learning may begin and end in one step, and the load of a day shifts what it was a part of.
+    // Explorations may begin and end in one step, and the load varies over the day.
     let bound =
         (MOVE_BUDGET_PER_SECOND * MAX_SAVED_BUDGET_SECONDS / 1000.0 + 3.0 * MAX_EXPLORATION_FRACTION) * total;
     if free > bound {
-        return Some(format!("{free:.1} requests a second move, and {bound:.1} may"));
+        return Some(format!("{free:.1} requests per second move, above the limit of {bound:.1}"));
     }
     None
 }
 
 impl Checker {
-    fn regions(&mut self, run: &Run) {
+    fn track_recoveries(&mut self, run: &Run) {
         for r in 0..run.simulation.regions.len() {
             if !run.simulation.up(run.window, r) {
                 self.recovered.remove(&r);
@@ -238,7 +238,7 @@
         }
     }
 
-    fn back_and_forth(&mut self, run: &Run, before: &Tables) -> Option<String> {
+    fn check_reversals(&mut self, run: &Run, before: &Tables) -> Option<String> {
         let number = |name: &str| run.simulation.regions.iter().position(|place| place.name == name);
         for g in 0..run.simulation.groups.len() {
             let main = |tables| row_of(run, tables, g).and_then(Row::main_region).and_then(number);
@@ -251,14 +251,14 @@
             let forth = changes.last().filter(|(at, ..)| (run.window - at) * WINDOW_MS <= 60_000);
             let served = |r: usize| {
                 let broken = |fault| {
-                    touches(&fault, g, r)
+                    affects(&fault, g, r)
                         && matches!(fault, Fault::Forbidden(..) | Fault::Lost(_) | Fault::Lossy(..))
                 };
                 (run.window.saturating_sub(7)..=run.window).all(|at| !run.simulation.broken(at).any(broken))
             };
             if forth.is_some_and(|(_, was, _)| *was == to) && served(from) && served(to) {
                 return Some(format!(
-                    "{} goes back to r{to} within a minute",
+                    "{} moves back to r{to} within a minute",
                     run.simulation.groups[g].group
                 ));
             }
@@ -267,8 +267,8 @@
         None
     }
 
-    /// What is estimated is near the truth, where there was time to learn it.
-    fn estimates(&mut self, run: &Run) -> Option<String> {
+    /// Checks that estimates are near the true delays once there was time to measure them.
+    fn check_estimates(&mut self, run: &Run) -> Option<String> {
         let (now_ms, at) = (run.now_ms(), run.window - 1);
         let last: BTreeMap<_, u64> =
             run.estimates.measured_pairs().map(|(group, region, at)| ((group, region), at)).collect();
@@ -276,7 +276,8 @@
             for r in 0..run.simulation.regions.len() {
                 let (group, region) =
                     (&run.simulation.groups[g].group, run.simulation.regions[r].name.as_str());
-                // Of a few learning requests, some edges see one: a lie or a loss is sure only where many come.
+                // Only some edges see an exploration: wrong reports and losses are detected reliably only
+                // under more traffic.
                 let busy_windows = self.busy_windows.entry((g, r)).or_default();
                 *busy_windows = if run.shares(g).iter().any(|(of, share)| *of == r && *share > 0.1) {
                     *busy_windows + 1
@@ -290,18 +291,18 @@
                 let since = at.saturating_sub(SETTLING_WINDOWS);
                 let same = (since..=at).all(|then| {
                     let now: Vec<Fault> =
-                        run.simulation.broken(at).filter(|fault| touches(fault, g, r)).collect();
+                        run.simulation.broken(at).filter(|fault| affects(fault, g, r)).collect();
                     now == run
                         .simulation
                         .broken(then)
-                        .filter(|fault| touches(fault, g, r))
+                        .filter(|fault| affects(fault, g, r))
                         .collect::<Vec<_>>()
                 });
                 let name = || format!("{group} to {region}");
                 let age = now_ms.saturating_sub(measured_ms) as f64 / 1000.0;
                 let own = run.estimates.measured_spread(now_ms, group, region).unwrap_or_default();
                 if own * own < VARIANCE_GROWTH_PER_SECOND * age {
-                    return Some(format!("{}: as sure as ever after {age} s", name()));
+                    return Some(format!("{}: the variance did not grow in {age} s", name()));
                 }
                 let Some(estimate) = run.estimates.estimate(now_ms, group, region) else { continue };
                 let (loss, path) = (run.simulation.loss(at, g, r), run.simulation.path_ms(at, g, r));
@@ -319,18 +320,22 @@
                     && loss >= 0.7
                     && estimate.ms < TIMEOUT_DELAY_MS / 4.0
                 {
-                    return Some(format!("{}: {:.1} ms, and most get no answer", name(), estimate.ms));
+                    return Some(format!(
+                        "{}: estimated {:.1} ms although most requests get no answer",
+                        name(),
+                        estimate.ms
+                    ));
                 }
                 let followed =
                     (*sampled_windows > SETTLING_WINDOWS && same) || (*sampled_windows == 0 && !changed);
                 let off = (estimate.ms / path).max(path / estimate.ms);
                 if followed && !lossy && off > MAX_ERROR_FACTOR && own < 0.1 {
-                    return Some(format!("{}: {:.1} ms, and it is {path:.1}", name(), estimate.ms));
+                    return Some(format!("{}: estimated {:.1} ms, true {path:.1} ms", name(), estimate.ms));
                 }
                 let silent = run.simulation.broken(at).any(|fault| fault == Fault::Silent(r));
                 if silent && !lossy && !changed && estimate.ms > 3.0 * path {
                     return Some(format!(
-                        "{}: {:.1} ms as {region} is silent, and it is {path:.1}",
+                        "{}: estimated {:.1} ms while {region} is silent, true {path:.1} ms",
                         name(),
                         estimate.ms
                     ));
@@ -341,7 +346,7 @@
     }
 }
 
-fn touches(fault: &Fault, g: usize, r: usize) -> bool {
+fn affects(fault: &Fault, g: usize, r: usize) -> bool {
     match *fault {
         Fault::Path(of, to, _) | Fault::Lossy(of, to, _) | Fault::Forbidden(of, to) => (of, to) == (g, r),
         Fault::Lost(of) | Fault::Silent(of) | Fault::Lying(of, ..) | Fault::Queue(of, ..) => of == r,
--- a/crates/steering/src/group.rs
+++ b/crates/steering/src/group.rs
@@ -1,14 +1,14 @@
-//! Groups of clients: an address prefix, a balancer's number, or a field that the operator's file names. A group lies within wider
-//! ones; what is known of these stands in where nothing is known of it.
+//! Groups of clients: an address prefix, a balancer's number, or a field named in the operator's file. A
+//! group lies within wider ones, whose estimates apply where it has none of its own.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::{self, Display};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// Bytes of a group's name.
+/// Maximum length of a group's name in bytes.
 pub const MAX_GROUP_NAME_BYTES: usize = 64;
 
-/// Prefixes of addresses that are groups, the widest first.
+/// Lengths of the address prefixes that form groups, the widest first.
 const V4: [u8; 3] = [8, 16, 24];
 const V6: [u8; 3] = [20, 32, 48];
 
@@ -20,29 +20,29 @@
     u128::MAX << (128 - bits)
 }
 
-/// A client, by what an edge knows of it.
+/// Client as an edge identifies it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Client {
     /// By its address.
     Address(IpAddr),
-    /// By the number of the balancer through which it comes.
+    /// By the number of the balancer through which it connects.
     Balancer(u32),
-    /// By what a field says; parts within parts are set off by `/`.
+    /// By the value of a field; nested levels are separated by `/`.
     Field(String),
 }
 
-/// A group of clients.
+/// Group of clients.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Group {
-    /// All clients, `*` in words.
+    /// All clients, written `*`.
     All,
-    /// A prefix of addresses, with the number of its bits.
+    /// IPv4 prefix and its length in bits.
     V4(u32, u8),
-    /// The same of the other kind.
+    /// IPv6 prefix and its length in bits.
     V6(u128, u8),
-    /// A balancer's.
+    /// Clients of one balancer.
     Balancer(u32),
-    /// What a field says.
+    /// Value of a field.
     Field(String),
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Group {
-    /// By the words that [`Display`] makes of it; what is none of the others is a field.
+    /// Parses the form that [`Display`] writes; any other text is a field.
     pub fn named(name: &str) -> Group {
         let prefix = name.split_once('/').and_then(|(ip, bits)| Some((ip.parse().ok()?, bits.parse().ok()?)));
         let number = name.strip_prefix("balancer:").and_then(|number| number.parse().ok());
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The narrowest group of a client.
+    /// Returns the narrowest group of a client.
     pub fn narrowest(client: &Client) -> Group {
         match client {
             Client::Address(IpAddr::V4(ip)) => Group::V4(u32::from(*ip) & v4_mask(V4[2]), V4[2]),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether it keeps its bounds: what comes from outside may not.
+    /// Checks the bounds, which input from outside may violate.
     pub fn is_valid(&self) -> bool {
         match self {
             Group::All | Group::Balancer(_) => true,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The next wider group.
+    /// Returns the next wider group.
     pub fn parent(&self) -> Option<Group> {
         let wider = |levels: [u8; 3], bits: u8| levels.into_iter().rev().find(|&level| level < bits);
         Some(match self {
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Itself and all wider ones, the narrowest first.
+    /// Iterates over the group and all wider ones, the narrowest first.
     pub fn upwards(&self) -> impl Iterator<Item = Group> {
         std::iter::successors(Some(self.clone()), Group::parent)
     }
@@ -128,7 +128,7 @@
     use super::*;
 
     #[test]
-    fn a_client_is_in_the_groups_above_its_narrowest() {
+    fn a_client_belongs_to_all_wider_groups() {
         let up =
             |client: Client| Group::narrowest(&client).upwards().map(|g| g.to_string()).collect::<Vec<_>>();
         let v4 = up(Client::Address("10.3.7.9".parse().unwrap()));
@@ -144,7 +144,7 @@
     }
 
     #[test]
-    fn a_name_has_a_bound() {
+    fn group_names_are_bounded() {
         assert_eq!(Group::named(&"ñ".repeat(90)), Group::Field("ñ".repeat(MAX_GROUP_NAME_BYTES / 2)));
         assert!(!Group::Field("n".repeat(MAX_GROUP_NAME_BYTES + 1)).is_valid());
         assert!(!Group::V4(1, 8).is_valid() && !Group::V4(0, 7).is_valid());
--- a/crates/steering/src/group_tree.rs
+++ b/crates/steering/src/group_tree.rs
@@ -1,18 +1,20 @@
-//! Which groups an edge tells apart: a group splits when its parts differ by more than noise, and joins again when they do not.
+//! Tree of the groups that an edge reports separately: a group splits when its subgroups differ by more than
+//! noise, and merges again when they do not.
 
 use crate::group::{Client, Group};
 use crate::tables::MAX_GROUPS;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Groups of which an edge keeps anything, parts that might become groups among them. Each takes some 150 bytes: 75 KiB.
+/// Maximum number of groups with statistics, candidates for a split included. Each takes some 150 bytes: 75
+/// KiB.
 pub const MAX_NODES: usize = 512;
-/// Samples that a part needs before it says anything.
+/// Minimum number of samples of a subgroup for it to be compared.
 const MIN_SAMPLES: f64 = 8.0;
-/// Parts that differ so much (of the logarithm: 10 %) are told apart.
+/// Difference between subgroups (of the logarithm: 10 %) above which a group splits.
 const SPLIT_THRESHOLD: f64 = 0.10;
-/// Parts that differ less are told as one; half of the other, so that a group does not flap.
+/// Difference below which a group merges; half of the split threshold, so that a group does not flap.
 const MERGE_THRESHOLD: f64 = 0.05;
-/// How much of the past counts after each window.
+/// Factor that the weight of old samples is multiplied by after each window.
 const DECAY_PER_WINDOW: f64 = 0.8;
 
 #[derive(Clone, Debug, Default)]
@@ -31,7 +33,7 @@
     }
 }
 
-/// The groups of an edge.
+/// Groups of an edge.
 #[derive(Clone, Debug, Default)]
 pub struct GroupTree {
     nodes: BTreeMap<Group, NodeStats>,
@@ -41,17 +43,17 @@
 }
 
 impl GroupTree {
-    /// The groups of the table in force are told apart by every edge, however little each sees of them.
+    /// Sets the table in force: its groups are split by every edge, however few samples it has of them.
     pub fn follow_table<'a>(&mut self, rows: impl Iterator<Item = &'a Group>) {
         self.in_table = rows.take(MAX_GROUPS).flat_map(|row| row.upwards().skip(1)).collect();
     }
 
-    /// The group that a client is told under.
+    /// Returns the group that a client is reported under.
     pub fn group_of(&self, client: &Client) -> Group {
         self.locate(client).0
     }
 
-    /// All clients together are never told as one.
+    /// Keeps the group of all clients split.
     pub fn always_split_all(&mut self) {
         self.split_all = true;
     }
@@ -69,7 +71,7 @@
         (at, None)
     }
 
-    /// Takes in a delay of a client, and says under which group it is told.
+    /// Records a delay of a client, and returns the group that it is reported under.
     pub fn record(&mut self, client: &Client, us: u32) -> Group {
         let x = f64::from(us.max(1)).ln();
         let (group, part) = self.locate(client);
@@ -81,7 +83,8 @@
         group
     }
 
-    /// How far the parts of each group are apart beyond what chance makes of them; nothing of groups of which too few parts speak.
+    /// Returns the difference between the subgroups of each group beyond chance; groups with too few
+    /// comparable subgroups are left out.
     fn separations(&self) -> BTreeMap<Group, f64> {
         let mut parts: BTreeMap<Group, Vec<&NodeStats>> = BTreeMap::new();
         for (group, node) in self.nodes.iter().filter(|(_, node)| node.n >= MIN_SAMPLES) {
@@ -91,7 +94,7 @@
         }
         let separation = |(group, parts): (Group, Vec<&NodeStats>)| {
             if let ([only], Some(whole)) = (&parts[..], self.nodes.get(&group)) {
-                // It is as good as the whole, costs no more, and shows what is below.
+                // The only subgroup costs no more than the whole group, and its own subgroups become visible.
                 let redundant = !self.split.contains(&group) && only.n > 0.95 * whole.n;
                 return redundant.then_some((group, f64::MAX));
             }
@@ -107,7 +110,7 @@
         parts.into_iter().filter_map(separation).collect()
     }
 
-    /// At the end of a window: splits and joins.
+    /// Ends a window: splits and merges groups.
     pub fn end_window(&mut self) {
         let separations = self.separations();
         if self.nodes.len() <= MAX_NODES * 3 / 4 {
@@ -120,7 +123,7 @@
         let outermost = self.split.iter().filter(|group| !inner.contains(group));
         let leaves: Vec<(f64, Group)> =
             outermost.map(|group| (separations.get(group).copied().unwrap_or(0.0), group.clone())).collect();
-        // One that says nothing for a window may only be quiet: it fades first.
+        // A group without samples in one window may only be idle: its weight decays first.
         let is_quiet = |group: &Group| self.nodes.get(group).is_none_or(|node| node.n < 1.0);
         let mut merges: Vec<Group> = leaves
             .iter()
@@ -130,12 +133,12 @@
             .map(|(_, group)| group.clone())
             .collect();
         if self.nodes.len() == MAX_NODES && merges.is_empty() {
-            // The least telling makes room.
+            // The group with the smallest difference makes room.
             merges.extend(leaves.into_iter().min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, group)| group));
         }
         for group in merges {
             self.split.remove(&group);
-            // What was below its parts is not looked at any more.
+            // Groups below its direct subgroups are no longer tracked.
             self.nodes.retain(|of, _| !of.upwards().skip(2).any(|up| up == group));
         }
         let split = &self.split;
@@ -167,7 +170,7 @@
     }
 
     #[test]
-    fn groups_split_by_what_they_tell_and_join_again() {
+    fn groups_split_when_delays_differ_and_merge_again() {
         let mut groups = GroupTree::default();
         let eighth = Group::named("10.0.0.0/8");
         (0..3).for_each(|_| window(&mut groups, 1, 10));
@@ -181,7 +184,7 @@
     }
 
     #[test]
-    fn there_are_no_more_nodes_than_their_bound() {
+    fn the_number_of_nodes_is_bounded() {
         let mut groups = GroupTree::default();
         for round in 0..6u32 {
             for i in 0..30_000u32 {
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,14 +1,20 @@
-//! Who is served soonest where, from what the edges of a fleet see anyway; no probe is sent.
+//! Assigns groups of clients to the regions with the lowest delay, from delays that the edges of a fleet
+//! observe in their ordinary traffic; sends no probes.
 //!
-//! Decides and does nothing: no clock, socket, file, thread or random source.
+//! Makes decisions only: no clock, socket, file, thread or random source.
 //!
-//! - [`summary`]: what an edge tells of a window, merged exactly whatever the order; [`sketch`]: the counts in it.
-//! - [`samples`]: what an edge sees anyway; [`group`]: groups of clients, each within wider ones; [`group_tree`]: which are told apart.
-//! - [`model`]: the delay of each group to each region and how sure it is; [`coordinates`]: guesses where nobody has measured.
+//! - [`summary`]: report of an edge for a window, merged exactly in any order; [`sketch`]: the distributions
+//!   in it.
+//! - [`samples`]: observations of an edge; [`group`]: groups of clients, each within wider ones;
+//!   [`group_tree`]: the groups that an edge reports separately.
+//! - [`model`]: the delay of each group to each region and its uncertainty; [`coordinates`]: predictions for
+//!   unmeasured pairs.
 //! - [`planner`]: which share of which group moves where next.
-//! - [`planning_state`]: what the fleet has agreed that tables are planned from, and what the one that leads proposes.
-//! - [`tables`]: who is served where, and why in words; [`part`]: how the fleet agrees on it.
-//! - [`mutants`]: the rules left out one by one, to show that the checks find it.
+//! - [`planning_state`]: replicated state that tables are planned from, and the entries that the leader
+//!   proposes.
+//! - [`tables`]: which region serves which group, with an explanation; [`part`]: the replicated part of the
+//!   fleet.
+//! - [`mutants`]: deliberate faults, to prove that the checks detect them.
 //!
 //! ```
 //! use jaspershunt_steering::{Entry, Group, Outcome, Part, Place, Row, Why};
@@ -18,7 +24,7 @@
 //! let mut part = Part::default();
 //! let step = Entry::Step { epoch: 1, rows: vec![(Group::named("10.3.0.0/16"), Some(row))] };
 //! assert_eq!(part.apply_entry(&step), Outcome::Taken { epoch: 1 });
-//! // The same again is of an epoch that is over.
+//! // The epoch of a repeated entry is past.
 //! assert!(matches!(part.apply_entry(&step), Outcome::Refused(_)));
 //! assert_eq!(part.tables().shares(&Group::named("10.3.7.0/24")), [("norte".to_string(), 1000)]);
 //! ```
--- a/crates/steering/src/model/tests.rs
+++ b/crates/steering/src/model/tests.rs
@@ -5,7 +5,7 @@
 use crate::{Client, Summary};
 
 #[test]
-fn who_is_served_in_a_region_does_not_speak_for_those_who_are_not() {
+fn delays_of_served_clients_are_not_used_for_groups_served_elsewhere() {
     let far = |n: u8| Group::named(&format!("10.{n}.0.0/16"));
     let client = |eighth: u8, n: u8| Client::Address([eighth, n, 1, 1].into());
     let row = || Row { places: Vec::new(), why: Why::Found, moved_ms: 0, before: None };
@@ -20,7 +20,7 @@
     for window in 1..=40u64 {
         let mut summary = Summary::default();
         for (e, edge) in edges.iter_mut().enumerate() {
-            // Until there is a table all clients are told as one; those in sur are near to it.
+            // Without a table all clients are reported as one group; those served in sur are near to it.
             if window > 4 {
                 edge.follow_table(&tables);
             }
@@ -31,7 +31,7 @@
                     (0..8).for_each(|n| sees(client(10, n), 20_000));
                 } else {
                     (0..12).for_each(|n| sees(client(11, n), 10_000));
-                    // Three of the eight groups of norte learned how far it is.
+                    // Three of the eight groups of norte have explored sur.
                     (0..if window > 4 { 3 } else { 0 }).for_each(|n| sees(client(10, n), 90_000));
                 }
             }
@@ -40,13 +40,18 @@
         estimates.update(window * 10_000, &summary);
     }
     for n in 3..8 {
-        let told = estimates.estimate(400_000, &far(n), "sur").unwrap();
-        // One distance of theirs is known, so that the guess is wide; what those in sur take, 10 ms, would make it 20.
-        assert!(!told.measured && told.ms > 35.0 && told.spread > MAX_SPREAD, "{n}: {told:?}");
+        let estimate = estimates.estimate(400_000, &far(n), "sur").unwrap();
+        // Only one distance of these groups is known, so the prediction is uncertain; the 10 ms of the
+        // clients in sur would make it 20.
+        assert!(
+            !estimate.measured && estimate.ms > 35.0 && estimate.spread > MAX_SPREAD,
+            "{n}: {estimate:?}"
+        );
     }
 }
 
-/// What is estimated after six windows at 40 ms and one in which so many of each edge's requests got no answer.
+/// Returns the estimate after six windows at 40 ms and one in which so many requests of each edge got no
+/// answer.
 fn after_one_window(gone: [u32; 5]) -> f64 {
     let mut edges: Vec<Edge> =
         (0..5).map(|e| Edge::new(&format!("n{e}"), "norte", 1).splitting_all()).collect();
@@ -67,9 +72,9 @@
 }
 
 #[test]
-fn where_most_edges_say_that_most_get_no_answer_one_window_is_enough() {
+fn an_outage_confirmed_by_most_edges_takes_effect_in_one_window() {
     assert!(after_one_window([18; 5]) > 1000.0);
     assert!(after_one_window([18, 18, 18, 0, 0]) > 1000.0);
-    // Two of five may lie, however much they tell.
+    // Two of five edges may report wrong data, however much.
     assert!(after_one_window([500, 500, 0, 0, 0]) < 60.0);
 }
--- a/crates/steering/src/mutants.rs
+++ b/crates/steering/src/mutants.rs
@@ -1,39 +1,39 @@
-//! Ways in which the rules could be wrong, for those who show that their checks find each. There is none in a program that is built
-//! without the feature `mutants`: the question is answered when it is compiled.
+//! Deliberate faults for tests that prove that the checks detect each one. Without the feature `mutants` they
+//! are off at compile time.
 
-/// A rule left out.
+/// Deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// A pair of which nothing is known is taken for the nearest.
+    /// A pair of unknown delay is taken for the nearest.
     EmptyMeansNear = 1,
-    /// The time in an edge's own queue counts as path.
+    /// Time in an edge's own queue counts as network delay.
     QueueCountedAsPath,
-    /// Who timed out does not count.
+    /// Requests that timed out are not counted.
     SurvivorsOnly,
-    /// All moves that pay are made at once.
+    /// All worthwhile moves are made at once, without the budget.
     StepBoundIgnored,
-    /// A table under an epoch that is over is applied.
+    /// A table of a past epoch is applied.
     OldEpochApplied,
-    /// Each edge is believed.
+    /// No edge is distrusted.
     LyingEdgeBelieved,
-    /// A region that says nothing is taken for far.
+    /// A region that does not report is taken for far.
     SilenceIsDistance,
-    /// A move needs no gain beyond noise and no stay.
+    /// A move needs neither a gain beyond noise nor a minimum stay.
     NoHysteresis,
-    /// A move does not look whether there is room.
+    /// A move ignores the capacity of its target.
     RoomIgnored,
-    /// A region that comes back is given all at once.
+    /// A recovered region gets its full load at once.
     ReturnsAtOnce,
-    /// What was measured once is as sure for ever.
+    /// The uncertainty of an estimate does not grow with time.
     KnowledgeStaysSharp,
-    /// The level of arrival stamps is taken for a delay.
+    /// Absolute differences of arrival times are taken for delays.
     ClocksBelieved,
-    /// Another that leads does not know what is warming, nor what was moved.
+    /// A new leader loses the planner state: which regions warm up, and the used budget.
     WarmingForgotten,
 }
 
-/// All of them.
+/// All faults.
 pub const ALL: [Mutant; 13] = [
     Mutant::EmptyMeansNear,
     Mutant::QueueCountedAsPath,
@@ -53,19 +53,19 @@
 #[cfg(feature = "mutants")]
 static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// From now on this rule is left out in the whole process; or none.
+/// Activates a fault in the whole process, or none.
 #[cfg(feature = "mutants")]
 pub fn activate(one: Option<Mutant>) {
     ACTIVE.store(one.map_or(0, |one| one as u8), std::sync::atomic::Ordering::SeqCst);
 }
 
-/// Whether this rule is left out.
+/// Whether this fault is active.
 #[cfg(feature = "mutants")]
 pub fn is_active(one: Mutant) -> bool {
     ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == one as u8
 }
 
-/// Whether this rule is left out: never.
+/// Always false without the feature `mutants`.
 #[cfg(not(feature = "mutants"))]
 pub const fn is_active(_: Mutant) -> bool {
     false
--- a/crates/steering/src/part/tests.rs
+++ b/crates/steering/src/part/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_changes_nothing() {
+fn invalid_entries_change_nothing() {
     let (mut part, fleet) = (Part::default(), Fleet::default());
     let mut odd = row(2);
     odd.places[0].share = 999;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_full_table_is_agreed_in_entries_that_fit() {
+fn a_full_table_is_split_into_entries_within_the_limit() {
     let mut wanted = Tables::default();
     for at in 0..MAX_GROUPS {
         wanted.rows.insert(Group::named(&format!("10.{}.{}.0/24", at / 16, at % 16)), row(MAX_REGIONS));
--- a/crates/steering/src/planning_state.rs
+++ b/crates/steering/src/planning_state.rs
@@ -1,8 +1,8 @@
-//! What the fleet has agreed that tables are planned from: what edges told, the estimates from it, and what the last plan left. Each
-//! member has it, so that whoever leads next goes on where the last one was.
+//! Replicated state that tables are planned from: reports of edges, the estimates made from them, and the
+//! state of the last plan. Each member has it, so that a new leader continues where the last one stopped.
 //!
-//! Estimates are floating point: members of different builds may differ in their last bits. Nothing that is agreed follows from them but by
-//! the rows and the memory that an entry carries.
+//! Estimates are floating point, so members of different builds may differ in the last bits. Replicated state
+//! depends on them only through the rows and the planner memory that entries carry.
 
 use crate::group::Group;
 use crate::model::Estimates;
@@ -16,88 +16,89 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of an edge's name, as the fleet has it.
+/// Maximum length of an edge's name in bytes, as in the fleet.
 const MAX_EDGE_NAME_BYTES: usize = 64;
-/// Edges tell no more often than this, and no more seldom, in milliseconds.
+/// Minimum and maximum interval between reports of an edge, in milliseconds.
 pub const REPORT_INTERVAL_MS: (u32, u32) = (100, 600_000);
-/// An edge that has told nothing for so long is forgotten.
+/// An edge that has not reported for this time is removed.
 const EDGE_EXPIRY_MS: u64 = 3_600_000;
-/// Demand of one group in one region under this is none, in thousandths of a request a second.
+/// Demand of a group in a region below this counts as none, in thousandths of a request per second.
 const MIN_DEMAND_MILLI: u64 = 10;
-/// Windows that told of a group before it counts as found where most of it came. The fleet's first window ends as the first edge tells, so
-/// that it is the word of a few. After four the first has a sixteenth of the weight, and a region first told in the second 14 of the 15
-/// sixteenths that others have. In 60 drawn starts of whole fleets 313 of 720 groups were found in a wrong region after one window, 18 after
-/// two, 10 after three, 7 after four; 3 to 6 after five to eight are chance of who asked, and each window more is one without a table.
+/// Number of windows with reports of a group before its home region is taken from them. The fleet's first
+/// window ends with the first report, so it covers a few edges only. After four windows the first has a
+/// sixteenth of the weight, and a region first reported in the second has 14 of the 15 sixteenths that others
+/// have. Each further window is one without a table.
 pub const MIN_REPORTED_WINDOWS: u8 = 4;
 
-/// What an edge tells of a window.
+/// Report of an edge for one window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EdgeReport {
-    /// The edge: a member of the fleet.
+    /// Name of the edge: a member of the fleet.
     pub edge: String,
-    /// Where it is.
+    /// Region of the edge.
     pub region: String,
-    /// How long its windows are, in milliseconds.
+    /// Length of its windows, in milliseconds.
     pub interval_ms: u32,
-    /// What it can take, in thousandths of a request a second.
+    /// Capacity, in thousandths of a request per second.
     pub capacity_milli: u32,
-    /// What it has, in the same.
+    /// Load, in thousandths of a request per second.
     pub load_milli: u32,
-    /// What it saw ([`Summary::to_bytes`]).
+    /// Serialized summary ([`Summary::to_bytes`]).
     pub summary: Vec<u8>,
 }
 
-/// An edge as it is known.
+/// Last known state of an edge.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Edge {
     region: String,
     interval_ms: u32,
     capacity_milli: u32,
     load_milli: u32,
-    /// The time of the fleet's window in which it last told something.
+    /// Time of the fleet's window in which it last reported.
     at_ms: u64,
-    /// It told something since that one ended.
+    /// Whether it reported since that window ended.
     fresh: bool,
 }
 
-/// What tables are planned from.
+/// State that tables are planned from.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanningState {
     edges: BTreeMap<String, Edge>,
-    /// What edges told that is not taken in yet.
+    /// Reports not yet processed.
     pending: Summary,
-    /// The number and the time of the last window.
+    /// Number and time (`now_ms`) of the last window.
     window: u64,
     now_ms: u64,
-    /// The last window that was planned from.
+    /// Last window that was planned from.
     planned_window: u64,
     memory: PlannerMemory,
     explorations: Explorations,
-    /// Thousandths of a request a second, by group and region.
+    /// Demand in thousandths of a request per second, by group and region.
     demand: BTreeMap<Group, BTreeMap<String, u64>>,
     estimates: Estimates,
-    /// Windows that told of a group, up to [`SETTLES`]; saved after all else, as it was not saved at first.
+    /// Windows with reports of a group, up to [`MIN_REPORTED_WINDOWS`]. Saved after all else, as earlier
+    /// builds did not save it.
     #[serde(skip)]
     reported_windows: BTreeMap<Group, u8>,
 }
 
 impl PlanningState {
-    /// As bytes.
+    /// Serializes to bytes.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // Maps and numbers can always be written into a vector.
+        // Serializing maps and numbers into a vector cannot fail.
         [postcard::to_stdvec(self), postcard::to_stdvec(&self.reported_windows)]
             .map(Result::unwrap_or_default)
             .concat()
     }
 
-    /// From bytes; `None` if they break a bound.
+    /// Deserializes from bytes; `None` if they violate a bound.
     pub fn from_bytes(bytes: &[u8]) -> Option<PlanningState> {
         let (mut state, rest) = postcard::take_from_bytes::<PlanningState>(bytes).ok()?;
         let valid = state.edges.len() <= MAX_SOURCES
             && state.memory.is_valid()
             && state.explorations.len() <= MAX_EXPLORATIONS
             && state.demand.len() <= MAX_GROUPS;
-        // Saved when one window was enough: those groups are found.
+        // Saved by a build in which one window was enough: these groups have their home region.
         let found = || Some(state.demand.keys().map(|group| (group.clone(), MIN_REPORTED_WINDOWS)).collect());
         let read_windows = |bytes| {
             postcard::take_from_bytes(bytes)
@@ -109,27 +110,27 @@
         (valid && state.reported_windows.keys().eq(state.demand.keys())).then_some(state)
     }
 
-    /// The number of the last window.
+    /// Returns the number of the last window.
     pub fn window(&self) -> u64 {
         self.window
     }
 
-    /// What is estimated.
+    /// Returns the estimates of delays.
     pub fn estimates(&self) -> &Estimates {
         &self.estimates
     }
 
-    /// What the last plan left.
+    /// Returns the planner state after the last plan.
     pub fn memory(&self) -> &PlannerMemory {
         &self.memory
     }
 
-    /// Since when each pair is learned.
+    /// Returns the explorations in progress and their starts.
     pub fn explorations(&self) -> &Explorations {
         &self.explorations
     }
 
-    /// Keeps what an edge told until the window ends; whether it keeps the bounds.
+    /// Stores a report until the window ends, and returns whether it is within the bounds.
     pub(crate) fn accept_report(&mut self, report: &EdgeReport) -> bool {
         let named = !report.edge.is_empty()
             && report.edge.len() <= MAX_EDGE_NAME_BYTES
@@ -141,7 +142,7 @@
             return false;
         }
         let Some(summary) = Summary::from_bytes(&report.summary) else { return false };
-        // One that tells for another, or for another region, would have that one's voice.
+        // An edge must not report on behalf of another edge or region.
         if !summary
             .by_source()
             .all(|(source, _)| source.edge == report.edge && source.region == report.region)
@@ -161,7 +162,7 @@
         true
     }
 
-    /// Takes in all that was told since the last window, if this is the next.
+    /// Processes all reports since the last window, if this is the next window.
     pub(crate) fn close_window(&mut self, number: u64, now_ms: u64) -> bool {
         if number != self.window + 1 || now_ms < self.now_ms {
             return false;
@@ -178,7 +179,8 @@
         true
     }
 
-    /// How much each group asks for where: half of what is new, half of what was known. Edges' windows do not end with the fleet's.
+    /// Updates the demand of each group by region: half from the new reports, half from the previous value.
+    /// Windows of edges do not end together with those of the fleet.
     fn update_demand(&mut self, pending: &Summary) {
         let mut fresh: BTreeMap<Group, BTreeMap<String, u64>> = BTreeMap::new();
         for (source, stats_by_group) in pending.by_source() {
@@ -212,7 +214,7 @@
         self.reported_windows.retain(|group, _| self.demand.contains_key(group));
     }
 
-    /// Takes in what a plan from the last window left, once.
+    /// Stores the state after a plan from the last window, once.
     pub(crate) fn record_plan(&mut self, number: u64, memory: &PlannerMemory) -> bool {
         if number != self.window || number <= self.planned_window {
             return false;
@@ -222,7 +224,7 @@
         true
     }
 
-    /// Takes in which pairs these rows learn.
+    /// Records the pairs that these rows explore.
     pub(crate) fn record_explorations<'a>(&mut self, rows: impl Iterator<Item = (&'a Group, &'a Row)>) {
         for (group, row) in rows {
             for place in row.places.iter().filter(|place| place.share > 0 && place.share <= EXPLORATION_SHARE)
@@ -234,8 +236,8 @@
         }
     }
 
-    /// The regions with what they can take: those of edges that were ever heard. One is up while a member in it is `present`; an edge that
-    /// is there and silent counts with what it said last.
+    /// Returns the regions of all known edges with capacity and load. A region is up while one of its edges
+    /// is `present`; a present edge that does not report counts with its last report.
     pub fn regions(&self, present: impl Fn(&str) -> bool) -> BTreeMap<String, Region> {
         let mut regions: BTreeMap<String, Region> = BTreeMap::new();
         for (name, edge) in &self.edges {
@@ -259,11 +261,11 @@
         allowed: impl Fn(&Group) -> BTreeSet<String>,
     ) -> TrafficSnapshot {
         let mut snapshot = TrafficSnapshot { regions: self.regions(present), ..TrafficSnapshot::default() };
-        // All clients together come from everywhere, and have no home.
+        // The group of all clients is spread over all regions and has no home.
         for (group, regions) in self.demand.iter().filter(|(group, _)| **group != Group::All) {
             let rate = regions.values().sum::<u64>() as f64 / 1000.0;
             let home = regions.iter().max_by_key(|(_, milli)| **milli).map(|(region, _)| region.clone());
-            // Guards against groups found by the word of a few edges: see `SETTLES`.
+            // The first windows cover only a few edges: see `MIN_REPORTED_WINDOWS`.
             let home = home.filter(|_| self.reported_windows.get(group) >= Some(&MIN_REPORTED_WINDOWS));
             snapshot.demand.insert(group.clone(), Demand { rate, home });
             snapshot.allowed.insert(group.clone(), allowed(group));
@@ -271,8 +273,9 @@
         snapshot
     }
 
-    /// What the one that leads proposes at this time of the fleet's: the end of a window, or the plan from it. The same from whoever leads,
-    /// as it goes by what is agreed alone; nothing while no edge tells anything.
+    /// Returns the entries that the leader proposes at this time: the end of a window, or the plan from it.
+    /// Depends on replicated state alone, so that every leader proposes the same; empty while no edge
+    /// reports.
     pub fn propose(
         &self,
         now_ms: u64,
@@ -288,7 +291,7 @@
             let steps = next.map(|next| Entry::between(tables, &next)).unwrap_or_default();
             return std::iter::once(planned).chain(steps).collect();
         }
-        // All that tell have told once.
+        // Waits for the longest report interval, so that each edge has reported once.
         let Some(interval_ms) = self.edges.values().map(|edge| edge.interval_ms).max() else {
             return Vec::new();
         };
--- a/crates/steering/src/planning_state/tests.rs
+++ b/crates/steering/src/planning_state/tests.rs
@@ -35,7 +35,8 @@
     }
 }
 
-/// One window of two regions: all of ten balancers come to norte, and those under five are nearer to sur, as a few requests there show.
+/// One window of two regions: all of ten balancers reach norte, and those below five are nearer to sur, as a
+/// few requests there show.
 fn window(part: &mut Part, at: u64, present: &[&str]) {
     let far: Vec<_> = (0..10).map(|n| (n, if n < 5 { 90_000 } else { 20_000 }, 40)).collect();
     let near: Vec<_> = (0..10).map(|n| (n, if n < 5 { 15_000 } else { 80_000 }, 10)).collect();
@@ -44,7 +45,7 @@
             apply_all(part, vec![Entry::Report(report(edge, region, at, seen))]);
         }
     }
-    // The end of the window, and then the plan from it.
+    // The end of the window, then the plan from it.
     for _ in 0..2 {
         let entries = part.planning_state().propose(
             1_000_000 + at * u64::from(REPORT_INTERVAL_MS),
@@ -60,7 +61,7 @@
 const ALL: [&str; 3] = ["n0", "n1", "n2"];
 
 #[test]
-fn edges_tell_and_the_one_that_leads_moves_by_it() {
+fn the_leader_moves_groups_by_the_reports_of_edges() {
     let mut part = Part::default();
     for at in 1..=30 {
         window(&mut part, at, &ALL);
@@ -72,13 +73,13 @@
         why.contains("in sur (15 ms); it moved from norte, which was farther by more than noise"),
         "{why}"
     );
-    // Ten seconds of 40 requests of each, in two of the three edges, and ten in the third.
+    // Two of the three edges see 40 requests of each group in ten seconds, the third ten.
     let rate = part.planning_state().snapshot(|_| true, |_| BTreeSet::new()).demand[&Group::Balancer(7)].rate;
     assert!((rate - 9.0).abs() < 0.1, "{rate}");
 }
 
 #[test]
-fn a_lost_region_is_left_and_fills_by_steps_whoever_leads() {
+fn a_lost_region_is_evacuated_and_warms_up_across_leader_changes() {
     let mut part = Part::default();
     for at in 1..=30 {
         window(&mut part, at, &ALL);
@@ -91,7 +92,7 @@
         (part.planning_state().memory().clone(), 1_000_000 + 32 * u64::from(REPORT_INTERVAL_MS));
     assert_eq!(memory.recovered_ms.get("sur"), Some(&recovered_ms));
 
-    // Another member that leads has only what was agreed, or what was saved of it.
+    // A new leader has only the replicated state, or what was saved of it.
     let mut other = Part::default();
     assert!(other.load(&part.save()));
     assert_eq!(other, part);
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn what_breaks_a_bound_is_not_heard() {
+fn reports_that_violate_a_bound_are_refused() {
     let mut part = Part::default();
     let good = report("n0", "norte", 1, &[(1, 9_000, 3)]);
     let bad = [
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn a_table_that_was_saved_alone_is_taken_up() {
+fn a_table_saved_without_planning_state_is_loaded() {
     let mut part = Part::default();
     window(&mut part, 1, &ALL);
     let mut other = Part::default();
@@ -153,20 +154,21 @@
 }
 
 #[test]
-fn nothing_is_proposed_while_nobody_tells() {
+fn nothing_is_proposed_without_reports() {
     assert_eq!(
         PlanningState::default().propose(u64::MAX, &Tables::default(), |_| true, |_| BTreeSet::new()),
         []
     );
 }
 
-/// Whole fleets that start within a window, from a seed: how many groups are found where less of them comes than elsewhere, and all.
+/// Simulates fleets whose edges start within one window, from a seed. Returns how many groups got a home
+/// region that receives less of their traffic than another, and the number of groups.
 fn misplaced_groups(seed: u64) -> (usize, usize) {
     let mut rng = SeededRng::new(seed);
     let edges: Vec<(String, String, u64)> = (0..9 + rng.below(7))
         .map(|e| (format!("n{e}"), format!("r{}", e % 3), rng.below(u64::from(REPORT_INTERVAL_MS))))
         .collect();
-    // Requests a second of each group in each region.
+    // Requests per second of each group in each region.
     let groups: Vec<[f64; 3]> = (0..12)
         .map(|_| {
             let rate = 20f64.powf(rng.unit());
@@ -208,18 +210,18 @@
 }
 
 #[test]
-fn a_fleet_that_starts_finds_groups_where_most_of_them_come() {
+fn a_starting_fleet_finds_the_home_regions_of_groups() {
     let all = (0..60).map(misplaced_groups).fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
-    // One in a hundred is chance: who asked in these windows.
-    assert!(all.0 * 50 < all.1, "{} of {} groups are found in a wrong region", all.0, all.1);
+    // One in a hundred is random variation of the requests in these windows.
+    assert!(all.0 * 50 < all.1, "{} of {} groups got a wrong home region", all.0, all.1);
 }
 
 #[test]
-fn a_group_has_no_row_until_enough_windows_told_of_it() {
+fn a_group_has_no_row_until_enough_windows_reported_it() {
     let mut part = Part::default();
     for at in 1..=u64::from(MIN_REPORTED_WINDOWS) {
         assert_eq!(part.tables().rows.len(), 0, "window {at}");
-        // Who leads next has as many windows behind it.
+        // A new leader knows the same number of windows.
         let mut other = Part::default();
         assert!(other.load(&part.save()));
         assert_eq!(other, part);
@@ -227,7 +229,7 @@
         window(&mut part, at, &ALL);
     }
     assert_eq!(part.tables().rows.len(), 10);
-    // What was saved when one window was enough has no count of windows.
+    // State saved by builds in which one window was enough has no count of windows.
     let ground = part.planning_state();
     assert_eq!(PlanningState::from_bytes(&postcard::to_stdvec(ground).unwrap()).as_ref(), Some(ground));
     let mut bytes = ground.to_bytes();
--- a/crates/steering/src/samples.rs
+++ b/crates/steering/src/samples.rs
@@ -1,4 +1,4 @@
-//! What an edge sees anyway, taken into its summary.
+//! Collects the delays that an edge observes in its ordinary traffic into summaries.
 
 use crate::group::{Client, Group};
 use crate::group_tree::GroupTree;
@@ -7,49 +7,49 @@
 use crate::tables::Tables;
 use std::collections::BTreeMap;
 
-/// Arrival stamps of a group that are kept until the end of a window: enough for a spread.
+/// Arrival offsets of a group that are kept per window: enough for a distribution.
 pub const MAX_ARRIVAL_OFFSETS: usize = 32;
 
-/// Something that an edge saw of a client.
+/// Observation of a client by an edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// The round trip that the kernel has for a connection.
+    /// Round-trip time of a connection as measured by the kernel.
     RoundTrip {
-        /// How long, in microseconds.
+        /// Duration in microseconds.
         us: u32,
     },
-    /// From the answer to a client's first packet until its next was looked at.
+    /// Time from the answer to a client's first packet until its next packet was read.
     Handshake {
-        /// How long.
+        /// Duration in microseconds.
         us: u32,
-        /// How much of this it lay in the edge's own queue.
+        /// Part of it spent in the edge's own queue.
         queue_us: u32,
     },
-    /// From an answer until the next request of the same connection was looked at.
+    /// Time from an answer until the next request of the same connection was read.
     Gap {
-        /// How long.
+        /// Duration in microseconds.
         us: u32,
-        /// How much of this it lay in the edge's own queue.
+        /// Part of it spent in the edge's own queue.
         queue_us: u32,
     },
-    /// A request with the time at which it was sent, by a clock that may say anything.
+    /// Request with its send time, by a clock that may be wrong.
     Arrival {
-        /// When it was sent, by the sender's clock.
+        /// Send time, by the sender's clock.
         sent_us: i64,
-        /// When it came, by ours.
+        /// Arrival time, by the edge's clock.
         received_us: i64,
     },
-    /// A request came.
+    /// Request received.
     Request,
-    /// A connection was reset before its answer was read.
+    /// Connection reset before its answer was read.
     Reset,
-    /// A client did not wait any longer.
+    /// Client gave up waiting.
     TimedOut,
-    /// A client was sent elsewhere.
+    /// Client redirected to another region.
     SteeredAway,
 }
 
-/// One edge and its present window.
+/// Collector of one edge, with its current window.
 #[derive(Clone, Debug)]
 pub struct Edge {
     name: String,
@@ -58,12 +58,13 @@
     groups: GroupTree,
     stats_by_group: BTreeMap<Group, GroupStats>,
     arrival_offsets: BTreeMap<Group, Vec<i64>>,
-    /// Samples that were not told, as there were too many groups.
+    /// Samples that were not reported, as there were too many groups.
     pub dropped_samples: u64,
 }
 
 impl Edge {
-    /// An edge in a region, whose next window has this number: higher than that of any before, by a start of the edge or the time.
+    /// Creates an edge whose next window has this number. It must exceed the numbers of earlier incarnations,
+    /// for example by being derived from the time.
     pub fn new(name: &str, region: &str, window: u64) -> Edge {
         let (stats_by_group, arrival_offsets) = (BTreeMap::new(), BTreeMap::new());
         let groups = GroupTree::default();
@@ -78,27 +79,28 @@
         }
     }
 
-    /// From now on it tells apart what lies right below all clients, however little that tells: where demand is counted by it.
+    /// Keeps the group of all clients split, however small the differences: needed where demand is counted
+    /// from the reports.
     pub fn splitting_all(mut self) -> Edge {
         self.groups.always_split_all();
         self
     }
 
-    /// The groups that it tells apart.
+    /// Returns the groups that it reports separately.
     pub fn groups(&self) -> &GroupTree {
         &self.groups
     }
 
-    /// Takes in that this table is in force.
+    /// Sets the table in force.
     pub fn follow_table(&mut self, tables: &Tables) {
         self.groups.follow_table(tables.rows.keys());
     }
 
-    /// Takes in what was seen of a client.
+    /// Records an observation of a client.
     pub fn record(&mut self, client: &Client, observation: Observation) {
         let round_trip_us = match observation {
             Observation::RoundTrip { us } => Some(us),
-            // Its own queue is the edge's, and moves nobody nearer or farther.
+            // Queueing time belongs to the edge, not to the network path.
             Observation::Handshake { us, queue_us } if !is_active(Mutant::QueueCountedAsPath) => {
                 Some(us.saturating_sub(queue_us))
             }
@@ -139,10 +141,10 @@
         }
     }
 
-    /// Ends the window, and tells it.
+    /// Ends the window and returns its summary.
     pub fn close_window(&mut self) -> Summary {
         for (group, arrival_offsets) in std::mem::take(&mut self.arrival_offsets) {
-            // The offset of the clocks is in all of them alike, and drifts little within a window.
+            // The clock offset is common to all of them, and drifts little within a window.
             let Some(&earliest) = arrival_offsets.iter().min() else { continue };
             let Some(stats) = self.stats_by_group.get_mut(&group) else { continue };
             for offset in arrival_offsets {
@@ -171,7 +173,7 @@
     }
 
     #[test]
-    fn own_queue_is_no_path_and_gaps_bound_it() {
+    fn queueing_time_is_subtracted_and_the_shortest_gap_is_kept() {
         let mut edge = Edge::new("n1", "norte", 1);
         edge.record(&client(), Observation::Handshake { us: 90_000, queue_us: 80_000 });
         edge.record(&client(), Observation::Gap { us: 700_000, queue_us: 80_000 });
@@ -182,7 +184,7 @@
     }
 
     #[test]
-    fn of_clocks_that_are_hours_off_only_differences_count() {
+    fn clock_offsets_of_hours_do_not_affect_arrival_jitter() {
         let mut edge = Edge::new("n1", "norte", 1);
         for late in 0..80i64 {
             let sent_us = -9_000_000_000 + late * 1000;
@@ -197,7 +199,7 @@
     }
 
     #[test]
-    fn more_groups_than_the_bound_are_counted_as_untold() {
+    fn samples_of_groups_beyond_the_limit_are_counted_as_dropped() {
         let mut edge = Edge::new("n1", "norte", 1);
         for window in 0..4u32 {
             for i in 0..MAX_GROUPS_PER_SUMMARY as u32 * 60 {
--- a/crates/steering/src/sketch.rs
+++ b/crates/steering/src/sketch.rs
@@ -1,17 +1,17 @@
-//! How delays are spread: a sketch in buckets that grow with the delay, as in DDSketch and HDR histograms. Integers only, so that
-//! merging is associative and commutative to the bit.
+//! Distribution of delays: a sketch with buckets that grow with the delay, as in DDSketch and HDR histograms.
+//! It has integers only, so that merging is exactly associative and commutative.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Buckets for each doubling: a value is told to within 1/64 of itself.
+/// Logarithm of the buckets per doubling: the relative error is at most 1/64.
 const SUB_BITS: u32 = 5;
-/// The longest delay that is told apart, in microseconds: 67 s, beyond any time-out.
+/// Longest delay that is distinguished, in microseconds: 67 s, beyond any time-out.
 pub const MAX_US: u32 = (1 << 26) - 1;
-/// Buckets that there can be at all.
+/// Maximum number of buckets.
 pub const MAX_BUCKETS: usize = 704;
 
-/// A spread of delays.
+/// Distribution of delays.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sketch {
     counts: BTreeMap<u16, u32>,
@@ -34,13 +34,13 @@
 }
 
 impl Sketch {
-    /// Takes in one delay.
+    /// Adds one delay.
     pub fn add(&mut self, us: u32) {
         let count = self.counts.entry(bucket(us)).or_default();
         *count = count.saturating_add(1);
     }
 
-    /// Takes in all of another. A count stops at its highest, so that the order still does not matter.
+    /// Merges another sketch. Counts saturate, so the order still does not matter.
     pub fn merge(&mut self, other: &Sketch) {
         for (&bucket, &more) in &other.counts {
             let count = self.counts.entry(bucket).or_default();
@@ -48,12 +48,12 @@
         }
     }
 
-    /// How many delays were taken in.
+    /// Returns the number of delays.
     pub fn count(&self) -> u64 {
         self.counts.values().map(|&count| u64::from(count)).sum()
     }
 
-    /// The delay in this place of the order, from 0; `None` beyond the last.
+    /// Returns the delay at this rank, from 0; `None` beyond the last.
     pub fn value_at_rank(&self, rank: u64) -> Option<u32> {
         let mut before = 0;
         self.counts.iter().find_map(|(&bucket, &count)| {
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Whether it can have been made by [`Sketch::add`]: what comes from outside may not.
+    /// Whether [`Sketch::add`] can have produced it; input from outside may be anything.
     pub fn is_valid(&self) -> bool {
         self.counts.iter().all(|(&bucket, &count)| usize::from(bucket) < MAX_BUCKETS && count > 0)
     }
--- a/crates/steering/src/summary.rs
+++ b/crates/steering/src/summary.rs
@@ -1,51 +1,52 @@
-//! What edges tell of what they saw: counts for each group of clients, which merge to the same whatever their order.
+//! Summaries that edges report: statistics by group of clients. Merging gives the same result in any order.
 
 use crate::group::{Group, MAX_GROUP_NAME_BYTES};
 use crate::sketch::Sketch;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The time that one summary of an edge covers, in milliseconds.
+/// Time covered by one summary of an edge, in milliseconds.
 pub const WINDOW_MS: u64 = 10_000;
-/// Bytes of one edge's summary. With the window, an edge tells 410 bytes a second at most, and 300 edges 120 KiB.
+/// Maximum size of one edge's summary. With this window an edge sends at most 410 bytes per second, and 300
+/// edges 120 KiB.
 pub const MAX_SUMMARY_BYTES: usize = 4096;
-/// Edges in one summary that was merged from many, as many as a fleet has members.
+/// Maximum number of sources in a merged summary: the maximum number of members of a fleet.
 pub const MAX_SOURCES: usize = 1024;
-/// Groups of one edge in one summary: what has a few bytes each fits.
+/// Maximum number of groups of one edge in a summary: statistics of a few bytes each fit into its size.
 pub const MAX_GROUPS_PER_SUMMARY: usize = 256;
 
-/// Who saw it, and when.
+/// Edge and window that statistics come from.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Source {
-    /// The edge.
+    /// Name of the edge.
     pub edge: String,
-    /// Where it is.
+    /// Region of the edge.
     pub region: String,
-    /// Grows with each summary of this edge.
+    /// Incremented with each summary of this edge.
     pub window: u64,
 }
 
-/// What an edge saw of a group.
+/// Statistics of one group at one edge.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStats {
-    /// Round trips, without what the edge's own queue took.
+    /// Round-trip times, without the time in the edge's own queue.
     pub round_trips: Sketch,
-    /// How much later than the soonest of its window an arrival was: clocks cancel out.
+    /// Delay of arrivals relative to the earliest of the window, in which clock offsets cancel out.
     pub arrival_jitter: Sketch,
-    /// The shortest gap between an answer and the next request: a round trip takes no longer.
+    /// Shortest gap between an answer and the next request: an upper bound of the round trip.
     pub shortest_gap_us: Option<u32>,
-    /// Who gave up waiting. They took at least as long as the slowest who did not.
+    /// Requests whose clients gave up. They took at least as long as the slowest answered one.
     pub timed_out: u32,
     /// Connections that were reset.
     pub resets: u32,
-    /// Requests that came, whether anything was measured of them or not.
+    /// Requests received, measured or not.
     pub requests: u32,
-    /// Who was sent elsewhere before anything was measured: it is not known how long they would have taken.
+    /// Requests redirected before anything was measured: their delay is unknown.
     pub steered_away: u32,
 }
 
 impl GroupStats {
-    /// Takes in all of another.
+    /// Merges another one into this one.
     pub fn merge(&mut self, other: &GroupStats) {
         self.round_trips.merge(&other.round_trips);
         self.arrival_jitter.merge(&other.arrival_jitter);
@@ -56,22 +57,22 @@
         self.steered_away = self.steered_away.saturating_add(other.steered_away);
     }
 
-    /// How much it tells: samples of any kind.
+    /// Returns the number of samples of any kind.
     pub fn weight(&self) -> u64 {
         let unanswered = u64::from(self.timed_out) + u64::from(self.resets) + u64::from(self.steered_away);
         self.round_trips.count() + unanswered + u64::from(self.requests)
     }
 }
 
-/// What one or many edges saw.
+/// Statistics of one or many edges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     by_source: BTreeMap<Source, BTreeMap<Group, GroupStats>>,
 }
 
 impl Summary {
-    /// What one edge saw in one window, within [`MAX_SUMMARY_BYTES`]: what tells least is told as its wider group's. Returns also
-    /// how many groups were not told at all.
+    /// Builds the summary of one edge and window within [`MAX_SUMMARY_BYTES`] by merging the groups with the
+    /// fewest samples into their wider groups. Also returns the number of groups that were dropped.
     pub fn of(source: Source, mut stats_by_group: BTreeMap<Group, GroupStats>) -> (Summary, usize) {
         let mut dropped = 0;
         loop {
@@ -81,7 +82,7 @@
             if bytes <= MAX_SUMMARY_BYTES && stats_by_group.len() <= MAX_GROUPS_PER_SUMMARY {
                 return (Summary { by_source: BTreeMap::from([(source, stats_by_group)]) }, dropped);
             }
-            // All clients come last: the others are told as theirs.
+            // The group of all clients comes last, as the others are merged into it.
             let order = |(group, stats): &(&Group, &GroupStats)| (group.parent().is_none(), stats.weight());
             let least = stats_by_group.iter().min_by_key(order).map(|(group, _)| group.clone());
             let Some((group, stats)) = least.and_then(|group| stats_by_group.remove_entry(&group)) else {
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Takes in all of another. Sources beyond [`MAX_SOURCES`] are left out, the last in order first, so that the order in which
-    /// they came does not matter.
+    /// Merges another summary. Sources beyond [`MAX_SOURCES`] are dropped from the end of their order, so
+    /// that the order of merging does not matter.
     pub fn merge(&mut self, other: &Summary) {
         for (source, stats_by_group) in &other.by_source {
             let mine = self.by_source.entry(source.clone()).or_default();
@@ -111,18 +112,18 @@
         }
     }
 
-    /// What each edge saw.
+    /// Iterates over the statistics of each source.
     pub fn by_source(&self) -> impl Iterator<Item = (&Source, &BTreeMap<Group, GroupStats>)> {
         self.by_source.iter()
     }
 
-    /// As bytes.
+    /// Serializes to bytes.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // Maps and integers can always be written into a vector.
+        // Serializing maps and integers into a vector cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// From bytes of an edge, or of many; `None` if they break a bound.
+    /// Deserializes a summary of one or many edges; `None` if it violates a bound.
     pub fn from_bytes(bytes: &[u8]) -> Option<Summary> {
         let summary: Summary = postcard::from_bytes(bytes).ok()?;
         let names = |source: &Source| {
--- a/crates/steering/src/summary/tests.rs
+++ b/crates/steering/src/summary/tests.rs
@@ -30,7 +30,7 @@
 
 proptest! {
     #[test]
-    fn summaries_merge_to_the_same_bytes_whatever_their_order(a in summaries(), b in summaries(), c in summaries()) {
+    fn merging_summaries_is_associative_and_commutative(a in summaries(), b in summaries(), c in summaries()) {
         prop_assert_eq!(merged(&a, &b).to_bytes(), merged(&b, &a).to_bytes());
         prop_assert_eq!(merged(&merged(&a, &b), &c).to_bytes(), merged(&a, &merged(&b, &c)).to_bytes());
         prop_assert_eq!(merged(&a, &Summary::default()).to_bytes(), a.to_bytes());
@@ -38,7 +38,7 @@
     }
 
     #[test]
-    fn bytes_that_are_no_summary_are_turned_away(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
+    fn invalid_bytes_are_rejected_as_a_summary(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
         if let Some(summary) = Summary::from_bytes(&bytes) {
             prop_assert!(summary.by_source().all(|(_, stats_by_group)| stats_by_group.values().all(|stats| stats.round_trips.is_valid())));
         }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_summary_fits_into_its_bytes_and_loses_no_sample() {
+fn a_summary_keeps_its_size_limit_without_losing_samples() {
     let mut stats_by_group: BTreeMap<Group, GroupStats> = BTreeMap::new();
     for group in 0..900u32 {
         let stats = stats_by_group
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn no_more_sources_and_groups_are_kept_than_their_bounds() {
+fn sources_and_groups_of_a_summary_are_bounded() {
     let mut summary = Summary::default();
     for edge in 0..1100 {
         let of = Source { edge: format!("n{edge}"), region: "r".into(), window: 0 };
--- a/crates/steering/src/tables/tests.rs
+++ b/crates/steering/src/tables/tests.rs
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn a_group_goes_by_the_narrowest_row_above_it() {
+fn the_narrowest_wider_row_applies_to_a_group() {
     let shares = tables().shares(&Group::named("10.3.7.0/24"));
     assert_eq!(shares, [("este".into(), 980), ("norte".into(), 20)]);
     assert!(tables().shares(&Group::named("10.4.7.0/24")).is_empty());
 }
 
 #[test]
-fn share_then_delay_then_the_unknown() {
+fn regions_are_preferred_by_share_then_delay_then_unknown() {
     let group = Group::named("10.3.0.0/16");
     assert_eq!(tables().preferred_regions(&group, &BTreeSet::new()), ["este", "norte", "sur"]);
     let allowed = ["sur", "oeste", "norte"].map(String::from).into();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_row_says_why() {
+fn explain_gives_the_reason_of_a_row() {
     assert_eq!(
         tables().explain(&Group::named("10.3.7.0/24")),
         "10.3.7.0/24 (by its wider group 10.3.0.0/16): 98.0 % in este (12 ms), 2.0 % in norte (9 ms); it moved from sur, which was \
@@ -43,12 +43,12 @@
     };
     assert_eq!(says(Why::Lost, Some("sur"), [1000, 0]), "it moved from sur, which was lost");
     assert_eq!(says(Why::Lost, Some("sur"), [700, 300]), "part of it moved from sur, which was lost");
-    // Nothing goes elsewhere to learn any more.
+    // Nothing explores any more.
     assert_eq!(says(Why::Learns, None, [1000, 0]), "that is how it came before there was a table");
 }
 
 #[test]
-fn shares_that_do_not_sum_up_are_no_row() {
+fn a_row_with_a_wrong_sum_of_shares_is_invalid() {
     let mut row = tables().rows.into_values().next().unwrap();
     assert!(row.is_valid());
     row.places[0].share = 981;
--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! Checks by name, for what schedules from seeds do not show.
+//! Checks for faults that schedules from seeds do not show.
 
 use jaspershunt_steering::{Client, Edge, Estimates, Group, Observation, Summary, Tables};
 
-/// One of five edges lies; what it alone tells of a group that all knew before does not count. Five groups are seen by all.
-pub fn a_liar_is_outvoted() -> Result<(), String> {
+/// One of five edges reports wrong delays. Its reports are ignored for a group that all edges measured before
+/// and that it alone reports now. Five groups are measured by all edges.
+pub fn a_wrong_edge_is_outvoted() -> Result<(), String> {
     let mut edges: Vec<Edge> = (0..5).map(|e| Edge::new(&format!("n{e}"), "norte", 1)).collect();
     let mut estimates = Estimates::default();
     let mut tables = Tables::default();
@@ -33,9 +34,9 @@
         }
         estimates.update(window * 10_000, &summary);
     }
-    let told = estimates.estimate(80_000, &Group::Balancer(0), "norte").ok_or("nothing is known")?;
-    if !estimates.is_distrusted("n4") || told.ms < 35.0 {
-        return Err(format!("one liar makes 43 ms {:.1}", told.ms));
+    let estimate = estimates.estimate(80_000, &Group::Balancer(0), "norte").ok_or("nothing is known")?;
+    if !estimates.is_distrusted("n4") || estimate.ms < 35.0 {
+        return Err(format!("one wrong edge turns 43 ms into {:.1}", estimate.ms));
     }
     Ok(())
 }
--- a/crates/steering/tests/leaving.rs
+++ b/crates/steering/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Where the share of a group goes that has to leave a region, soon after the group was moved.
+//! Targets of a share that has to leave a region soon after its group was moved.
 
 use jaspershunt_steering::planner::{MAX_FILL_AT_LOSS, MIN_STAY_MS};
 use jaspershunt_steering::summary::WINDOW_MS;
@@ -8,17 +8,18 @@
 use std::collections::BTreeMap;
 
 const MOVED_MS: u64 = 1_000_000;
-/// Requests a second of the group.
+/// Requests per second of the group.
 const RATE: f64 = 100.0;
 const EMPTY: Region = Region { capacity: 10.0 * RATE, load: 0.0, up: true };
 
-/// The shares in `r0` to `r3`, in this order.
+/// Returns the shares in `r0` to `r3`, in this order.
 fn shares(row: &Row) -> [u16; 4] {
     ["r0", "r1", "r2", "r3"].map(|region| row.share(region))
 }
 
-/// Plans once, some time after a group's main region became `r1`. It has 300 of 1000 in `r0`, 400 in `r1` and 300 in `r2`, and may use
-/// these regions alone from now on. Each has room for all, and `r0` is the first choice of equals.
+/// Plans once, some time after a group's main region became `r1`. It has shares of 300 in `r0`, 400 in `r1`
+/// and 300 in `r2`, and only the given regions are allowed from now on. Each has capacity for all, and `r0`
+/// is the first choice among equals.
 fn plan(after_ms: u64, allowed: &[&str], r1: Region) -> Row {
     let group = Group::named("10.1.0.0/16");
     let place = |(region, share): (&str, u16)| Place { region: region.into(), share, delay_ms: None };
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn what_finds_no_room_beside_the_main_region_leaves_all_the_same() {
+fn a_share_without_capacity_beside_the_main_region_leaves_anyway() {
     let room_for_50 = Region { load: EMPTY.capacity * MAX_FILL_AT_LOSS - 0.05 * RATE, ..EMPTY };
     let row = plan(WINDOW_MS, &["r0", "r1"], room_for_50);
     assert_eq!(shares(&row), [550, 450, 0, 0], "{row:?}");
--- a/crates/steering/tests/mutants.rs
+++ b/crates/steering/tests/mutants.rs
@@ -1,25 +1,25 @@
-//! The schedules are worth what they can refute: with any one rule left out they find what the rule is for. One test alone in this
-//! process, as what is left out is left out in all of it.
+//! Proves that the schedules detect each deliberate fault. The only test in this process, as a fault is
+//! active in the whole process.
 
 mod common;
 
 use jaspershunt_steering::emulator::check;
 use jaspershunt_steering::mutants::{ALL, Mutant, activate};
 
-/// Schedules for each, at most.
+/// Maximum number of schedules for each fault.
 const SCHEDULES: u64 = 400;
 
 #[test]
-fn every_rule_left_out_is_found() {
-    let mut alive = Vec::new();
+fn every_deliberate_fault_is_detected() {
+    let mut undetected = Vec::new();
     for mutant in ALL {
         if mutant == Mutant::LyingEdgeBelieved {
-            // The median over edges hides it in most schedules: a check by name shows what the doubt adds.
+            // The median over edges hides this fault in most schedules, so a separate check detects it.
             activate(Some(mutant));
-            let found = common::a_liar_is_outvoted();
+            let found = common::a_wrong_edge_is_outvoted();
             activate(None);
-            println!("| {mutant:?} | a_liar_is_outvoted | {found:?} |");
-            assert!(found.is_err(), "{mutant:?} lives");
+            println!("| {mutant:?} | a_wrong_edge_is_outvoted | {found:?} |");
+            assert!(found.is_err(), "{mutant:?} is not detected");
             continue;
         }
         let found = (0..SCHEDULES).find_map(|seed| {
@@ -31,10 +31,10 @@
         activate(None);
         match found {
             Some((seed, what)) => {
-                println!("| {mutant:?} | {seed} | {} |", what.split("; broken").next().unwrap_or(&what))
+                println!("| {mutant:?} | {seed} | {} |", what.split("; faults").next().unwrap_or(&what))
             }
-            None => alive.push(mutant),
+            None => undetected.push(mutant),
         }
     }
-    assert!(alive.is_empty(), "alive after {SCHEDULES} schedules: {alive:?}");
+    assert!(undetected.is_empty(), "not detected after {SCHEDULES} schedules: {undetected:?}");
 }
--- a/crates/steering/tests/schedules.rs
+++ b/crates/steering/tests/schedules.rs
@@ -1,14 +1,14 @@
-//! Schedules from seeds, with what must hold after every step.
+//! Schedules from seeds, with invariants checked after every step.
 
 mod common;
 
 use jaspershunt_steering::emulator::{check, soak};
 
-/// Schedules in CI; more by `STEERING_SCHEDULES`.
+/// Number of schedules in CI; `STEERING_SCHEDULES` sets another.
 const SCHEDULES: u64 = 300;
 
 #[test]
-fn nothing_breaks_in_seeded_schedules() {
+fn invariants_hold_in_seeded_schedules() {
     let number = |name: &str, or: u64| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or);
     let (from, schedules) = (number("STEERING_FROM", 0), number("STEERING_SCHEDULES", SCHEDULES));
     let sum = soak(from, schedules);
@@ -19,13 +19,14 @@
 }
 
 #[test]
-fn one_liar_of_five_edges_is_outvoted() {
-    assert_eq!(common::a_liar_is_outvoted(), Ok(()));
+fn one_wrong_edge_of_five_is_outvoted() {
+    assert_eq!(common::a_wrong_edge_is_outvoted(), Ok(()));
 }
 
-/// A third of a group has to leave a region that it may not use any more. The nearest region with room is the one in which most of the group was
-/// 40 s before: taking all of the third, it would have most of the group again, though none of it leaves the region in between.
+/// A third of a group has to leave a region that is no longer allowed. The nearest region with spare capacity
+/// had most of the group 40 s before: taking the whole third, it would become the main region again, although
+/// none of the group leaves the region in between.
 #[test]
-fn a_share_that_has_to_leave_takes_no_main_region_back() {
+fn a_displaced_share_does_not_restore_the_previous_main_region() {
     assert_eq!(check(30_542).map(|_| ()), Ok(()));
 }
