--- a/crates/steering/examples/unmeasured.rs
+++ b/crates/steering/examples/unmeasured.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 /// Windows that are not counted, and the interval in windows between checks.
-const LEARNS: u64 = 60;
-const LOOKS: u64 = 21;
+const WARM_UP_WINDOWS: u64 = 60;
+const CHECK_INTERVAL_WINDOWS: u64 = 21;
 
 fn main() {
     let number = |at: usize, or: u64| std::env::args().nth(at).and_then(|n| n.parse().ok()).unwrap_or(or);
@@ -16,7 +16,7 @@
         let mut run = Run::new(measure::simulation(seed), Strategy::Steering, seed);
         while run.window < measure::WINDOWS {
             run.step();
-            if run.window < LEARNS || !run.window.is_multiple_of(LOOKS) {
+            if run.window < WARM_UP_WINDOWS || !run.window.is_multiple_of(CHECK_INTERVAL_WINDOWS) {
                 continue;
             }
             for g in 0..run.simulation.groups.len() {
--- a/crates/steering/src/coordinates.rs
+++ b/crates/steering/src/coordinates.rs
@@ -71,10 +71,10 @@
     fn sweep(&mut self, pairs: &[(usize, usize, f64)], rate: f64) {
         for &(g, r, ms) in pairs {
             let (group, region) = (self.groups[g], self.regions[r]);
-            let apart = distance(&group, &region).max(1e-6);
+            let separation = distance(&group, &region).max(1e-6);
             // Near pairs count more, as the relative error matters.
-            let correction = rate * (ms - apart - group.height) * (30.0 / ms).clamp(0.3, 1.0);
-            let shift = 0.5 * correction / apart;
+            let correction = rate * (ms - separation - group.height) * (30.0 / ms).clamp(0.3, 1.0);
+            let shift = 0.5 * correction / separation;
             // A region takes part in many pairs, so it moves less for each.
             let damping = 4.0 / (4.0 + region.pairs as f64);
             for d in 0..DIMENSIONS {
--- a/crates/steering/src/emulator.rs
+++ b/crates/steering/src/emulator.rs
@@ -130,8 +130,9 @@
             snapshot
                 .demand
                 .insert(clients.group.clone(), Demand { rate: self.simulation.rate(self.window, g), home });
-            let forbidden =
-                |r: &usize| self.simulation.broken(self.window).any(|fault| fault == Fault::Forbidden(g, *r));
+            let forbidden = |r: &usize| {
+                self.simulation.active_faults(self.window).any(|fault| fault == Fault::Forbidden(g, *r))
+            };
             let allowed = (0..self.simulation.regions.len()).filter(|r| !forbidden(r));
             let allowed = allowed.map(|r| self.simulation.regions[r].name.clone()).collect();
             snapshot.allowed.insert(clients.group.clone(), allowed);
@@ -224,7 +225,7 @@
         let mut ms =
             self.simulation.path_ms(self.window, g, r) * (0.08 * self.rng.normal()).exp() + 0.5 * jitter;
         let mut queue = self.simulation.queue_ms(r, load);
-        for fault in self.simulation.broken(self.window) {
+        for fault in self.simulation.active_faults(self.window) {
             match fault {
                 Fault::Lying(of, edge, factor) if (of, edge) == (r, e) => ms *= factor,
                 Fault::Queue(of, edge, ms) if (of, edge) == (r, e) => queue += ms,
@@ -274,8 +275,10 @@
     fn decide(&mut self) -> Vec<Entry> {
         let mut summary = Summary::default();
         for r in 0..self.edges.len() {
-            let silent =
-                self.simulation.broken(self.window - 1).any(|f| f == Fault::Silent(r) || f == Fault::Lost(r));
+            let silent = self
+                .simulation
+                .active_faults(self.window - 1)
+                .any(|f| f == Fault::Silent(r) || f == Fault::Lost(r));
             for edge in &mut self.edges[r] {
                 edge.follow_table(self.part.tables());
                 let summary_of_edge =
@@ -314,7 +317,7 @@
                 snapshot.regions[name].up && snapshot.allowed[&clients.group].contains(name)
             };
             let open: Vec<usize> = (0..self.simulation.regions.len()).filter(open).collect();
-            let map = |r: usize| if r == clients.home { 0.0 } else { self.simulation.by_map(g, r) };
+            let map = |r: usize| if r == clients.home { 0.0 } else { self.simulation.map_delay_ms(g, r) };
             let cost = |r: usize| match (self.strategy, self.raw.get(&(g, r))) {
                 (Strategy::LastSample, Some(raw)) => raw.0,
                 (Strategy::PlainMean, Some(raw)) => raw.1 / raw.2,
@@ -322,14 +325,14 @@
                 _ => 5000.0 + map(r),
             };
             let Some(&main) = open.iter().min_by(|&&a, &&b| cost(a).total_cmp(&cost(b))) else { continue };
-            let learns = open[(self.window as usize + g) % open.len()];
-            let learns = (self.strategy != Strategy::Static
-                && learns != main
+            let explores = open[(self.window as usize + g) % open.len()];
+            let explores = (self.strategy != Strategy::Static
+                && explores != main
                 && (self.window + g as u64).is_multiple_of(2))
-            .then_some(learns);
+            .then_some(explores);
             let place = |r: usize| {
-                let share = match learns {
-                    Some(learns) if learns == r => EXPLORATION_SHARE,
+                let share = match explores {
+                    Some(explores) if explores == r => EXPLORATION_SHARE,
                     Some(_) if r == main => TOTAL_SHARE - EXPLORATION_SHARE,
                     None if r == main => TOTAL_SHARE,
                     _ => 0,
--- a/crates/steering/src/emulator/simulation.rs
+++ b/crates/steering/src/emulator/simulation.rs
@@ -8,7 +8,7 @@
 pub struct SimulatedRegion {
     /// Name.
     pub name: String,
-    at: [f64; 3],
+    position: [f64; 3],
     /// Capacity in requests per second.
     pub capacity: f64,
     /// Clock offset of each edge in microseconds, and its drift per second.
@@ -20,7 +20,7 @@
 pub struct Clients {
     /// Name.
     pub group: Group,
-    at: [f64; 3],
+    position: [f64; 3],
     last_mile_ms: f64,
     rate: f64,
     phase: f64,
@@ -60,7 +60,7 @@
 }
 
 /// Length of a day, in windows: shortened to half an hour, so that a run covers whole days.
-const DAY: f64 = 180.0;
+const DAY_WINDOWS: f64 = 180.0;
 /// Round-trip time of light in fibre over the length of the globe's radius, in milliseconds.
 const RADIUS_MS: f64 = 6371.0 / 100.0;
 
@@ -85,12 +85,17 @@
             .map(|r| {
                 let clock = |_| (rng.between(-4e9, 4e9) as i64, rng.between(-200.0, 200.0) as i64);
                 let clocks = (0..edges).map(clock).collect();
-                SimulatedRegion { name: format!("r{r}"), at: on_globe(rng, None), capacity: 0.0, clocks }
+                SimulatedRegion {
+                    name: format!("r{r}"),
+                    position: on_globe(rng, None),
+                    capacity: 0.0,
+                    clocks,
+                }
             })
             .collect();
         let towns: Vec<[f64; 3]> = (0..8)
             .map(|town| {
-                let by = (town % 2 == 0).then(|| all_regions[town % regions].at);
+                let by = (town % 2 == 0).then(|| all_regions[town % regions].position);
                 on_globe(rng, by)
             })
             .collect();
@@ -98,22 +103,26 @@
             Simulation { regions: Vec::new(), groups: Vec::new(), stretch: Vec::new(), faults: Vec::new() };
         for g in 0..groups {
             let town = rng.below(towns.len() as u64) as usize;
-            let at = on_globe(rng, Some(towns[town]));
-            let (last_mile_ms, phase) = (rng.between(2.0, 25.0), at[1].atan2(at[0]));
+            let position = on_globe(rng, Some(towns[town]));
+            let (last_mile_ms, phase) = (rng.between(2.0, 25.0), position[1].atan2(position[0]));
             let rate = 5.0 * 12f64.powf(rng.unit());
             // Groups of one town often have neighbouring prefixes.
             let group = Group::named(&format!("{}.{g}.0.0/16", 10 + town));
             // Each direction has a route of its own.
-            let mut way = || 1.3 * (0.14 * rng.normal()).exp();
-            simulation.stretch.push((0..regions).map(|_| (way() + way()) / 2.0).collect());
-            simulation.groups.push(Clients { group, at, last_mile_ms, rate, phase, home: 0 });
+            let mut route_stretch = || 1.3 * (0.14 * rng.normal()).exp();
+            simulation
+                .stretch
+                .push((0..regions).map(|_| (route_stretch() + route_stretch()) / 2.0).collect());
+            simulation.groups.push(Clients { group, position, last_mile_ms, rate, phase, home: 0 });
         }
         simulation.regions = all_regions.clone();
         for g in 0..groups {
             // The home region is the nearest by map, or in some cases the second nearest.
             let mut by_map: Vec<usize> = (0..regions).collect();
-            let way = |r: usize| Simulation::way(&simulation.groups[g].at, &simulation.regions[r].at);
-            by_map.sort_by(|&one, &two| way(one).total_cmp(&way(two)));
+            let distance_ms = |r: usize| {
+                Simulation::distance_ms(&simulation.groups[g].position, &simulation.regions[r].position)
+            };
+            by_map.sort_by(|&one, &two| distance_ms(one).total_cmp(&distance_ms(two)));
             simulation.groups[g].home = by_map[usize::from(rng.unit() < 0.25)];
         }
         let peak: f64 = simulation.groups.iter().map(|group| group.rate * 1.4).sum();
@@ -127,18 +136,18 @@
         simulation
     }
 
-    fn way(one: &[f64; 3], two: &[f64; 3]) -> f64 {
+    fn distance_ms(one: &[f64; 3], two: &[f64; 3]) -> f64 {
         let cosine: f64 = one.iter().zip(two).map(|(a, b)| a * b).sum();
         RADIUS_MS * cosine.clamp(-1.0, 1.0).acos()
     }
 
     /// Returns the delay by map distance alone, which is what operators know.
-    pub fn by_map(&self, g: usize, r: usize) -> f64 {
-        Simulation::way(&self.groups[g].at, &self.regions[r].at)
+    pub fn map_delay_ms(&self, g: usize, r: usize) -> f64 {
+        Simulation::distance_ms(&self.groups[g].position, &self.regions[r].position)
     }
 
     /// Iterates over the faults in a window.
-    pub fn broken(&self, window: u64) -> impl Iterator<Item = Fault> {
+    pub fn active_faults(&self, window: u64) -> impl Iterator<Item = Fault> {
         self.faults
             .iter()
             .filter(move |(_, from, to)| (*from..*to).contains(&window))
@@ -148,8 +157,10 @@
     /// Returns the true delay of a group to a region, without queues and losses, in milliseconds.
     pub fn path_ms(&self, window: u64, g: usize, r: usize) -> f64 {
         let (group, region) = (&self.groups[g], &self.regions[r]);
-        let usual = Simulation::way(&group.at, &region.at) * self.stretch[g][r] + group.last_mile_ms + 0.5;
-        self.broken(window).fold(usual, |ms, fault| match fault {
+        let base_ms = Simulation::distance_ms(&group.position, &region.position) * self.stretch[g][r]
+            + group.last_mile_ms
+            + 0.5;
+        self.active_faults(window).fold(base_ms, |ms, fault| match fault {
             Fault::Path(of, to, factor) if (of, to) == (g, r) => ms * factor,
             _ => ms,
         })
@@ -162,23 +173,27 @@
             Fault::Lost(of) if of == r => 1.0,
             _ => 0.0,
         };
-        self.broken(window).map(lost).fold(0.0, f64::max)
+        self.active_faults(window).map(lost).fold(0.0, f64::max)
     }
 
     /// Whether a region is up.
     pub fn up(&self, window: u64, r: usize) -> bool {
-        !self.broken(window).any(|fault| fault == Fault::Lost(r))
+        !self.active_faults(window).any(|fault| fault == Fault::Lost(r))
     }
 
     /// Returns the requests per second of a group: more by day.
     pub fn rate(&self, window: u64, g: usize) -> f64 {
         let group = &self.groups[g];
-        group.rate * (1.0 + 0.4 * (window as f64 / DAY * std::f64::consts::TAU + group.phase).sin())
+        group.rate * (1.0 + 0.4 * (window as f64 / DAY_WINDOWS * std::f64::consts::TAU + group.phase).sin())
     }
 
     /// Returns the queueing delay in a region under this load, in milliseconds.
     pub fn queue_ms(&self, r: usize, load: f64) -> f64 {
-        let full = load / self.regions[r].capacity;
-        if full < 0.95 { full / (1.0 - full) } else { 19.0 + 1000.0 * (full - 0.95) }
+        let utilization = load / self.regions[r].capacity;
+        if utilization < 0.95 {
+            utilization / (1.0 - utilization)
+        } else {
+            19.0 + 1000.0 * (utilization - 0.95)
+        }
     }
 }
--- a/crates/steering/src/emulator/soak.rs
+++ b/crates/steering/src/emulator/soak.rs
@@ -89,11 +89,11 @@
         simulation.faults.push(fault(&mut rng, size));
     }
     // Two wrong edges in one region cannot be outvoted.
-    let mut liars = Vec::new();
+    let mut wrong_edges = Vec::new();
     simulation.faults.retain(|(fault, ..)| match fault {
         Fault::Lying(r, ..) => {
-            !liars.contains(r) && {
-                liars.push(*r);
+            !wrong_edges.contains(r) && {
+                wrong_edges.push(*r);
                 true
             }
         }
@@ -135,7 +135,8 @@
 fn false_reason(run: &Run, g: usize, row: &Row, was: Option<&Row>) -> Option<String> {
     let before = row.before.as_deref()?;
     let r = run.simulation.regions.iter().position(|place| place.name == before)?;
-    let ever = |fault| (0..=run.window).any(|at| run.simulation.broken(at).any(|broken| broken == fault));
+    let ever =
+        |fault| (0..=run.window).any(|at| run.simulation.active_faults(at).any(|active| active == fault));
     if row.share(before) == TOTAL_SHARE {
         return Some(format!("the row says that it left {before}, which serves all of it: {row:?}"));
     }
@@ -173,20 +174,20 @@
             return Some(format!("{}: {what}", run.simulation.groups[g].group));
         }
         let mut taken = 0;
-        let broken = |r: usize| {
+        let is_faulty = |r: usize| {
             !run.simulation.up(run.window, r)
-                || run.simulation.broken(run.window).any(|fault| fault == Fault::Forbidden(g, r))
+                || run.simulation.active_faults(run.window).any(|fault| fault == Fault::Forbidden(g, r))
         };
         let had =
             |r: usize| row_of(run, before, g).map_or(0, |row| row.share(&run.simulation.regions[r].name));
         let forced = (0..run.simulation.regions.len())
-            .any(|r| broken(r) && row.share(&run.simulation.regions[r].name) < had(r));
+            .any(|r| is_faulty(r) && row.share(&run.simulation.regions[r].name) < had(r));
         for (r, place) in run.simulation.regions.iter().enumerate() {
             let share = row.share(&place.name);
             loads[r] += f64::from(share) * rate / f64::from(TOTAL_SHARE);
             let Some(old) = row_of(run, before, g).map(|row| row.share(&place.name)) else { continue };
             grown[r] += (f64::from(share) - f64::from(old)) * rate / f64::from(TOTAL_SHARE);
-            if share < old && !broken(r) {
+            if share < old && !is_faulty(r) {
                 taken += old - share;
             }
             let knows =
@@ -248,15 +249,16 @@
             }
             self.moves += 1;
             let changes = self.changes.entry(g).or_default();
-            let forth = changes.last().filter(|(at, ..)| (run.window - at) * WINDOW_MS <= 60_000);
+            let last_change = changes.last().filter(|(at, ..)| (run.window - at) * WINDOW_MS <= 60_000);
             let served = |r: usize| {
-                let broken = |fault| {
+                let is_faulty = |fault| {
                     affects(&fault, g, r)
                         && matches!(fault, Fault::Forbidden(..) | Fault::Lost(_) | Fault::Lossy(..))
                 };
-                (run.window.saturating_sub(7)..=run.window).all(|at| !run.simulation.broken(at).any(broken))
+                (run.window.saturating_sub(7)..=run.window)
+                    .all(|at| !run.simulation.active_faults(at).any(is_faulty))
             };
-            if forth.is_some_and(|(_, was, _)| *was == to) && served(from) && served(to) {
+            if last_change.is_some_and(|(_, was, _)| *was == to) && served(from) && served(to) {
                 return Some(format!(
                     "{} moves back to r{to} within a minute",
                     run.simulation.groups[g].group
@@ -291,10 +293,10 @@
                 let since = at.saturating_sub(SETTLING_WINDOWS);
                 let same = (since..=at).all(|then| {
                     let now: Vec<Fault> =
-                        run.simulation.broken(at).filter(|fault| affects(fault, g, r)).collect();
+                        run.simulation.active_faults(at).filter(|fault| affects(fault, g, r)).collect();
                     now == run
                         .simulation
-                        .broken(then)
+                        .active_faults(then)
                         .filter(|fault| affects(fault, g, r))
                         .collect::<Vec<_>>()
                 });
@@ -308,10 +310,10 @@
                 let (loss, path) = (run.simulation.loss(at, g, r), run.simulation.path_ms(at, g, r));
                 let lossy = (0..=at).any(|then| run.simulation.loss(then, g, r) > 0.0);
                 let changed = (0..=at).any(|then| run.simulation.path_ms(then, g, r) != path);
-                let lied = (0..=at).any(|then| {
-                    run.simulation.broken(then).any(|f| matches!(f, Fault::Lying(of, ..) if of == r))
+                let wrong_reports = (0..=at).any(|then| {
+                    run.simulation.active_faults(then).any(|f| matches!(f, Fault::Lying(of, ..) if of == r))
                 });
-                if lied && !many {
+                if wrong_reports && !many {
                     continue;
                 }
                 if many
@@ -332,7 +334,7 @@
                 if followed && !lossy && off > MAX_ERROR_FACTOR && own < 0.1 {
                     return Some(format!("{}: estimated {:.1} ms, true {path:.1} ms", name(), estimate.ms));
                 }
-                let silent = run.simulation.broken(at).any(|fault| fault == Fault::Silent(r));
+                let silent = run.simulation.active_faults(at).any(|fault| fault == Fault::Silent(r));
                 if silent && !lossy && !changed && estimate.ms > 3.0 * path {
                     return Some(format!(
                         "{}: estimated {:.1} ms while {region} is silent, true {path:.1} ms",
--- a/crates/steering/src/group_tree.rs
+++ b/crates/steering/src/group_tree.rs
@@ -19,17 +19,17 @@
 
 #[derive(Clone, Debug, Default)]
 struct NodeStats {
-    n: f64,
+    samples: f64,
     mean: f64,
-    squares: f64,
+    squared_deviations: f64,
 }
 
 impl NodeStats {
     fn add(&mut self, x: f64) {
-        self.n += 1.0;
-        let off = x - self.mean;
-        self.mean += off / self.n;
-        self.squares += off * (x - self.mean);
+        self.samples += 1.0;
+        let deviation = x - self.mean;
+        self.mean += deviation / self.samples;
+        self.squared_deviations += deviation * (x - self.mean);
     }
 }
 
@@ -58,6 +58,7 @@
         self.split_all = true;
     }
 
+    /// Returns the group that a client is reported under, and the next narrower one if there is any.
     fn locate(&self, client: &Client) -> (Group, Option<Group>) {
         let mut groups: Vec<Group> = Group::narrowest(client).upwards().collect();
         let mut at = groups.pop().unwrap_or(Group::All);
@@ -87,7 +88,7 @@
     /// comparable subgroups are left out.
     fn separations(&self) -> BTreeMap<Group, f64> {
         let mut parts: BTreeMap<Group, Vec<&NodeStats>> = BTreeMap::new();
-        for (group, node) in self.nodes.iter().filter(|(_, node)| node.n >= MIN_SAMPLES) {
+        for (group, node) in self.nodes.iter().filter(|(_, node)| node.samples >= MIN_SAMPLES) {
             if let Some(parent) = group.parent() {
                 parts.entry(parent).or_default().push(node);
             }
@@ -95,16 +96,17 @@
         let separation = |(group, parts): (Group, Vec<&NodeStats>)| {
             if let ([only], Some(whole)) = (&parts[..], self.nodes.get(&group)) {
                 // The only subgroup costs no more than the whole group, and its own subgroups become visible.
-                let redundant = !self.split.contains(&group) && only.n > 0.95 * whole.n;
+                let redundant = !self.split.contains(&group) && only.samples > 0.95 * whole.samples;
                 return redundant.then_some((group, f64::MAX));
             }
             if parts.len() < 2 {
                 return None;
             }
-            let n: f64 = parts.iter().map(|part| part.n).sum();
-            let mean = parts.iter().map(|part| part.n * part.mean).sum::<f64>() / n;
-            let separation = parts.iter().map(|part| part.n * (part.mean - mean).powi(2)).sum::<f64>() / n;
-            let within = parts.iter().map(|part| part.squares).sum::<f64>() / n;
+            let n: f64 = parts.iter().map(|part| part.samples).sum();
+            let mean = parts.iter().map(|part| part.samples * part.mean).sum::<f64>() / n;
+            let separation =
+                parts.iter().map(|part| part.samples * (part.mean - mean).powi(2)).sum::<f64>() / n;
+            let within = parts.iter().map(|part| part.squared_deviations).sum::<f64>() / n;
             Some((group, (separation - within * parts.len() as f64 / n).max(0.0).sqrt()))
         };
         parts.into_iter().filter_map(separation).collect()
@@ -124,7 +126,7 @@
         let leaves: Vec<(f64, Group)> =
             outermost.map(|group| (separations.get(group).copied().unwrap_or(0.0), group.clone())).collect();
         // A group without samples in one window may only be idle: its weight decays first.
-        let is_quiet = |group: &Group| self.nodes.get(group).is_none_or(|node| node.n < 1.0);
+        let is_quiet = |group: &Group| self.nodes.get(group).is_none_or(|node| node.samples < 1.0);
         let mut merges: Vec<Group> = leaves
             .iter()
             .filter(|(separation, group)| {
@@ -143,9 +145,9 @@
         }
         let split = &self.split;
         self.nodes.retain(|group, node| {
-            node.n *= DECAY_PER_WINDOW;
-            node.squares *= DECAY_PER_WINDOW;
-            node.n >= 0.5 || split.contains(group)
+            node.samples *= DECAY_PER_WINDOW;
+            node.squared_deviations *= DECAY_PER_WINDOW;
+            node.samples >= 0.5 || split.contains(group)
         });
     }
 }
--- a/crates/steering/src/part.rs
+++ b/crates/steering/src/part.rs
@@ -137,8 +137,8 @@
     }
 }
 
-fn accepted_or(taken: bool, or: Refusal) -> Outcome {
-    if taken { Outcome::Kept } else { Outcome::Refused(or) }
+fn accepted_or(accepted: bool, refusal: Refusal) -> Outcome {
+    if accepted { Outcome::Kept } else { Outcome::Refused(refusal) }
 }
 
 /// View of the part for an incarnation of a member: the whole table.
--- a/crates/steering/src/planner.rs
+++ b/crates/steering/src/planner.rs
@@ -189,7 +189,7 @@
         if share == 0 {
             return 0;
         }
-        let (main, had) = (row.main_region().map(String::from), row.share(from));
+        let (main, previous_share) = (row.main_region().map(String::from), row.share(from));
         for place in &mut row.places {
             if place.region == from {
                 place.share -= share;
@@ -207,7 +207,7 @@
         // The reason and the previous region change only if more than an exploration share moves. Otherwise a
         // row would say "R was lost" of a region that was only explored, or "it moved from R" for a few
         // requests that return at once.
-        if why != Why::Learns && had > EXPLORATION_SHARE && row.share(to) > EXPLORATION_SHARE {
+        if why != Why::Learns && previous_share > EXPLORATION_SHARE && row.share(to) > EXPLORATION_SHARE {
             row.why = why;
             row.before = Some(from.to_string());
         }
--- a/crates/steering/src/summary.rs
+++ b/crates/steering/src/summary.rs
@@ -99,12 +99,12 @@
     /// that the order of merging does not matter.
     pub fn merge(&mut self, other: &Summary) {
         for (source, stats_by_group) in &other.by_source {
-            let mine = self.by_source.entry(source.clone()).or_default();
+            let merged = self.by_source.entry(source.clone()).or_default();
             for (group, stats) in stats_by_group {
-                mine.entry(group.clone()).or_default().merge(stats);
+                merged.entry(group.clone()).or_default().merge(stats);
             }
-            while mine.len() > MAX_GROUPS_PER_SUMMARY {
-                mine.pop_last();
+            while merged.len() > MAX_GROUPS_PER_SUMMARY {
+                merged.pop_last();
             }
         }
         while self.by_source.len() > MAX_SOURCES {
--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -19,14 +19,14 @@
         let mut summary = Summary::default();
         for (e, edge) in edges.iter_mut().enumerate() {
             edge.follow_table(&tables);
-            let lies = e == 4 && window > 4;
+            let is_wrong = e == 4 && window > 4;
             for group in 0..6u32 {
                 let seen = group > 0 || window <= 4 || e == 4;
                 for i in 0..if seen { 20 } else { 0 } {
                     let us = 40_000 + 300 * i;
                     edge.record(
                         &Client::Balancer(group),
-                        Observation::RoundTrip { us: if lies { us / 5 } else { us } },
+                        Observation::RoundTrip { us: if is_wrong { us / 5 } else { us } },
                     );
                 }
             }
