--- a/crates/agreed/src/lib.rs
+++ b/crates/agreed/src/lib.rs
@@ -127,7 +127,8 @@
         (Group::Field(tenant), Some(routes)) => routes.allowed_regions("", tenant),
         _ => BTreeSet::new(),
     };
-    let entries = part.ground().wants(now_ms, part.tables(), |name| present.contains(name), allowed);
+    let entries =
+        part.planning_state().propose(now_ms, part.tables(), |name| present.contains(name), allowed);
     entries.iter().map(|entry| (steering::part::NAME.to_string(), entry.to_bytes())).collect()
 }
 
@@ -155,7 +156,7 @@
     let prefers = |orphan: &Orphan, regions: Vec<String>| match tables(state) {
         // An empty set would select all regions of the table.
         Some(tables) if !regions.is_empty() => {
-            tables.prefers(&group_of(orphan), &regions.into_iter().collect())
+            tables.preferred_regions(&group_of(orphan), &regions.into_iter().collect())
         }
         _ => regions,
     };
