--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/holder.rs
@@ -38,14 +38,15 @@
     pub fn explain(&self) -> String {
         match self {
             Grade::Checked => {
-                "the resource checks the token: an act under an old one is rejected, whatever processes are paused \
-                 and however clocks run"
+                "the resource checks the token: an act under an old one is rejected, whatever processes are \
+                 paused and however clocks run"
                     .to_string()
             }
             Grade::Timed { max_act, max_delay } => format!(
-                "the resource checks no token: safe as long as an act ends within {max_act:?}, no request is delayed, \
-                 and no process paused between its check of the lease and the act, for over {max_delay:?}, and clocks \
-                 drift by no more than the setting allows. Beyond that two may act at once"
+                "the resource checks no token: safe as long as an act ends within {max_act:?}, no request is \
+                 delayed, and no process paused between its check of the lease and the act, for over \
+                 {max_delay:?}, and clocks drift by no more than the setting allows. Beyond that two may act \
+                 at once"
             ),
             Grade::Agreed => {
                 "the act is an entry of the replicated state: it takes effect once or not at all".to_string()
