--- a/crates/steering/src/planning_state.rs
+++ b/crates/steering/src/planning_state.rs
@@ -125,7 +125,7 @@
         &self.memory
     }
 
-    /// Returns the explorations in progress and their starts.
+    /// Returns the recorded explorations and their starts.
     pub fn explorations(&self) -> &Explorations {
         &self.explorations
     }
