--- a/crates/steering/src/planning_state.rs
+++ b/crates/steering/src/planning_state.rs
@@ -99,14 +99,15 @@
             && state.explorations.len() <= MAX_EXPLORATIONS
             && state.demand.len() <= MAX_GROUPS;
         // Saved by a build in which one window was enough: these groups have their home region.
-        let found = || Some(state.demand.keys().map(|group| (group.clone(), MIN_REPORTED_WINDOWS)).collect());
+        let legacy_windows =
+            || Some(state.demand.keys().map(|group| (group.clone(), MIN_REPORTED_WINDOWS)).collect());
         let read_windows = |bytes| {
             postcard::take_from_bytes(bytes)
                 .ok()
                 .filter(|(_, rest)| rest.is_empty())
                 .map(|(windows, _)| windows)
         };
-        state.reported_windows = if rest.is_empty() { found() } else { read_windows(rest) }?;
+        state.reported_windows = if rest.is_empty() { legacy_windows() } else { read_windows(rest) }?;
         (valid && state.reported_windows.keys().eq(state.demand.keys())).then_some(state)
     }
 
