--- a/crates/capture/src/edit.rs
+++ b/crates/capture/src/edit.rs
@@ -1,8 +1,8 @@
 //! Captures made of others: a part of one, or one in which what names people and operations is hidden.
 
-use crate::format::{self, Unreadable};
+use crate::format::{self, FormatError};
 use crate::reader::Part;
-use crate::record::{Head, Record, Round, SideStates};
+use crate::record::{AuxiliaryStates, Header, Record, Round};
 use crate::recorder::{Limits, Recorder};
 use jaspershunt_keys::Key;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,21 +12,23 @@
 ///
 /// # Errors
 /// The bytes are no capture.
-pub fn cut(bytes: &[u8], from: f64, to: f64) -> Result<Option<Vec<u8>>, Unreadable> {
+pub fn cut(bytes: &[u8], from: f64, to: f64) -> Result<Option<Vec<u8>>, FormatError> {
     let mut blocks = Vec::new();
     for part in crate::reader::parts(bytes)? {
-        if let Part::Block { offset, head, .. } = part {
-            blocks.push((offset, format::BLOCK_HEAD + head.packed as usize, head));
+        if let Part::Block { offset, header, .. } = part {
+            blocks.push((offset, format::BLOCK_HEADER_BYTES + header.compressed_bytes as usize, header));
         }
     }
-    let begins = blocks.iter().rposition(|(_, _, head)| head.snapshot && head.from <= from);
+    let begins = blocks.iter().rposition(|(_, _, header)| header.snapshot && header.starts_at <= from);
     // What the capture begins with will do where all of it is later.
-    let Some(first) = begins.or_else(|| blocks.iter().position(|(_, _, head)| head.snapshot)) else {
+    let Some(first) = begins.or_else(|| blocks.iter().position(|(_, _, header)| header.snapshot)) else {
         return Ok(None);
     };
-    let last =
-        blocks[first..].iter().position(|(_, _, head)| head.to >= to).map_or(blocks.len(), |n| first + n + 1);
-    let mut out = format::file_head().to_vec();
+    let last = blocks[first..]
+        .iter()
+        .position(|(_, _, header)| header.ends_at >= to)
+        .map_or(blocks.len(), |n| first + n + 1);
+    let mut out = format::file_header().to_vec();
     for (offset, length, _) in &blocks[first..last] {
         out.extend(&bytes[*offset..offset + length]);
     }
@@ -37,11 +39,11 @@
 ///
 /// # Errors
 /// None that rounds can cause; what the library reports is passed on.
-pub fn make(head: &Head, state: Vec<u8>, rounds: &[Round]) -> Result<Vec<u8>, Unreadable> {
+pub fn make(header: &Header, state: Vec<u8>, rounds: &[Round]) -> Result<Vec<u8>, FormatError> {
     let limits = Limits { block_bytes: usize::MAX, snapshot_every: f64::INFINITY };
-    let mut recorder = Recorder::new(head.clone(), limits);
+    let mut recorder = Recorder::new(header.clone(), limits);
     recorder.snapshot(rounds.first().map_or(0.0, |first| first.now), state)?;
-    let mut out = format::file_head().to_vec();
+    let mut out = format::file_header().to_vec();
     for round in rounds {
         out.extend(recorder.round(round)?.unwrap_or_default());
     }
@@ -49,50 +51,51 @@
     Ok(out)
 }
 
-/// A capture in which what the peers call requests, and the keys of operations, are replaced: the same name by the same word
+/// A capture in which what the peers call requests, and the keys of operations, are replaced: the same name by the same pseudonym
 /// throughout. What decisions rest on stays, so that it replays as the original does; keys keep their lengths and their
 /// order for that, as both have a say in what makes room for what.
 ///
 /// # Errors
 /// The bytes are no capture, or a block cannot be written again.
-pub fn redact(bytes: &[u8]) -> Result<Vec<u8>, Unreadable> {
+pub fn redact(bytes: &[u8]) -> Result<Vec<u8>, FormatError> {
     let mut blocks = Vec::new();
     for part in crate::reader::parts(bytes)? {
-        if let Part::Block { head, records, .. } = part {
-            blocks.push((head, records));
+        if let Part::Block { header, records, .. } = part {
+            blocks.push((header, records));
         }
     }
     let mut keys = BTreeSet::new();
-    blocks.iter_mut().flat_map(|(_, records)| records).for_each(|record| gather_keys(record, &mut keys));
-    let words: BTreeMap<Key, Key> = keys.into_iter().enumerate().map(|(n, key)| word_for(n, key)).collect();
+    blocks.iter_mut().flat_map(|(_, records)| records).for_each(|record| collect_keys(record, &mut keys));
+    let pseudonyms: BTreeMap<Key, Key> =
+        keys.into_iter().enumerate().map(|(n, key)| pseudonym_for(n, key)).collect();
     let mut names: BTreeMap<String, String> = BTreeMap::new();
-    let mut out = format::file_head().to_vec();
-    for (head, records) in blocks {
+    let mut out = format::file_header().to_vec();
+    for (header, records) in blocks {
         let mut payload = Vec::new();
         for mut record in records {
-            hide(&mut record, &words, &mut names);
-            format::put_record(&mut payload, &record)?;
+            redact_record(&mut record, &pseudonyms, &mut names);
+            format::append_record(&mut payload, &record)?;
         }
-        format::put_block(&mut out, head, &payload)?;
+        format::append_block(&mut out, header, &payload)?;
     }
     Ok(out)
 }
 
 /// A word of the same length, in the order of the numbers. One that is too short for its number is longer.
-fn word_for(number: usize, key: Key) -> (Key, Key) {
+fn pseudonym_for(number: usize, key: Key) -> (Key, Key) {
     let digits = key.len().saturating_sub(1);
-    let word = format!("k{number:0digits$}");
-    (key, word.into())
+    let pseudonym = format!("k{number:0digits$}");
+    (key, pseudonym.into())
 }
 
-fn gather_keys(record: &mut Record, keys: &mut BTreeSet<Key>) {
+fn collect_keys(record: &mut Record, keys: &mut BTreeSet<Key>) {
     match record {
-        Record::Sides(sides) => {
+        Record::AuxiliarySteps(steps) => {
             keys.extend(
-                sides.keys.iter_mut().filter_map(|step| step.operation.key_mut().map(|key| key.clone())),
+                steps.keys.iter_mut().filter_map(|step| step.operation.key_mut().map(|key| key.clone())),
             );
         }
-        Record::SideStates(states) => {
+        Record::AuxiliaryStates(states) => {
             if let (Some(table), _) = states.load() {
                 keys.extend(table.entries().map(|(key, ..)| key.clone()));
             }
@@ -101,25 +104,25 @@
     }
 }
 
-fn hide(record: &mut Record, words: &BTreeMap<Key, Key>, names: &mut BTreeMap<String, String>) {
-    let word = |key: &Key| words.get(key).cloned().unwrap_or_else(|| "k".into());
+fn redact_record(record: &mut Record, pseudonyms: &BTreeMap<Key, Key>, names: &mut BTreeMap<String, String>) {
+    let pseudonym = |key: &Key| pseudonyms.get(key).cloned().unwrap_or_else(|| "k".into());
     match record {
         Record::Round(round) => {
             for (_, name) in &mut round.names {
-                let word = format!("r{}", names.len() + 1);
-                *name = names.entry(std::mem::take(name)).or_insert(word).clone();
+                let pseudonym = format!("r{}", names.len() + 1);
+                *name = names.entry(std::mem::take(name)).or_insert(pseudonym).clone();
             }
         }
-        Record::Sides(sides) => {
-            sides
+        Record::AuxiliarySteps(steps) => {
+            steps
                 .keys
                 .iter_mut()
                 .filter_map(|step| step.operation.key_mut())
-                .for_each(|key| *key = word(key));
+                .for_each(|key| *key = pseudonym(key));
         }
-        Record::SideStates(states) => {
-            if let (Some(table), below) = states.load() {
-                *states = SideStates::of(&table.with_renamed_keys(word), below.as_ref());
+        Record::AuxiliaryStates(states) => {
+            if let (Some(table), dependencies) = states.load() {
+                *states = AuxiliaryStates::of(&table.with_renamed_keys(pseudonym), dependencies.as_ref());
             }
         }
         _ => {}
--- a/crates/capture/src/edit/tests.rs
+++ b/crates/capture/src/edit/tests.rs
@@ -25,27 +25,27 @@
         let kept = rounds(&part);
         assert!(kept[0].now <= from && kept.last().unwrap().now >= to);
         let replayed = replay(&read(&part));
-        assert_eq!((replayed.same, replayed.differs, replayed.skipped), (kept.len() as u64, None, 0));
+        assert_eq!((replayed.same, replayed.difference, replayed.skipped), (kept.len() as u64, None, 0));
     }
     assert!(cut(&bytes, all[250].now, all[250].now).unwrap().unwrap().len() * 3 < bytes.len());
-    assert_eq!(cut(b"nothing", 0.0, 1.0), Err(Unreadable::NoCapture));
+    assert_eq!(cut(b"nothing", 0.0, 1.0), Err(FormatError::NotACapture));
 }
 
 #[test]
 fn names_are_replaced_alike_throughout_and_decisions_stay() {
     let original = capture(1, 200, SMALL, 0..0);
     // The same name comes twice.
-    let mut named = format::file_head().to_vec();
+    let mut named = format::file_header().to_vec();
     for part in read(&original) {
-        let Part::Block { head, mut records, .. } = part else { panic!("spoilt") };
+        let Part::Block { header, mut records, .. } = part else { panic!("spoilt") };
         let mut payload = Vec::new();
         for record in &mut records {
             if let Record::Round(round) = record {
                 round.names = vec![(RequestId(round.number), format!("secret{}", round.number % 7))];
             }
-            format::put_record(&mut payload, record).unwrap();
+            format::append_record(&mut payload, record).unwrap();
         }
-        format::put_block(&mut named, head, &payload).unwrap();
+        format::append_block(&mut named, header, &payload).unwrap();
     }
     let hidden = redact(&named).unwrap();
     let names = |bytes: &[u8]| rounds(bytes).into_iter().flat_map(|round| round.names).collect::<Vec<_>>();
@@ -56,5 +56,5 @@
         assert_eq!(after[n].1, after[first].1);
     }
     let replayed = replay(&read(&hidden));
-    assert_eq!((replayed.same, replayed.differs), (200, None));
+    assert_eq!((replayed.same, replayed.difference), (200, None));
 }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -7,7 +7,7 @@
 //! [`replay`] runs the present decision code against what was told and stops at the first decision that differs.
 //!
 //! [`tap`] decides what a nodo hands over and when, [`ring`] keeps the last blocks, [`sink`] makes blocks of what is handed
-//! over and has them written. [`summary`] and [`story`] say what a capture holds, as a whole and of one request; [`edit`] cuts
+//! over and has them written. [`summary`] and [`trace`] say what a capture holds, as a whole and of one request; [`edit`] cuts
 //! and redacts; [`what_if`] runs what was told against other settings. [`minimise`] shrinks a capture that still shows something; [`rules`] holds one against the four rules, apart
 //! from the code that decided.
 //!
@@ -23,9 +23,9 @@
 pub mod ring;
 pub mod rules;
 pub mod sink;
-pub mod story;
 pub mod summary;
 pub mod tap;
+pub mod trace;
 pub mod what_if;
 
 #[cfg(test)]
--- a/crates/capture/src/minimise.rs
+++ b/crates/capture/src/minimise.rs
@@ -1,5 +1,5 @@
 //! Shrinks a capture that still shows something: the fewest requests and rounds that a search in steps finds (delta
-//! debugging, Zeller and Hildebrandt 2002). What is left is played through the present decision code, so that its actions
+//! debugging, Zeller and Hildebrandt 2002). What is left is replayed through the present decision code, so that its actions
 //! belong to it.
 
 use crate::record::Round;
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 /// Plays at most, so that a search ends on any capture. Ours: some seconds.
-pub const MAX_PLAYS: usize = 2_000;
+pub const MAX_REPLAYS: usize = 2_000;
 
 /// The request that an event is about.
 fn request_of(event: &Event) -> Option<RequestId> {
@@ -22,25 +22,25 @@
 }
 
 /// Plays the events of rounds from a state; each round then has what the present code asks for.
-fn play(state: &[u8], rounds: &[Round], without: &BTreeSet<RequestId>) -> Option<Vec<Round>> {
+fn replay_without(state: &[u8], rounds: &[Round], without: &BTreeSet<RequestId>) -> Option<Vec<Round>> {
     let mut module = Controller::load(state).ok()?;
-    let mut played = Vec::with_capacity(rounds.len());
+    let mut replayed = Vec::with_capacity(rounds.len());
     for round in rounds {
         let keep = |event: &&Event| request_of(event).is_none_or(|id| !without.contains(&id));
         let events: Vec<Event> = round.events.iter().filter(keep).cloned().collect();
         let mut actions: Vec<Action> = Vec::new();
         module.step(round.now, &events, &mut actions);
         let names = round.names.iter().filter(|(id, _)| !without.contains(id)).cloned().collect();
-        played.push(Round { number: round.number, now: round.now, names, events, actions });
+        replayed.push(Round { number: round.number, now: round.now, names, events, actions });
     }
-    Some(played)
+    Some(replayed)
 }
 
 /// The smallest part of the rounds from a state that still shows what `shows` looks for; `None` if the whole does not.
 /// Rounds in which nothing is told are dropped at the end, where what is looked for outlives that.
 pub fn minimise(state: &[u8], rounds: &[Round], shows: impl Fn(&[Round]) -> bool) -> Option<Vec<Round>> {
-    let mut left = play(state, rounds, &BTreeSet::new()).filter(|whole| shows(whole))?;
-    let mut plays = 0;
+    let mut left = replay_without(state, rounds, &BTreeSet::new()).filter(|whole| shows(whole))?;
+    let mut replays = 0;
     // What comes after it is of no use: the shortest beginning that shows it, by halving.
     let (mut short, mut long) = (0, left.len());
     while short + 1 < long {
@@ -55,14 +55,14 @@
         left.iter().flat_map(|round| &round.events).filter_map(request_of).collect();
     let mut ids: Vec<RequestId> = ids.into_iter().collect();
     let mut part = ids.len().div_ceil(2);
-    while part > 0 && !ids.is_empty() && plays < MAX_PLAYS {
+    while part > 0 && !ids.is_empty() && replays < MAX_REPLAYS {
         let mut at = 0;
         let mut found = false;
-        while at < ids.len() && plays < MAX_PLAYS {
+        while at < ids.len() && replays < MAX_REPLAYS {
             let end = (at + part).min(ids.len());
             let without: BTreeSet<RequestId> = ids[at..end].iter().copied().collect();
-            plays += 1;
-            match play(state, &left, &without).filter(|fewer| shows(fewer)) {
+            replays += 1;
+            match replay_without(state, &left, &without).filter(|fewer| shows(fewer)) {
                 Some(fewer) => {
                     left = fewer;
                     ids.drain(at..end);
@@ -77,7 +77,7 @@
         part = if part > 1 { part.div_ceil(2) } else { 1 };
     }
     let told: Vec<Round> = left.iter().filter(|round| !round.events.is_empty()).cloned().collect();
-    match play(state, &told, &BTreeSet::new()).filter(|told| shows(told)) {
+    match replay_without(state, &told, &BTreeSet::new()).filter(|told| shows(told)) {
         Some(told) => Some(told),
         None => Some(left),
     }
@@ -136,7 +136,10 @@
             let ids: BTreeSet<RequestId> =
                 small.iter().flat_map(|round| &round.events).filter_map(request_of).collect();
             for id in ids {
-                assert!(!shows(&play(&state, &small, &BTreeSet::from([id])).unwrap()), "{id:?} is of no use");
+                assert!(
+                    !shows(&replay_without(&state, &small, &BTreeSet::from([id])).unwrap()),
+                    "{id:?} is of no use"
+                );
             }
         }
     }
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,6 +1,6 @@
 //! Reads a capture past what is torn or spoilt.
 
-use crate::format::{self, BlockHead, MARK, Unreadable};
+use crate::format::{self, BLOCK_MAGIC, BlockHeader, FormatError};
 use crate::record::Record;
 
 /// What stands in a capture, in order.
@@ -10,24 +10,24 @@
     Block {
         /// Where it begins.
         offset: usize,
-        /// Its head.
-        head: BlockHead,
+        /// Its header.
+        header: BlockHeader,
         /// What is in it.
         records: Vec<Record>,
     },
     /// Bytes that are not understood, up to the next block or the end.
-    Spoilt {
+    Corrupt {
         /// Where they begin.
         offset: usize,
         /// How many.
         length: usize,
         /// Why.
-        why: Unreadable,
+        error: FormatError,
     },
 }
 
 /// Reads the parts of a capture one after another.
-pub struct Parts<'a> {
+pub struct PartReader<'a> {
     bytes: &'a [u8],
     at: usize,
 }
@@ -36,30 +36,31 @@
 ///
 /// # Errors
 /// The bytes are no capture, or one of a later version.
-pub fn parts(bytes: &[u8]) -> Result<Parts<'_>, Unreadable> {
-    format::read_file_head(bytes)?;
-    Ok(Parts { bytes, at: format::FILE_HEAD })
+pub fn parts(bytes: &[u8]) -> Result<PartReader<'_>, FormatError> {
+    format::read_file_header(bytes)?;
+    Ok(PartReader { bytes, at: format::FILE_HEADER_BYTES })
 }
 
-impl Iterator for Parts<'_> {
+impl Iterator for PartReader<'_> {
     type Item = Part;
 
     fn next(&mut self) -> Option<Part> {
         let offset = self.at;
         let rest = self.bytes.get(offset..).filter(|rest| !rest.is_empty())?;
         match format::read_block(rest) {
-            Ok((head, records, length)) => {
+            Ok((header, records, length)) => {
                 self.at += length;
-                Some(Part::Block { offset, head, records })
+                Some(Part::Block { offset, header, records })
             }
-            Err(why) => {
-                // The next place where a block begins whose head vouches for itself: a mark alone may stand in a payload.
+            Err(error) => {
+                // The next place where a block begins whose header vouches for itself: a mark alone may stand in a payload.
                 let begins = |from: &usize| {
-                    rest[*from..].starts_with(&MARK) && format::read_block_head(&rest[*from..]).is_ok()
+                    rest[*from..].starts_with(&BLOCK_MAGIC)
+                        && format::read_block_header(&rest[*from..]).is_ok()
                 };
                 let length = (1..rest.len()).find(begins).unwrap_or(rest.len());
                 self.at += length;
-                Some(Part::Spoilt { offset, length, why })
+                Some(Part::Corrupt { offset, length, error })
             }
         }
     }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,7 +1,7 @@
 //! Gathers records into blocks. It decides when a block ends and when one begins with a snapshot; it writes nothing.
 
-use crate::format::{self, BlockHead, Unreadable};
-use crate::record::{Head, Record, Round, SideStates};
+use crate::format::{self, BlockHeader, FormatError};
+use crate::record::{AuxiliaryStates, Header, Record, Round};
 
 /// When blocks end.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,39 +31,39 @@
 /// The blocks in the making.
 #[derive(Debug)]
 pub struct Recorder {
-    head: Head,
+    header: Header,
     limits: Limits,
     payload: Vec<u8>,
     records: u32,
     snapshot: bool,
-    from: Option<f64>,
-    to: f64,
+    start: Option<f64>,
+    end: f64,
     number: u64,
     next_snapshot: f64,
     /// Rounds that are not in any block since the last one that is.
-    missed: u64,
+    missed_rounds: u64,
 }
 
 impl Recorder {
     /// Nothing is recorded yet; the first block waits for a snapshot.
-    pub fn new(head: Head, limits: Limits) -> Recorder {
+    pub fn new(header: Header, limits: Limits) -> Recorder {
         Recorder {
-            head,
+            header,
             limits,
             payload: Vec::new(),
             records: 0,
             snapshot: false,
-            from: None,
-            to: 0.0,
+            start: None,
+            end: 0.0,
             number: 0,
             next_snapshot: f64::NEG_INFINITY,
-            missed: 0,
+            missed_rounds: 0,
         }
     }
 
     /// What is wanted before the round at this time.
     pub fn wants(&self, now: f64) -> Wants {
-        let due = self.records == 0 && (now >= self.next_snapshot || self.missed > 0);
+        let due = self.records == 0 && (now >= self.next_snapshot || self.missed_rounds > 0);
         if due { Wants::Snapshot } else { Wants::Nothing }
     }
 
@@ -71,13 +71,13 @@
     ///
     /// # Errors
     /// None that a state can cause; what the library reports is passed on.
-    pub fn snapshot(&mut self, now: f64, state: Vec<u8>) -> Result<(), Unreadable> {
-        if self.missed > 0 {
-            let rounds = std::mem::take(&mut self.missed);
-            self.put(&Record::Gap { rounds })?;
+    pub fn snapshot(&mut self, now: f64, state: Vec<u8>) -> Result<(), FormatError> {
+        if self.missed_rounds > 0 {
+            let rounds = std::mem::take(&mut self.missed_rounds);
+            self.append(&Record::Gap { rounds })?;
         }
-        self.put(&Record::Head(self.head.clone()))?;
-        self.put(&Record::Snapshot(state))?;
+        self.append(&Record::Header(self.header.clone()))?;
+        self.append(&Record::Snapshot(state))?;
         self.snapshot = true;
         self.next_snapshot = now + self.limits.snapshot_every;
         Ok(())
@@ -87,16 +87,16 @@
     ///
     /// # Errors
     /// None that a state can cause; what the library reports is passed on.
-    pub fn side_states(&mut self, states: SideStates) -> Result<(), Unreadable> {
-        self.put(&Record::SideStates(states))
+    pub fn auxiliary_states(&mut self, states: AuxiliaryStates) -> Result<(), FormatError> {
+        self.append(&Record::AuxiliaryStates(states))
     }
 
-    /// Something was asked beside the module, as [`Sides::encode`](crate::record::Sides::encode) has it. Returns a block that
+    /// Something was asked beside the module, as [`AuxiliarySteps::encode`](crate::record::AuxiliarySteps::encode) has it. Returns a block that
     /// is whole with it.
     ///
     /// # Errors
     /// None that steps can cause; what the library reports is passed on.
-    pub fn sides(&mut self, encoded: &[u8]) -> Result<Option<Vec<u8>>, Unreadable> {
+    pub fn auxiliary_steps(&mut self, encoded: &[u8]) -> Result<Option<Vec<u8>>, FormatError> {
         self.records += 1;
         self.payload.extend(encoded);
         if self.payload.len() >= self.limits.block_bytes { self.end_block().map(Some) } else { Ok(None) }
@@ -106,10 +106,10 @@
     ///
     /// # Errors
     /// None that a round can cause; what the library reports is passed on.
-    pub fn round(&mut self, round: &Round) -> Result<Option<Vec<u8>>, Unreadable> {
-        self.from.get_or_insert(round.now);
-        self.to = round.now;
-        self.put(&Record::Round(round.clone()))?;
+    pub fn round(&mut self, round: &Round) -> Result<Option<Vec<u8>>, FormatError> {
+        self.start.get_or_insert(round.now);
+        self.end = round.now;
+        self.append(&Record::Round(round.clone()))?;
         if self.payload.len() >= self.limits.block_bytes {
             return self.end_block().map(Some);
         }
@@ -119,7 +119,7 @@
     /// Rounds could not be kept. What is in the making is dropped with them, as its end would be missing.
     pub fn missed(&mut self, rounds: u64) {
         let dropped = u64::from(self.records).saturating_sub(if self.snapshot { 2 } else { 0 });
-        self.missed += rounds + dropped;
+        self.missed_rounds += rounds + dropped;
         self.begin_block();
     }
 
@@ -127,35 +127,35 @@
     ///
     /// # Errors
     /// None that records can cause; what the library reports is passed on.
-    pub fn flush(&mut self) -> Result<Option<Vec<u8>>, Unreadable> {
+    pub fn flush(&mut self) -> Result<Option<Vec<u8>>, FormatError> {
         if self.records == 0 { Ok(None) } else { self.end_block().map(Some) }
     }
 
-    fn put(&mut self, record: &Record) -> Result<(), Unreadable> {
+    fn append(&mut self, record: &Record) -> Result<(), FormatError> {
         self.records += 1;
-        format::put_record(&mut self.payload, record)
+        format::append_record(&mut self.payload, record)
     }
 
-    fn end_block(&mut self) -> Result<Vec<u8>, Unreadable> {
+    fn end_block(&mut self) -> Result<Vec<u8>, FormatError> {
         self.number += 1;
-        let head = BlockHead {
+        let header = BlockHeader {
             number: self.number,
-            from: self.from.unwrap_or(self.to),
-            to: self.to,
+            starts_at: self.start.unwrap_or(self.end),
+            ends_at: self.end,
             snapshot: self.snapshot,
             records: self.records,
-            unpacked: 0,
-            packed: 0,
+            uncompressed_bytes: 0,
+            compressed_bytes: 0,
             checksum: 0,
         };
         let mut block = Vec::new();
-        format::put_block(&mut block, head, &self.payload)?;
+        format::append_block(&mut block, header, &self.payload)?;
         self.begin_block();
         Ok(block)
     }
 
     fn begin_block(&mut self) {
         self.payload.clear();
-        (self.records, self.snapshot, self.from) = (0, false, None);
+        (self.records, self.snapshot, self.start) = (0, false, None);
     }
 }
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -9,13 +9,13 @@
     /// Each block, and whether it begins with the state.
     blocks: VecDeque<(Vec<u8>, bool)>,
     bytes: usize,
-    most: usize,
+    max_bytes: usize,
 }
 
 impl Ring {
     /// Nothing is kept yet, and never more than so many bytes.
-    pub fn new(most: usize) -> Ring {
-        Ring { blocks: VecDeque::new(), bytes: 0, most }
+    pub fn new(max_bytes: usize) -> Ring {
+        Ring { blocks: VecDeque::new(), bytes: 0, max_bytes }
     }
 
     /// Keeps a block; the oldest go, and with them all up to the next state.
@@ -26,19 +26,19 @@
     }
 
     /// From now on never more than so many bytes.
-    pub fn bound(&mut self, most: usize) {
-        self.most = most;
+    pub fn set_max_bytes(&mut self, max_bytes: usize) {
+        self.max_bytes = max_bytes;
         self.trim();
     }
 
     fn trim(&mut self) {
-        let mut cut = false;
-        while self.bytes > self.most {
+        let mut removed = false;
+        while self.bytes > self.max_bytes {
             self.pop();
-            cut = true;
+            removed = true;
         }
         // Without the state before it a block cannot be replayed; where nothing went, the first may be the capture's first.
-        while cut && self.blocks.front().is_some_and(|(_, snapshot)| !snapshot) {
+        while removed && self.blocks.front().is_some_and(|(_, snapshot)| !snapshot) {
             self.pop();
         }
     }
--- a/crates/capture/src/ring/tests.rs
+++ b/crates/capture/src/ring/tests.rs
@@ -13,7 +13,7 @@
             assert!(first.1, "after {n} blocks, one state in {every}");
         }
         assert!(ring.bytes() > 700, "{} of 1000 are used", ring.bytes());
-        ring.bound(100);
+        ring.set_max_bytes(100);
         assert!(ring.bytes() <= 100 && ring.blocks.front().is_none_or(|(_, snapshot)| *snapshot));
     }
     // A block that is larger than all there is room for is not kept, nor what cannot be replayed without it.
--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -11,13 +11,13 @@
 use std::fmt;
 
 /// An answer may come so much after its due time, in seconds: what the rules of the sockets allow.
-const SLACK: f64 = 0.05;
+const ANSWER_SLACK_SECONDS: f64 = 0.05;
 /// Requests that are remembered after their end at most, for repeats of them; the oldest go first.
-const MAX_KNOWN: usize = 100_000;
+const MAX_TRACKED: usize = 100_000;
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     /// The round in which it shows.
     pub round: u64,
     /// The request.
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// No answer by the due time.
-    Lost,
+    NotAnswered,
     /// Two answers.
     AnsweredTwice,
     /// An effect twice.
@@ -41,10 +41,10 @@
     RunAfterGrace,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let what = match self.rule {
-            Rule::Lost => "was not answered by its due time",
+            Rule::NotAnswered => "was not answered by its due time",
             Rule::AnsweredTwice => "was answered twice",
             Rule::RanTwice => "ran twice",
             Rule::RefusedAfterRun => "was turned away after it ran",
@@ -54,12 +54,12 @@
     }
 }
 
-struct Known {
+struct TrackedRequest {
     request: Request,
     arrived: f64,
     due: f64,
     /// An answer is owed.
-    owed: bool,
+    answer_owed: bool,
     /// One was given.
     answered: bool,
     ran: bool,
@@ -67,38 +67,38 @@
 
 /// The checker.
 #[derive(Default)]
-pub struct Rules {
+pub struct RuleChecker {
     settings: Option<Settings>,
-    known: BTreeMap<RequestId, Known>,
+    tracked: BTreeMap<RequestId, TrackedRequest>,
     /// When the nodo was told to leave.
-    left_at: Option<f64>,
-    broken: Vec<Broken>,
+    leaving_since: Option<f64>,
+    violations: Vec<Violation>,
 }
 
-impl Rules {
+impl RuleChecker {
     /// Nothing was seen yet.
-    pub fn new() -> Rules {
-        Rules::default()
+    pub fn new() -> RuleChecker {
+        RuleChecker::default()
     }
 
     /// Takes the next part of a capture.
     pub fn take(&mut self, part: &Part) {
         match part {
-            Part::Spoilt { .. } => self.known.clear(),
+            Part::Corrupt { .. } => self.tracked.clear(),
             Part::Block { records, .. } => records.iter().for_each(|record| self.record(record)),
         }
     }
 
     /// All that was broken.
-    pub fn end(self) -> Vec<Broken> {
-        self.broken
+    pub fn end(self) -> Vec<Violation> {
+        self.violations
     }
 
     fn record(&mut self, record: &Record) {
         match record {
-            Record::Head(head) => self.settings = Some(head.settings.clone()),
-            Record::Snapshot(_) | Record::SideStates(_) | Record::Sides(_) => {}
-            Record::Gap { .. } => self.known.clear(),
+            Record::Header(header) => self.settings = Some(header.settings.clone()),
+            Record::Snapshot(_) | Record::AuxiliaryStates(_) | Record::AuxiliarySteps(_) => {}
+            Record::Gap { .. } => self.tracked.clear(),
             Record::Round(round) => {
                 if let Some(settings) = self.settings.take() {
                     let changed = self.round(&settings, round);
@@ -119,18 +119,18 @@
                 Event::Withdrawn { id } => self.no_answer_owed(*id),
                 // With the end of a run its answer goes out, unless one was given before.
                 Event::Ended { id, outcome: Outcome::Done | Outcome::Failed } => {
-                    if let Some(known) = self.known.get_mut(id) {
-                        (known.owed, known.answered) = (false, true);
+                    if let Some(tracked) = self.tracked.get_mut(id) {
+                        (tracked.answer_owed, tracked.answered) = (false, true);
                     }
                 }
                 Event::Ended { id, outcome: Outcome::NotStarted } => {
-                    if let Some(known) = self.known.get_mut(id) {
-                        known.ran = false;
+                    if let Some(tracked) = self.tracked.get_mut(id) {
+                        tracked.ran = false;
                     }
                 }
                 // Requests that are open keep their places in it, and with them their classes.
                 Event::Settings(new) => changed = Some(&**new),
-                Event::Leave { .. } => self.left_at = self.left_at.or(Some(round.now)),
+                Event::Leave { .. } => self.leaving_since = self.leaving_since.or(Some(round.now)),
                 _ => {}
             }
         }
@@ -138,9 +138,11 @@
             match action {
                 Action::Run(id) => self.ran(settings, *id, round.number),
                 Action::Refuse { id, .. } => {
-                    let effect = |known: &Known| settings.classes[known.request.class].repeat != Repeat::Safe;
-                    if self.known.get(id).is_some_and(|known| known.ran && effect(known)) {
-                        self.tell(round.number, *id, Rule::RefusedAfterRun);
+                    let effect = |tracked: &TrackedRequest| {
+                        settings.classes[tracked.request.class].repeat != Repeat::Safe
+                    };
+                    if self.tracked.get(id).is_some_and(|tracked| tracked.ran && effect(tracked)) {
+                        self.report(round.number, *id, Rule::RefusedAfterRun);
                     }
                     self.answered(*id, round.number);
                 }
@@ -148,84 +150,92 @@
                 _ => {}
             }
         }
-        let late = |known: &Known| known.owed && round.now > known.due + SLACK;
+        let late =
+            |tracked: &TrackedRequest| tracked.answer_owed && round.now > tracked.due + ANSWER_SLACK_SECONDS;
         let lost: Vec<RequestId> =
-            self.known.iter().filter(|(_, known)| late(known)).map(|(id, _)| *id).collect();
+            self.tracked.iter().filter(|(_, tracked)| late(tracked)).map(|(id, _)| *id).collect();
         for id in lost {
-            self.tell(round.number, id, Rule::Lost);
+            self.report(round.number, id, Rule::NotAnswered);
             self.no_answer_owed(id);
         }
-        while self.known.len() > MAX_KNOWN {
-            self.known.pop_first();
+        while self.tracked.len() > MAX_TRACKED {
+            self.tracked.pop_first();
         }
         changed.cloned()
     }
 
-    fn tell(&mut self, round: u64, id: RequestId, rule: Rule) {
-        self.broken.push(Broken { round, id, rule });
+    fn report(&mut self, round: u64, id: RequestId, rule: Rule) {
+        self.violations.push(Violation { round, id, rule });
     }
 
     fn arrived(&mut self, settings: &Settings, request: &Request, now: f64) {
         let arrived = now - request.waited;
         let deadline = settings.classes[request.class].deadline;
         let due = request.time_left.map_or(arrived + deadline, |left| now + left).max(now);
-        let known = Known { request: request.clone(), arrived, due, owed: true, answered: false, ran: false };
-        self.known.insert(request.id, known);
+        let tracked = TrackedRequest {
+            request: request.clone(),
+            arrived,
+            due,
+            answer_owed: true,
+            answered: false,
+            ran: false,
+        };
+        self.tracked.insert(request.id, tracked);
     }
 
     fn no_answer_owed(&mut self, id: RequestId) {
-        if let Some(known) = self.known.get_mut(&id) {
-            known.owed = false;
+        if let Some(tracked) = self.tracked.get_mut(&id) {
+            tracked.answer_owed = false;
         }
     }
 
     fn answered(&mut self, id: RequestId, round: u64) {
-        match self.known.get_mut(&id) {
-            Some(known) if known.answered => self.tell(round, id, Rule::AnsweredTwice),
-            Some(known) => (known.owed, known.answered) = (false, true),
+        match self.tracked.get_mut(&id) {
+            Some(tracked) if tracked.answered => self.report(round, id, Rule::AnsweredTwice),
+            Some(tracked) => (tracked.answer_owed, tracked.answered) = (false, true),
             None => {}
         }
     }
 
     fn ran(&mut self, settings: &Settings, id: RequestId, round: u64) {
-        let Some(known) = self.known.get(&id) else { return };
-        let class = known.request.class;
-        let (arrived, before) = (known.arrived, known.ran);
-        let late = self.left_at.is_some_and(|left| arrived > left + settings.drain_grace);
+        let Some(tracked) = self.tracked.get(&id) else { return };
+        let class = tracked.request.class;
+        let (arrived, before) = (tracked.arrived, tracked.ran);
+        let late = self.leaving_since.is_some_and(|left| arrived > left + settings.drain_grace);
         // A paused run that is taken up again is no second run.
         let again = before && settings.halt != jaspershunt::StopMode::Pause;
         let twice = match settings.classes[class].repeat {
             Repeat::Safe => false,
             Repeat::Unsafe => again,
             Repeat::Keyed(window) => {
-                let first = known.request.repeats.and_then(|first| self.known.get(&first));
-                let within = |first: &Known| first.ran && arrived <= first.arrived + window;
+                let first = tracked.request.repeats.and_then(|first| self.tracked.get(&first));
+                let within = |first: &TrackedRequest| first.ran && arrived <= first.arrived + window;
                 again || first.is_some_and(|first| first.request.class == class && within(first))
             }
         };
-        if let Some(known) = self.known.get_mut(&id) {
-            known.ran = true;
+        if let Some(tracked) = self.tracked.get_mut(&id) {
+            tracked.ran = true;
         }
         if late {
-            self.tell(round, id, Rule::RunAfterGrace);
+            self.report(round, id, Rule::RunAfterGrace);
         }
         if twice {
-            self.tell(round, id, Rule::RanTwice);
+            self.report(round, id, Rule::RanTwice);
         }
     }
 }
 
 /// Checks rounds alone, under these settings.
-pub fn check_rounds(settings: &Settings, rounds: &[Round]) -> Vec<Broken> {
-    let mut rules = Rules::new();
+pub fn check_rounds(settings: &Settings, rounds: &[Round]) -> Vec<Violation> {
+    let mut rules = RuleChecker::new();
     rules.settings = Some(settings.clone());
     rounds.iter().for_each(|round| rules.record(&Record::Round(round.clone())));
     rules.end()
 }
 
 /// Checks a whole capture.
-pub fn check<'a>(parts: impl IntoIterator<Item = &'a Part>) -> Vec<Broken> {
-    let mut rules = Rules::new();
+pub fn check<'a>(parts: impl IntoIterator<Item = &'a Part>) -> Vec<Violation> {
+    let mut rules = RuleChecker::new();
     for part in parts {
         rules.take(part);
     }
--- a/crates/capture/src/sink/tests.rs
+++ b/crates/capture/src/sink/tests.rs
@@ -13,7 +13,7 @@
     full: bool,
 }
 
-impl Disk for Memory {
+impl Storage for Memory {
     fn write(&mut self, name: &str, parts: &[&[u8]]) -> io::Result<()> {
         if self.full {
             return Err(io::ErrorKind::StorageFull.into());
@@ -32,74 +32,79 @@
 }
 
 /// Rounds of a server that wakes; each is handed over with the state every tenth.
-fn feed(sink: &mut Sink<Memory>, rounds: std::ops::Range<u64>, module: &mut Controller) -> Vec<Told> {
-    let mut told = Vec::new();
+fn feed(sink: &mut Sink<Memory>, rounds: std::ops::Range<u64>, module: &mut Controller) -> Vec<WriteOutcome> {
+    let mut outcomes = Vec::new();
     for number in rounds {
         let now = number as f64 / 10.0;
         if number % 10 == 0 {
-            told.extend(sink.take(Piece::Snapshot { now, state: module.save(), sides: None }));
+            outcomes.extend(sink.take(Message::Snapshot { now, state: module.save(), auxiliary: None }));
         }
         let events =
             vec![Event::Woke { token: 0, gauges: Gauges { core_use: Some(now), ..Gauges::default() } }];
         let mut actions = Vec::new();
         module.step(now, &events, &mut actions);
-        told.extend(sink.take(Piece::Round(Round { number, now, names: vec![], events, actions })));
+        outcomes.extend(sink.take(Message::Round(Round { number, now, names: vec![], events, actions })));
     }
-    told
+    outcomes
 }
 
 fn sink(bounds: Bounds) -> (Sink<Memory>, Controller) {
-    let head = Head { version: "1".into(), nodo: "n1".into(), epoch: 1e9, settings: settings() };
+    let header = Header { version: "1".into(), nodo: "n1".into(), epoch: 1e9, settings: settings() };
     let limits = Limits { block_bytes: 600, snapshot_every: 1.0 };
-    (Sink::new(head, limits, bounds, Memory::default()), Controller::new(settings()).unwrap())
+    (Sink::new(header, limits, bounds, Memory::default()), Controller::new(settings()).unwrap())
 }
 
 fn rounds_of(bytes: &[u8]) -> u64 {
     let parts: Vec<Part> = parts(bytes).unwrap().collect();
     let replayed = replay(&parts);
-    assert_eq!((replayed.differs, replayed.skipped, replayed.spoilt.len()), (None, 0, 0));
+    assert_eq!((replayed.difference, replayed.skipped, replayed.corrupt.len()), (None, 0, 0));
     replayed.same
 }
 
 #[test]
 fn what_is_written_out_replays_and_the_oldest_files_make_room() {
-    let (mut sink, mut module) = sink(Bounds { ring: 6_000, files: 3, all: false });
+    let (mut sink, mut module) = sink(Bounds { ring_bytes: 6_000, max_files: 3, write_all: false });
     for n in 0..8 {
         assert!(feed(&mut sink, n * 50..n * 50 + 50, &mut module).is_empty());
-        let Some(Told::Wrote(name)) = sink.take(Piece::WriteOut(Reason::Asked)) else {
+        let Some(WriteOutcome::Written(name)) = sink.take(Message::WriteOut(Reason::Asked)) else {
             panic!("not written")
         };
         assert!(name.starts_with("n1-") && name.ends_with("-asked.jshcap"), "{name}");
-        assert!(rounds_of(&sink.disk().files[&name]) >= 10);
-        assert!(sink.kept() <= 6_000);
+        assert!(rounds_of(&sink.storage().files[&name]) >= 10);
+        assert!(sink.ring_bytes() <= 6_000);
     }
-    assert_eq!(sink.disk().files.len(), 3);
-    sink.take(Piece::Shrink(1_000));
-    assert!(sink.kept() <= 1_000);
+    assert_eq!(sink.storage().files.len(), 3);
+    sink.take(Message::SetRingBytes(1_000));
+    assert!(sink.ring_bytes() <= 1_000);
 }
 
 /// A full disk loses that file and says so; what is kept is there for the next.
 #[test]
 fn a_full_disk_is_said_and_the_next_file_is_whole() {
-    let (mut sink, mut module) = sink(Bounds { ring: 60_000, files: 3, all: false });
-    assert_eq!(sink.take(Piece::WriteOut(Reason::Asked)), Some(Told::Failed("nothing is kept yet".into())));
+    let (mut sink, mut module) = sink(Bounds { ring_bytes: 60_000, max_files: 3, write_all: false });
+    assert_eq!(
+        sink.take(Message::WriteOut(Reason::Asked)),
+        Some(WriteOutcome::Failed("nothing is kept yet".into()))
+    );
     feed(&mut sink, 0..60, &mut module);
-    sink.disk().full = true;
-    assert!(matches!(sink.take(Piece::WriteOut(Reason::Guard)), Some(Told::Failed(_))));
-    sink.disk().full = false;
+    sink.storage().full = true;
+    assert!(matches!(sink.take(Message::WriteOut(Reason::Guard)), Some(WriteOutcome::Failed(_))));
+    sink.storage().full = false;
     feed(&mut sink, 60..100, &mut module);
-    let Some(Told::Wrote(name)) = sink.take(Piece::WriteOut(Reason::Guard)) else { panic!("not written") };
-    assert_eq!(rounds_of(&sink.disk().files[&name]), 100);
+    let Some(WriteOutcome::Written(name)) = sink.take(Message::WriteOut(Reason::Guard)) else {
+        panic!("not written")
+    };
+    assert_eq!(rounds_of(&sink.storage().files[&name]), 100);
 }
 
 /// With all recorded, every round is in some file.
 #[test]
 fn all_that_is_recorded_is_in_files_without_a_hole() {
-    let (mut sink, mut module) = sink(Bounds { ring: 6_000, files: 1_000, all: true });
+    let (mut sink, mut module) = sink(Bounds { ring_bytes: 6_000, max_files: 1_000, write_all: true });
     feed(&mut sink, 0..1_000, &mut module);
-    sink.take(Piece::WriteOut(Reason::End));
+    sink.take(Message::WriteOut(Reason::End));
     let mut numbers = std::collections::BTreeSet::new();
-    for bytes in sink.disk().files.values() {
+    for bytes in sink.storage().files.values() {
         for part in parts(bytes).unwrap() {
             let Part::Block { records, .. } = part else { panic!("spoilt") };
             numbers.extend(records.iter().filter_map(|record| match record {
--- a/crates/capture/src/summary.rs
+++ b/crates/capture/src/summary.rs
@@ -1,13 +1,13 @@
 //! What a capture holds, in figures.
 
 use crate::reader::Part;
-use crate::record::{Head, Record, Round};
+use crate::record::{Header, Record, Round};
 use jaspershunt::{Action, Event, Outcome, RequestId, Settings};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// Callers that are named with their refusals; those with the most.
-const CALLERS: usize = 5;
+const MAX_CALLERS: usize = 5;
 
 /// What became of the requests of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -49,7 +49,7 @@
     pub missing: u64,
     /// Places where rounds are missing.
     pub gaps: u64,
-    /// Places that are torn or spoilt, with why.
+    /// Places that are torn or spoilt, with error.
     pub spoilt: Vec<String>,
     /// Changes of settings.
     pub changes: u64,
@@ -78,13 +78,13 @@
     let mut counter = Counter::default();
     for part in parts {
         match part {
-            Part::Spoilt { offset, length, why } => {
-                counter.summary.spoilt.push(format!("{length} bytes at {offset}: {why}"));
+            Part::Corrupt { offset, length, error } => {
+                counter.summary.spoilt.push(format!("{length} bytes at {offset}: {error}"));
                 counter.open.clear();
             }
-            Part::Block { head, records, .. } => {
+            Part::Block { header, records, .. } => {
                 counter.summary.blocks += 1;
-                counter.summary.snapshots += u64::from(head.snapshot);
+                counter.summary.snapshots += u64::from(header.snapshot);
                 records.iter().for_each(|record| counter.record(record));
             }
         }
@@ -95,12 +95,12 @@
 impl Counter {
     fn record(&mut self, record: &Record) {
         match record {
-            Record::Head(Head { version, nodo, epoch, settings }) => {
+            Record::Header(Header { version, nodo, epoch, settings }) => {
                 (self.summary.nodo, self.summary.version) = (nodo.clone(), version.clone());
                 self.epoch = *epoch;
                 self.settings = Some(settings.clone());
             }
-            Record::Snapshot(_) | Record::SideStates(_) | Record::Sides(_) => {}
+            Record::Snapshot(_) | Record::AuxiliaryStates(_) | Record::AuxiliarySteps(_) => {}
             Record::Gap { rounds } => {
                 self.summary.missing += rounds;
                 self.summary.gaps += 1;
@@ -131,12 +131,12 @@
                     self.summary.most_open = self.summary.most_open.max(self.open.len() as u64);
                 }
                 Event::Ended { id, outcome: Outcome::Done } => {
-                    self.over(*id, |class| class.served += 1, Some(round.now));
+                    self.finish(*id, |class| class.served += 1, Some(round.now));
                 }
                 Event::Ended { id, outcome: Outcome::Failed } => {
-                    self.over(*id, |class| class.failed += 1, None)
+                    self.finish(*id, |class| class.failed += 1, None)
                 }
-                Event::Withdrawn { id } => self.over(*id, |class| class.gone += 1, None),
+                Event::Withdrawn { id } => self.finish(*id, |class| class.gone += 1, None),
                 Event::Settings(settings) => {
                     self.summary.changes += 1;
                     self.settings = Some((**settings).clone());
@@ -155,15 +155,15 @@
                     if let Some((_, caller, _)) = self.open.get(id) {
                         *self.refused.entry(*caller).or_default() += 1;
                     }
-                    self.over(*id, |class| class.refused += 1, None);
+                    self.finish(*id, |class| class.refused += 1, None);
                 }
-                Action::Fail(id) => self.over(*id, |class| class.failed += 1, None),
+                Action::Fail(id) => self.finish(*id, |class| class.failed += 1, None),
                 _ => {}
             }
         }
     }
 
-    fn over(&mut self, id: RequestId, count: impl FnOnce(&mut Class), served_at: Option<f64>) {
+    fn finish(&mut self, id: RequestId, count: impl FnOnce(&mut Class), served_at: Option<f64>) {
         let Some((name, _, read_at)) = self.open.remove(&id) else { return };
         count(self.class(&name));
         if let Some(at) = served_at {
@@ -180,7 +180,7 @@
         }
         let mut callers: Vec<(u64, u64)> = std::mem::take(&mut self.refused).into_iter().collect();
         callers.sort_by_key(|(caller, refused)| (std::cmp::Reverse(*refused), *caller));
-        callers.truncate(CALLERS);
+        callers.truncate(MAX_CALLERS);
         let first = self.first.unwrap_or(0.0);
         Summary {
             from_unix: self.epoch + first,
--- a/crates/capture/src/tap.rs
+++ b/crates/capture/src/tap.rs
@@ -2,13 +2,13 @@
 //! what cannot be handed over. It never waits: what takes records may be slower than what makes them, and then rounds are
 //! missing, which the capture says, and the next thing in it is the state.
 
-use crate::record::{Round, SideStates};
+use crate::record::{AuxiliaryStates, Round};
 use jaspershunt::{Action, Event};
 use std::mem::size_of;
 
 /// What is handed over, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Piece {
+pub enum Message {
     /// Rounds that could not be handed over.
     Missed(u64),
     /// The decision state before the next round, at this time of the module's clock.
@@ -18,17 +18,17 @@
         /// The module's state.
         state: Vec<u8>,
         /// The state beside it.
-        sides: Option<SideStates>,
+        auxiliary: Option<AuxiliaryStates>,
     },
-    /// What was asked beside the module, as [`Sides::encode`](crate::record::Sides::encode) has it: keys and bodies are shared on the engine's thread, and
+    /// What was asked beside the module, as [`AuxiliarySteps::encode`](crate::record::AuxiliarySteps::encode) has it: keys and bodies are shared on the engine's thread, and
     /// cannot leave it as they are.
-    Sides(Vec<u8>),
+    AuxiliarySteps(Vec<u8>),
     /// A round.
     Round(Round),
     /// Write out what is kept, for this reason.
     WriteOut(Reason),
     /// Keep at most so many bytes from now on.
-    Shrink(usize),
+    SetRingBytes(usize),
 }
 
 /// Why what is kept was written out.
@@ -48,7 +48,7 @@
 
 impl Reason {
     /// As it stands in the name of a file.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Reason::Asked => "asked",
             Reason::Guard => "guard",
@@ -59,16 +59,17 @@
     }
 }
 
-impl Piece {
+impl Message {
     /// The memory that it takes while it waits, about; never less than it does but for names.
-    pub fn weight(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         match self {
-            Piece::Snapshot { state, sides, .. } => {
-                let sides = sides.as_ref().map_or(0, |sides| sides.keys.len() + sides.below.len());
-                size_of::<Piece>() + state.len() + sides
+            Message::Snapshot { state, auxiliary, .. } => {
+                let auxiliary =
+                    auxiliary.as_ref().map_or(0, |states| states.keys.len() + states.dependencies.len());
+                size_of::<Message>() + state.len() + auxiliary
             }
-            Piece::Sides(bytes) => size_of::<Piece>() + bytes.len(),
-            _ => size_of::<Piece>(),
+            Message::AuxiliarySteps(bytes) => size_of::<Message>() + bytes.len(),
+            _ => size_of::<Message>(),
         }
     }
 }
@@ -93,11 +94,11 @@
     pub fn begin(
         &mut self,
         now: f64,
-        state: impl FnOnce() -> (Vec<u8>, Option<SideStates>),
-        mut hand_over: impl FnMut(Piece) -> bool,
+        state: impl FnOnce() -> (Vec<u8>, Option<AuxiliaryStates>),
+        mut hand_over: impl FnMut(Message) -> bool,
     ) -> bool {
         if self.missed > 0 {
-            if !hand_over(Piece::Missed(self.missed)) {
+            if !hand_over(Message::Missed(self.missed)) {
                 return false;
             }
             // What comes next stands on the state alone.
@@ -105,8 +106,8 @@
             self.next_snapshot = f64::NEG_INFINITY;
         }
         if now >= self.next_snapshot {
-            let (state, sides) = state();
-            if !hand_over(Piece::Snapshot { now, state, sides }) {
+            let (state, auxiliary) = state();
+            if !hand_over(Message::Snapshot { now, state, auxiliary }) {
                 return false;
             }
             self.next_snapshot = now + self.every;
@@ -128,7 +129,7 @@
 
 /// Notices when far more is turned away than before.
 #[derive(Clone, Debug)]
-pub struct Jump {
+pub struct RefusalSpikeDetector {
     /// The share of a second's requests that has to be turned away.
     share: f64,
     second: u64,
@@ -140,16 +141,23 @@
 }
 
 /// Refusals in a second that say nothing yet. Ours.
-const LEAST_REFUSED: f64 = 20.0;
+const MIN_REFUSALS: f64 = 20.0;
 /// Seconds after a jump in which none is noticed: one bad minute makes one capture. Ours.
-const QUIET_FOR: f64 = 60.0;
+const QUIET_SECONDS: f64 = 60.0;
 /// The part of the newest second in the share of those before. Ours: some seconds' memory.
 const SMOOTHING: f64 = 0.2;
 
-impl Jump {
+impl RefusalSpikeDetector {
     /// Nothing was seen yet.
-    pub fn new(share: f64) -> Jump {
-        Jump { share, second: 0, arrived: 0.0, refused: 0.0, before: 0.0, quiet_until: f64::NEG_INFINITY }
+    pub fn new(share: f64) -> RefusalSpikeDetector {
+        RefusalSpikeDetector {
+            share,
+            second: 0,
+            arrived: 0.0,
+            refused: 0.0,
+            before: 0.0,
+            quiet_until: f64::NEG_INFINITY,
+        }
     }
 
     /// A round was made; whether refusals have jumped by it: the share is reached, and it is twice that of before.
@@ -165,10 +173,10 @@
         self.refused +=
             actions.iter().filter(|action| matches!(action, Action::Refuse { .. })).count() as f64;
         let share = self.refused / self.arrived.max(1.0);
-        let jumped = self.refused >= LEAST_REFUSED && share >= self.share && share > 2.0 * self.before;
+        let jumped = self.refused >= MIN_REFUSALS && share >= self.share && share > 2.0 * self.before;
         let told = jumped && now >= self.quiet_until;
         if told {
-            self.quiet_until = now + QUIET_FOR;
+            self.quiet_until = now + QUIET_SECONDS;
         }
         told
     }
--- a/crates/capture/src/tap/tests.rs
+++ b/crates/capture/src/tap/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use jaspershunt::RequestId;
 
-fn round(number: u64, now: f64) -> Piece {
-    Piece::Round(Round { number, now, names: vec![], events: vec![], actions: vec![] })
+fn round(number: u64, now: f64) -> Message {
+    Message::Round(Round { number, now, names: vec![], events: vec![], actions: vec![] })
 }
 
 /// Plays rounds against a way that takes what `takes` says, by the number of the piece; returns what went over.
-fn play(rounds: u64, takes: impl Fn(usize) -> bool) -> Vec<Piece> {
+fn play(rounds: u64, takes: impl Fn(usize) -> bool) -> Vec<Message> {
     let (mut tap, mut over, mut asked) = (Tap::new(0.5), Vec::new(), 0);
     for n in 1..=rounds {
         let now = n as f64 / 10.0;
@@ -33,7 +33,7 @@
     let at: Vec<usize> = over
         .iter()
         .enumerate()
-        .filter(|(_, p)| matches!(p, Piece::Snapshot { .. }))
+        .filter(|(_, p)| matches!(p, Message::Snapshot { .. }))
         .map(|(n, _)| n)
         .collect();
     assert_eq!(at, [0, 6, 12]);
@@ -48,12 +48,12 @@
         let (mut next, mut gap) = (1, false);
         for piece in &over {
             match piece {
-                Piece::Missed(rounds) => {
+                Message::Missed(rounds) => {
                     next += rounds;
                     gap = true;
                 }
-                Piece::Snapshot { .. } => gap = false,
-                Piece::Round(round) => {
+                Message::Snapshot { .. } => gap = false,
+                Message::Round(round) => {
                     assert!(!gap, "a round stands behind a gap without the state: {pattern:b}");
                     assert_eq!(round.number, next, "{pattern:b}: {over:?}");
                     next += 1;
@@ -82,7 +82,7 @@
             repeats: None,
         })
     };
-    let mut jump = Jump::new(0.5);
+    let mut jump = RefusalSpikeDetector::new(0.5);
     let mut told = Vec::new();
     // A second has 100 requests; the share of them that is refused is 10 % at first, then 80 %.
     for second in 0..200u64 {
@@ -95,6 +95,6 @@
     }
     assert_eq!(told, [20], "80 % is what it is used to after that");
     // A few refusals of a few requests say nothing.
-    let mut jump = Jump::new(0.5);
+    let mut jump = RefusalSpikeDetector::new(0.5);
     assert!(!jump.round(0.0, &[arrived(1)], &[refuse(1)]));
 }
--- a/crates/capture/src/tests.rs
+++ b/crates/capture/src/tests.rs
@@ -1,10 +1,10 @@
 //! Captures of a small overloaded server, whole, cut, spoilt and with gaps.
 
-use crate::format::{self, Unreadable};
+use crate::format::{self, FormatError};
 use crate::reader::{Part, parts};
-use crate::record::{Head, Record, Round};
+use crate::record::{Header, Record, Round};
 use crate::recorder::{Limits, Recorder, Wants};
-use crate::replay::{Replayed, replay};
+use crate::replay::{ReplayReport, replay};
 use crate::rules::{Rule, check};
 use jaspershunt::*;
 use std::collections::BTreeMap;
@@ -146,9 +146,9 @@
 
 /// A capture of such a server. Rounds in `missing` are not kept.
 pub(crate) fn capture(seed: u64, rounds: u64, limits: Limits, missing: std::ops::Range<u64>) -> Vec<u8> {
-    let head = Head { version: "1".into(), nodo: "n1".into(), epoch: 0.0, settings: settings() };
+    let head = Header { version: "1".into(), nodo: "n1".into(), epoch: 0.0, settings: settings() };
     let mut recorder = Recorder::new(head, limits);
-    let mut bytes = format::file_head().to_vec();
+    let mut bytes = format::file_header().to_vec();
     let mut number = 0;
     overload(seed, rounds, |before, round, copy| {
         number += 1;
@@ -179,8 +179,8 @@
     parts
         .iter()
         .filter_map(|part| match part {
-            Part::Block { offset, head, records } => Some((*offset, head.snapshot, records.clone())),
-            Part::Spoilt { .. } => None,
+            Part::Block { offset, header, records } => Some((*offset, header.snapshot, records.clone())),
+            Part::Corrupt { .. } => None,
         })
         .collect()
 }
@@ -196,13 +196,13 @@
         assert!(refused.count() > 20, "no overload");
         for _ in 0..10 {
             let replayed = replay(&all);
-            assert_eq!((replayed.same, replayed.differs.clone(), replayed.spoilt.len()), (600, None, 0));
+            assert_eq!((replayed.same, replayed.difference.clone(), replayed.corrupt.len()), (600, None, 0));
             assert!(replayed.snapshots > 3, "{replayed:?}");
         }
         for from in 0..all.len() {
-            if matches!(&all[from], Part::Block { head, .. } if head.snapshot) {
+            if matches!(&all[from], Part::Block { header, .. } if header.snapshot) {
                 let replayed = replay(&all[from..]);
-                assert_eq!((replayed.differs, replayed.skipped, replayed.spoilt.len()), (None, 0, 0));
+                assert_eq!((replayed.difference, replayed.skipped, replayed.corrupt.len()), (None, 0, 0));
             }
         }
     }
@@ -213,7 +213,7 @@
 fn no_thread_has_a_say_in_a_replay() {
     let bytes = capture(3, 300, SMALL, 0..0);
     let here = replay(&read(&bytes));
-    let elsewhere: Vec<Replayed> = std::thread::scope(|scope| {
+    let elsewhere: Vec<ReplayReport> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..8).map(|_| scope.spawn(|| replay(&read(&bytes)))).collect();
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
@@ -236,8 +236,8 @@
     let whole = blocks(&read(&bytes));
     assert!(whole.len() > 5);
     for cut in 0..bytes.len() {
-        if cut < format::FILE_HEAD {
-            assert_eq!(parts(&bytes[..cut]).err(), Some(Unreadable::NoCapture));
+        if cut < format::FILE_HEADER_BYTES {
+            assert_eq!(parts(&bytes[..cut]).err(), Some(FormatError::NotACapture));
             continue;
         }
         let left = read(&bytes[..cut]);
@@ -246,7 +246,7 @@
         let expected = ends.filter(|end| *end <= cut).count();
         assert_eq!(kept, whole[..expected]);
         let torn = left.len() - kept.len();
-        let at_a_border = cut == format::FILE_HEAD || whole.iter().any(|(offset, ..)| *offset == cut);
+        let at_a_border = cut == format::FILE_HEADER_BYTES || whole.iter().any(|(offset, ..)| *offset == cut);
         assert_eq!(torn, usize::from(!at_a_border), "cut at {cut}");
     }
 }
@@ -265,7 +265,7 @@
             let parts = read(&spoilt);
             assert_eq!(blocks(&parts).len(), whole.len() - 1, "byte {at}");
             let replayed = replay(&parts);
-            assert_eq!((replayed.differs, replayed.spoilt.len()), (None, 1), "byte {at}");
+            assert_eq!((replayed.difference, replayed.corrupt.len()), (None, 1), "byte {at}");
             let lost =
                 |records: &[Record]| records.iter().filter(|r| matches!(r, Record::Round(_))).count() as u64;
             let until_snapshot: u64 = whole[place..]
@@ -285,12 +285,12 @@
     bytes[6] = 9;
     let refused = parts(&bytes).err().unwrap();
     assert_eq!(refused.to_string(), "the capture has format version 9, and this program reads up to 1");
-    assert_eq!(parts(b"GIF89a..").err(), Some(Unreadable::NoCapture));
-    assert_eq!(parts(b"").err(), Some(Unreadable::NoCapture));
+    assert_eq!(parts(b"GIF89a..").err(), Some(FormatError::NotACapture));
+    assert_eq!(parts(b"").err(), Some(FormatError::NotACapture));
     // Noise behind a good beginning is one spoilt part, however long.
     let noise: Vec<u8> =
-        format::file_head().into_iter().chain((0..100_000u32).map(|n| (n * 31 % 251) as u8)).collect();
-    assert!(matches!(&read(&noise)[..], [Part::Spoilt { offset: 8, length: 100_000, .. }]));
+        format::file_header().into_iter().chain((0..100_000u32).map(|n| (n * 31 % 251) as u8)).collect();
+    assert!(matches!(&read(&noise)[..], [Part::Corrupt { offset: 8, length: 100_000, .. }]));
 }
 
 #[test]
@@ -298,10 +298,10 @@
     let bytes = capture(4, 600, SMALL, 250..300);
     let all = read(&bytes);
     let replayed = replay(&all);
-    assert_eq!((replayed.differs.clone(), replayed.skipped), (None, 0));
+    assert_eq!((replayed.difference.clone(), replayed.skipped), (None, 0));
     assert!(replayed.missing >= 50 && replayed.same + replayed.missing == 600, "{replayed:?}");
     let at = blocks(&all).iter().position(|(.., records)| matches!(records[0], Record::Gap { .. })).unwrap();
-    assert!(matches!(&blocks(&all)[at].2[1..3], [Record::Head(_), Record::Snapshot(_)]));
+    assert!(matches!(&blocks(&all)[at].2[1..3], [Record::Header(_), Record::Snapshot(_)]));
 }
 
 #[test]
@@ -319,8 +319,8 @@
             }
         }
     }
-    let differs = replay(&all).differs.unwrap();
-    assert_eq!(Some((differs.round.number, differs.place)), changed);
+    let differs = replay(&all).difference.unwrap();
+    assert_eq!(Some((differs.round.number, differs.index)), changed);
     assert_eq!(differs.before.len(), 3);
     assert!(differs.to_string().contains("now:      Some(Run("), "{differs}");
     // Two zeros look the same and are not.
@@ -339,11 +339,12 @@
 #[test]
 fn a_length_that_makes_no_sense_takes_no_memory() {
     let bytes = capture(1, 20, SMALL, 0..0);
-    let mut head = bytes[format::FILE_HEAD..format::FILE_HEAD + format::BLOCK_HEAD].to_vec();
+    let mut head =
+        bytes[format::FILE_HEADER_BYTES..format::FILE_HEADER_BYTES + format::BLOCK_HEADER_BYTES].to_vec();
     head[33..37].copy_from_slice(&u32::MAX.to_le_bytes());
     let checksum = crc32c::crc32c(&head[..45]);
     head[45..49].copy_from_slice(&checksum.to_le_bytes());
-    assert!(matches!(format::read_block(&head), Err(Unreadable::Payload(_))));
+    assert!(matches!(format::read_block(&head), Err(FormatError::Payload(_))));
 }
 
 /// Changes the first action for which `change` returns others.
@@ -377,7 +378,7 @@
     assert_eq!(check(&twice).iter().map(|broken| broken.rule).collect::<Vec<_>>(), [Rule::AnsweredTwice]);
     let mut lost = good.clone();
     change(&mut lost, |_, action| matches!(action, Action::Refuse { .. }).then(Vec::new));
-    assert_eq!(check(&lost).iter().map(|broken| broken.rule).collect::<Vec<_>>(), [Rule::Lost]);
+    assert_eq!(check(&lost).iter().map(|broken| broken.rule).collect::<Vec<_>>(), [Rule::NotAnswered]);
     // A request that ran is run once more, and turned away.
     let keyed = |round: &Round, id: RequestId| {
         let this = |event: &Event| matches!(event, Event::Arrived(r) if r.id == id && r.class == 1 && r.repeats.is_none());
--- a/crates/capture/src/story.rs
+++ b/crates/capture/src/trace.rs
@@ -1,45 +1,45 @@
-//! The story of one request, in plain words: what came, what was decided, and the figures that it rested on.
+//! The trace of one request, in plain words: what came, what was decided, and the metrics that it rested on.
 
 use crate::reader::Part;
-use crate::record::{Record, Round, Sides};
+use crate::record::{AuxiliarySteps, Record, Round};
 use jaspershunt::{
     Action, Controller, DecisionMetrics, Event, Outcome, Repeat, Request, RequestId, Settings,
 };
-use jaspershunt_dependencies::Action as BelowAction;
+use jaspershunt_dependencies::Action as DependencyAction;
 use std::fmt::Write;
 
 /// Something that happened to the request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Moment {
+pub struct TraceEntry {
     /// The module's clock.
     pub at: f64,
     /// What happened.
     pub what: String,
 }
 
-/// The story of a request.
+/// The trace of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Story {
+pub struct Trace {
     /// What the peers call it, if the capture has it.
     pub name: Option<String>,
     /// The request.
     pub request: Request,
     /// What happened, in order.
-    pub moments: Vec<Moment>,
+    pub entries: Vec<TraceEntry>,
     /// How it ended, if that is in the capture.
     pub ended: bool,
 }
 
-impl Story {
+impl Trace {
     /// As text; times count from the arrival at the machine.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let name = self.name.as_deref().unwrap_or("?");
-        let began = self.moments.first().map_or(0.0, |first| first.at) - self.request.waited;
+        let began = self.entries.first().map_or(0.0, |first| first.at) - self.request.waited;
         // Writing to a String cannot fail.
         let _ = writeln!(text, "request {name} (number {})", self.request.id.0);
-        for moment in &self.moments {
-            let _ = writeln!(text, "  {:8.3} s  {}", moment.at - began, moment.what);
+        for entry in &self.entries {
+            let _ = writeln!(text, "  {:8.3} s  {}", entry.at - began, entry.what);
         }
         if !self.ended {
             let _ = writeln!(text, "            the capture ends before the request does");
@@ -49,41 +49,41 @@
 }
 
 /// Finds the request in a capture by what its peers call it or by its number, and tells what became of it. The rounds
-/// between are replayed, so that the figures are those of that moment.
-pub fn story(parts: &[Part], wanted: &str) -> Option<Story> {
+/// between are replayed, so that the metrics are those of that entry.
+pub fn trace(parts: &[Part], wanted: &str) -> Option<Trace> {
     let number = wanted.parse::<u64>().ok().map(RequestId);
-    let mut teller = Teller { module: None, settings: None, story: None };
+    let mut builder = TraceBuilder { module: None, settings: None, trace: None };
     for part in parts {
         let Part::Block { records, .. } = part else {
-            teller.module = None;
+            builder.module = None;
             continue;
         };
         for record in records {
             match record {
-                Record::Head(head) => teller.settings = Some(head.settings.clone()),
-                Record::Gap { .. } => teller.module = None,
-                Record::Snapshot(state) => teller.module = Controller::load(state).ok(),
-                Record::SideStates(_) => {}
-                Record::Sides(sides) => teller.sides(sides),
+                Record::Header(header) => builder.settings = Some(header.settings.clone()),
+                Record::Gap { .. } => builder.module = None,
+                Record::Snapshot(state) => builder.module = Controller::load(state).ok(),
+                Record::AuxiliaryStates(_) => {}
+                Record::AuxiliarySteps(steps) => builder.auxiliary_steps(steps),
                 Record::Round(round) => {
-                    teller.round(round, wanted, number);
-                    if teller.story.as_ref().is_some_and(|story| story.ended) {
-                        return teller.story;
+                    builder.round(round, wanted, number);
+                    if builder.trace.as_ref().is_some_and(|trace| trace.ended) {
+                        return builder.trace;
                     }
                 }
             }
         }
     }
-    teller.story
+    builder.trace
 }
 
-struct Teller {
+struct TraceBuilder {
     module: Option<Controller>,
     settings: Option<Settings>,
-    story: Option<Story>,
+    trace: Option<Trace>,
 }
 
-impl Teller {
+impl TraceBuilder {
     fn round(&mut self, round: &Round, wanted: &str, number: Option<RequestId>) {
         let before = self.module.as_ref().map(|module| module.decision_metrics());
         for event in &round.events {
@@ -99,19 +99,19 @@
 
     /// What the decisions on dependencies say of the calls is in how they end; what they note of themselves is told while the
     /// request is open.
-    fn sides(&mut self, sides: &Sides) {
-        for step in &sides.below {
+    fn auxiliary_steps(&mut self, steps: &AuxiliarySteps) {
+        for step in &steps.dependencies {
             for action in &step.actions {
-                if let BelowAction::Note(text) = action {
-                    self.tell(step.now.as_secs_f64(), format!("meanwhile: {text}"));
+                if let DependencyAction::Note(text) = action {
+                    self.push(step.now.as_secs_f64(), format!("meanwhile: {text}"));
                 }
             }
         }
     }
 
-    fn tell(&mut self, at: f64, what: String) {
-        if let Some(story) = &mut self.story {
-            story.moments.push(Moment { at, what });
+    fn push(&mut self, at: f64, what: String) {
+        if let Some(trace) = &mut self.trace {
+            trace.entries.push(TraceEntry { at, what });
         }
     }
 
@@ -128,15 +128,15 @@
         }
         if let Event::Arrived(request) = event {
             let name = round.names.iter().find(|(id, _)| *id == request.id).map(|(_, name)| name.clone());
-            if self.story.is_none() && (name.as_deref() == Some(wanted) || number == Some(request.id)) {
-                self.story =
-                    Some(Story { name, request: request.clone(), moments: Vec::new(), ended: false });
+            if self.trace.is_none() && (name.as_deref() == Some(wanted) || number == Some(request.id)) {
+                self.trace =
+                    Some(Trace { name, request: request.clone(), entries: Vec::new(), ended: false });
                 let what = self.arrival(request, before);
-                self.tell(round.now, what);
+                self.push(round.now, what);
             }
             return;
         }
-        let Some(id) = self.story.as_ref().map(|story| story.request.id) else { return };
+        let Some(id) = self.trace.as_ref().map(|trace| trace.request.id) else { return };
         match event {
             Event::Ended { id: this, outcome } if *this == id => {
                 let what = match outcome {
@@ -145,25 +145,25 @@
                     Outcome::Stopped => "its run was stopped".to_string(),
                     other => format!("its run ended: {other:?}"),
                 };
-                self.tell(round.now, what);
+                self.push(round.now, what);
                 let over = matches!(outcome, Outcome::Done | Outcome::Failed);
-                self.story.iter_mut().for_each(|story| story.ended |= over);
+                self.trace.iter_mut().for_each(|trace| trace.ended |= over);
             }
             Event::CallWanted { id: this } if *this == id => {
-                self.tell(round.now, "its run needs a call and waits off the cores".to_string());
+                self.push(round.now, "its run needs a call and waits off the cores".to_string());
             }
             Event::CallEnded { id: this, outcome, took } if *this == id => {
-                self.tell(round.now, format!("its call ended after {:.0} ms: {outcome:?}", took * 1000.0));
+                self.push(round.now, format!("its call ended after {:.0} ms: {outcome:?}", took * 1000.0));
             }
             Event::Withdrawn { id: this } if *this == id => {
-                self.tell(round.now, "its caller has gone: no answer is owed".to_string());
-                self.story.iter_mut().for_each(|story| story.ended = true);
+                self.push(round.now, "its caller has gone: no answer is owed".to_string());
+                self.trace.iter_mut().for_each(|trace| trace.ended = true);
             }
             _ => {}
         }
     }
 
-    fn arrival(&self, request: &Request, figures: Option<DecisionMetrics>) -> String {
+    fn arrival(&self, request: &Request, metrics: Option<DecisionMetrics>) -> String {
         let class = self.settings.as_ref().and_then(|set| set.classes.get(request.class));
         let class = class.map_or("?", |class| class.name.as_str());
         let mut what = format!("read: {class} of caller {}", request.caller.0);
@@ -174,16 +174,16 @@
         if let Some(first) = request.repeats {
             let _ = write!(what, ", repeats request {}", first.0);
         }
-        if let Some(figures) = figures {
-            let _ = write!(what, "; {}", state(&figures));
+        if let Some(metrics) = metrics {
+            let _ = write!(what, "; {}", metrics_text(&metrics));
         }
         what
     }
 
     fn action(&mut self, round: &Round, action: &Action, before: Option<DecisionMetrics>) {
-        let Some(story) = &self.story else { return };
-        let id = story.request.id;
-        let begun = story.moments.iter().any(|moment| moment.what.starts_with("run:"));
+        let Some(trace) = &self.trace else { return };
+        let id = trace.request.id;
+        let begun = trace.entries.iter().any(|entry| entry.what.starts_with("run:"));
         let what = match action {
             Action::Run(this) if *this == id => "run: it has a core".to_string(),
             Action::Stop(this) if *this == id => "its run is to stop".to_string(),
@@ -195,7 +195,7 @@
             Action::Fail(this) if *this == id => "failed".to_string(),
             Action::Refuse { id: this, stay_away, last } if *this == id => {
                 let why = match before {
-                    Some(figures) => self.why_refused(round, begun, &figures),
+                    Some(metrics) => self.why_refused(round, begun, &metrics),
                     None => "the state at that moment is not in the capture".to_string(),
                 };
                 let last = if *last { ", and asked not to try elsewhere" } else { "" };
@@ -204,18 +204,18 @@
             _ => return,
         };
         let over = matches!(action, Action::Refuse { .. } | Action::Fail(_));
-        self.tell(round.now, what);
-        self.story.iter_mut().for_each(|story| story.ended |= over);
+        self.push(round.now, what);
+        self.trace.iter_mut().for_each(|trace| trace.ended |= over);
     }
 
-    /// What the refusal rested on. The module tells no reason; its figures, and what came in the same round, do.
+    /// What the refusal rested on. The module tells no reason; its metrics, and what came in the same round, do.
     fn why_refused(&self, round: &Round, begun: bool, before: &DecisionMetrics) -> String {
-        let (Some(story), Some(settings), Some(module)) = (&self.story, &self.settings, &self.module) else {
+        let (Some(trace), Some(settings), Some(module)) = (&self.trace, &self.settings, &self.module) else {
             return String::new();
         };
-        let request = &story.request;
+        let request = &trace.request;
         let Some(class) = settings.classes.get(request.class) else { return String::new() };
-        let read_at = story.moments.first().map_or(round.now, |first| first.at);
+        let read_at = trace.entries.first().map_or(round.now, |first| first.at);
         let arrived = read_at - request.waited;
         let needs = module.expected_run_time(request.class, request.cost_hint);
         let (aim, left) = (arrived + class.aim - round.now, arrived + class.deadline - round.now);
@@ -250,24 +250,24 @@
         } else {
             "another request of more worth takes its place".to_string()
         };
-        format!("{reason}; {}", state(before))
+        format!("{reason}; {}", metrics_text(before))
     }
 }
 
-/// The figures in words.
-fn state(figures: &DecisionMetrics) -> String {
+/// The metrics in words.
+fn metrics_text(metrics: &DecisionMetrics) -> String {
     let mut text = format!(
         "{:.0} held (N_sess) of {:.1} (N_max), {:.0} on the cores of {:.1}, {:.0} at calls, μ {:.1}/s, credit {:.1} for {:.0} callers",
-        figures.queued_requests,
-        figures.queue_limit,
-        figures.running,
-        figures.run_limit,
-        figures.parked,
-        figures.service_rate,
-        figures.caller_credit,
-        figures.active_callers
+        metrics.queued_requests,
+        metrics.queue_limit,
+        metrics.running,
+        metrics.run_limit,
+        metrics.parked,
+        metrics.service_rate,
+        metrics.caller_credit,
+        metrics.active_callers
     );
-    if figures.retry_storm {
+    if metrics.retry_storm {
         text.push_str(", tries storm");
     }
     text
--- a/crates/capture/src/story/tests.rs
+++ b/crates/capture/src/trace/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::tests::{SMALL, capture, read};
 
-/// Every request of an overload has a story that begins with its reading and agrees with what became of it.
+/// Every request of an overload has a trace that begins with its reading and agrees with what became of it.
 #[test]
 fn every_request_has_a_story() {
     let parts = read(&capture(4, 400, SMALL, 0..0));
@@ -9,7 +9,7 @@
         .iter()
         .flat_map(|part| match part {
             Part::Block { records, .. } => &records[..],
-            Part::Spoilt { .. } => &[],
+            Part::Corrupt { .. } => &[],
         })
         .filter_map(|record| if let Record::Round(round) = record { Some(round) } else { None })
         .collect();
@@ -23,11 +23,11 @@
     };
     let mut reasons = std::collections::BTreeSet::new();
     for id in arrived.collect::<Vec<_>>().into_iter().step_by(3) {
-        let story = story(&parts, &id.0.to_string()).unwrap();
-        let text = story.text();
-        assert!(story.moments[0].what.starts_with("read: "), "{text}");
-        let told = story.moments.iter().find(|moment| moment.what.starts_with("refused, "));
-        if story.ended {
+        let trace = trace(&parts, &id.0.to_string()).unwrap();
+        let text = trace.text();
+        assert!(trace.entries[0].what.starts_with("read: "), "{text}");
+        let told = trace.entries.iter().find(|entry| entry.what.starts_with("refused, "));
+        if trace.ended {
             assert_eq!(told.is_some(), refused(id) && !text.contains("gone"), "{text}");
         }
         if let Some(told) = told {
@@ -39,5 +39,5 @@
         }
     }
     assert!(reasons.len() >= 3, "an overload refuses for several reasons: {reasons:?}");
-    assert_eq!(story(&parts, "nobody"), None);
+    assert_eq!(trace(&parts, "nobody"), None);
 }
--- a/crates/capture/src/what_if.rs
+++ b/crates/capture/src/what_if.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Settings that are to be others.
+/// Settings that are to be overrides.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Others {
+pub struct Overrides {
     /// Cores.
     pub cores: Option<u32>,
     /// Memory, in kilobytes.
@@ -20,9 +20,9 @@
     pub fair_calls: Option<f64>,
 }
 
-impl Others {
+impl Overrides {
     /// Settings with these in them.
-    pub fn settings(&self, settings: &Settings) -> Settings {
+    pub fn apply(&self, settings: &Settings) -> Settings {
         let mut other = settings.clone();
         other.cores = self.cores.unwrap_or(other.cores);
         other.memory_kb = self.memory_kb.unwrap_or(other.memory_kb);
@@ -40,22 +40,22 @@
     /// Rounds that were run.
     pub rounds: u64,
     /// The first round that asks for something else, and its time from the first, in seconds.
-    pub parts_at: Option<(u64, f64)>,
+    pub diverges_at: Option<(u64, f64)>,
     /// How often each thing was asked for: then, and now.
-    pub asked: BTreeMap<&'static str, (u64, u64)>,
+    pub action_counts: BTreeMap<&'static str, (u64, u64)>,
 }
 
 impl fmt::Display for WhatIf {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "open loop: what was told came of what was decided then, whatever is decided now")?;
-        match self.parts_at {
+        match self.diverges_at {
             Some((round, at)) => {
                 writeln!(f, "{} rounds; the decisions part at round {round}, {at:.3} s in", self.rounds)?
             }
             None => writeln!(f, "{} rounds; all decisions are the same", self.rounds)?,
         }
         writeln!(f, "{:<12} {:>9} {:>9} {:>9}", "asked for", "then", "now", "")?;
-        for (what, (then, now)) in &self.asked {
+        for (what, (then, now)) in &self.action_counts {
             // The casts are exact for any count that a file can hold.
             writeln!(f, "{what:<12} {then:>9} {now:>9} {:>+9}", *now as i64 - *then as i64)?;
         }
@@ -63,7 +63,7 @@
     }
 }
 
-fn word(action: &Action) -> Option<&'static str> {
+fn action_name(action: &Action) -> Option<&'static str> {
     Some(match action {
         Action::Run(_) => "run",
         Action::Stop(_) => "stop",
@@ -77,11 +77,11 @@
 }
 
 /// Runs what was told against the present decision code with other settings.
-pub fn what_if(parts: &[Part], others: &Others) -> WhatIf {
+pub fn what_if(parts: &[Part], overrides: &Overrides) -> WhatIf {
     let mut result = WhatIf::default();
     let (mut module, mut settings, mut began): (Option<Controller>, Option<Settings>, Option<f64>) =
         (None, None, None);
-    // Told with the first round, so that the clock does not move for it.
+    // WriteOutcome with the first round, so that the clock does not move for it.
     let mut told = None;
     for part in parts {
         let Part::Block { records, .. } = part else {
@@ -90,18 +90,18 @@
         };
         for record in records {
             match record {
-                Record::Head(head) => settings = Some(others.settings(&head.settings)),
+                Record::Header(header) => settings = Some(overrides.apply(&header.settings)),
                 Record::Gap { .. } => module = None,
                 // One that runs goes on; its state is not that of the capture any more.
                 Record::Snapshot(state) if module.is_none() => {
                     module = Controller::load(state).ok();
-                    told = settings.clone().filter(|_| *others != Others::default());
+                    told = settings.clone().filter(|_| *overrides != Overrides::default());
                 }
-                Record::Snapshot(_) | Record::SideStates(_) | Record::Sides(_) => {}
+                Record::Snapshot(_) | Record::AuxiliaryStates(_) | Record::AuxiliarySteps(_) => {}
                 Record::Round(round) => {
                     if let Some(module) = &mut module {
                         let from = *began.get_or_insert(round.now);
-                        run(module, round, (told.take(), others), from, &mut result);
+                        run(module, round, (told.take(), overrides), from, &mut result);
                     }
                 }
             }
@@ -113,12 +113,12 @@
 fn run(
     module: &mut Controller,
     round: &Round,
-    (told, others): (Option<Settings>, &Others),
+    (told, overrides): (Option<Settings>, &Overrides),
     from: f64,
     result: &mut WhatIf,
 ) {
     let other = |event: &Event| match event {
-        Event::Settings(settings) => Event::Settings(Box::new(others.settings(settings))),
+        Event::Settings(settings) => Event::Settings(Box::new(overrides.apply(settings))),
         event => event.clone(),
     };
     let first = told.map(|settings| Event::Settings(Box::new(settings)));
@@ -126,14 +126,14 @@
     let mut actions = Vec::new();
     module.step(round.now, &events, &mut actions);
     result.rounds += 1;
-    if result.parts_at.is_none() && actions != round.actions {
-        result.parts_at = Some((round.number, round.now - from));
+    if result.diverges_at.is_none() && actions != round.actions {
+        result.diverges_at = Some((round.number, round.now - from));
     }
-    for action in round.actions.iter().filter_map(word) {
-        result.asked.entry(action).or_default().0 += 1;
+    for action in round.actions.iter().filter_map(action_name) {
+        result.action_counts.entry(action).or_default().0 += 1;
     }
-    for action in actions.iter().filter_map(word) {
-        result.asked.entry(action).or_default().1 += 1;
+    for action in actions.iter().filter_map(action_name) {
+        result.action_counts.entry(action).or_default().1 += 1;
     }
 }
 
--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -123,12 +123,16 @@
     let began = Instant::now();
     let replays: Vec<_> = (0..REPLAYS).map(|_| replay(&all)).collect();
     let took = began.elapsed().as_secs_f64() / REPLAYS as f64;
-    let good = |replayed: &jaspershunt_capture::replay::Replayed| {
-        replayed.differs.is_none() && replayed.spoilt.is_empty() && replayed.same > 0 && replayed.skipped == 0
+    let good = |replayed: &jaspershunt_capture::replay::ReplayReport| {
+        replayed.difference.is_none()
+            && replayed.corrupt.is_empty()
+            && replayed.same > 0
+            && replayed.skipped == 0
     };
     let alike = replays.iter().filter(|other| good(other) && **other == replays[0]).count();
-    let states: Vec<usize> =
-        (0..all.len()).filter(|n| matches!(&all[*n], Part::Block { head, .. } if head.snapshot)).collect();
+    let states: Vec<usize> = (0..all.len())
+        .filter(|n| matches!(&all[*n], Part::Block { header, .. } if header.snapshot))
+        .collect();
     let same = states.iter().filter(|from| good(&replay(&all[**from..]))).count();
     let read: u64 = sum.classes.values().map(|class| class.read).sum();
     Ok(Shown {
--- a/crates/node/src/capture.rs
+++ b/crates/node/src/capture.rs
@@ -4,10 +4,10 @@
 
 use crate::log;
 use jaspershunt::{Action, Event};
-use jaspershunt_capture::record::{Head, Round, SideStates, Sides};
+use jaspershunt_capture::record::{AuxiliaryStates, AuxiliarySteps, Header, Round};
 use jaspershunt_capture::recorder::Limits;
-use jaspershunt_capture::sink::{Bounds, Disk, Sink, Told};
-use jaspershunt_capture::tap::{Jump, Piece, Reason, Tap};
+use jaspershunt_capture::sink::{Bounds, Sink, Storage, WriteOutcome};
+use jaspershunt_capture::tap::{Message, Reason, RefusalSpikeDetector, Tap};
 use jaspershunt_operator::Capture as Wanted;
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -29,13 +29,13 @@
 /// A capture under way.
 pub struct Capture {
     /// `None` once it has ended.
-    to: Option<SyncSender<Vec<Piece>>>,
-    batch: Vec<Piece>,
+    to: Option<SyncSender<Vec<Message>>>,
+    batch: Vec<Message>,
     waiting: Arc<AtomicUsize>,
     most_waiting: usize,
     ring: usize,
     tap: Tap,
-    jump: Jump,
+    jump: RefusalSpikeDetector,
     /// The round that is under way is handed over when it is made.
     open: bool,
     pressed: bool,
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     /// The folder cannot be written, or the thread not be started.
-    pub fn start(wanted: &Wanted, head: Head) -> io::Result<Capture> {
+    pub fn start(wanted: &Wanted, head: Header) -> io::Result<Capture> {
         let folder = Folder(PathBuf::from(&wanted.folder));
         fs::create_dir_all(&folder.0)?;
         folder.sweep()?;
@@ -57,7 +57,7 @@
         let bytes = wanted.ring.0 as usize;
         let most_waiting = bytes / WAITING_PART;
         let ring = bytes - most_waiting;
-        let bounds = Bounds { ring, files: wanted.files, all: wanted.all };
+        let bounds = Bounds { ring_bytes: ring, max_files: wanted.files, write_all: wanted.all };
         let every = wanted.snapshot.0.as_secs_f64();
         let limits = Limits { snapshot_every: every, ..Limits::default() };
         let sink = Sink::new(head, limits, bounds, folder);
@@ -74,7 +74,7 @@
             most_waiting,
             ring,
             tap: Tap::new(every),
-            jump: Jump::new(wanted.refusals.0),
+            jump: RefusalSpikeDetector::new(wanted.refusals.0),
             open: false,
             pressed: false,
             all: wanted.all,
@@ -83,7 +83,7 @@
     }
 
     /// The engine begins to take things in; `states` are the states as they stand.
-    pub fn begin(&mut self, now: f64, states: impl FnOnce() -> (Vec<u8>, SideStates)) {
+    pub fn begin(&mut self, now: f64, states: impl FnOnce() -> (Vec<u8>, AuxiliaryStates)) {
         let Capture { batch, waiting, most_waiting, tap, .. } = self;
         let states = || {
             let (module, sides) = states();
@@ -102,7 +102,7 @@
     ) {
         let jumped = self.jump.round(now, &events, actions);
         let number = self.tap.number();
-        let piece = Piece::Round(Round { number, now, names, events, actions: actions.to_vec() });
+        let piece = Message::Round(Round { number, now, names, events, actions: actions.to_vec() });
         self.offer(piece);
         if jumped {
             self.write_out(Reason::Refusals);
@@ -110,14 +110,14 @@
     }
 
     /// What was asked beside the module, since the engine began to take things in.
-    pub fn sides(&mut self, sides: Sides) {
-        if !sides.keys.is_empty() || !sides.below.is_empty() {
-            self.offer(Piece::Sides(sides.encode()));
+    pub fn sides(&mut self, sides: AuxiliarySteps) {
+        if !sides.keys.is_empty() || !sides.dependencies.is_empty() {
+            self.offer(Message::AuxiliarySteps(sides.encode()));
         }
     }
 
     /// Hands over what stands on what came before it; behind a hole nothing does until the state has gone along again.
-    fn offer(&mut self, piece: Piece) {
+    fn offer(&mut self, piece: Message) {
         if !self.open || !put(&mut self.batch, &self.waiting, self.most_waiting, piece) {
             self.tap.missed();
             self.open = false;
@@ -140,10 +140,10 @@
             None => Some(batch),
         };
         for piece in lost.into_iter().flatten() {
-            self.waiting.fetch_sub(piece.weight(), Ordering::Relaxed);
+            self.waiting.fetch_sub(piece.memory_bytes(), Ordering::Relaxed);
             match piece {
-                Piece::Missed(rounds) => (0..rounds).for_each(|_| self.tap.missed()),
-                Piece::Round(_) | Piece::Sides(_) => self.tap.missed(),
+                Message::Missed(rounds) => (0..rounds).for_each(|_| self.tap.missed()),
+                Message::Round(_) | Message::AuxiliarySteps(_) => self.tap.missed(),
                 _ => {}
             }
             self.open = false;
@@ -152,7 +152,7 @@
 
     /// Has what is kept written out.
     pub fn write_out(&mut self, reason: Reason) {
-        if put(&mut self.batch, &self.waiting, self.most_waiting, Piece::WriteOut(reason)) {
+        if put(&mut self.batch, &self.waiting, self.most_waiting, Message::WriteOut(reason)) {
             self.hand_over();
         } else {
             log!(WARN, "capture: too much waits; nothing is written out");
@@ -163,7 +163,7 @@
     pub fn press(&mut self, pressed: bool) {
         if pressed != self.pressed {
             let most = if pressed { self.ring / PRESSED_PART } else { self.ring };
-            if put(&mut self.batch, &self.waiting, self.most_waiting, Piece::Shrink(most)) {
+            if put(&mut self.batch, &self.waiting, self.most_waiting, Message::SetRingBytes(most)) {
                 self.pressed = pressed;
                 self.hand_over();
             }
@@ -187,8 +187,8 @@
 }
 
 /// Puts a piece to those that are handed over next, if there is room for it on the way.
-fn put(batch: &mut Vec<Piece>, waiting: &AtomicUsize, most: usize, piece: Piece) -> bool {
-    let weight = piece.weight();
+fn put(batch: &mut Vec<Message>, waiting: &AtomicUsize, most: usize, piece: Message) -> bool {
+    let weight = piece.memory_bytes();
     // Only this side adds, so that what it reads is never too low.
     if waiting.load(Ordering::Relaxed) + weight > most {
         return false;
@@ -198,13 +198,13 @@
     true
 }
 
-fn gather(mut sink: Sink<Folder>, pieces: &Receiver<Vec<Piece>>, waiting: &AtomicUsize) {
+fn gather(mut sink: Sink<Folder>, pieces: &Receiver<Vec<Message>>, waiting: &AtomicUsize) {
     while let Ok(batch) = pieces.recv() {
         for piece in batch {
-            let weight = piece.weight();
+            let weight = piece.memory_bytes();
             match sink.take(piece) {
-                Some(Told::Wrote(name)) => log!("capture: {name} was written"),
-                Some(Told::Failed(why)) => log!(WARN, "capture: {why}"),
+                Some(WriteOutcome::Written(name)) => log!("capture: {name} was written"),
+                Some(WriteOutcome::Failed(why)) => log!(WARN, "capture: {why}"),
                 None => {}
             }
             waiting.fetch_sub(weight, Ordering::Relaxed);
@@ -239,7 +239,7 @@
     }
 }
 
-impl Disk for Folder {
+impl Storage for Folder {
     fn write(&mut self, name: &str, parts: &[&[u8]]) -> io::Result<()> {
         let half = self.0.join(format!("{name}{HALF}"));
         let written = self.put(&half, parts).and_then(|()| fs::rename(&half, self.0.join(name)));
--- a/crates/node/src/cli/capture.rs
+++ b/crates/node/src/cli/capture.rs
@@ -4,10 +4,10 @@
 use jaspershunt::Action;
 use jaspershunt_capture::minimise::minimise;
 use jaspershunt_capture::reader::{Part, parts};
-use jaspershunt_capture::record::{Head, Record, Round};
+use jaspershunt_capture::record::{Header, Record, Round};
 use jaspershunt_capture::summary::{Summary, summary};
-use jaspershunt_capture::what_if::{Others, what_if};
-use jaspershunt_capture::{edit, replay, rules, story};
+use jaspershunt_capture::what_if::{Overrides, what_if};
+use jaspershunt_capture::{edit, replay, rules, trace};
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -115,13 +115,13 @@
             read(file).and_then(|bytes| replay_it(&bytes, *times, *from))
         }
         Captures::Summary { file, json } => all(file).map(|parts| sum_up(&summary(&parts), *json)),
-        Captures::Why { file, request } => all(file).and_then(|parts| match story::story(&parts, request) {
-            Some(story) => Ok((story.text(), 0)),
+        Captures::Why { file, request } => all(file).and_then(|parts| match trace::trace(&parts, request) {
+            Some(trace) => Ok((trace.text(), 0)),
             None => Err((format!("{}: no request {request} arrives in it\n", file.display()), WRONG)),
         }),
         Captures::WhatIf { file, cores, memory_kb, crowd_multiple, fair_calls } => {
             let (memory_kb, crowd_multiple) = (*memory_kb, *crowd_multiple);
-            let others = Others { cores: *cores, memory_kb, crowd_multiple, fair_calls: *fair_calls };
+            let others = Overrides { cores: *cores, memory_kb, crowd_multiple, fair_calls: *fair_calls };
             all(file).map(|parts| (what_if(&parts, &others).to_string(), 0))
         }
         Captures::Minimise { file, refused, out } => {
@@ -166,8 +166,8 @@
 /// The module's clock at the first round.
 fn begins(parts: &[Part]) -> f64 {
     let first = parts.iter().find_map(|part| match part {
-        Part::Block { head, .. } => Some(head.from),
-        Part::Spoilt { .. } => None,
+        Part::Block { header, .. } => Some(header.starts_at),
+        Part::Corrupt { .. } => None,
     });
     first.unwrap_or(0.0)
 }
@@ -180,7 +180,7 @@
     let whole: Vec<Part> = parts(bytes).map_err(wrong)?.collect();
     let from = from.map_or(f64::NEG_INFINITY, |seconds| begins(&whole) + seconds);
     // The state at or before the time is where it begins.
-    let state = |part: &Part| matches!(part, Part::Block { head, .. } if head.snapshot && head.from <= from);
+    let state = |part: &Part| matches!(part, Part::Block { header, .. } if header.snapshot && header.starts_at <= from);
     let first = whole.iter().rposition(state).unwrap_or(0);
     let mut text = String::new();
     let mut results = Vec::new();
@@ -191,20 +191,20 @@
     let _ = writeln!(
         text,
         "{} rounds decide the same, {} cannot be replayed, {} are missing; {} states; {} steps beside the module are the same",
-        result.same, result.skipped, result.missing, result.snapshots, result.same_beside
+        result.same, result.skipped, result.missing, result.snapshots, result.same_auxiliary_steps
     );
-    for spoilt in &result.spoilt {
+    for spoilt in &result.corrupt {
         let _ = writeln!(text, "spoilt: {spoilt}");
     }
-    if let Some(difference) = &result.differs {
+    if let Some(difference) = &result.difference {
         let _ = writeln!(text, "{difference}");
     }
-    if let Some(difference) = &result.differs_beside {
+    if let Some(difference) = &result.auxiliary_difference {
         let _ = writeln!(text, "a step beside the module differs: {difference}");
     }
     let alike = results.iter().filter(|other| *other == result).count();
     let _ = writeln!(text, "{alike} of {} replays came to this", results.len());
-    let same = result.differs.is_none() && result.differs_beside.is_none();
+    let same = result.difference.is_none() && result.auxiliary_difference.is_none();
     let good = same && alike == results.len() && result.same > 0;
     Ok((text, if good { 0 } else { WRONG }))
 }
@@ -301,12 +301,12 @@
 fn shrink(parts: &[Part], refused: Option<&str>, out: &Path) -> Result<Ends, Ends> {
     let wanted = match refused {
         None => None,
-        Some(request) => match story::story(parts, request) {
-            Some(story) => Some(story.request.id),
+        Some(request) => match trace::trace(parts, request) {
+            Some(trace) => Some(trace.request.id),
             None => return Err((format!("no request {request} arrives in it\n"), WRONG)),
         },
     };
-    let shows = |head: &Head, rounds: &[Round]| match wanted {
+    let shows = |head: &Header, rounds: &[Round]| match wanted {
         Some(wanted) => rounds
             .iter()
             .flat_map(|round| &round.actions)
@@ -314,7 +314,7 @@
         None => !rules::check_rounds(&head.settings, rounds).is_empty(),
     };
     // Each state with the rounds up to the next gap.
-    let mut runs: Vec<(Head, Vec<u8>, Vec<Round>)> = Vec::new();
+    let mut runs: Vec<(Header, Vec<u8>, Vec<Round>)> = Vec::new();
     let mut head = None;
     for part in parts {
         let Part::Block { records, .. } = part else {
@@ -323,7 +323,7 @@
         };
         for record in records {
             match record {
-                Record::Head(this) => head = Some(this.clone()),
+                Record::Header(this) => head = Some(this.clone()),
                 Record::Gap { .. } => head = None,
                 Record::Snapshot(state) => {
                     if let Some(head) = &head {
@@ -331,7 +331,7 @@
                     }
                 }
                 // The module alone is played when a capture is shrunk.
-                Record::SideStates(_) | Record::Sides(_) => {}
+                Record::AuxiliaryStates(_) | Record::AuxiliarySteps(_) => {}
                 Record::Round(round) => {
                     if let (Some(run), true) = (runs.last_mut(), head.is_some()) {
                         run.2.push(round.clone());
@@ -366,7 +366,7 @@
             Part::Block { records, .. } => {
                 records.iter().filter(|record| matches!(record, Record::Round(_))).count()
             }
-            Part::Spoilt { .. } => 0,
+            Part::Corrupt { .. } => 0,
         })
         .sum();
     std::fs::write(out, &cut)
--- a/crates/node/src/engine/captures.rs
+++ b/crates/node/src/engine/captures.rs
@@ -5,7 +5,7 @@
 use crate::config::Config;
 use crate::log;
 use jaspershunt::Settings;
-use jaspershunt_capture::record::{Head, SideStates, Sides};
+use jaspershunt_capture::record::{AuxiliaryStates, AuxiliarySteps, Header};
 use jaspershunt_capture::tap::Reason;
 
 impl Engine {
@@ -16,7 +16,7 @@
         let (keys, several) = (&self.keys, &self.several);
         capture.begin(self.now, || {
             let below = several.as_ref().map(|several| several.decisions.masked());
-            (module.save(), SideStates::of(keys, below.as_ref()))
+            (module.save(), AuxiliaryStates::of(keys, below.as_ref()))
         });
     }
 
@@ -24,7 +24,7 @@
     pub(super) fn capture_sides(&mut self) {
         let Some(capture) = &mut self.capture else { return };
         let below = self.several.as_mut().map(|several| several.decisions.take_steps()).unwrap_or_default();
-        let sides = Sides { keys: self.keys.take_steps(), below };
+        let sides = AuxiliarySteps { keys: self.keys.take_steps(), dependencies: below };
         // What comes before the module is no part of a capture: it begins with the first state.
         if self.module.is_some() {
             capture.sides(sides);
@@ -44,7 +44,7 @@
 pub(super) fn capture_of(config: &Config, epoch: f64, settings: &Settings) -> Option<Capture> {
     let wanted = config.operator.as_ref()?.capture.as_ref()?;
     let version = env!("CARGO_PKG_VERSION").to_string();
-    let head = Head { version, nodo: config.name.clone(), epoch, settings: settings.clone() };
+    let head = Header { version, nodo: config.name.clone(), epoch, settings: settings.clone() };
     match Capture::start(wanted, head) {
         Ok(capture) => Some(capture),
         Err(e) => {
--- a/crates/node/tests/capture.rs
+++ b/crates/node/tests/capture.rs
@@ -1,6 +1,6 @@
 //! The program with captures on: written when asked for, readable by its own commands, and in nobody's way.
 
-use jaspershunt_capture::format::put_record;
+use jaspershunt_capture::format::append_record;
 use jaspershunt_capture::reader::{Part, parts};
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::dependency::{Dependency, Plan};
@@ -165,7 +165,7 @@
     let mut payload = Vec::new();
     for part in parts(&std::fs::read(file).unwrap()).unwrap() {
         let Part::Block { records, .. } = part else { panic!("spoilt") };
-        records.iter().for_each(|record| put_record(&mut payload, record).unwrap());
+        records.iter().for_each(|record| append_record(&mut payload, record).unwrap());
     }
     payload.windows(word.len()).any(|bytes| bytes == word.as_bytes())
 }
