--- a/crates/capture/src/edit.rs
+++ b/crates/capture/src/edit.rs
@@ -1,4 +1,4 @@
-//! Captures made of others: a part of one, or one in which what names people and operations is hidden.
+//! Creates captures from others: a time range of one, or one with request names and operation keys redacted.
 
 use crate::format::{self, FormatError};
 use crate::reader::Part;
@@ -7,11 +7,12 @@
 use jaspershunt_keys::Key;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The part of a capture from the last state at or before `from` to the first block that ends at or after `to`, on the
-/// module's clock, as a capture of its own. Blocks go over as they are. `None` if no state stands before the part.
+/// Cuts a time range of the module's clock out of a capture: from the last snapshot at or before `from` to
+/// the first block that ends at or after `to`. Blocks are copied unchanged. Returns `None` if the capture
+/// has no snapshot.
 ///
 /// # Errors
-/// The bytes are no capture.
+/// The bytes are not a capture.
 pub fn cut(bytes: &[u8], from: f64, to: f64) -> Result<Option<Vec<u8>>, FormatError> {
     let mut blocks = Vec::new();
     for part in crate::reader::parts(bytes)? {
@@ -20,7 +21,7 @@
         }
     }
     let begins = blocks.iter().rposition(|(_, _, header)| header.snapshot && header.starts_at <= from);
-    // What the capture begins with will do where all of it is later.
+    // If every snapshot is later than `from`, starts at the first one.
     let Some(first) = begins.or_else(|| blocks.iter().position(|(_, _, header)| header.snapshot)) else {
         return Ok(None);
     };
@@ -35,10 +36,10 @@
     Ok(Some(out))
 }
 
-/// A capture of one state and the rounds after it.
+/// Makes a capture of one state and the rounds after it.
 ///
 /// # Errors
-/// None that rounds can cause; what the library reports is passed on.
+/// Only an error of the encoder, which no rounds cause.
 pub fn make(header: &Header, state: Vec<u8>, rounds: &[Round]) -> Result<Vec<u8>, FormatError> {
     let limits = Limits { block_bytes: usize::MAX, snapshot_every: f64::INFINITY };
     let mut recorder = Recorder::new(header.clone(), limits);
@@ -51,12 +52,12 @@
     Ok(out)
 }
 
-/// A capture in which what the peers call requests, and the keys of operations, are replaced: the same name by the same pseudonym
-/// throughout. What decisions rest on stays, so that it replays as the original does; keys keep their lengths and their
-/// order for that, as both have a say in what makes room for what.
+/// Replaces correlation ids and operation keys by pseudonyms, the same name always by the same pseudonym.
+/// The redacted capture replays like the original. For that, keys keep their length and order, since both
+/// influence which entries are evicted.
 ///
 /// # Errors
-/// The bytes are no capture, or a block cannot be written again.
+/// The bytes are not a capture, or a block cannot be encoded again.
 pub fn redact(bytes: &[u8]) -> Result<Vec<u8>, FormatError> {
     let mut blocks = Vec::new();
     for part in crate::reader::parts(bytes)? {
@@ -81,7 +82,8 @@
     Ok(out)
 }
 
-/// A word of the same length, in the order of the numbers. One that is too short for its number is longer.
+/// Returns a pseudonym of the same length that sorts by `number`. It is longer if the key is too short for
+/// the number.
 fn pseudonym_for(number: usize, key: Key) -> (Key, Key) {
     let digits = key.len().saturating_sub(1);
     let pseudonym = format!("k{number:0digits$}");
--- a/crates/capture/src/edit/tests.rs
+++ b/crates/capture/src/edit/tests.rs
@@ -6,7 +6,7 @@
 fn rounds(bytes: &[u8]) -> Vec<Round> {
     let mut rounds = Vec::new();
     for part in read(bytes) {
-        let Part::Block { records, .. } = part else { panic!("spoilt") };
+        let Part::Block { records, .. } = part else { panic!("corrupt part") };
         rounds.extend(records.into_iter().filter_map(|record| match record {
             Record::Round(round) => Some(round),
             _ => None,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_part_begins_with_the_state_and_replays() {
+fn a_cut_starts_with_a_snapshot_and_replays() {
     let bytes = capture(1, 500, SMALL, 0..0);
     let all = rounds(&bytes);
     for (from, to) in [(0, 499), (100, 300), (250, 250), (499, 499)] {
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn names_are_replaced_alike_throughout_and_decisions_stay() {
+fn redacted_names_are_consistent_and_decisions_unchanged() {
     let original = capture(1, 200, SMALL, 0..0);
-    // The same name comes twice.
+    // Names repeat every 7 rounds.
     let mut named = format::file_header().to_vec();
     for part in read(&original) {
-        let Part::Block { header, mut records, .. } = part else { panic!("spoilt") };
+        let Part::Block { header, mut records, .. } = part else { panic!("corrupt part") };
         let mut payload = Vec::new();
         for record in &mut records {
             if let Record::Round(round) = record {
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -1,93 +1,94 @@
-//! Blocks: how records lie in a file or a ring. A block stands for itself: it can be read without those before it, and
-//! found again behind bytes that are not understood.
+//! The file format: how records are stored in a file or a ring buffer. Each block can be read without the
+//! blocks before it, and can be found again after unreadable bytes.
 //!
-//! All numbers are little-endian. A file begins with [`MAGIC`] and the version; then blocks follow without anything between.
+//! All numbers are little-endian. A file starts with [`MAGIC`] and the version; blocks follow without
+//! padding.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 0–3 | [`BLOCK_MAGIC`] |
-//! | 4–11 | the number of the block, from 1 |
-//! | 12–19 | the module's clock at the first round, in its bits; that of the block before where there is no round |
-//! | 20–27 | the same at the last round |
-//! | 28 | 1 if the block begins with a head and a snapshot, else 0 |
-//! | 29–32 | records |
-//! | 33–36 | length of the payload, uncompressed_bytes |
-//! | 37–40 | length of the payload as it stands |
-//! | 41–44 | CRC-32C of the payload as it stands |
-//! | 45–48 | CRC-32C of the 45 bytes before |
-//! | 49– | the payload: zstd of the records in postcard, one after another |
+//! | 4–11 | block number, from 1 |
+//! | 12–19 | module clock at the first round as f64 bits; that of the previous block if there is no round |
+//! | 20–27 | module clock at the last round, likewise |
+//! | 28 | 1 if the block starts with a header and a snapshot, else 0 |
+//! | 29–32 | number of records |
+//! | 33–36 | uncompressed length of the payload |
+//! | 37–40 | compressed length of the payload |
+//! | 41–44 | CRC-32C of the compressed payload |
+//! | 45–48 | CRC-32C of the preceding 45 bytes |
+//! | 49– | payload: the records in postcard, concatenated, compressed with zstd |
 
 use crate::record::Record;
 use std::fmt;
 
-/// What a file begins with, before the version.
+/// The first bytes of a file, before the version.
 pub const MAGIC: &[u8; 6] = b"JSHCAP";
-/// The version that is written, and the highest that is read.
+/// The format version that is written, and the highest that can be read.
 pub const VERSION: u16 = 1;
-/// Bytes before the first block.
+/// The length of the file header: magic and version.
 pub const FILE_HEADER_BYTES: usize = 8;
-/// What a block begins with.
+/// The first bytes of a block.
 pub const BLOCK_MAGIC: [u8; 4] = [0xf5, b'J', b'S', 0xb1];
-/// Bytes of a block before its payload.
+/// The length of a block header.
 pub const BLOCK_HEADER_BYTES: usize = 49;
-/// The longest payload, uncompressed_bytes and as it stands: a length beyond it is no length.
+/// The longest payload, compressed or not. Longer lengths in a header are rejected as corrupt.
 pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
-/// How hard zstd works. Ours: the first level; beyond it time grows faster than space shrinks.
+/// The zstd compression level; at higher levels time grows faster than the size shrinks.
 const ZSTD_LEVEL: i32 = 1;
 
-/// The head of a block.
+/// The header of a block.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BlockHeader {
-    /// Its number, from 1.
+    /// The block number, from 1.
     pub number: u64,
-    /// The module's clock at its first round.
+    /// The module's clock at the first round, in seconds.
     pub starts_at: f64,
-    /// The same at its last.
+    /// The module's clock at the last round, in seconds.
     pub ends_at: f64,
-    /// It begins with a head and a snapshot.
+    /// Whether the block starts with a header record and a snapshot.
     pub snapshot: bool,
-    /// Records in it.
+    /// The number of records.
     pub records: u32,
-    /// Length of the payload, uncompressed_bytes.
+    /// The uncompressed length of the payload.
     pub uncompressed_bytes: u32,
-    /// Length of the payload as it stands.
+    /// The compressed length of the payload.
     pub compressed_bytes: u32,
-    /// Checksum of the payload as it stands.
+    /// The CRC-32C of the compressed payload.
     pub checksum: u32,
 }
 
-/// Why bytes are not understood.
+/// A reason why bytes cannot be read as a capture.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FormatError {
-    /// They are no capture.
+    /// The bytes are not a capture.
     NotACapture,
-    /// They were written by a later program.
+    /// The bytes have a later format version.
     UnsupportedVersion(u16),
-    /// They end before the block does.
+    /// The bytes end within a block.
     Truncated,
-    /// A checksum does not fit.
+    /// A checksum does not match.
     Checksum,
-    /// What the checksum vouches for is not understood all the same.
+    /// The checksum matches but the content cannot be decoded or encoded.
     Payload(String),
 }
 
 impl fmt::Display for FormatError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FormatError::NotACapture => f.write_str("this is no capture"),
+            FormatError::NotACapture => f.write_str("this is not a capture file"),
             FormatError::UnsupportedVersion(version) => {
                 write!(f, "the capture has format version {version}, and this program reads up to {VERSION}")
             }
-            FormatError::Truncated => f.write_str("the block is torn off"),
-            FormatError::Checksum => f.write_str("the block is spoilt: its checksum does not fit"),
-            FormatError::Payload(what) => write!(f, "the block is not understood: {what}"),
+            FormatError::Truncated => f.write_str("the block is truncated"),
+            FormatError::Checksum => f.write_str("the block is corrupt: its checksum does not match"),
+            FormatError::Payload(what) => write!(f, "the block cannot be decoded: {what}"),
         }
     }
 }
 
 impl std::error::Error for FormatError {}
 
-/// The first bytes of a file.
+/// Returns the file header.
 pub fn file_header() -> [u8; FILE_HEADER_BYTES] {
     let mut head = [0; FILE_HEADER_BYTES];
     head[..6].copy_from_slice(MAGIC);
@@ -95,10 +96,10 @@
     head
 }
 
-/// Reads the first bytes of a file; returns its version.
+/// Checks the file header and returns its version.
 ///
 /// # Errors
-/// It is no capture, or one of a later version.
+/// The bytes are not a capture, or have a later version.
 pub fn read_file_header(bytes: &[u8]) -> Result<u16, FormatError> {
     let Some(head) = bytes.get(..FILE_HEADER_BYTES).filter(|head| head[..6] == *MAGIC) else {
         return Err(FormatError::NotACapture);
@@ -110,23 +111,26 @@
     }
 }
 
-/// Appends records to a payload that is not packed yet.
+/// Appends a record to an uncompressed payload.
 ///
 /// # Errors
-/// None that a record can cause; what the library reports is passed on.
+/// Only an error of the serializer, which no record causes.
 pub fn append_record(payload: &mut Vec<u8>, record: &Record) -> Result<(), FormatError> {
     let bytes = postcard::to_stdvec(record).map_err(|e| FormatError::Payload(e.to_string()))?;
     payload.extend(bytes);
     Ok(())
 }
 
-/// Makes a block of a payload.
+/// Compresses a payload and appends it to `out` as a block. Lengths and checksum in `head` are filled in.
 ///
 /// # Errors
 /// The payload is too long.
 pub fn append_block(out: &mut Vec<u8>, head: BlockHeader, payload: &[u8]) -> Result<(), FormatError> {
     if payload.len() > MAX_PAYLOAD_BYTES {
-        return Err(FormatError::Payload(format!("{} bytes are too many for a block", payload.len())));
+        return Err(FormatError::Payload(format!(
+            "{} bytes exceed the maximum payload of a block",
+            payload.len()
+        )));
     }
     let packed =
         zstd::bulk::compress(payload, ZSTD_LEVEL).map_err(|e| FormatError::Payload(e.to_string()))?;
@@ -151,10 +155,10 @@
     Ok(())
 }
 
-/// Reads the head of the block at the beginning of `bytes`.
+/// Reads the block header at the start of `bytes`.
 ///
 /// # Errors
-/// The bytes end too soon, or are none.
+/// The header is truncated or corrupt.
 pub fn read_block_header(bytes: &[u8]) -> Result<BlockHeader, FormatError> {
     let Some(head) = bytes.get(..BLOCK_HEADER_BYTES) else { return Err(FormatError::Truncated) };
     let four = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
@@ -172,19 +176,19 @@
         compressed_bytes: four(37),
         checksum: four(41),
     };
-    // Guards the memory against a head that was made to fit its checksum.
+    // Bounds the allocation for a corrupt or crafted header whose checksum matches.
     if read.uncompressed_bytes as usize > MAX_PAYLOAD_BYTES
         || read.compressed_bytes as usize > MAX_PAYLOAD_BYTES
     {
-        return Err(FormatError::Payload("its length makes no sense".to_string()));
+        return Err(FormatError::Payload("its length exceeds the maximum payload".to_string()));
     }
     Ok(read)
 }
 
-/// Reads the block at the beginning of `bytes`; returns its head, its records and its length.
+/// Reads the block at the start of `bytes`. Returns its header, its records and its length in bytes.
 ///
 /// # Errors
-/// The block is torn off or spoilt.
+/// The block is truncated or corrupt.
 pub fn read_block(bytes: &[u8]) -> Result<(BlockHeader, Vec<Record>, usize), FormatError> {
     let head = read_block_header(bytes)?;
     let end = BLOCK_HEADER_BYTES + head.compressed_bytes as usize;
@@ -202,7 +206,7 @@
         rest = after;
     }
     if !rest.is_empty() {
-        return Err(wrong(&format!("{} bytes are left over", rest.len())));
+        return Err(wrong(&format!("{} bytes follow the last record", rest.len())));
     }
     Ok((head, records, end))
 }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,17 +1,20 @@
-//! Captures: all that the decision module was told and what it asked for, in blocks that can be read up to the last whole
-//! one, and replayed on any machine to the same decisions, bit for bit.
+//! Captures record every input and output of the decision module in self-contained blocks. A capture
+//! replays on any machine to the same decisions, bit for bit, and a damaged one can be read up to its last
+//! intact block.
 //!
-//! A capture holds no bodies and no results. What it does hold is in [`record`]; how it lies in a file is in [`format`], and
-//! to the byte in `docs/design/capture.md`. [`recorder`] gathers records into blocks and begins with a snapshot of the
-//! decision state each so often, so that a replay can begin at any of them; [`reader`] reads past what is torn or spoilt;
-//! [`replay`] runs the present decision code against what was told and stops at the first decision that differs.
+//! Captures contain no request bodies and no results. [`record`] defines the records; [`format`] defines
+//! the file layout, which `docs/design/capture.md` specifies to the byte. [`recorder`] groups records into
+//! blocks and periodically starts a block with a snapshot of the decision state, from which a replay can
+//! start. [`reader`] skips truncated and corrupt parts. [`replay`] runs the current decision code on the
+//! recorded events and stops at the first decision that differs.
 //!
-//! [`tap`] decides what a nodo hands over and when, [`ring`] keeps the last blocks, [`sink`] makes blocks of what is handed
-//! over and has them written. [`summary`] and [`trace`] say what a capture holds, as a whole and of one request; [`edit`] cuts
-//! and redacts; [`what_if`] runs what was told against other settings. [`minimise`] shrinks a capture that still shows something; [`rules`] holds one against the four rules, apart
-//! from the code that decided.
+//! In a nodo, [`tap`] decides what the engine sends and when, [`ring`] keeps the most recent blocks, and
+//! [`sink`] builds blocks and has them written. [`summary`] reports figures for a whole capture and
+//! [`trace`] follows one request. [`edit`] cuts and redacts captures; [`what_if`] replays with other
+//! settings; [`minimise`] shrinks a capture that shows a failure; [`rules`] checks the four rules
+//! independently of the decision code.
 //!
-//! Nothing here reads a clock or a file: bytes go in and come out.
+//! This crate reads no clock and no files: it works on bytes alone.
 
 pub mod edit;
 pub mod format;
--- a/crates/capture/src/minimise.rs
+++ b/crates/capture/src/minimise.rs
@@ -1,15 +1,15 @@
-//! Shrinks a capture that still shows something: the fewest requests and rounds that a search in steps finds (delta
-//! debugging, Zeller and Hildebrandt 2002). What is left is replayed through the present decision code, so that its actions
-//! belong to it.
+//! Shrinks a capture that shows a failure to few requests and rounds, by delta debugging (Zeller and
+//! Hildebrandt 2002). The result is replayed through the current decision code, so that its actions belong
+//! to it.
 
 use crate::record::Round;
 use jaspershunt::{Action, Controller, Event, RequestId};
 use std::collections::BTreeSet;
 
-/// Plays at most, so that a search ends on any capture. Ours: some seconds.
+/// Maximum number of replays, so that a search ends within seconds on any capture.
 pub const MAX_REPLAYS: usize = 2_000;
 
-/// The request that an event is about.
+/// Returns the request that an event is about.
 fn request_of(event: &Event) -> Option<RequestId> {
     match event {
         Event::Arrived(request) => Some(request.id),
@@ -21,7 +21,8 @@
     }
 }
 
-/// Plays the events of rounds from a state; each round then has what the present code asks for.
+/// Replays rounds from a state, without the events of some requests. The result has the current code's
+/// actions.
 fn replay_without(state: &[u8], rounds: &[Round], without: &BTreeSet<RequestId>) -> Option<Vec<Round>> {
     let mut module = Controller::load(state).ok()?;
     let mut replayed = Vec::with_capacity(rounds.len());
@@ -36,12 +37,13 @@
     Some(replayed)
 }
 
-/// The smallest part of the rounds from a state that still shows what `shows` looks for; `None` if the whole does not.
-/// Rounds in which nothing is told are dropped at the end, where what is looked for outlives that.
+/// Searches for the fewest requests and rounds from a state for which `shows` still holds. Returns `None`
+/// if it does not hold for the whole. Rounds without events are removed at the end if `shows` still holds
+/// without them.
 pub fn minimise(state: &[u8], rounds: &[Round], shows: impl Fn(&[Round]) -> bool) -> Option<Vec<Round>> {
     let mut left = replay_without(state, rounds, &BTreeSet::new()).filter(|whole| shows(whole))?;
     let mut replays = 0;
-    // What comes after it is of no use: the shortest beginning that shows it, by halving.
+    // Finds the shortest prefix by bisection.
     let (mut short, mut long) = (0, left.len());
     while short + 1 < long {
         let middle = (short + long) / 2;
@@ -50,7 +52,7 @@
     if shows(&left[..long]) {
         left.truncate(long);
     }
-    // Then requests are left out, many at a time and ever fewer.
+    // Removes requests in chunks of decreasing size.
     let ids: BTreeSet<RequestId> =
         left.iter().flat_map(|round| &round.events).filter_map(request_of).collect();
     let mut ids: Vec<RequestId> = ids.into_iter().collect();
@@ -76,9 +78,9 @@
         }
         part = if part > 1 { part.div_ceil(2) } else { 1 };
     }
-    let told: Vec<Round> = left.iter().filter(|round| !round.events.is_empty()).cloned().collect();
-    match replay_without(state, &told, &BTreeSet::new()).filter(|told| shows(told)) {
-        Some(told) => Some(told),
+    let with_events: Vec<Round> = left.iter().filter(|round| !round.events.is_empty()).cloned().collect();
+    match replay_without(state, &with_events, &BTreeSet::new()).filter(|rounds| shows(rounds)) {
+        Some(rounds) => Some(rounds),
         None => Some(left),
     }
 }
@@ -90,11 +92,11 @@
     use crate::record::Record;
     use crate::tests::{SMALL, capture, read};
 
-    /// The first state of a capture and the rounds after it.
+    /// Returns the first snapshot of a capture and its rounds.
     fn whole(seed: u64) -> (Vec<u8>, Vec<Round>) {
         let (mut state, mut rounds) = (Vec::new(), Vec::new());
         for part in read(&capture(seed, 300, SMALL, 0..0)) {
-            let Part::Block { records, .. } = part else { panic!("spoilt") };
+            let Part::Block { records, .. } = part else { panic!("corrupt part") };
             for record in records {
                 match record {
                     Record::Snapshot(bytes) if state.is_empty() => state = bytes,
@@ -115,7 +117,7 @@
     }
 
     #[test]
-    fn a_refusal_under_overload_is_shrunk_to_the_few_requests_that_bring_it_about() {
+    fn a_refusal_under_overload_shrinks_to_the_few_requests_that_cause_it() {
         let shows = |rounds: &[Round]| {
             rounds
                 .iter()
@@ -132,24 +134,24 @@
                 requests(&small),
                 requests(&rounds)
             );
-            // Nothing more can be left out one at a time.
+            // No single further request can be removed.
             let ids: BTreeSet<RequestId> =
                 small.iter().flat_map(|round| &round.events).filter_map(request_of).collect();
             for id in ids {
                 assert!(
                     !shows(&replay_without(&state, &small, &BTreeSet::from([id])).unwrap()),
-                    "{id:?} is of no use"
+                    "{id:?} is not needed"
                 );
             }
         }
     }
 
     #[test]
-    fn what_does_not_show_is_not_shrunk_and_a_state_that_cannot_be_loaded_is_none() {
+    fn a_failure_that_does_not_show_or_an_unreadable_state_gives_none() {
         let (state, rounds) = whole(1);
         assert_eq!(minimise(&state, &rounds, |_| false), None);
         assert_eq!(minimise(b"?", &rounds, |_| true), None);
-        // What shows without any request needs none, and one round.
+        // A condition that always holds shrinks to no requests.
         assert_eq!(minimise(&state, &rounds, |_| true).map(|rounds| requests(&rounds)), Some(0));
     }
 }
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,41 +1,41 @@
-//! Reads a capture past what is torn or spoilt.
+//! Reads captures, skipping truncated and corrupt parts.
 
 use crate::format::{self, BLOCK_MAGIC, BlockHeader, FormatError};
 use crate::record::Record;
 
-/// What stands in a capture, in order.
+/// A part of a capture. Parts are in file order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Part {
-    /// A block.
+    /// An intact block.
     Block {
-        /// Where it begins.
+        /// The offset of the block in the file.
         offset: usize,
-        /// Its header.
+        /// The header of the block.
         header: BlockHeader,
-        /// What is in it.
+        /// The records of the block.
         records: Vec<Record>,
     },
-    /// Bytes that are not understood, up to the next block or the end.
+    /// Unreadable bytes, up to the next block or the end of the file.
     Corrupt {
-        /// Where they begin.
+        /// The offset of the bytes in the file.
         offset: usize,
-        /// How many.
+        /// The number of bytes.
         length: usize,
-        /// Why.
+        /// The reason.
         error: FormatError,
     },
 }
 
-/// Reads the parts of a capture one after another.
+/// Iterates over the parts of a capture.
 pub struct PartReader<'a> {
     bytes: &'a [u8],
     at: usize,
 }
 
-/// The parts of a capture.
+/// Returns an iterator over the parts of a capture.
 ///
 /// # Errors
-/// The bytes are no capture, or one of a later version.
+/// The bytes are not a capture, or have a later version.
 pub fn parts(bytes: &[u8]) -> Result<PartReader<'_>, FormatError> {
     format::read_file_header(bytes)?;
     Ok(PartReader { bytes, at: format::FILE_HEADER_BYTES })
@@ -53,7 +53,8 @@
                 Some(Part::Block { offset, header, records })
             }
             Err(error) => {
-                // The next place where a block begins whose header vouches for itself: a mark alone may stand in a payload.
+                // Skips to the next valid block header. The magic alone is not enough: it may occur in a
+                // payload.
                 let begins = |from: &usize| {
                     rest[*from..].starts_with(&BLOCK_MAGIC)
                         && format::read_block_header(&rest[*from..]).is_ok()
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -1,98 +1,99 @@
-//! What a capture holds.
+//! The records of a capture.
 
 use jaspershunt::{Action, Event, RequestId, Settings};
 use jaspershunt_dependencies::{Dependencies, journal::Step as DependencyStep};
 use jaspershunt_keys::{KeyTable, journal::Step as KeyStep};
 use serde::{Deserialize, Serialize};
 
-/// One thing in a capture, in the order in which it happened.
+/// One record of a capture. Records are in the order in which they happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// What the decisions began with. The first record of every block that begins with a snapshot.
+    /// The nodo and its settings. The first record of every block that starts with a snapshot, except for a
+    /// gap.
     Header(Header),
-    /// The decision state between two rounds, as [`jaspershunt::Controller`] saves it.
+    /// The decision state between two rounds, as saved by [`jaspershunt::Controller`].
     Snapshot(Vec<u8>),
     /// One step of the module.
     Round(Round),
-    /// The state beside the module's, at the moment of the snapshot before it.
+    /// The state of the key table and of the dependency decisions at the time of the preceding snapshot.
     AuxiliaryStates(AuxiliaryStates),
-    /// What was asked of the table of keys and of the decisions on dependencies, around the rounds before.
+    /// Calls of the key table and of the dependency decisions, made around the preceding rounds.
     AuxiliarySteps(AuxiliarySteps),
-    /// Rounds that could not be kept: what made records was faster than what takes them.
+    /// Rounds that were dropped because records were produced faster than they were consumed.
     Gap {
-        /// How many rounds.
+        /// The number of rounds dropped.
         rounds: u64,
     },
 }
 
-/// What a nodo's decisions began with.
+/// Identifies the nodo and the settings with which its decisions started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// The program's version.
+    /// The version of the program.
     pub version: String,
-    /// The nodo's name.
+    /// The name of the nodo.
     pub nodo: String,
-    /// Unix time, in seconds, at which the module's clock shows 0.
+    /// The Unix time, in seconds, at which the module's clock reads 0.
     pub epoch: f64,
-    /// What the module was told at its start.
+    /// The module's settings at its start.
     pub settings: Settings,
 }
 
-/// The state beside the module's.
+/// The state of the components beside the decision module.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuxiliaryStates {
-    /// The table of keys, in postcard: results by their lengths.
+    /// The key table in postcard. Results are recorded by their lengths only.
     pub keys: Vec<u8>,
-    /// The decisions on dependencies, in CBOR since they hold their configuration: bodies by their prints. Empty where the
-    /// operator's file names none.
+    /// The dependency decisions in CBOR, since they contain their configuration. Bodies are recorded by their
+    /// digests only. Empty if the operator's file names no dependency.
     pub dependencies: Vec<u8>,
 }
 
 impl AuxiliaryStates {
-    /// The states as bytes; `dependencies` has no bodies in it.
+    /// Serializes the states. `dependencies` must contain no bodies (see `Dependencies::masked`).
     pub fn of(keys: &KeyTable, dependencies: Option<&Dependencies>) -> AuxiliaryStates {
         let mut bytes = Vec::new();
         if let Some(dependencies) = dependencies {
-            // Writing into memory fails for nothing that the state holds.
+            // Writing to memory cannot fail for the types in the state.
             let _ = ciborium::into_writer(dependencies, &mut bytes);
         }
         AuxiliaryStates { keys: postcard::to_stdvec(keys).unwrap_or_default(), dependencies: bytes }
     }
 
-    /// The states again; `None` for one that is not there or not understood.
+    /// Loads both states; `None` for one that is absent or cannot be decoded.
     pub fn load(&self) -> (Option<KeyTable>, Option<Dependencies>) {
         (postcard::from_bytes(&self.keys).ok(), ciborium::from_reader(&self.dependencies[..]).ok())
     }
 }
 
-/// What was asked beside the module.
+/// Recorded calls of the components beside the decision module.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AuxiliarySteps {
-    /// Of the table of keys.
+    /// Calls of the key table.
     pub keys: Vec<KeyStep>,
-    /// Of the decisions on dependencies.
+    /// Calls of the dependency decisions.
     pub dependencies: Vec<DependencyStep>,
 }
 
 impl AuxiliarySteps {
-    /// The record of it, as it stands in a block.
+    /// Encodes the steps as a record, as stored in a block.
     pub fn encode(self) -> Vec<u8> {
-        // Writing into memory fails for nothing that a step holds.
+        // Writing to memory cannot fail for the types in a step.
         postcard::to_stdvec(&Record::AuxiliarySteps(self)).unwrap_or_default()
     }
 }
 
-/// One step of the module.
+/// One step of the decision module: the events it received and the actions it returned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Round {
-    /// Its number, from 1 at the nodo's start; a gap shows in it.
+    /// The number of the round, from 1 at the start of the nodo. Dropped rounds leave a gap in the numbers.
     pub number: u64,
-    /// The module's clock, in seconds.
+    /// The time of the module's clock, in seconds.
     pub now: f64,
-    /// What the peers call the requests that arrive in it.
+    /// The correlation ids of the requests that arrive in this round.
     pub names: Vec<(RequestId, String)>,
-    /// What it was told.
+    /// The events passed to the module.
     pub events: Vec<Event>,
-    /// What it asked for.
+    /// The actions returned by the module.
     pub actions: Vec<Action>,
 }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,34 +1,36 @@
-//! Gathers records into blocks. It decides when a block ends and when one begins with a snapshot; it writes nothing.
+//! Groups records into blocks and decides when a block ends and when one starts with a snapshot. Performs
+//! no I/O.
 
 use crate::format::{self, BlockHeader, FormatError};
 use crate::record::{AuxiliaryStates, Header, Record, Round};
 
-/// When blocks end.
+/// Limits that end blocks and schedule snapshots.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// A block ends with the round that brings its payload to so many bytes, unpacked.
+    /// A block ends with the record that brings its uncompressed payload to this many bytes.
     pub block_bytes: usize,
-    /// So many seconds of the module's clock after a snapshot the next block begins with another.
+    /// Seconds of the module's clock after a snapshot, from which the next block starts with a snapshot.
     pub snapshot_every: f64,
 }
 
 impl Default for Limits {
-    /// 64 KiB, since a torn block is lost as a whole; 10 s, since a replay of that takes a tenth of a second.
+    /// 64 KiB, since a truncated block is lost as a whole; 10 s, since replaying them takes a tenth of a
+    /// second.
     fn default() -> Limits {
         Limits { block_bytes: 64 * 1024, snapshot_every: 10.0 }
     }
 }
 
-/// What a capture asks the owner of the decisions.
+/// What the recorder needs before the next round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wants {
     /// Nothing.
     Nothing,
-    /// The decision state as it is now, with [`Recorder::snapshot`], before the next round.
+    /// The current decision state, through [`Recorder::snapshot`].
     Snapshot,
 }
 
-/// The blocks in the making.
+/// Builds the blocks of a capture.
 #[derive(Debug)]
 pub struct Recorder {
     header: Header,
@@ -40,12 +42,12 @@
     end: f64,
     number: u64,
     next_snapshot: f64,
-    /// Rounds that are not in any block since the last one that is.
+    /// Rounds dropped since the last recorded round.
     missed_rounds: u64,
 }
 
 impl Recorder {
-    /// Nothing is recorded yet; the first block waits for a snapshot.
+    /// Creates a recorder. The first block needs a snapshot.
     pub fn new(header: Header, limits: Limits) -> Recorder {
         Recorder {
             header,
@@ -61,16 +63,16 @@
         }
     }
 
-    /// What is wanted before the round at this time.
+    /// Returns what the recorder needs before the round at `now`.
     pub fn wants(&self, now: f64) -> Wants {
         let due = self.records == 0 && (now >= self.next_snapshot || self.missed_rounds > 0);
         if due { Wants::Snapshot } else { Wants::Nothing }
     }
 
-    /// A block begins with the decision state at this time.
+    /// Starts a block with the decision state at `now`.
     ///
     /// # Errors
-    /// None that a state can cause; what the library reports is passed on.
+    /// Only an error of the serializer, which no state causes.
     pub fn snapshot(&mut self, now: f64, state: Vec<u8>) -> Result<(), FormatError> {
         if self.missed_rounds > 0 {
             let rounds = std::mem::take(&mut self.missed_rounds);
@@ -83,29 +85,29 @@
         Ok(())
     }
 
-    /// The state beside the module's goes along with a snapshot.
+    /// Adds the auxiliary states that belong to the preceding snapshot.
     ///
     /// # Errors
-    /// None that a state can cause; what the library reports is passed on.
+    /// Only an error of the serializer, which no state causes.
     pub fn auxiliary_states(&mut self, states: AuxiliaryStates) -> Result<(), FormatError> {
         self.append(&Record::AuxiliaryStates(states))
     }
 
-    /// Something was asked beside the module, as [`AuxiliarySteps::encode`](crate::record::AuxiliarySteps::encode) has it. Returns a block that
-    /// is whole with it.
+    /// Adds auxiliary steps encoded by [`AuxiliarySteps::encode`](crate::record::AuxiliarySteps::encode).
+    /// Returns the block if this completes one.
     ///
     /// # Errors
-    /// None that steps can cause; what the library reports is passed on.
+    /// Only an error of the encoder, which no steps cause.
     pub fn auxiliary_steps(&mut self, encoded: &[u8]) -> Result<Option<Vec<u8>>, FormatError> {
         self.records += 1;
         self.payload.extend(encoded);
         if self.payload.len() >= self.limits.block_bytes { self.end_block().map(Some) } else { Ok(None) }
     }
 
-    /// A round was made. Returns a block that is whole with it.
+    /// Adds a round. Returns the block if this completes one.
     ///
     /// # Errors
-    /// None that a round can cause; what the library reports is passed on.
+    /// Only an error of the encoder, which no round causes.
     pub fn round(&mut self, round: &Round) -> Result<Option<Vec<u8>>, FormatError> {
         self.start.get_or_insert(round.now);
         self.end = round.now;
@@ -116,17 +118,17 @@
         Ok(None)
     }
 
-    /// Rounds could not be kept. What is in the making is dropped with them, as its end would be missing.
+    /// Counts dropped rounds. The current block is dropped with them, since it would be incomplete.
     pub fn missed(&mut self, rounds: u64) {
         let dropped = u64::from(self.records).saturating_sub(if self.snapshot { 2 } else { 0 });
         self.missed_rounds += rounds + dropped;
         self.begin_block();
     }
 
-    /// Ends the block in the making, if there is anything in it.
+    /// Ends the current block, if it has any records.
     ///
     /// # Errors
-    /// None that records can cause; what the library reports is passed on.
+    /// Only an error of the encoder, which no records cause.
     pub fn flush(&mut self) -> Result<Option<Vec<u8>>, FormatError> {
         if self.records == 0 { Ok(None) } else { self.end_block().map(Some) }
     }
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,4 +1,4 @@
-//! Runs the present decision code against what was told, and stops at the first decision that differs.
+//! Replays recorded events through the current decision code and stops at the first decision that differs.
 
 use crate::reader::Part;
 use crate::record::{AuxiliaryStates, AuxiliarySteps, Record, Round};
@@ -7,40 +7,40 @@
 use jaspershunt_keys::KeyTable;
 use std::fmt;
 
-/// Rounds that are shown before one that differs.
+/// Number of rounds shown before one that differs.
 const CONTEXT_ROUNDS: usize = 3;
 
-/// What a replay came to.
+/// The result of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplayReport {
-    /// Rounds whose decisions are the same, bit for bit.
+    /// Rounds whose actions are identical, bit for bit.
     pub same: u64,
-    /// Rounds that could not be replayed: no snapshot stands before them in an unbroken row.
+    /// Rounds that could not be replayed, since no snapshot precedes them without a gap.
     pub skipped: u64,
-    /// Rounds that the capture says it does not have.
+    /// Rounds that the capture records as dropped.
     pub missing: u64,
-    /// Steps beside the module, of keys and of dependencies, that are the same.
+    /// Steps of the key table and the dependency decisions whose results are identical.
     pub same_auxiliary_steps: u64,
-    /// Snapshots from which a replay began, or which a replay reached and found the same.
+    /// Snapshots from which the replay started, or that match the replayed state.
     pub snapshots: u64,
-    /// Places that are torn or corrupt.
+    /// Corrupt parts, and snapshots that cannot be loaded or do not match the replayed state.
     pub corrupt: Vec<String>,
-    /// The first difference, if there is one.
+    /// The first round whose actions differ.
     pub difference: Option<Difference>,
-    /// The first step beside the module that differs.
+    /// The first auxiliary step whose result differs.
     pub auxiliary_difference: Option<String>,
 }
 
-/// A decision that differs.
+/// A round whose actions differ.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The round as it was captured.
+    /// The captured round.
     pub round: Round,
-    /// What the present code asks for.
+    /// The actions of the current code.
     pub replayed_actions: Vec<Action>,
-    /// The first index at which the two lists part.
+    /// The first index at which the two lists differ.
     pub index: usize,
-    /// The rounds before it, the last one last.
+    /// The preceding rounds, oldest first.
     pub before: Vec<Round>,
 }
 
@@ -60,18 +60,18 @@
             self.round.now,
             self.index + 1
         )?;
-        writeln!(f, "  told:     {:?}", self.round.events)?;
+        writeln!(f, "  events:   {:?}", self.round.events)?;
         writeln!(f, "  captured: {:?}", self.round.actions.get(self.index))?;
         write!(f, "  now:      {:?}", self.replayed_actions.get(self.index))
     }
 }
 
-/// The bits of a list of actions: what looks the same and is not, such as two zeros, differs here.
+/// Encodes actions for comparison: equal values with different bits, such as 0.0 and -0.0, differ.
 fn bits(actions: &[Action]) -> Vec<u8> {
     postcard::to_stdvec(actions).unwrap_or_default()
 }
 
-/// A replay under way.
+/// A replay in progress.
 #[derive(Default)]
 pub struct Replay {
     module: Option<Controller>,
@@ -83,12 +83,12 @@
 }
 
 impl Replay {
-    /// Nothing is replayed yet.
+    /// Creates a replay that has processed no parts.
     pub fn new() -> Replay {
         Replay::default()
     }
 
-    /// Takes the next part of a capture. After a difference nothing more is replayed.
+    /// Processes the next part of a capture. Nothing is replayed after a difference.
     pub fn take(&mut self, part: &Part) {
         match part {
             Part::Corrupt { offset, length, error } => {
@@ -96,7 +96,7 @@
                 self.discard_state();
             }
             Part::Block { header, records, .. } => {
-                // A block that is missing as a whole breaks the row as a corrupt one does.
+                // A missing block invalidates the replayed state as a corrupt one does.
                 if self.last_block.is_some_and(|last| last + 1 != header.number) {
                     self.discard_state();
                 }
@@ -119,14 +119,14 @@
             }
             Record::Snapshot(state) => match Controller::load(state) {
                 Ok(loaded) => {
-                    // A replay that goes on from before must have come to the very same state.
+                    // A replay that continues from an earlier snapshot must have reached the same state.
                     let reached = self.module.as_ref().is_none_or(|module| module.save() == *state);
                     if reached {
                         self.report.snapshots += 1;
                     } else {
                         self.report
                             .corrupt
-                            .push("the state replayed is not that of the snapshot".to_string());
+                            .push("the replayed state does not match the snapshot".to_string());
                     }
                     self.module = Some(loaded);
                 }
@@ -141,18 +141,18 @@
         }
     }
 
-    /// What comes next stands on nothing.
+    /// Discards all state, after which rounds are skipped up to the next snapshot.
     fn discard_state(&mut self) {
         (self.module, self.keys, self.dependencies) = (None, None, None);
     }
 
     fn auxiliary_states(&mut self, states: &AuxiliaryStates) {
-        // A replay that goes on from before must have come to the very same states.
+        // A replay that continues from an earlier snapshot must have reached the same states.
         if let Some(keys) = &self.keys {
             let reached = AuxiliaryStates::of(keys, self.dependencies.as_ref());
             if reached != *states {
                 let what = if reached.keys == states.keys { "dependencies" } else { "keys" };
-                self.report.corrupt.push(format!("the state of {what} replayed is not that of the snapshot"));
+                self.report.corrupt.push(format!("the replayed state of {what} does not match the snapshot"));
             }
         }
         (self.keys, self.dependencies) = states.load();
@@ -207,7 +207,7 @@
         }
     }
 
-    /// What it came to.
+    /// Returns the result.
     pub fn end(self) -> ReplayReport {
         self.report
     }
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -1,31 +1,31 @@
-//! The last blocks of a capture, in so many bytes. What is kept always begins with the decision state, so that all of it
-//! can be replayed.
+//! A bounded buffer of the most recent blocks of a capture. The kept blocks start with a snapshot, so that
+//! all of them can be replayed.
 
 use std::collections::VecDeque;
 
-/// The blocks that are kept.
+/// A ring of blocks, bounded in bytes.
 #[derive(Clone, Debug)]
 pub struct Ring {
-    /// Each block, and whether it begins with the state.
+    /// The blocks, each with whether it starts with a snapshot.
     blocks: VecDeque<(Vec<u8>, bool)>,
     bytes: usize,
     max_bytes: usize,
 }
 
 impl Ring {
-    /// Nothing is kept yet, and never more than so many bytes.
+    /// Creates an empty ring of at most `max_bytes`.
     pub fn new(max_bytes: usize) -> Ring {
         Ring { blocks: VecDeque::new(), bytes: 0, max_bytes }
     }
 
-    /// Keeps a block; the oldest go, and with them all up to the next state.
+    /// Adds a block. Removes the oldest blocks over the limit, and those after them up to the next snapshot.
     pub fn push(&mut self, block: Vec<u8>, snapshot: bool) {
         self.bytes += block.len();
         self.blocks.push_back((block, snapshot));
         self.trim();
     }
 
-    /// From now on never more than so many bytes.
+    /// Sets the limit and removes the oldest blocks over it.
     pub fn set_max_bytes(&mut self, max_bytes: usize) {
         self.max_bytes = max_bytes;
         self.trim();
@@ -37,7 +37,8 @@
             self.pop();
             removed = true;
         }
-        // Without the state before it a block cannot be replayed; where nothing went, the first may be the capture's first.
+        // A block cannot be replayed without the preceding snapshot. If nothing was removed, the first
+        // block may be the capture's first.
         while removed && self.blocks.front().is_some_and(|(_, snapshot)| !snapshot) {
             self.pop();
         }
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Bytes that are kept.
+    /// Returns the bytes in the ring.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The blocks, the oldest first.
+    /// Iterates over the blocks, oldest first.
     pub fn blocks(&self) -> impl Iterator<Item = &[u8]> {
         self.blocks.iter().map(|(block, _)| &block[..])
     }
--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -1,8 +1,10 @@
-//! Holds a capture against the four rules, as far as they show in it, apart from the code that made the decisions: each
-//! request gets one answer by its due time, nothing with an effect runs twice or is turned away after it ran, and nothing
-//! that came after the grace is run. What the cores and the dependency survive does not show in a capture.
+//! Checks a capture against the four rules, as far as they show in one, independently of the decision code:
+//! each request gets one answer by its due time; nothing with an effect runs twice or is refused after it
+//! ran; and nothing that arrived after the drain grace runs. The limits of the cores and the dependency do
+//! not show in a capture.
 //!
-//! Only requests whose arrival is in the capture are judged, and a gap or a spoilt block is where judging begins anew.
+//! Only requests whose arrival is in the capture are checked. After a gap or a corrupt part the check
+//! restarts without any open requests.
 
 use crate::reader::Part;
 use crate::record::{Record, Round};
@@ -10,15 +12,15 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// An answer may come so much after its due time, in seconds: what the rules of the sockets allow.
+/// Tolerance for an answer after its due time, as the rules for sockets allow.
 const ANSWER_SLACK_SECONDS: f64 = 0.05;
-/// Requests that are remembered after their end at most, for repeats of them; the oldest go first.
+/// Maximum number of requests tracked, ended ones included, to detect repeats; the oldest are removed first.
 const MAX_TRACKED: usize = 100_000;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The round in which it shows.
+    /// The round in which the violation shows.
     pub round: u64,
     /// The request.
     pub id: RequestId,
@@ -26,18 +28,18 @@
     pub rule: Rule,
 }
 
-/// The rules, in the words of those who count on them.
+/// The rule that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// No answer by the due time.
+    /// There was no answer by the due time.
     NotAnswered,
-    /// Two answers.
+    /// The request was answered twice.
     AnsweredTwice,
-    /// An effect twice.
+    /// A request with an effect ran twice.
     RanTwice,
-    /// Turned away after it ran.
+    /// The request was refused after it ran.
     RefusedAfterRun,
-    /// Run though it came after the grace of a nodo that leaves.
+    /// The request ran although it arrived after the drain grace of a leaving nodo.
     RunAfterGrace,
 }
 
@@ -47,8 +49,8 @@
             Rule::NotAnswered => "was not answered by its due time",
             Rule::AnsweredTwice => "was answered twice",
             Rule::RanTwice => "ran twice",
-            Rule::RefusedAfterRun => "was turned away after it ran",
-            Rule::RunAfterGrace => "was run though it came after the grace",
+            Rule::RefusedAfterRun => "was refused after it ran",
+            Rule::RunAfterGrace => "ran although it arrived after the drain grace",
         };
         write!(f, "round {}: request {} {what}", self.round, self.id.0)
     }
@@ -58,30 +60,30 @@
     request: Request,
     arrived: f64,
     due: f64,
-    /// An answer is owed.
+    /// Whether an answer is still owed.
     answer_owed: bool,
-    /// One was given.
+    /// Whether an answer was given.
     answered: bool,
     ran: bool,
 }
 
-/// The checker.
+/// Checks the rules over the parts of a capture.
 #[derive(Default)]
 pub struct RuleChecker {
     settings: Option<Settings>,
     tracked: BTreeMap<RequestId, TrackedRequest>,
-    /// When the nodo was told to leave.
+    /// The time of the first request to leave.
     leaving_since: Option<f64>,
     violations: Vec<Violation>,
 }
 
 impl RuleChecker {
-    /// Nothing was seen yet.
+    /// Creates a checker that has processed no parts.
     pub fn new() -> RuleChecker {
         RuleChecker::default()
     }
 
-    /// Takes the next part of a capture.
+    /// Processes the next part of a capture.
     pub fn take(&mut self, part: &Part) {
         match part {
             Part::Corrupt { .. } => self.tracked.clear(),
@@ -89,7 +91,7 @@
         }
     }
 
-    /// All that was broken.
+    /// Returns all violations.
     pub fn end(self) -> Vec<Violation> {
         self.violations
     }
@@ -115,9 +117,9 @@
                 Event::Arrived(request) => {
                     self.arrived(changed.unwrap_or(settings), request, round.now);
                 }
-                // One that is given all the same goes nowhere and does no harm.
+                // An answer given anyway has no recipient and is no violation.
                 Event::Withdrawn { id } => self.no_answer_owed(*id),
-                // With the end of a run its answer goes out, unless one was given before.
+                // The answer is sent when the run ends, unless one was given before.
                 Event::Ended { id, outcome: Outcome::Done | Outcome::Failed } => {
                     if let Some(tracked) = self.tracked.get_mut(id) {
                         (tracked.answer_owed, tracked.answered) = (false, true);
@@ -128,7 +130,7 @@
                         tracked.ran = false;
                     }
                 }
-                // Requests that are open keep their places in it, and with them their classes.
+                // New settings keep the class indices of open requests.
                 Event::Settings(new) => changed = Some(&**new),
                 Event::Leave { .. } => self.leaving_since = self.leaving_since.or(Some(round.now)),
                 _ => {}
@@ -202,7 +204,7 @@
         let class = tracked.request.class;
         let (arrived, before) = (tracked.arrived, tracked.ran);
         let late = self.leaving_since.is_some_and(|left| arrived > left + settings.drain_grace);
-        // A paused run that is taken up again is no second run.
+        // Resuming a paused run is not a second run.
         let again = before && settings.halt != jaspershunt::StopMode::Pause;
         let twice = match settings.classes[class].repeat {
             Repeat::Safe => false,
@@ -225,7 +227,7 @@
     }
 }
 
-/// Checks rounds alone, under these settings.
+/// Checks rounds under the given settings.
 pub fn check_rounds(settings: &Settings, rounds: &[Round]) -> Vec<Violation> {
     let mut rules = RuleChecker::new();
     rules.settings = Some(settings.clone());
--- a/crates/capture/src/sink.rs
+++ b/crates/capture/src/sink.rs
@@ -1,5 +1,5 @@
-//! Takes what a nodo hands over, makes blocks of it, keeps the last ones and has them written out. It decides all of that
-//! and touches no file: what it wants written it gives back, and [`Storage`] is what writes.
+//! Builds blocks from a nodo's messages, keeps the most recent ones and writes them out. Performs no I/O
+//! itself: files are written through [`Storage`].
 
 use crate::format;
 use crate::record::Header;
@@ -8,48 +8,49 @@
 use crate::tap::{Message, Reason};
 use std::io;
 
-/// Where captures are written.
+/// Stores capture files.
 pub trait Storage {
-    /// Writes a file of this name whole, or not at all.
+    /// Writes a file atomically: whole or not at all.
     ///
     /// # Errors
-    /// The file could not be written; nothing of it is left.
+    /// The file could not be written; no part of it remains.
     fn write(&mut self, name: &str, parts: &[&[u8]]) -> io::Result<()>;
 
-    /// Names of the files that are there.
+    /// Lists the names of the stored files.
     ///
     /// # Errors
-    /// The folder cannot be read.
+    /// The files cannot be listed.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// It cannot be removed.
+    /// The file cannot be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// What is kept and written at most.
+/// Limits on memory and files.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Bytes of blocks in memory.
+    /// Maximum bytes of blocks in memory.
     pub ring_bytes: usize,
-    /// Files that are kept; the oldest go.
+    /// Maximum number of files; the oldest are removed.
     pub max_files: usize,
-    /// Whether all is written, a file each time that the ring has been filled anew, and not only when there is a reason.
+    /// Whether all rounds are written, in a new file before the ring overwrites unwritten blocks, and not
+    /// only on a trigger.
     pub write_all: bool,
 }
 
-/// What came of a piece, for the log.
+/// The outcome of a write, for the log.
 #[derive(Debug, PartialEq)]
 pub enum WriteOutcome {
-    /// A file was written.
+    /// The file with this name was written.
     Written(String),
-    /// A file could not be written, and why.
+    /// A block or file could not be written, with the reason.
     Failed(String),
 }
 
-/// The end of a capture that gathers.
+/// The receiving end of a capture.
 pub struct Sink<D> {
     recorder: Recorder,
     ring: Ring,
@@ -58,17 +59,17 @@
     nodo: String,
     epoch: f64,
     now: f64,
-    /// Files written so far; part of their names, so that two at one time differ.
+    /// Files written so far. Part of the file name, so that two files of one time differ.
     written: u64,
-    /// Bytes since all was last written.
+    /// Bytes of blocks since the last write.
     unwritten_bytes: usize,
 }
 
-/// What the names of captures end with.
+/// The file extension of captures.
 pub const ENDING: &str = ".jshcap";
 
 impl<D: Storage> Sink<D> {
-    /// Nothing was taken yet.
+    /// Creates a sink without any blocks.
     pub fn new(header: Header, limits: Limits, bounds: Bounds, storage: D) -> Sink<D> {
         let (nodo, epoch) = (header.nodo.clone(), header.epoch);
         Sink {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Takes a piece.
+    /// Processes a message. Returns the outcome if a file was to be written.
     pub fn take(&mut self, piece: Message) -> Option<WriteOutcome> {
         let block = match piece {
             Message::Missed(rounds) => {
@@ -92,7 +93,7 @@
                 Ok(None)
             }
             Message::Snapshot { now, state, auxiliary } => {
-                // A state begins a block.
+                // A snapshot starts a block.
                 let previous = self.recorder.flush();
                 if let Ok(Some(block)) = previous {
                     self.push_block(block);
@@ -116,7 +117,7 @@
         match block {
             Ok(Some(block)) => {
                 self.push_block(block);
-                // Once the ring has been filled anew it is written before the oldest goes.
+                // Writes at half the ring's size, before unwritten blocks are overwritten.
                 let full = self.bounds.write_all && self.unwritten_bytes * 2 > self.bounds.ring_bytes;
                 full.then(|| self.write_out(Reason::Full))
             }
@@ -131,20 +132,20 @@
         self.ring.push(block, snapshot);
     }
 
-    /// Writes all that is kept to a file of its own; the oldest files make room.
+    /// Writes all kept blocks to a new file and removes the oldest files.
     fn write_out(&mut self, reason: Reason) -> WriteOutcome {
         if let Ok(Some(block)) = self.recorder.flush() {
             self.push_block(block);
         }
         self.unwritten_bytes = 0;
         self.written += 1;
-        // The name sorts by time. The cast is exact for any time that a clock shows.
+        // File names sort by time. The cast is exact for any realistic time.
         let unix_ms = ((self.epoch + self.now) * 1000.0).max(0.0) as u64;
         let name = format!("{}-{unix_ms:014}-{:04}-{}{ENDING}", self.nodo, self.written, reason.name());
         let header = format::file_header();
         let parts: Vec<&[u8]> = [&header[..]].into_iter().chain(self.ring.blocks()).collect();
         if parts.len() == 1 {
-            return WriteOutcome::Failed("nothing is kept yet".to_string());
+            return WriteOutcome::Failed("no blocks are recorded yet".to_string());
         }
         match self.storage.write(&name, &parts).and_then(|()| self.remove_old_files()) {
             Ok(()) => WriteOutcome::Written(name),
@@ -153,9 +154,9 @@
     }
 
     fn remove_old_files(&mut self) -> io::Result<()> {
-        let ours = format!("{}-", self.nodo);
+        let prefix = format!("{}-", self.nodo);
         let mut names = self.storage.list()?;
-        names.retain(|name| name.starts_with(&ours) && name.ends_with(ENDING));
+        names.retain(|name| name.starts_with(&prefix) && name.ends_with(ENDING));
         names.sort();
         let most = self.bounds.max_files.max(1);
         for name in names.iter().take(names.len().saturating_sub(most)) {
@@ -164,12 +165,12 @@
         Ok(())
     }
 
-    /// Bytes of blocks in memory.
+    /// Returns the bytes of blocks in memory.
     pub fn ring_bytes(&self) -> usize {
         self.ring.bytes()
     }
 
-    /// What writes.
+    /// Returns the storage.
     pub fn storage(&mut self) -> &mut D {
         &mut self.storage
     }
--- a/crates/capture/src/sink/tests.rs
+++ b/crates/capture/src/sink/tests.rs
@@ -6,7 +6,7 @@
 use jaspershunt::{Controller, Event, Gauges};
 use std::collections::BTreeMap;
 
-/// A disk in memory that can be full.
+/// In-memory storage that can be full.
 #[derive(Default)]
 struct Memory {
     files: BTreeMap<String, Vec<u8>>,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Rounds of a server that wakes; each is handed over with the state every tenth.
+/// Feeds rounds with one wake-up event each, and a snapshot every tenth round.
 fn feed(sink: &mut Sink<Memory>, rounds: std::ops::Range<u64>, module: &mut Controller) -> Vec<WriteOutcome> {
     let mut outcomes = Vec::new();
     for number in rounds {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn what_is_written_out_replays_and_the_oldest_files_make_room() {
+fn written_files_replay_and_the_oldest_are_removed() {
     let (mut sink, mut module) = sink(Bounds { ring_bytes: 6_000, max_files: 3, write_all: false });
     for n in 0..8 {
         assert!(feed(&mut sink, n * 50..n * 50 + 50, &mut module).is_empty());
@@ -78,13 +78,13 @@
     assert!(sink.ring_bytes() <= 1_000);
 }
 
-/// A full disk loses that file and says so; what is kept is there for the next.
+/// A failed write must be reported and must not lose the kept blocks, which the next file then contains.
 #[test]
-fn a_full_disk_is_said_and_the_next_file_is_whole() {
+fn a_full_disk_is_reported_and_the_next_file_is_complete() {
     let (mut sink, mut module) = sink(Bounds { ring_bytes: 60_000, max_files: 3, write_all: false });
     assert_eq!(
         sink.take(Message::WriteOut(Reason::Asked)),
-        Some(WriteOutcome::Failed("nothing is kept yet".into()))
+        Some(WriteOutcome::Failed("no blocks are recorded yet".into()))
     );
     feed(&mut sink, 0..60, &mut module);
     sink.storage().full = true;
@@ -97,16 +97,16 @@
     assert_eq!(rounds_of(&sink.storage().files[&name]), 100);
 }
 
-/// With all recorded, every round is in some file.
+/// With `write_all`, every round must be in some file.
 #[test]
-fn all_that_is_recorded_is_in_files_without_a_hole() {
+fn write_all_leaves_no_round_out() {
     let (mut sink, mut module) = sink(Bounds { ring_bytes: 6_000, max_files: 1_000, write_all: true });
     feed(&mut sink, 0..1_000, &mut module);
     sink.take(Message::WriteOut(Reason::End));
     let mut numbers = std::collections::BTreeSet::new();
     for bytes in sink.storage().files.values() {
         for part in parts(bytes).unwrap() {
-            let Part::Block { records, .. } = part else { panic!("spoilt") };
+            let Part::Block { records, .. } = part else { panic!("corrupt part") };
             numbers.extend(records.iter().filter_map(|record| match record {
                 crate::record::Record::Round(round) => Some(round.number),
                 _ => None,
--- a/crates/capture/src/summary.rs
+++ b/crates/capture/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a capture holds, in figures.
+//! Figures on the content of a capture.
 
 use crate::reader::Part;
 use crate::record::{Header, Record, Round};
@@ -6,58 +6,59 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Callers that are named with their refusals; those with the most.
+/// Number of callers listed with their refusals.
 const MAX_CALLERS: usize = 5;
 
-/// What became of the requests of a class.
+/// Outcomes of the requests of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Class {
-    /// Read.
+    /// Requests read.
     pub read: u64,
-    /// Runs begun.
+    /// Runs started.
     pub runs: u64,
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Turned away.
+    /// Requests refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests answered with a failure.
     pub failed: u64,
-    /// Over because their callers had gone.
+    /// Requests withdrawn because their callers were gone.
     pub gone: u64,
-    /// From the reading to the end of those that were served, in milliseconds: median, 90th and 99th in 100, most.
+    /// Time from reading to the end of served requests, in milliseconds: median, 90th and 99th percentile,
+    /// maximum.
     pub served_ms: Option<[f64; 4]>,
 }
 
-/// What a capture holds.
+/// Summary of a capture.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// The nodo, and the version of its program.
+    /// The name of the nodo.
     pub nodo: String,
-    /// That version.
+    /// The version of its program.
     pub version: String,
-    /// Unix time of the first round, in seconds, and how long it is to the last.
+    /// The Unix time of the first round, in seconds.
     pub from_unix: f64,
-    /// Seconds from the first round to the last.
+    /// The time from the first round to the last, in seconds.
     pub seconds: f64,
-    /// Blocks, and those that begin with the state.
+    /// Number of blocks.
     pub blocks: u64,
-    /// Blocks that begin with the state.
+    /// Number of blocks that start with a snapshot.
     pub snapshots: u64,
-    /// Rounds.
+    /// Number of rounds.
     pub rounds: u64,
-    /// Rounds that the capture says it does not have, and in how many places.
+    /// Number of rounds recorded as dropped.
     pub missing: u64,
-    /// Places where rounds are missing.
+    /// Number of gaps in which rounds were dropped.
     pub gaps: u64,
-    /// Places that are torn or spoilt, with error.
+    /// Corrupt parts, each with the reason.
     pub spoilt: Vec<String>,
-    /// Changes of settings.
+    /// Number of settings changes.
     pub changes: u64,
-    /// By class.
+    /// Figures by class name.
     pub classes: BTreeMap<String, Class>,
-    /// The callers that were refused most, and how often.
+    /// The callers with the most refusals, each with their number.
     pub refused_callers: Vec<(u64, u64)>,
-    /// The most that waited at once, and the most at work, as the events have it.
+    /// Maximum number of requests open at once, queued or running.
     pub most_open: u64,
 }
 
@@ -73,7 +74,7 @@
     epoch: f64,
 }
 
-/// Sums a capture up.
+/// Summarizes a capture.
 pub fn summary(parts: &[Part]) -> Summary {
     let mut counter = Counter::default();
     for part in parts {
@@ -174,7 +175,7 @@
     fn end(mut self) -> Summary {
         for (name, mut times) in std::mem::take(&mut self.served) {
             times.sort_by(f64::total_cmp);
-            // The cast is exact for any number of requests that a file can hold.
+            // The cast is exact for any number of requests that fits in a file.
             let at = |share: f64| times[((times.len() - 1) as f64 * share).round() as usize];
             self.class(&name).served_ms = Some([at(0.5), at(0.9), at(0.99), at(1.0)]);
         }
--- a/crates/capture/src/summary/tests.rs
+++ b/crates/capture/src/summary/tests.rs
@@ -2,7 +2,7 @@
 use crate::tests::{SMALL, capture, read};
 
 #[test]
-fn what_was_read_is_what_became_of_it_and_what_is_open() {
+fn each_request_read_has_one_outcome_or_is_open() {
     let parts = read(&capture(2, 400, SMALL, 0..0));
     let summary = summary(&parts);
     assert_eq!((summary.rounds, summary.missing, summary.nodo.as_str()), (400, 0, "n1"));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_is_missing_or_spoilt_is_said() {
+fn gaps_and_corrupt_parts_are_reported() {
     let mut bytes = capture(2, 400, SMALL, 100..150);
     let cut = bytes.len() - 40;
     bytes.truncate(cut);
--- a/crates/capture/src/tap.rs
+++ b/crates/capture/src/tap.rs
@@ -1,53 +1,53 @@
-//! The side of a capture on which decisions are made: what is handed over, when the state goes along, and what becomes of
-//! what cannot be handed over. It never waits: what takes records may be slower than what makes them, and then rounds are
-//! missing, which the capture says, and the next thing in it is the state.
+//! The sending side of a capture, on the engine's thread: what is sent, when a snapshot is due, and how
+//! dropped rounds are counted. It never blocks. If the receiver is slower than the sender, rounds are dropped
+//! and counted, and the next thing sent after the count is a snapshot.
 
 use crate::record::{AuxiliaryStates, Round};
 use jaspershunt::{Action, Event};
 use std::mem::size_of;
 
-/// What is handed over, in order.
+/// A message to the receiver. Messages are in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// Rounds that could not be handed over.
+    /// The number of rounds that could not be sent.
     Missed(u64),
-    /// The decision state before the next round, at this time of the module's clock.
+    /// The decision state before the next round.
     Snapshot {
-        /// The time.
+        /// The time of the module's clock, in seconds.
         now: f64,
-        /// The module's state.
+        /// The state of the decision module.
         state: Vec<u8>,
-        /// The state beside it.
+        /// The state of the components beside it.
         auxiliary: Option<AuxiliaryStates>,
     },
-    /// What was asked beside the module, as [`AuxiliarySteps::encode`](crate::record::AuxiliarySteps::encode) has it: keys and bodies are shared on the engine's thread, and
-    /// cannot leave it as they are.
+    /// Auxiliary steps, encoded by [`AuxiliarySteps::encode`](crate::record::AuxiliarySteps::encode), since
+    /// their keys and bodies are shared on the engine's thread and cannot be sent to another.
     AuxiliarySteps(Vec<u8>),
-    /// A round.
+    /// A round of the decision module.
     Round(Round),
-    /// Write out what is kept, for this reason.
+    /// Writes the kept blocks to a file, for this reason.
     WriteOut(Reason),
-    /// Keep at most so many bytes from now on.
+    /// Sets the maximum bytes of the ring.
     SetRingBytes(usize),
 }
 
-/// Why what is kept was written out.
+/// The reason for writing a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Somebody asked.
+    /// An operator requested it.
     Asked,
-    /// A guard kept a rule from being broken.
+    /// A guard prevented a rule violation.
     Guard,
-    /// Far more than before is turned away.
+    /// The share of refusals rose sharply.
     Refusals,
-    /// All is recorded, and as much has come as is kept.
+    /// All rounds are written, and enough blocks have been recorded for a file.
     Full,
-    /// The nodo ends.
+    /// The nodo is shutting down.
     End,
 }
 
 impl Reason {
-    /// As it stands in the name of a file.
+    /// Returns the name of the reason in file names.
     pub fn name(self) -> &'static str {
         match self {
             Reason::Asked => "asked",
@@ -60,7 +60,7 @@
 }
 
 impl Message {
-    /// The memory that it takes while it waits, about; never less than it does but for names.
+    /// Estimates the memory of the message while it is queued. Does not count the contents of a round.
     pub fn memory_bytes(&self) -> usize {
         match self {
             Message::Snapshot { state, auxiliary, .. } => {
@@ -74,7 +74,7 @@
     }
 }
 
-/// What is decided at each round.
+/// Decides at each round what is sent.
 #[derive(Clone, Debug)]
 pub struct Tap {
     every: f64,
@@ -84,13 +84,13 @@
 }
 
 impl Tap {
-    /// Nothing was handed over yet; the state goes along each so many seconds of the module's clock.
+    /// Creates a tap that sends a snapshot every `every` seconds of the module's clock.
     pub fn new(every: f64) -> Tap {
         Tap { every, next_snapshot: f64::NEG_INFINITY, rounds: 0, missed: 0 }
     }
 
-    /// A round begins at this time; `hand_over` takes a piece or says that there is no room, and `state` saves the state.
-    /// Returns whether the round may be handed over when it is made.
+    /// Starts a round at `now`. `hand_over` sends a message and returns false if there is no room; `state`
+    /// saves the state. Returns whether the round may be sent once it is complete.
     pub fn begin(
         &mut self,
         now: f64,
@@ -101,7 +101,7 @@
             if !hand_over(Message::Missed(self.missed)) {
                 return false;
             }
-            // What comes next stands on the state alone.
+            // A round after a gap can only be replayed from a snapshot.
             self.missed = 0;
             self.next_snapshot = f64::NEG_INFINITY;
         }
@@ -115,40 +115,40 @@
         true
     }
 
-    /// The number of the round that is made.
+    /// Returns the number of the current round.
     pub fn number(&mut self) -> u64 {
         self.rounds += 1;
         self.rounds
     }
 
-    /// A round was not handed over.
+    /// Counts a round that was not sent.
     pub fn missed(&mut self) {
         self.missed += 1;
     }
 }
 
-/// Notices when far more is turned away than before.
+/// Detects a sharp rise in the share of refused requests.
 #[derive(Clone, Debug)]
 pub struct RefusalSpikeDetector {
-    /// The share of a second's requests that has to be turned away.
+    /// The minimum refused share of one second's requests.
     share: f64,
     second: u64,
     arrived: f64,
     refused: f64,
-    /// The smoothed share of the seconds before.
+    /// The smoothed share of the preceding seconds.
     before: f64,
     quiet_until: f64,
 }
 
-/// Refusals in a second that say nothing yet. Ours.
+/// Minimum refusals in a second, below which the share is not significant.
 const MIN_REFUSALS: f64 = 20.0;
-/// Seconds after a jump in which none is noticed: one bad minute makes one capture. Ours.
+/// Seconds after a detection in which none follows, so that one overload writes one capture.
 const QUIET_SECONDS: f64 = 60.0;
-/// The part of the newest second in the share of those before. Ours: some seconds' memory.
+/// Weight of the newest second in the smoothed share, which averages over a few seconds.
 const SMOOTHING: f64 = 0.2;
 
 impl RefusalSpikeDetector {
-    /// Nothing was seen yet.
+    /// Creates a detector with the given minimum share.
     pub fn new(share: f64) -> RefusalSpikeDetector {
         RefusalSpikeDetector {
             share,
@@ -160,9 +160,10 @@
         }
     }
 
-    /// A round was made; whether refusals have jumped by it: the share is reached, and it is twice that of before.
+    /// Counts a round. Returns true if the share of refusals reaches the minimum and is more than twice the
+    /// smoothed share.
     pub fn round(&mut self, now: f64, events: &[Event], actions: &[Action]) -> bool {
-        // The cast is exact for any time that a clock shows; one below 0 counts as 0.
+        // The cast is exact for any realistic time; a negative time counts as 0.
         let second = now as u64;
         if second != self.second {
             let share = if self.arrived > 0.0 { self.refused / self.arrived } else { 0.0 };
@@ -174,11 +175,11 @@
             actions.iter().filter(|action| matches!(action, Action::Refuse { .. })).count() as f64;
         let share = self.refused / self.arrived.max(1.0);
         let jumped = self.refused >= MIN_REFUSALS && share >= self.share && share > 2.0 * self.before;
-        let told = jumped && now >= self.quiet_until;
-        if told {
+        let detected = jumped && now >= self.quiet_until;
+        if detected {
             self.quiet_until = now + QUIET_SECONDS;
         }
-        told
+        detected
     }
 }
 
--- a/crates/capture/src/tap/tests.rs
+++ b/crates/capture/src/tap/tests.rs
@@ -5,8 +5,8 @@
     Message::Round(Round { number, now, names: vec![], events: vec![], actions: vec![] })
 }
 
-/// Plays rounds against a way that takes what `takes` says, by the number of the piece; returns what went over.
-fn play(rounds: u64, takes: impl Fn(usize) -> bool) -> Vec<Message> {
+/// Sends rounds to a receiver that accepts the n-th message if `takes(n)`. Returns the accepted messages.
+fn send_rounds(rounds: u64, takes: impl Fn(usize) -> bool) -> Vec<Message> {
     let (mut tap, mut over, mut asked) = (Tap::new(0.5), Vec::new(), 0);
     for n in 1..=rounds {
         let now = n as f64 / 10.0;
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn the_state_goes_along_at_the_beginning_and_each_so_often() {
-    let over = play(11, |_| true);
+fn snapshots_are_sent_at_the_start_and_periodically() {
+    let over = send_rounds(11, |_| true);
     let at: Vec<usize> = over
         .iter()
         .enumerate()
@@ -40,11 +40,12 @@
     assert_eq!(over.len(), 14);
 }
 
-/// Whatever is not taken, and when: rounds are either there or counted as missing, and the state stands behind each gap.
+/// Whichever messages are rejected, each round must be sent or counted as missed, and a snapshot must
+/// follow each gap.
 #[test]
-fn what_is_missing_is_said_and_the_state_follows() {
+fn missed_rounds_are_counted_and_followed_by_a_snapshot() {
     for pattern in 0u32..1 << 12 {
-        let over = play(14, |asked| asked > 12 || pattern >> (asked - 1) & 1 == 1);
+        let over = send_rounds(14, |asked| asked > 12 || pattern >> (asked - 1) & 1 == 1);
         let (mut next, mut gap) = (1, false);
         for piece in &over {
             match piece {
@@ -54,7 +55,7 @@
                 }
                 Message::Snapshot { .. } => gap = false,
                 Message::Round(round) => {
-                    assert!(!gap, "a round stands behind a gap without the state: {pattern:b}");
+                    assert!(!gap, "a round follows a gap without a snapshot: {pattern:b}");
                     assert_eq!(round.number, next, "{pattern:b}: {over:?}");
                     next += 1;
                 }
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_jump_of_refusals_is_noticed_once_and_a_steady_share_is_not() {
+fn a_spike_of_refusals_is_detected_once_and_a_steady_share_is_not() {
     let refuse = |n: u64| Action::Refuse { id: RequestId(n), stay_away: 0.0, last: false };
     let arrived = |n: u64| {
         Event::Arrived(jaspershunt::Request {
@@ -82,19 +83,19 @@
             repeats: None,
         })
     };
-    let mut jump = RefusalSpikeDetector::new(0.5);
-    let mut told = Vec::new();
-    // A second has 100 requests; the share of them that is refused is 10 % at first, then 80 %.
+    let mut detector = RefusalSpikeDetector::new(0.5);
+    let mut detected = Vec::new();
+    // Each second has 100 requests, of which 10 % are refused at first, then 80 %.
     for second in 0..200u64 {
         let refused = if second < 20 { 10 } else { 80 };
         let events: Vec<Event> = (0..100).map(arrived).collect();
         let actions: Vec<Action> = (0..refused).map(refuse).collect();
-        if jump.round(second as f64, &events, &actions) {
-            told.push(second);
+        if detector.round(second as f64, &events, &actions) {
+            detected.push(second);
         }
     }
-    assert_eq!(told, [20], "80 % is what it is used to after that");
-    // A few refusals of a few requests say nothing.
-    let mut jump = RefusalSpikeDetector::new(0.5);
-    assert!(!jump.round(0.0, &[arrived(1)], &[refuse(1)]));
+    assert_eq!(detected, [20], "the smoothed share adapts to 80 %");
+    // A few refusals are not significant.
+    let mut detector = RefusalSpikeDetector::new(0.5);
+    assert!(!detector.round(0.0, &[arrived(1)], &[refuse(1)]));
 }
--- a/crates/capture/src/tests.rs
+++ b/crates/capture/src/tests.rs
@@ -1,4 +1,4 @@
-//! Captures of a small overloaded server, whole, cut, spoilt and with gaps.
+//! Tests with captures of a small overloaded server: intact, truncated, corrupt and with gaps.
 
 use crate::format::{self, FormatError};
 use crate::reader::{Part, parts};
@@ -50,7 +50,7 @@
     }
 }
 
-/// Numbers from a seed (xorshift64*), the same everywhere.
+/// A seeded random number generator (xorshift64*), the same on all platforms.
 struct Random(u64);
 
 impl Random {
@@ -62,8 +62,9 @@
     }
 }
 
-/// A server under more load than it can take, for so many rounds, in which runs end, calls are lost and callers leave. Each
-/// round is handed over before it is made and after, with the state before it.
+/// Simulates an overloaded server in which runs end, calls are lost and callers leave. Before each round,
+/// `made` gets the module, a function that makes the round from its actions, and a copy of the module to
+/// step.
 fn overload(
     seed: u64,
     rounds: u64,
@@ -74,7 +75,7 @@
     let mut now = 1e5;
     let (mut next, mut at_work): (u64, BTreeMap<RequestId, bool>) = (0, BTreeMap::new());
     for number in 1..=rounds {
-        // Now and then no time passes between two rounds.
+        // In some rounds no time has passed since the previous one.
         now += random.below(8) as f64 / 1000.0;
         let mut events = Vec::new();
         for _ in 0..random.below(3) {
@@ -144,7 +145,7 @@
     }
 }
 
-/// A capture of such a server. Rounds in `missing` are not kept.
+/// Records a capture of the simulated server. Rounds in `missing` are dropped.
 pub(crate) fn capture(seed: u64, rounds: u64, limits: Limits, missing: std::ops::Range<u64>) -> Vec<u8> {
     let head = Header { version: "1".into(), nodo: "n1".into(), epoch: 0.0, settings: settings() };
     let mut recorder = Recorder::new(head, limits);
@@ -186,14 +187,14 @@
 }
 
 #[test]
-fn captures_of_an_overload_replay_the_same_ten_times_and_from_every_snapshot() {
+fn captures_of_an_overload_replay_identically_ten_times_and_from_every_snapshot() {
     for seed in 1..=5 {
         let bytes = capture(seed, 600, SMALL, 0..0);
         let all = read(&bytes);
         let refused = blocks(&all).into_iter().flat_map(|(_, _, records)| records).filter(|record| {
             matches!(record, Record::Round(round) if round.actions.iter().any(|a| matches!(a, Action::Refuse { .. })))
         });
-        assert!(refused.count() > 20, "no overload");
+        assert!(refused.count() > 20, "the simulation must be overloaded");
         for _ in 0..10 {
             let replayed = replay(&all);
             assert_eq!((replayed.same, replayed.difference.clone(), replayed.corrupt.len()), (600, None, 0));
@@ -208,9 +209,9 @@
     }
 }
 
-/// Runs on other threads and with whatever hash seeds they have come to the same.
+/// A replay must not depend on the thread or its hash seeds.
 #[test]
-fn no_thread_has_a_say_in_a_replay() {
+fn replays_are_identical_on_all_threads() {
     let bytes = capture(3, 300, SMALL, 0..0);
     let here = replay(&read(&bytes));
     let elsewhere: Vec<ReplayReport> = std::thread::scope(|scope| {
@@ -221,17 +222,17 @@
 }
 
 #[test]
-fn a_state_that_is_saved_loaded_and_saved_again_is_the_same_bytes() {
+fn saving_a_loaded_state_gives_the_same_bytes() {
     overload(9, 500, |before, _, copy| assert!(copy.save() == before.save()));
     assert!(Controller::load(b"").is_err());
     let saved = Controller::new(settings()).unwrap().save();
     assert!(Controller::load(&saved[..saved.len() - 1]).is_err());
-    assert!(Controller::load(&[&saved[..], b"x"].concat()).is_err(), "bytes that belong to nothing");
+    assert!(Controller::load(&[&saved[..], b"x"].concat()).is_err(), "trailing bytes");
 }
 
-/// What the file had whole before the cut is read; the torn block is named by its place, and nothing is invented.
+/// All blocks before the cut must be read, the truncated block reported, and nothing else returned.
 #[test]
-fn cut_at_every_byte_a_capture_reads_up_to_its_last_whole_block() {
+fn a_capture_cut_at_any_byte_reads_up_to_its_last_intact_block() {
     let bytes = capture(1, 60, Limits { block_bytes: 1_000, snapshot_every: 0.1 }, 0..0);
     let whole = blocks(&read(&bytes));
     assert!(whole.len() > 5);
@@ -245,24 +246,24 @@
         let ends = whole.iter().skip(1).map(|(offset, ..)| *offset).chain([bytes.len()]);
         let expected = ends.filter(|end| *end <= cut).count();
         assert_eq!(kept, whole[..expected]);
-        let torn = left.len() - kept.len();
+        let truncated = left.len() - kept.len();
         let at_a_border = cut == format::FILE_HEADER_BYTES || whole.iter().any(|(offset, ..)| *offset == cut);
-        assert_eq!(torn, usize::from(!at_a_border), "cut at {cut}");
+        assert_eq!(truncated, usize::from(!at_a_border), "cut at {cut}");
     }
 }
 
 #[test]
-fn a_bit_flipped_anywhere_costs_no_more_than_the_rounds_up_to_the_next_snapshot() {
+fn a_flipped_bit_loses_only_the_rounds_up_to_the_next_snapshot() {
     let bytes = capture(2, 200, Limits { block_bytes: 2_000, snapshot_every: 0.1 }, 0..0);
     let whole = blocks(&read(&bytes));
     let mut random = Random(77);
     for (place, (offset, ..)) in whole.iter().enumerate() {
         let end = whole.get(place + 1).map_or(bytes.len(), |(next, ..)| *next);
         for _ in 0..12 {
-            let mut spoilt = bytes.clone();
+            let mut corrupt = bytes.clone();
             let at = offset + random.below((end - offset) as u64) as usize;
-            spoilt[at] ^= 1 << random.below(8);
-            let parts = read(&spoilt);
+            corrupt[at] ^= 1 << random.below(8);
+            let parts = read(&corrupt);
             assert_eq!(blocks(&parts).len(), whole.len() - 1, "byte {at}");
             let replayed = replay(&parts);
             assert_eq!((replayed.difference, replayed.corrupt.len()), (None, 1), "byte {at}");
@@ -280,21 +281,21 @@
 }
 
 #[test]
-fn a_version_from_the_future_is_refused_by_its_number_and_noise_is_no_capture() {
+fn later_versions_and_other_files_are_rejected() {
     let mut bytes = capture(1, 20, SMALL, 0..0);
     bytes[6] = 9;
     let refused = parts(&bytes).err().unwrap();
     assert_eq!(refused.to_string(), "the capture has format version 9, and this program reads up to 1");
     assert_eq!(parts(b"GIF89a..").err(), Some(FormatError::NotACapture));
     assert_eq!(parts(b"").err(), Some(FormatError::NotACapture));
-    // Noise behind a good beginning is one spoilt part, however long.
+    // Noise after a valid file header is a single corrupt part.
     let noise: Vec<u8> =
         format::file_header().into_iter().chain((0..100_000u32).map(|n| (n * 31 % 251) as u8)).collect();
     assert!(matches!(&read(&noise)[..], [Part::Corrupt { offset: 8, length: 100_000, .. }]));
 }
 
 #[test]
-fn a_gap_in_the_middle_of_an_overload_is_told_and_the_next_block_begins_with_a_snapshot() {
+fn a_gap_is_recorded_and_the_next_block_starts_with_a_snapshot() {
     let bytes = capture(4, 600, SMALL, 250..300);
     let all = read(&bytes);
     let replayed = replay(&all);
@@ -305,7 +306,7 @@
 }
 
 #[test]
-fn the_first_decision_that_differs_is_shown_with_what_was_told_before_it() {
+fn the_first_decision_that_differs_is_shown_with_the_rounds_before_it() {
     let mut all = read(&capture(5, 200, SMALL, 0..0));
     let mut changed = None;
     for part in &mut all {
@@ -323,7 +324,7 @@
     assert_eq!(Some((differs.round.number, differs.index)), changed);
     assert_eq!(differs.before.len(), 3);
     assert!(differs.to_string().contains("now:      Some(Run("), "{differs}");
-    // Two zeros look the same and are not.
+    // 0.0 and -0.0 are equal but have different bits.
     let zero = |value| {
         Record::Round(Round {
             number: 1,
@@ -337,7 +338,7 @@
 }
 
 #[test]
-fn a_length_that_makes_no_sense_takes_no_memory() {
+fn an_excessive_length_is_rejected_before_allocation() {
     let bytes = capture(1, 20, SMALL, 0..0);
     let mut head =
         bytes[format::FILE_HEADER_BYTES..format::FILE_HEADER_BYTES + format::BLOCK_HEADER_BYTES].to_vec();
@@ -347,7 +348,7 @@
     assert!(matches!(format::read_block(&head), Err(FormatError::Payload(_))));
 }
 
-/// Changes the first action for which `change` returns others.
+/// Replaces the first action for which `change` returns replacements.
 fn change(parts: &mut [Part], change: impl Fn(&Round, &Action) -> Option<Vec<Action>>) {
     for part in parts {
         let Part::Block { records, .. } = part else { continue };
@@ -361,11 +362,11 @@
             }
         }
     }
-    panic!("nothing to change");
+    panic!("no action to change");
 }
 
 #[test]
-fn an_overload_keeps_the_rules_and_each_that_is_broken_is_found() {
+fn an_overload_violates_no_rule_and_each_planted_violation_is_found() {
     for seed in 1..=5 {
         assert_eq!(check(&read(&capture(seed, 600, SMALL, 0..0))), [], "{seed}");
     }
@@ -379,7 +380,7 @@
     let mut lost = good.clone();
     change(&mut lost, |_, action| matches!(action, Action::Refuse { .. }).then(Vec::new));
     assert_eq!(check(&lost).iter().map(|broken| broken.rule).collect::<Vec<_>>(), [Rule::NotAnswered]);
-    // A request that ran is run once more, and turned away.
+    // A request that ran is run again, and, in the other capture, refused.
     let keyed = |round: &Round, id: RequestId| {
         let this = |event: &Event| matches!(event, Event::Arrived(r) if r.id == id && r.class == 1 && r.repeats.is_none());
         round.events.iter().any(this)
--- a/crates/capture/src/trace.rs
+++ b/crates/capture/src/trace.rs
@@ -1,4 +1,4 @@
-//! The trace of one request, in plain words: what came, what was decided, and the metrics that it rested on.
+//! Traces one request through a capture: its events, the decisions on it, and the metrics behind them.
 
 use crate::reader::Part;
 use crate::record::{AuxiliarySteps, Record, Round};
@@ -8,30 +8,30 @@
 use jaspershunt_dependencies::Action as DependencyAction;
 use std::fmt::Write;
 
-/// Something that happened to the request.
+/// An event of the request or a decision on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceEntry {
-    /// The module's clock.
+    /// The time of the module's clock, in seconds.
     pub at: f64,
-    /// What happened.
+    /// A description of the event or decision.
     pub what: String,
 }
 
 /// The trace of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// What the peers call it, if the capture has it.
+    /// The correlation id, if the capture has it.
     pub name: Option<String>,
     /// The request.
     pub request: Request,
-    /// What happened, in order.
+    /// The events and decisions, in order.
     pub entries: Vec<TraceEntry>,
-    /// How it ended, if that is in the capture.
+    /// Whether the end of the request is in the capture.
     pub ended: bool,
 }
 
 impl Trace {
-    /// As text; times count from the arrival at the machine.
+    /// Formats the trace. Times count from the arrival at the machine.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let name = self.name.as_deref().unwrap_or("?");
@@ -42,14 +42,14 @@
             let _ = writeln!(text, "  {:8.3} s  {}", entry.at - began, entry.what);
         }
         if !self.ended {
-            let _ = writeln!(text, "            the capture ends before the request does");
+            let _ = writeln!(text, "            the capture ends before the request");
         }
         text
     }
 }
 
-/// Finds the request in a capture by what its peers call it or by its number, and tells what became of it. The rounds
-/// between are replayed, so that the metrics are those of that entry.
+/// Traces the request with the given correlation id or number through a capture. The rounds are replayed to
+/// obtain the metrics at each decision.
 pub fn trace(parts: &[Part], wanted: &str) -> Option<Trace> {
     let number = wanted.parse::<u64>().ok().map(RequestId);
     let mut builder = TraceBuilder { module: None, settings: None, trace: None };
@@ -97,8 +97,8 @@
         }
     }
 
-    /// What the decisions on dependencies say of the calls is in how they end; what they note of themselves is told while the
-    /// request is open.
+    /// Adds the notes of the dependency decisions while the request is open. Their decisions on its calls
+    /// show in how the calls end.
     fn auxiliary_steps(&mut self, steps: &AuxiliarySteps) {
         for step in &steps.dependencies {
             for action in &step.actions {
@@ -140,23 +140,23 @@
         match event {
             Event::Ended { id: this, outcome } if *this == id => {
                 let what = match outcome {
-                    Outcome::Done => "its run ended well, and it was served".to_string(),
-                    Outcome::Failed => "its run failed, and so did it".to_string(),
-                    Outcome::Stopped => "its run was stopped".to_string(),
-                    other => format!("its run ended: {other:?}"),
+                    Outcome::Done => "run completed; served".to_string(),
+                    Outcome::Failed => "run failed; answered with a failure".to_string(),
+                    Outcome::Stopped => "run was stopped".to_string(),
+                    other => format!("run ended: {other:?}"),
                 };
                 self.push(round.now, what);
                 let over = matches!(outcome, Outcome::Done | Outcome::Failed);
                 self.trace.iter_mut().for_each(|trace| trace.ended |= over);
             }
             Event::CallWanted { id: this } if *this == id => {
-                self.push(round.now, "its run needs a call and waits off the cores".to_string());
+                self.push(round.now, "run requests a call and is parked off the cores".to_string());
             }
             Event::CallEnded { id: this, outcome, took } if *this == id => {
-                self.push(round.now, format!("its call ended after {:.0} ms: {outcome:?}", took * 1000.0));
+                self.push(round.now, format!("call ended after {:.0} ms: {outcome:?}", took * 1000.0));
             }
             Event::Withdrawn { id: this } if *this == id => {
-                self.push(round.now, "its caller has gone: no answer is owed".to_string());
+                self.push(round.now, "withdrawn: its caller is gone and no answer is owed".to_string());
                 self.trace.iter_mut().for_each(|trace| trace.ended = true);
             }
             _ => {}
@@ -166,10 +166,10 @@
     fn arrival(&self, request: &Request, metrics: Option<DecisionMetrics>) -> String {
         let class = self.settings.as_ref().and_then(|set| set.classes.get(request.class));
         let class = class.map_or("?", |class| class.name.as_str());
-        let mut what = format!("read: {class} of caller {}", request.caller.0);
-        let _ = write!(what, ", {:.0} ms after it came to the machine", request.waited * 1000.0);
+        let mut what = format!("read: class {class}, caller {}", request.caller.0);
+        let _ = write!(what, ", {:.0} ms after arrival at the machine", request.waited * 1000.0);
         if request.retry {
-            what.push_str(", marked as a further try");
+            what.push_str(", marked as a retry");
         }
         if let Some(first) = request.repeats {
             let _ = write!(what, ", repeats request {}", first.0);
@@ -185,21 +185,23 @@
         let id = trace.request.id;
         let begun = trace.entries.iter().any(|entry| entry.what.starts_with("run:"));
         let what = match action {
-            Action::Run(this) if *this == id => "run: it has a core".to_string(),
-            Action::Stop(this) if *this == id => "its run is to stop".to_string(),
-            Action::ServeFrom(this) if *this == id => "gets what the run of its key makes".to_string(),
+            Action::Run(this) if *this == id => "run: started on a core".to_string(),
+            Action::Stop(this) if *this == id => "run is being stopped".to_string(),
+            Action::ServeFrom(this) if *this == id => {
+                "served from another run with the same operation key".to_string()
+            }
             Action::Call { id: this, give_up_after } if *this == id => {
-                format!("its call is made, for {:.0} ms at most", give_up_after * 1000.0)
+                format!("call made with a timeout of {:.0} ms", give_up_after * 1000.0)
             }
-            Action::SkipCall(this) if *this == id => "goes on without its call".to_string(),
+            Action::SkipCall(this) if *this == id => "continues without the call".to_string(),
             Action::Fail(this) if *this == id => "failed".to_string(),
             Action::Refuse { id: this, stay_away, last } if *this == id => {
                 let why = match before {
                     Some(metrics) => self.why_refused(round, begun, &metrics),
-                    None => "the state at that moment is not in the capture".to_string(),
+                    None => "reason unknown, since the capture has no state for this time".to_string(),
                 };
-                let last = if *last { ", and asked not to try elsewhere" } else { "" };
-                format!("refused, to come back after {:.0} ms{last}: {why}", stay_away * 1000.0)
+                let last = if *last { " and no retry elsewhere" } else { "" };
+                format!("refused, retry after {:.0} ms{last}: {why}", stay_away * 1000.0)
             }
             _ => return,
         };
@@ -208,7 +210,8 @@
         self.trace.iter_mut().for_each(|trace| trace.ended |= over);
     }
 
-    /// What the refusal rested on. The module tells no reason; its metrics, and what came in the same round, do.
+    /// Infers the reason of a refusal from the metrics and the events of the round, since the module
+    /// reports none.
     fn why_refused(&self, round: &Round, begun: bool, before: &DecisionMetrics) -> String {
         let (Some(trace), Some(settings), Some(module)) = (&self.trace, &self.settings, &self.module) else {
             return String::new();
@@ -223,41 +226,42 @@
             matches!(event, Event::Arrived(other) if other.repeats == Some(request.id) && other.id != request.id)
         });
         let after = module.decision_metrics();
-        // Its own place is free again by now, so that it is counted in.
+        // The refused request is no longer counted by the module, so it is added.
         let here = module.in_flight_requests_of(request.caller) + 1.0;
         let keyed = matches!(class.repeat, Repeat::Keyed(_));
         let reason = if newer && keyed {
-            "a newer try of the same request takes its place".to_string()
+            "replaced by a newer try of the same request".to_string()
         } else if after.leaving && !before.leaving || after.leaving && !begun && round.now <= read_at {
-            "the nodo leaves, and it came after the grace".to_string()
+            "the nodo is leaving and the request arrived after the drain grace".to_string()
         } else if begun || left <= 0.05 {
-            format!("its time is up: {:.0} ms are left of its deadline", left.max(0.0) * 1000.0)
+            format!("deadline reached: {:.0} ms left until it", left.max(0.0) * 1000.0)
         } else if round.now <= read_at && before.free_memory_kb < request.held_kb * settings.run_factor {
-            format!("there is no memory for it: {:.0} kB are left", before.free_memory_kb)
+            format!("not enough memory: {:.0} kB free", before.free_memory_kb)
         } else if aim < needs {
             format!(
-                "it can no longer end in time: {:.0} ms are left of its aim, and it needs about {:.0} ms",
+                "cannot finish in time: {:.0} ms left until its target, expected run time {:.0} ms",
                 aim.max(0.0) * 1000.0,
                 needs * 1000.0
             )
         } else if before.queued_requests + 1.0 > before.queue_limit && here > before.caller_credit {
             format!(
-                "too much waits, and its caller has {here:.0} requests here where {:.1} are its credit",
+                "queue is full and its caller exceeds its credit: {here:.0} requests in flight, credit {:.1}",
                 before.caller_credit
             )
         } else if before.queued_requests + 1.0 > before.queue_limit {
-            "too much waits, and what is ahead of it would keep it from its aim".to_string()
+            "queue is full, and the requests ahead would delay it past its target".to_string()
         } else {
-            "another request of more worth takes its place".to_string()
+            "displaced by a request of higher worth".to_string()
         };
         format!("{reason}; {}", metrics_text(before))
     }
 }
 
-/// The metrics in words.
+/// Formats the metrics behind a decision.
 fn metrics_text(metrics: &DecisionMetrics) -> String {
     let mut text = format!(
-        "{:.0} held (N_sess) of {:.1} (N_max), {:.0} on the cores of {:.1}, {:.0} at calls, μ {:.1}/s, credit {:.1} for {:.0} callers",
+        "{:.0} queued (N_sess) of {:.1} (N_max), {:.0} running of {:.1}, {:.0} parked in calls, \
+         service rate (μ) {:.1}/s, credit {:.1} for {:.0} callers",
         metrics.queued_requests,
         metrics.queue_limit,
         metrics.running,
@@ -268,7 +272,7 @@
         metrics.active_callers
     );
     if metrics.retry_storm {
-        text.push_str(", tries storm");
+        text.push_str(", retry storm");
     }
     text
 }
--- a/crates/capture/src/trace/tests.rs
+++ b/crates/capture/src/trace/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::tests::{SMALL, capture, read};
 
-/// Every request of an overload has a trace that begins with its reading and agrees with what became of it.
+/// Under overload, each request's trace must start when it is read and agree with its outcome.
 #[test]
-fn every_request_has_a_story() {
+fn each_request_has_a_trace_that_agrees_with_its_outcome() {
     let parts = read(&capture(4, 400, SMALL, 0..0));
     let rounds: Vec<&Round> = parts
         .iter()
@@ -26,18 +26,18 @@
         let trace = trace(&parts, &id.0.to_string()).unwrap();
         let text = trace.text();
         assert!(trace.entries[0].what.starts_with("read: "), "{text}");
-        let told = trace.entries.iter().find(|entry| entry.what.starts_with("refused, "));
+        let refusal = trace.entries.iter().find(|entry| entry.what.starts_with("refused, "));
         if trace.ended {
-            assert_eq!(told.is_some(), refused(id) && !text.contains("gone"), "{text}");
+            assert_eq!(refusal.is_some(), refused(id) && !text.contains("withdrawn"), "{text}");
         }
-        if let Some(told) = told {
-            assert!(told.what.contains("N_max") && told.what.contains("credit"), "{text}");
-            let why = told.what.split(": ").nth(1).unwrap();
+        if let Some(refusal) = refusal {
+            assert!(refusal.what.contains("N_max") && refusal.what.contains("credit"), "{text}");
+            let why = refusal.what.split(": ").nth(1).unwrap();
             reasons.insert(
                 why.split(|c: char| c.is_ascii_digit() || c == ':' || c == ';').next().unwrap().to_string(),
             );
         }
     }
-    assert!(reasons.len() >= 3, "an overload refuses for several reasons: {reasons:?}");
+    assert!(reasons.len() >= 3, "an overload must show several refusal reasons: {reasons:?}");
     assert_eq!(trace(&parts, "nobody"), None);
 }
--- a/crates/capture/src/what_if.rs
+++ b/crates/capture/src/what_if.rs
@@ -1,5 +1,6 @@
-//! What the decisions would have been with other settings, or in another build: what was told, run against them. It is open
-//! loop: what came afterwards came of what was decided then, so that only the beginning of a difference can be trusted.
+//! Replays recorded events with other settings, or in another build, and counts the actions. The replay is
+//! open loop: later events are consequences of the original decisions, so only the start of a difference is
+//! reliable.
 
 use crate::reader::Part;
 use crate::record::{Record, Round};
@@ -7,21 +8,21 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Settings that are to be overrides.
+/// Settings to override.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Overrides {
-    /// Cores.
+    /// Number of cores.
     pub cores: Option<u32>,
     /// Memory, in kilobytes.
     pub memory_kb: Option<f64>,
-    /// Running requests on the cores, for each core, that the server survives.
+    /// Running requests per core beyond which the server fails.
     pub crowd_multiple: Option<f64>,
-    /// Its part of the calls that the dependency survives.
+    /// The nodo's share of the concurrent calls that the shared dependency sustains.
     pub fair_calls: Option<f64>,
 }
 
 impl Overrides {
-    /// Settings with these in them.
+    /// Returns the settings with the overrides applied.
     pub fn apply(&self, settings: &Settings) -> Settings {
         let mut other = settings.clone();
         other.cores = self.cores.unwrap_or(other.cores);
@@ -34,29 +35,34 @@
     }
 }
 
-/// What came of it.
+/// The result of a replay with other settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WhatIf {
-    /// Rounds that were run.
+    /// Rounds replayed.
     pub rounds: u64,
-    /// The first round that asks for something else, and its time from the first, in seconds.
+    /// The first round whose actions differ, and its time from the first round in seconds.
     pub diverges_at: Option<(u64, f64)>,
-    /// How often each thing was asked for: then, and now.
+    /// The number of actions by name: in the capture and in the replay.
     pub action_counts: BTreeMap<&'static str, (u64, u64)>,
 }
 
 impl fmt::Display for WhatIf {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "open loop: what was told came of what was decided then, whatever is decided now")?;
+        writeln!(
+            f,
+            "open loop: the recorded events are consequences of the original decisions, not of these"
+        )?;
         match self.diverges_at {
-            Some((round, at)) => {
-                writeln!(f, "{} rounds; the decisions part at round {round}, {at:.3} s in", self.rounds)?
-            }
-            None => writeln!(f, "{} rounds; all decisions are the same", self.rounds)?,
+            Some((round, at)) => writeln!(
+                f,
+                "{} rounds; the decisions diverge at round {round}, {at:.3} s after the start",
+                self.rounds
+            )?,
+            None => writeln!(f, "{} rounds; all decisions are identical", self.rounds)?,
         }
         writeln!(f, "{:<12} {:>9} {:>9} {:>9}", "asked for", "then", "now", "")?;
         for (what, (then, now)) in &self.action_counts {
-            // The casts are exact for any count that a file can hold.
+            // The casts are exact for any count that fits in a file.
             writeln!(f, "{what:<12} {then:>9} {now:>9} {:>+9}", *now as i64 - *then as i64)?;
         }
         Ok(())
@@ -76,13 +82,13 @@
     })
 }
 
-/// Runs what was told against the present decision code with other settings.
+/// Replays a capture through the current decision code with overridden settings.
 pub fn what_if(parts: &[Part], overrides: &Overrides) -> WhatIf {
     let mut result = WhatIf::default();
     let (mut module, mut settings, mut began): (Option<Controller>, Option<Settings>, Option<f64>) =
         (None, None, None);
-    // WriteOutcome with the first round, so that the clock does not move for it.
-    let mut told = None;
+    // Applied as an event of the first round, so that the clock does not advance for it.
+    let mut pending_settings = None;
     for part in parts {
         let Part::Block { records, .. } = part else {
             module = None;
@@ -92,16 +98,16 @@
             match record {
                 Record::Header(header) => settings = Some(overrides.apply(&header.settings)),
                 Record::Gap { .. } => module = None,
-                // One that runs goes on; its state is not that of the capture any more.
+                // A running replay continues, since its state has diverged from the capture.
                 Record::Snapshot(state) if module.is_none() => {
                     module = Controller::load(state).ok();
-                    told = settings.clone().filter(|_| *overrides != Overrides::default());
+                    pending_settings = settings.clone().filter(|_| *overrides != Overrides::default());
                 }
                 Record::Snapshot(_) | Record::AuxiliaryStates(_) | Record::AuxiliarySteps(_) => {}
                 Record::Round(round) => {
                     if let Some(module) = &mut module {
                         let from = *began.get_or_insert(round.now);
-                        run(module, round, (told.take(), overrides), from, &mut result);
+                        run(module, round, (pending_settings.take(), overrides), from, &mut result);
                     }
                 }
             }
@@ -113,7 +119,7 @@
 fn run(
     module: &mut Controller,
     round: &Round,
-    (told, overrides): (Option<Settings>, &Overrides),
+    (new_settings, overrides): (Option<Settings>, &Overrides),
     from: f64,
     result: &mut WhatIf,
 ) {
@@ -121,7 +127,7 @@
         Event::Settings(settings) => Event::Settings(Box::new(overrides.apply(settings))),
         event => event.clone(),
     };
-    let first = told.map(|settings| Event::Settings(Box::new(settings)));
+    let first = new_settings.map(|settings| Event::Settings(Box::new(settings)));
     let events: Vec<Event> = first.into_iter().chain(round.events.iter().map(other)).collect();
     let mut actions = Vec::new();
     module.step(round.now, &events, &mut actions);
--- a/crates/capture/src/what_if/tests.rs
+++ b/crates/capture/src/what_if/tests.rs
@@ -2,7 +2,7 @@
 use crate::tests::{SMALL, capture, read};
 
 #[test]
-fn with_the_same_settings_all_is_the_same_and_with_more_cores_less_is_refused() {
+fn same_settings_give_same_decisions_and_more_cores_fewer_refusals() {
     let parts = read(&capture(5, 500, SMALL, 0..0));
     let same = what_if(&parts, &Overrides::default());
     assert_eq!((same.rounds, same.diverges_at), (500, None));
--- a/crates/node/tests/capture.rs
+++ b/crates/node/tests/capture.rs
@@ -205,7 +205,7 @@
         std::fs::write(&part, &bytes[..bytes.len() - 9]).unwrap();
         assert!(capture(&["summary"], &part, &[]).0.contains("1 places are spoilt"));
         std::fs::write(&part, b"nothing").unwrap();
-        assert!(capture(&["replay"], &part, &[]).0.contains("this is no capture"));
+        assert!(capture(&["replay"], &part, &[]).0.contains("this is not a capture file"));
     });
 }
 
