--- a/crates/operator/src/check.rs
+++ b/crates/operator/src/check.rs
@@ -10,89 +10,90 @@
 /// Calls of a run that can be told apart.
 pub const MAX_PLACE: usize = 64;
 
-/// All that does not fit together, with the way to the key.
+/// All that does not fit together, with the path to the key.
 pub fn between_blocks(file: &File) -> Vec<(String, String)> {
-    let mut wrong = Vec::new();
-    dependencies(file, &mut wrong);
-    routes(file, &mut wrong);
-    fleet(file, &mut wrong);
-    handovers(file, &mut wrong);
-    wrong
+    let mut problems = Vec::new();
+    dependencies(file, &mut problems);
+    routes(file, &mut problems);
+    fleet(file, &mut problems);
+    handovers(file, &mut problems);
+    problems
 }
 
 /// The longest time between two words of an edge.
-const LONGEST_WINDOW: Duration = Duration::from_secs(600);
+const MAX_WINDOW: Duration = Duration::from_secs(600);
 /// The kinds of what a team can own, before the '/'.
-const OWNED: [&str; 4] = ["class", "tenant", "dependency", "region"];
+const OWNED_KINDS: [&str; 4] = ["class", "tenant", "dependency", "region"];
 
 /// What is done once for the fleet, or known to all of it, needs one.
-fn handovers(file: &File, wrong: &mut Vec<(String, String)>) {
-    let mut told = |key: String, what: String| wrong.push((key, what));
+fn handovers(file: &File, problems: &mut Vec<(String, String)>) {
+    let mut report = |key: String, what: String| problems.push((key, what));
     for (class, handover) in &file.handover {
         let key = |key: &str| format!("handover.{class}.{key}");
         if file.fleet.is_none() {
             let what = "needs a fleet block: it is another of its members that takes over".to_string();
-            told(format!("handover.{class}"), what);
+            report(format!("handover.{class}"), what);
         }
         if file.route.get(class).is_some_and(|route| route.repeat != Repeat::Keyed) {
-            told(format!("handover.{class}"), NOT_KEYED.to_string());
+            report(format!("handover.{class}"), NOT_KEYED.to_string());
         }
         let plain = handover.path.bytes().all(|b| b.is_ascii_graphic());
         if !handover.path.starts_with('/') || !plain {
-            told(key("path"), "must begin with '/' and hold no spaces".to_string());
+            report(key("path"), "must begin with '/' and hold no spaces".to_string());
         }
         match (handover.effect, handover.resource) {
             (Effect::Asks, None) => {
                 let what = "is missing: effect \"asks\" needs the address of what is asked".to_string();
-                told(key("resource"), what);
+                report(key("resource"), what);
             }
             // Guards against an operator who takes a resource that is never asked for one that is.
             (Effect::Fenced | Effect::Unknown, Some(_)) => {
-                told(key("resource"), "is asked only with effect \"asks\": leave it out".to_string());
+                report(key("resource"), "is asked only with effect \"asks\": leave it out".to_string());
             }
             (_, Some(address)) if address.port() == 0 => {
-                told(key("resource"), "must have a port above 0".to_string());
+                report(key("resource"), "must have a port above 0".to_string());
             }
             _ => {}
         }
     }
     for (name, team) in &file.team {
-        if crate::a_name(name, &()).is_err() {
+        if crate::valid_name(name, &()).is_err() {
             let what = "must be named by 1 to 48 letters, digits, '-', '.' or '_'".to_string();
-            told(format!("team.{name}"), what);
+            report(format!("team.{name}"), what);
         }
         if file.fleet.is_none() {
-            told(format!("team.{name}"), "needs a fleet block: the route table is the fleet's".to_string());
+            report(format!("team.{name}"), "needs a fleet block: the route table is the fleet's".to_string());
         }
         for owned in &team.owns {
-            let known =
-                owned.split_once('/').is_some_and(|(kind, name)| OWNED.contains(&kind) && !name.is_empty());
+            let known = owned
+                .split_once('/')
+                .is_some_and(|(kind, name)| OWNED_KINDS.contains(&kind) && !name.is_empty());
             if !known {
-                let kinds = OWNED.map(|kind| format!("\"{kind}/NAME\"")).join(", ");
-                told(format!("team.{name}.owns"), format!("has {owned:?}, and must hold {kinds} only"));
+                let kinds = OWNED_KINDS.map(|kind| format!("\"{kind}/NAME\"")).join(", ");
+                report(format!("team.{name}.owns"), format!("has {owned:?}, and must hold {kinds} only"));
             }
         }
     }
     if file.history.is_some() && file.fleet.is_none() {
-        told("history".into(), "needs a fleet block: it tells what is asked of the fleet".to_string());
+        report("history".into(), "needs a fleet block: it tells what is asked of the fleet".to_string());
     }
     if let Some(steering) = &file.steering {
-        if steering.every.0 > LONGEST_WINDOW {
-            told("steering.every".into(), format!("must be {LONGEST_WINDOW:?} at most"));
+        if steering.every.0 > MAX_WINDOW {
+            report("steering.every".into(), format!("must be {MAX_WINDOW:?} at most"));
         }
         match (steering.by, &steering.field) {
             (By::Field, None) => {
-                told("steering.field".into(), "is missing: by = \"field\" needs it".to_string())
+                report("steering.field".into(), "is missing: by = \"field\" needs it".to_string())
             }
             (By::Balancer | By::Address, Some(_)) => {
-                told("steering.field".into(), "leave it out, or set by = \"field\"".to_string());
+                report("steering.field".into(), "leave it out, or set by = \"field\"".to_string());
             }
             _ => {}
         }
         match &file.fleet {
-            None => told("steering".into(), "needs a fleet block: its tables are the fleet's".to_string()),
+            None => report("steering".into(), "needs a fleet block: its tables are the fleet's".to_string()),
             Some(fleet) if fleet.region.is_none() => {
-                told("steering".into(), "needs fleet.region, to say where this nodo stands".to_string());
+                report("steering".into(), "needs fleet.region, to say where this nodo stands".to_string());
             }
             Some(_) => {}
         }
@@ -102,12 +103,12 @@
 /// Guards against a repeat that nobody can tell from another request.
 const NOT_KEYED: &str = "must be a keyed class: without a key a repeat cannot be told from another request";
 
-fn fleet(file: &File, wrong: &mut Vec<(String, String)>) {
-    let mut told = |key: String, what: String| wrong.push((key, what));
+fn fleet(file: &File, problems: &mut Vec<(String, String)>) {
+    let mut report = |key: String, what: String| problems.push((key, what));
     if let Some(fleet) = &file.fleet {
         if fleet.voter.len().is_multiple_of(2) {
             let count = fleet.voter.len();
-            told(
+            report(
                 "fleet.voter".into(),
                 format!("there are {count}: name 1, 3, 5 or 7, an even number bears no more"),
             );
@@ -115,56 +116,58 @@
         let mut seen = BTreeSet::new();
         for (name, voter) in &fleet.voter {
             let key = format!("fleet.voter.{name}");
-            if crate::a_name(name, &()).is_err() {
-                told(key.clone(), "must be named by 1 to 48 letters, digits, '-', '.' or '_'".to_string());
+            if crate::valid_name(name, &()).is_err() {
+                report(key.clone(), "must be named by 1 to 48 letters, digits, '-', '.' or '_'".to_string());
             }
             if voter.address.port() == 0 {
-                told(format!("{key}.address"), "must have a port above 0".to_string());
+                report(format!("{key}.address"), "must have a port above 0".to_string());
             }
             if !seen.insert(voter.address) {
-                told(format!("{key}.address"), "is another voter's as well".to_string());
+                report(format!("{key}.address"), "is another voter's as well".to_string());
             }
         }
     }
     for (name, task) in &file.task {
         let key = |key: &str| format!("task.{name}.{key}");
-        if crate::a_name(name, &()).is_err() {
+        if crate::valid_name(name, &()).is_err() {
             let what = "must be named by 1 to 48 letters, digits, '-', '.' or '_'".to_string();
-            told(format!("task.{name}"), what);
+            report(format!("task.{name}"), what);
         }
         let Some(fleet) = &file.fleet else {
-            told(
+            report(
                 format!("task.{name}"),
                 "needs a fleet block: it is done once for the whole fleet".to_string(),
             );
             continue;
         };
         match (task.every, &task.cron) {
-            (Some(_), Some(_)) => told(key("cron"), "stands beside every: one of them says when".to_string()),
-            (None, None) => told(format!("task.{name}"), "needs every or cron, to say when".to_string()),
+            (Some(_), Some(_)) => {
+                report(key("cron"), "stands beside every: one of them says when".to_string())
+            }
+            (None, None) => report(format!("task.{name}"), "needs every or cron, to say when".to_string()),
             (Some(every), None) if every < Span::ms(1000) => {
-                told(key("every"), "must be at least 1s".to_string());
+                report(key("every"), "must be at least 1s".to_string());
             }
             _ => {}
         }
         let plain = task.path.bytes().all(|b| b.is_ascii_graphic());
         if !task.path.starts_with('/') || !plain {
-            told(key("path"), "must begin with '/' and hold no spaces".to_string());
+            report(key("path"), "must begin with '/' and hold no spaces".to_string());
         }
         if task.address.port() == 0 {
-            told(key("address"), "must have a port above 0".to_string());
+            report(key("address"), "must have a port above 0".to_string());
         }
         let act = task.timeout.0 + task.way.0;
         if task.grade == Grade::Timed && act > fleet.ttl.0 / 2 {
             let ttl = fleet.ttl;
-            told(key("timeout"), format!("with way it must be at most half of fleet.ttl, which is {ttl}"));
+            report(key("timeout"), format!("with way it must be at most half of fleet.ttl, which is {ttl}"));
         }
     }
 }
 
-fn dependencies(file: &File, wrong: &mut Vec<(String, String)>) {
-    let mut told = |name: &str, key: &str, what: String| {
-        wrong.push((format!("dependency.{name}.{key}"), what));
+fn dependencies(file: &File, problems: &mut Vec<(String, String)>) {
+    let mut report = |name: &str, key: &str, what: String| {
+        problems.push((format!("dependency.{name}.{key}"), what));
     };
     let whole: f64 = file.dependency.values().map(|d| d.share.0).sum();
     let mut in_cycles: BTreeSet<&str> = BTreeSet::new();
@@ -174,62 +177,62 @@
             || name.len() > 64
             || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._".contains(&b))
         {
-            told(name, "", "must be named by 1 to 64 letters, digits, '-', '.' or '_'".to_string());
+            report(name, "", "must be named by 1 to 64 letters, digits, '-', '.' or '_'".to_string());
         }
         if let Some(next) = &d.fall_back {
             if !file.dependency.contains_key(next) {
-                told(name, "fall_back", format!("names {next:?}, which is no dependency of this file"));
+                report(name, "fall_back", format!("names {next:?}, which is no dependency of this file"));
             } else if !in_cycles.contains(name.as_str())
                 && let Some(cycle) = cycle_from(file, name)
             {
-                let way: Vec<&str> = cycle.iter().copied().chain([cycle[0]]).collect();
-                told(name, "fall_back", format!("goes round in a cycle: {}", way.join(" → ")));
+                let path: Vec<&str> = cycle.iter().copied().chain([cycle[0]]).collect();
+                report(name, "fall_back", format!("goes round in a cycle: {}", path.join(" → ")));
                 in_cycles.extend(cycle);
             }
         }
         if d.limit.least > d.calls {
-            told(name, "limit.least", format!("must be at most calls, which is {}", d.calls));
+            report(name, "limit.least", format!("must be at most calls, which is {}", d.calls));
         }
         if d.breaker.longest < d.breaker.wait {
-            told(name, "breaker.longest", format!("must be at least wait, which is {}", d.breaker.wait));
+            report(name, "breaker.longest", format!("must be at least wait, which is {}", d.breaker.wait));
         }
         if d.addresses.iter().any(|address| address.port() == 0) {
-            told(name, "addresses", "must have a port above 0".to_string());
+            report(name, "addresses", "must have a port above 0".to_string());
         }
     }
     if whole > 1.0 + 1e-9
         && let Some(name) = file.dependency.keys().next_back()
     {
         let what = format!("brings the shares of all dependencies to {:.0}%: at most 100%", whole * 100.0);
-        told(name, "share", what);
+        report(name, "share", what);
     }
 }
 
 /// The dependencies of a cycle of fall-backs in which this one is, beginning with it.
 fn cycle_from<'a>(file: &'a File, name: &'a str) -> Option<Vec<&'a str>> {
-    let mut way = vec![name];
+    let mut path = vec![name];
     let mut at = name;
     while let Some(next) = file.dependency.get(at)?.fall_back.as_deref() {
         if next == name {
-            return Some(way);
+            return Some(path);
         }
-        if way.contains(&next) {
+        if path.contains(&next) {
             // A cycle, but not through this one.
             return None;
         }
-        way.push(next);
+        path.push(next);
         at = next;
     }
     None
 }
 
-fn routes(file: &File, wrong: &mut Vec<(String, String)>) {
+fn routes(file: &File, problems: &mut Vec<(String, String)>) {
     for (class, route) in &file.route {
-        let mut told = |key: &str, what: String| wrong.push((format!("route.{class}.{key}"), what));
+        let mut report = |key: &str, what: String| problems.push((format!("route.{class}.{key}"), what));
         let safe = route.repeat == Repeat::Safe;
         let kind = if route.repeat == Repeat::Keyed { "a keyed" } else { "an unsafe" };
         if route.without && !safe {
-            told("without", format!("{kind} class must never be answered without a call"));
+            report("without", format!("{kind} class must never be answered without a call"));
         }
         for (place, call) in &route.call {
             let number = place
@@ -239,19 +242,22 @@
             if place != ANY && number.is_none() {
                 let what =
                     format!("must be labelled by its place in the run, \"1\" to \"{MAX_PLACE}\", or {ANY:?}");
-                told(&format!("call.{place}"), what);
+                report(&format!("call.{place}"), what);
             }
             if !file.dependency.contains_key(&call.to) {
                 let what = format!("names {:?}, which is no dependency of this file", call.to);
-                told(&format!("call.{place}.to"), what);
+                report(&format!("call.{place}.to"), what);
             }
             if call.kept.is_some() && !safe {
                 let what = format!("{kind} class must never be answered from a kept reply");
-                told(&format!("call.{place}.kept"), what);
+                report(&format!("call.{place}.kept"), what);
             }
         }
         if !route.call.contains_key(ANY) {
-            told("call", format!("needs a block call {ANY:?} for the calls that have no block of their own"));
+            report(
+                "call",
+                format!("needs a block call {ANY:?} for the calls that have no block of their own"),
+            );
         }
     }
 }
@@ -267,19 +273,19 @@
     pub calls: bool,
 }
 
-/// What does not fit between the file and the classes of the platform's settings, with the way to the key.
+/// What does not fit between the file and the classes of the platform's settings, with the path to the key.
 pub fn against_settings(file: &File, classes: &[Class]) -> Vec<(String, String)> {
-    let mut wrong = Vec::new();
+    let mut problems = Vec::new();
     for (name, route) in &file.route {
         match classes.iter().find(|class| class.name == name) {
             None => {
                 let names: Vec<&str> = classes.iter().map(|class| class.name).collect();
                 let what = format!("is no class of the settings, which have {}", names.join(", "));
-                wrong.push((format!("route.{name}"), what));
+                problems.push((format!("route.{name}"), what));
             }
             Some(class) if class.repeat != route.repeat => {
                 let what = format!("is {:?} in the settings", class.repeat).to_lowercase();
-                wrong.push((format!("route.{name}.repeat"), what));
+                problems.push((format!("route.{name}.repeat"), what));
             }
             Some(_) => {}
         }
@@ -289,10 +295,10 @@
             None => {
                 let names: Vec<&str> = classes.iter().map(|class| class.name).collect();
                 let what = format!("is no class of the settings, which have {}", names.join(", "));
-                wrong.push((format!("handover.{name}"), what));
+                problems.push((format!("handover.{name}"), what));
             }
             Some(class) if class.repeat != Repeat::Keyed => {
-                wrong.push((format!("handover.{name}"), NOT_KEYED.to_string()));
+                problems.push((format!("handover.{name}"), NOT_KEYED.to_string()));
             }
             Some(_) => {}
         }
@@ -300,8 +306,8 @@
     // A class without a route would have calls that go nowhere.
     for class in classes.iter().filter(|class| class.calls && !file.dependency.is_empty()) {
         if !file.route.contains_key(class.name) {
-            wrong.push((format!("route.{}", class.name), "is missing: the class makes calls".to_string()));
+            problems.push((format!("route.{}", class.name), "is missing: the class makes calls".to_string()));
         }
     }
-    wrong
+    problems
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -36,7 +36,7 @@
 use units::{Rate, Share, Size, Span};
 
 /// The longest file that is read, in bytes. Ours: a file that a person wrote is far shorter.
-pub const MAX_FILE: usize = 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 /// Dependencies and routes that a file may have.
 pub const MAX_BLOCKS: usize = 64;
 /// Members of a fleet that agree: as many as anybody needs.
@@ -129,7 +129,7 @@
     pub connections: usize,
     /// The part of the nodo's places for parked runs, and of their memory, that runs which wait for this may take.
     #[serde(default = "defaults::share")]
-    #[garde(custom(above_nothing))]
+    #[garde(custom(above_zero))]
     pub share: Share,
     /// How long a call that was given up may go on below.
     #[serde(default = "defaults::linger")]
@@ -185,7 +185,7 @@
     pub window: Span,
     /// It opens when this part of them failed.
     #[serde(default = "defaults::half")]
-    #[garde(custom(above_nothing))]
+    #[garde(custom(above_zero))]
     pub failures: Share,
     /// A call that takes longer is a slow one.
     #[serde(default = "defaults::slow")]
@@ -193,7 +193,7 @@
     pub slow: Span,
     /// It opens when this part of them was slow.
     #[serde(default = "defaults::most")]
-    #[garde(custom(above_nothing))]
+    #[garde(custom(above_zero))]
     pub slow_calls: Share,
     /// Fewer calls than this say nothing.
     #[serde(default = "defaults::least_calls")]
@@ -312,7 +312,7 @@
     pub snapshot: Span,
     /// Refusals have jumped when they are this part of a second's requests, and twice that of before.
     #[serde(default = "defaults::half")]
-    #[garde(custom(above_nothing))]
+    #[garde(custom(above_zero))]
     pub refusals: Share,
 }
 
@@ -321,7 +321,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
     /// Its name. Members of another fleet are turned away.
-    #[garde(custom(a_name))]
+    #[garde(custom(valid_name))]
     pub name: String,
     /// What lasts of this member: how often it was started, and the disk of its voter.
     #[garde(length(min = 1, max = 4096))]
@@ -336,11 +336,11 @@
     pub ttl: Span,
     /// How far a clock's rate may be off, to either side.
     #[serde(default = "defaults::drift")]
-    #[garde(custom(a_drift))]
+    #[garde(custom(valid_drift))]
     pub drift: Share,
     /// Where this nodo stands, as route tables and steering name it; nowhere in particular where it is left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[garde(inner(custom(a_name)))]
+    #[garde(inner(custom(valid_name)))]
     pub region: Option<String>,
     /// How many of the nodos get a new route table first, and all others only when these do no worse. The file of the one that leads says.
     #[serde(default)]
@@ -758,7 +758,7 @@
 }
 
 /// Names stand in paths, headers and lines of operators as they are.
-fn a_name(name: &str, _: &()) -> garde::Result {
+fn valid_name(name: &str, _: &()) -> garde::Result {
     let plain = name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._".contains(&b));
     match plain && (1..=48).contains(&name.len()) {
         true => Ok(()),
@@ -766,14 +766,14 @@
     }
 }
 
-fn a_drift(drift: &Share, _: &()) -> garde::Result {
+fn valid_drift(drift: &Share, _: &()) -> garde::Result {
     match drift.0 <= 0.2 {
         true => Ok(()),
         false => Err(garde::Error::new("must be at most 20%")),
     }
 }
 
-fn above_nothing(share: &Share, _: &()) -> garde::Result {
+fn above_zero(share: &Share, _: &()) -> garde::Result {
     match share.0 > 0.0 {
         true => Ok(()),
         false => Err(garde::Error::new("must be above 0%")),
@@ -819,19 +819,19 @@
         key: key.to_string(),
         what,
     };
-    if text.len() > MAX_FILE {
-        let what = format!("the file has {} bytes; {} at most are read", text.len(), MAX_FILE);
+    if text.len() > MAX_FILE_BYTES {
+        let what = format!("the file has {} bytes; {} at most are read", text.len(), MAX_FILE_BYTES);
         return Err(vec![problem(1, 1, "", what)]);
     }
     let body = hcl_edit::parser::parse_body(text).map_err(|e| {
         let at = e.location();
         vec![problem(at.line(), at.column(), "", format!("this is no HCL: {}", e.message()))]
     })?;
-    let place = |at: usize, key: &str, what: String| {
+    let located = |at: usize, key: &str, what: String| {
         let (line, column) = source::line_and_column(text, at);
         problem(line, column, key, what)
     };
-    let (file, places) = source::read::<File>(&body).map_err(|e| vec![place(e.at, &e.key, e.what)])?;
+    let (file, positions) = source::read::<File>(&body).map_err(|e| vec![located(e.at, &e.key, e.what)])?;
     let ranges = match file.validate() {
         Ok(()) => Vec::new(),
         Err(report) => report
@@ -839,11 +839,11 @@
             .map(|(path, e)| (path.to_string().replace('[', ".").replace(']', ""), e.message().to_string()))
             .collect(),
     };
-    let wrong = if ranges.is_empty() { check::between_blocks(&file) } else { ranges };
-    if wrong.is_empty() {
+    let problems = if ranges.is_empty() { check::between_blocks(&file) } else { ranges };
+    if problems.is_empty() {
         return Ok(file);
     }
-    Err(wrong.into_iter().map(|(key, what)| place(places.nearest(&key), &key, what)).collect())
+    Err(problems.into_iter().map(|(key, what)| located(positions.nearest(&key), &key, what)).collect())
 }
 
 /// Reads and checks the file at a path.
--- a/crates/operator/src/source.rs
+++ b/crates/operator/src/source.rs
@@ -1,7 +1,7 @@
 //! From the text of a file to the types of this crate: a serde deserializer over HCL that knows where everything stands.
 //!
 //! An attribute is a field. A block is a field too: without a label it is a struct, with a label it is an entry of a map.
-//! Every value's place is remembered under the way to it, so that checks which come later can name it.
+//! Every value's place is remembered under the path to it, so that checks which come later can name it.
 
 use hcl_edit::Span as _;
 use hcl_edit::expr::Expression;
@@ -14,22 +14,22 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A mistake at a place of the text.
+/// A error at a place of the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct SourceError {
     /// The byte of the text.
     pub at: usize,
-    /// The way to the key.
+    /// The path to the key.
     pub key: String,
-    /// What is wrong.
+    /// Source is wrong.
     pub what: String,
 }
 
-/// Where the values of a file stand, by the way to them.
+/// Where the values of a file stand, by the path to them.
 #[derive(Clone, Debug, Default)]
-pub struct Places(BTreeMap<String, usize>);
+pub struct Positions(BTreeMap<String, usize>);
 
-impl Places {
+impl Positions {
     /// The place of a key, or of the nearest one round it where it is not written.
     pub fn nearest(&self, key: &str) -> usize {
         let mut key = key;
@@ -54,39 +54,40 @@
     (before.matches('\n').count() + 1, before[line_start..].chars().count() + 1)
 }
 
-/// Reads a value of any type from a body, with the places of what was read.
+/// Reads a value of any type from a body, with the positions of what was read.
 ///
 /// # Errors
 /// The first key or value that does not fit the type.
-pub fn read<T: DeserializeOwned>(body: &Body) -> Result<(T, Places), Mistake> {
-    let places = RefCell::default();
-    let way = Way { places: &places, key: String::new(), at: 0 };
-    let value = T::deserialize(Value { what: What::Body(body), way: &way }).map_err(|e| way.mistake(e))?;
-    Ok((value, places.take()))
+pub fn read<T: DeserializeOwned>(body: &Body) -> Result<(T, Positions), SourceError> {
+    let positions = RefCell::default();
+    let path = KeyPath { positions: &positions, key: String::new(), at: 0 };
+    let value = T::deserialize(Value { source: Source::Body(body), path: &path })
+        .map_err(|e| path.source_error(e))?;
+    Ok((value, positions.take()))
 }
 
-/// The way to a value and the place where it stands.
-struct Way<'a> {
-    places: &'a RefCell<Places>,
+/// The path to a value and the place where it stands.
+struct KeyPath<'a> {
+    positions: &'a RefCell<Positions>,
     key: String,
     at: usize,
 }
 
-impl<'a> Way<'a> {
-    fn to(&self, name: &str, at: Option<usize>) -> Way<'a> {
+impl<'a> KeyPath<'a> {
+    fn child(&self, name: &str, at: Option<usize>) -> KeyPath<'a> {
         let key = if self.key.is_empty() { name.to_string() } else { format!("{}.{name}", self.key) };
         let at = at.unwrap_or(self.at);
-        self.places.borrow_mut().0.insert(key.clone(), at);
-        Way { places: self.places, key, at }
+        self.positions.borrow_mut().0.insert(key.clone(), at);
+        KeyPath { positions: self.positions, key, at }
     }
 
-    /// Gives a mistake this place, unless it has one further in.
-    fn mistake(&self, fault: Fault) -> Mistake {
-        match fault {
-            Fault::Placed(mistake) => mistake,
-            Fault::Here(what) => Mistake { at: self.at, key: self.key.clone(), what },
-            Fault::Unknown { name, expected } => {
-                let at = self.places.borrow().nearest(&self.to_key(&name));
+    /// Gives a error this place, unless it has one further in.
+    fn source_error(&self, error: ReadError) -> SourceError {
+        match error {
+            ReadError::Located(error) => error,
+            ReadError::Unlocated(what) => SourceError { at: self.at, key: self.key.clone(), what },
+            ReadError::Unknown { name, expected } => {
+                let at = self.positions.borrow().nearest(&self.child_key(&name));
                 let near = expected
                     .iter()
                     .map(|known| (strsim::damerau_levenshtein(known, &name), *known))
@@ -97,46 +98,46 @@
                     Some((_, near)) => format!("is not known; did you mean {near:?}?"),
                     None => format!("is not known; expected one of {}", expected.join(", ")),
                 };
-                Mistake { at, key: self.to_key(&name), what }
+                SourceError { at, key: self.child_key(&name), what }
             }
         }
     }
 
-    fn to_key(&self, name: &str) -> String {
+    fn child_key(&self, name: &str) -> String {
         if self.key.is_empty() { name.to_string() } else { format!("{}.{name}", self.key) }
     }
 
-    fn placed<T>(&self, read: Result<T, Fault>) -> Result<T, Fault> {
-        read.map_err(|fault| Fault::Placed(self.mistake(fault)))
+    fn locate<T>(&self, read: Result<T, ReadError>) -> Result<T, ReadError> {
+        read.map_err(|error| ReadError::Located(self.source_error(error)))
     }
 }
 
-/// What serde reports, before it is known where.
+/// Source serde reports, before it is known where.
 #[derive(Debug)]
-enum Fault {
-    Here(String),
+enum ReadError {
+    Unlocated(String),
     Unknown { name: String, expected: &'static [&'static str] },
-    Placed(Mistake),
+    Located(SourceError),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Here(what) => f.write_str(what),
-            Fault::Unknown { name, .. } => write!(f, "{name} is not known"),
-            Fault::Placed(mistake) => f.write_str(&mistake.what),
+            ReadError::Unlocated(what) => f.write_str(what),
+            ReadError::Unknown { name, .. } => write!(f, "{name} is not known"),
+            ReadError::Located(error) => f.write_str(&error.what),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ReadError {}
 
-impl de::Error for Fault {
-    fn custom<T: fmt::Display>(what: T) -> Fault {
-        Fault::Here(what.to_string())
+impl de::Error for ReadError {
+    fn custom<T: fmt::Display>(what: T) -> ReadError {
+        ReadError::Unlocated(what.to_string())
     }
 
-    fn invalid_type(found: Unexpected, expected: &dyn de::Expected) -> Fault {
+    fn invalid_type(found: Unexpected, expected: &dyn de::Expected) -> ReadError {
         // The words of a program for what is simply a number.
         let expected = match expected.to_string().as_str() {
             "usize" | "u64" => "a whole number of 0 or more".to_string(),
@@ -144,28 +145,28 @@
             "socket address" => "an IP address with a port".to_string(),
             other => other.to_string(),
         };
-        Fault::Here(format!("must be {expected}, not {}", named(found)))
+        ReadError::Unlocated(format!("must be {expected}, not {}", describe(found)))
     }
 
-    fn invalid_value(found: Unexpected, expected: &dyn de::Expected) -> Fault {
-        Fault::invalid_type(found, expected)
+    fn invalid_value(found: Unexpected, expected: &dyn de::Expected) -> ReadError {
+        ReadError::invalid_type(found, expected)
     }
 
-    fn unknown_field(name: &str, expected: &'static [&'static str]) -> Fault {
-        Fault::Unknown { name: name.to_string(), expected }
+    fn unknown_field(name: &str, expected: &'static [&'static str]) -> ReadError {
+        ReadError::Unknown { name: name.to_string(), expected }
     }
 
-    fn unknown_variant(name: &str, expected: &'static [&'static str]) -> Fault {
-        Fault::Here(format!("must be one of {}, not {name:?}", expected.join(", ")))
+    fn unknown_variant(name: &str, expected: &'static [&'static str]) -> ReadError {
+        ReadError::Unlocated(format!("must be one of {}, not {name:?}", expected.join(", ")))
     }
 
-    fn missing_field(name: &'static str) -> Fault {
-        Fault::Here(format!("{name} is missing"))
+    fn missing_field(name: &'static str) -> ReadError {
+        ReadError::Unlocated(format!("{name} is missing"))
     }
 }
 
-/// What was found, in the words of someone who writes the file.
-fn named(found: Unexpected) -> String {
+/// Source was found, in the words of someone who writes the file.
+fn describe(found: Unexpected) -> String {
     match found {
         Unexpected::Str(text) => format!("{text:?}"),
         Unexpected::Unsigned(n) => format!("the bare number {n}"),
@@ -179,9 +180,9 @@
     }
 }
 
-/// What a value is made from.
+/// Source a value is made from.
 #[derive(Clone, Copy)]
-enum What<'a> {
+enum Source<'a> {
     Body(&'a Body),
     /// All blocks of one name.
     Blocks(&'a [&'a Block]),
@@ -189,31 +190,31 @@
 }
 
 struct Value<'a> {
-    what: What<'a>,
-    way: &'a Way<'a>,
+    source: Source<'a>,
+    path: &'a KeyPath<'a>,
 }
 
 impl<'a> Value<'a> {
     /// The one block without a label that this is.
-    fn body(&self) -> Result<&'a Body, Fault> {
-        match self.what {
-            What::Body(body) => Ok(body),
-            What::Blocks([block]) if block.labels.is_empty() => Ok(&block.body),
-            What::Blocks([block, ..]) if !block.labels.is_empty() => {
-                Err(Fault::Here("takes no label".to_string()))
+    fn body(&self) -> Result<&'a Body, ReadError> {
+        match self.source {
+            Source::Body(body) => Ok(body),
+            Source::Blocks([block]) if block.labels.is_empty() => Ok(&block.body),
+            Source::Blocks([block, ..]) if !block.labels.is_empty() => {
+                Err(ReadError::Unlocated("takes no label".to_string()))
             }
-            What::Blocks(_) => Err(Fault::Here("must stand once".to_string())),
-            What::Plain(_) => Err(Fault::Here("must be a block, as in NAME { … }".to_string())),
+            Source::Blocks(_) => Err(ReadError::Unlocated("must stand once".to_string())),
+            Source::Plain(_) => Err(ReadError::Unlocated("must be a block, as in NAME { … }".to_string())),
         }
     }
 }
 
 impl<'de> de::Deserializer<'de> for Value<'_> {
-    type Error = Fault;
+    type Error = ReadError;
 
-    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
-        let What::Plain(value) = self.what else {
-            return Err(Fault::invalid_type(Unexpected::Map, &visitor));
+    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ReadError> {
+        let Source::Plain(value) = self.source else {
+            return Err(ReadError::invalid_type(Unexpected::Map, &visitor));
         };
         match value {
             Expression::Null(_) => visitor.visit_unit(),
@@ -228,13 +229,13 @@
                 }
             }
             Expression::Array(array) => {
-                visitor.visit_seq(Items { items: array.iter(), place: 0, way: self.way })
+                visitor.visit_seq(Items { items: array.iter(), index: 0, path: self.path })
             }
-            _ => Err(Fault::Here("must be a plain value: nothing is computed here".to_string())),
+            _ => Err(ReadError::Unlocated("must be a plain value: nothing is computed here".to_string())),
         }
     }
 
-    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ReadError> {
         visitor.visit_some(self)
     }
 
@@ -243,32 +244,39 @@
         _name: &'static str,
         _fields: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
-        let fields = fields(self.body()?, self.way)?;
-        let read = visitor.visit_map(Fields { rest: &fields, way: self.way });
-        self.way.placed(read)
+    ) -> Result<V::Value, ReadError> {
+        let fields = fields(self.body()?, self.path)?;
+        let read = visitor.visit_map(Fields { rest: &fields, path: self.path });
+        self.path.locate(read)
     }
 
     /// A map is made of blocks with a label each.
-    fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
-        let What::Blocks(blocks) = self.what else {
-            return Err(Fault::Here("must be a block with a label, as in NAME \"label\" { … }".to_string()));
+    fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ReadError> {
+        let Source::Blocks(blocks) = self.source else {
+            return Err(ReadError::Unlocated(
+                "must be a block with a label, as in NAME \"label\" { … }".to_string(),
+            ));
         };
         let mut labelled: BTreeMap<&str, &Block> = BTreeMap::new();
         for block in blocks {
             let [label] = &block.labels[..] else {
-                let way = Way { at: start(block.span()), key: self.way.key.clone(), ..*self.way };
-                return way
-                    .placed(Err(Fault::Here("needs one label, as in NAME \"label\" { … }".to_string())));
+                let path = KeyPath { at: start(block.span()), key: self.path.key.clone(), ..*self.path };
+                return path.locate(Err(ReadError::Unlocated(
+                    "needs one label, as in NAME \"label\" { … }".to_string(),
+                )));
             };
             if labelled.insert(label.as_str(), block).is_some() {
-                let way = Way { at: start(block.span()), key: self.way.to_key(label.as_str()), ..*self.way };
-                return way.placed(Err(Fault::Here("stands twice".to_string())));
+                let path = KeyPath {
+                    at: start(block.span()),
+                    key: self.path.child_key(label.as_str()),
+                    ..*self.path
+                };
+                return path.locate(Err(ReadError::Unlocated("stands twice".to_string())));
             }
         }
         let entries: Vec<Field> =
             labelled.iter().map(|(label, block)| Field::Block(label, std::slice::from_ref(block))).collect();
-        visitor.visit_map(Fields { rest: &entries, way: self.way })
+        visitor.visit_map(Fields { rest: &entries, path: self.path })
     }
 
     fn deserialize_enum<V: Visitor<'de>>(
@@ -276,12 +284,12 @@
         name: &'static str,
         variants: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
-        match self.what {
-            What::Plain(Expression::String(text)) => {
+    ) -> Result<V::Value, ReadError> {
+        match self.source {
+            Source::Plain(Expression::String(text)) => {
                 StrDeserializer::new(text.value()).deserialize_enum(name, variants, visitor)
             }
-            _ => Err(Fault::Here(format!("must be one of {}", variants.join(", ")))),
+            _ => Err(ReadError::Unlocated(format!("must be one of {}", variants.join(", ")))),
         }
     }
 
@@ -304,7 +312,7 @@
 }
 
 /// The fields of a body, with blocks of one name gathered.
-fn fields<'a>(body: &'a Body, way: &Way) -> Result<Vec<Field<'a>>, Fault> {
+fn fields<'a>(body: &'a Body, path: &KeyPath) -> Result<Vec<Field<'a>>, ReadError> {
     let mut fields: Vec<Field> = Vec::new();
     for structure in body {
         match structure {
@@ -312,7 +320,9 @@
                 let (name, at) = (attribute.key.as_str(), start(attribute.span()));
                 // The grammar refuses an attribute that stands twice, and not one that is a block as well.
                 if fields.iter().any(|f| matches!(f, Field::Blocks(other, _) if *other == name)) {
-                    return way.to(name, Some(at)).placed(Err(Fault::Here("is a block above".to_string())));
+                    return path
+                        .child(name, Some(at))
+                        .locate(Err(ReadError::Unlocated("is a block above".to_string())));
                 }
                 fields.push(Field::Attribute(name, &attribute.value, at));
             }
@@ -334,58 +344,58 @@
 
 struct Fields<'a> {
     rest: &'a [Field<'a>],
-    way: &'a Way<'a>,
+    path: &'a KeyPath<'a>,
 }
 
 impl<'de> MapAccess<'de> for Fields<'_> {
-    type Error = Fault;
+    type Error = ReadError;
 
-    fn next_key_seed<K: DeserializeSeed<'de>>(&mut self, seed: K) -> Result<Option<K::Value>, Fault> {
+    fn next_key_seed<K: DeserializeSeed<'de>>(&mut self, seed: K) -> Result<Option<K::Value>, ReadError> {
         let Some(field) = self.rest.first() else { return Ok(None) };
         let (name, at) = match field {
             Field::Attribute(name, _, at) => (*name, Some(*at)),
             Field::Block(name, blocks) => (*name, blocks.first().map(|block| start(block.span()))),
             Field::Blocks(name, blocks) => (*name, blocks.first().map(|block| start(block.span()))),
         };
-        self.way.to(name, at);
+        self.path.child(name, at);
         seed.deserialize(StrDeserializer::new(name)).map(Some)
     }
 
-    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, Fault> {
+    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, ReadError> {
         let Some((field, rest)) = self.rest.split_first() else {
-            return Err(Fault::Here("a value without a key".to_string()));
+            return Err(ReadError::Unlocated("a value without a key".to_string()));
         };
         self.rest = rest;
-        let (name, what) = match field {
-            Field::Attribute(name, value, _) => (*name, What::Plain(value)),
+        let (name, source) = match field {
+            Field::Attribute(name, value, _) => (*name, Source::Plain(value)),
             Field::Block(name, blocks) => {
                 // The label is the name here; what is in the block is the value.
-                let way = self.way.to(name, blocks.first().map(|block| start(block.span())));
-                let body = blocks.first().map(|block| What::Body(&block.body));
-                let value = Value { what: body.unwrap_or(What::Blocks(&[])), way: &way };
-                return way.placed(seed.deserialize(value));
+                let path = self.path.child(name, blocks.first().map(|block| start(block.span())));
+                let body = blocks.first().map(|block| Source::Body(&block.body));
+                let value = Value { source: body.unwrap_or(Source::Blocks(&[])), path: &path };
+                return path.locate(seed.deserialize(value));
             }
-            Field::Blocks(name, blocks) => (*name, What::Blocks(blocks)),
+            Field::Blocks(name, blocks) => (*name, Source::Blocks(blocks)),
         };
-        let at = self.way.places.borrow().nearest(&self.way.to_key(name));
-        let way = self.way.to(name, Some(at));
-        way.placed(seed.deserialize(Value { what, way: &way }))
+        let at = self.path.positions.borrow().nearest(&self.path.child_key(name));
+        let path = self.path.child(name, Some(at));
+        path.locate(seed.deserialize(Value { source, path: &path }))
     }
 }
 
 struct Items<'a, I> {
     items: I,
-    place: usize,
-    way: &'a Way<'a>,
+    index: usize,
+    path: &'a KeyPath<'a>,
 }
 
 impl<'de, 'a, I: Iterator<Item = &'a Expression>> SeqAccess<'de> for Items<'_, I> {
-    type Error = Fault;
+    type Error = ReadError;
 
-    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, Fault> {
+    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, ReadError> {
         let Some(item) = self.items.next() else { return Ok(None) };
-        let way = self.way.to(&self.place.to_string(), item.span().map(|span| span.start));
-        self.place += 1;
-        way.placed(seed.deserialize(Value { what: What::Plain(item), way: &way })).map(Some)
+        let path = self.path.child(&self.index.to_string(), item.span().map(|span| span.start));
+        self.index += 1;
+        path.locate(seed.deserialize(Value { source: Source::Plain(item), path: &path })).map(Some)
     }
 }
--- a/crates/operator/src/tests.rs
+++ b/crates/operator/src/tests.rs
@@ -190,13 +190,13 @@
         assert_eq!(text.parse::<Share>().unwrap().to_string(), text);
     }
     for text in ["", "ms", "5", "-5ms", "5.5ms", "5 ms", "5MS", "١ms"] {
-        assert_eq!(text.parse::<Span>(), Err(units::NotUnderstood), "{text}");
+        assert_eq!(text.parse::<Span>(), Err(units::ParseQuantityError), "{text}");
     }
     for text in ["", "%", "1e1%", "NaN%", "-1%", "101%", "5"] {
-        assert_eq!(text.parse::<Share>(), Err(units::NotUnderstood), "{text}");
+        assert_eq!(text.parse::<Share>(), Err(units::ParseQuantityError), "{text}");
     }
     for text in ["0/s", "inf/s", "5", "5/m"] {
-        assert_eq!(text.parse::<Rate>(), Err(units::NotUnderstood), "{text}");
+        assert_eq!(text.parse::<Rate>(), Err(units::ParseQuantityError), "{text}");
     }
 }
 
--- a/crates/operator/src/units.rs
+++ b/crates/operator/src/units.rs
@@ -38,19 +38,19 @@
 
 /// A text that says no figure of this kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotUnderstood;
+pub struct ParseQuantityError;
 
 const SPANS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
 const SIZES: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 
 /// Reads a whole number and one of the units; the number times what the unit stands for.
-fn with_unit(text: &str, units: &[(&str, u64)]) -> Result<u64, NotUnderstood> {
+fn with_unit(text: &str, units: &[(&str, u64)]) -> Result<u64, ParseQuantityError> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
-    let factor = units.iter().find(|(name, _)| *name == unit).ok_or(NotUnderstood)?.1;
-    let number: u64 = number.parse().map_err(|_| NotUnderstood)?;
+    let factor = units.iter().find(|(name, _)| *name == unit).ok_or(ParseQuantityError)?.1;
+    let number: u64 = number.parse().map_err(|_| ParseQuantityError)?;
     // Guards against figures that would overflow wherever they are added up: a thousand years of milliseconds fit.
-    number.checked_mul(factor).filter(|all| *all < 1 << 45).ok_or(NotUnderstood)
+    number.checked_mul(factor).filter(|all| *all < 1 << 45).ok_or(ParseQuantityError)
 }
 
 /// Writes a number with the largest unit that leaves it whole.
@@ -61,37 +61,45 @@
 }
 
 /// Reads a number that stands before `end`.
-fn before(text: &str, end: &str) -> Result<f64, NotUnderstood> {
-    let number = text.strip_suffix(end).ok_or(NotUnderstood)?;
+fn parse_before(text: &str, end: &str) -> Result<f64, ParseQuantityError> {
+    let number = text.strip_suffix(end).ok_or(ParseQuantityError)?;
     let plain = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    number.parse().ok().filter(|n: &f64| plain && n.is_finite()).ok_or(NotUnderstood)
+    number.parse().ok().filter(|n: &f64| plain && n.is_finite()).ok_or(ParseQuantityError)
 }
 
 impl FromStr for Span {
-    type Err = NotUnderstood;
-    fn from_str(text: &str) -> Result<Span, NotUnderstood> {
+    type Err = ParseQuantityError;
+    fn from_str(text: &str) -> Result<Span, ParseQuantityError> {
         with_unit(text, &SPANS).map(Span::ms)
     }
 }
 
 impl FromStr for Size {
-    type Err = NotUnderstood;
-    fn from_str(text: &str) -> Result<Size, NotUnderstood> {
+    type Err = ParseQuantityError;
+    fn from_str(text: &str) -> Result<Size, ParseQuantityError> {
         with_unit(text, &SIZES).map(Size)
     }
 }
 
 impl FromStr for Share {
-    type Err = NotUnderstood;
-    fn from_str(text: &str) -> Result<Share, NotUnderstood> {
-        before(text, "%").ok().filter(|percent| *percent <= 100.0).map(Share::percent).ok_or(NotUnderstood)
+    type Err = ParseQuantityError;
+    fn from_str(text: &str) -> Result<Share, ParseQuantityError> {
+        parse_before(text, "%")
+            .ok()
+            .filter(|percent| *percent <= 100.0)
+            .map(Share::percent)
+            .ok_or(ParseQuantityError)
     }
 }
 
 impl FromStr for Rate {
-    type Err = NotUnderstood;
-    fn from_str(text: &str) -> Result<Rate, NotUnderstood> {
-        before(text, "/s").ok().filter(|rate| (0.001..=1e6).contains(rate)).map(Rate).ok_or(NotUnderstood)
+    type Err = ParseQuantityError;
+    fn from_str(text: &str) -> Result<Rate, ParseQuantityError> {
+        parse_before(text, "/s")
+            .ok()
+            .filter(|rate| (0.001..=1e6).contains(rate))
+            .map(Rate)
+            .ok_or(ParseQuantityError)
     }
 }
 
@@ -121,9 +129,9 @@
 }
 
 /// Takes a text of one kind of figure and says what was expected in place of all else.
-struct Figure<T>(std::marker::PhantomData<T>, &'static str);
+struct QuantityVisitor<T>(std::marker::PhantomData<T>, &'static str);
 
-impl<T: FromStr> Visitor<'_> for Figure<T> {
+impl<T: FromStr> Visitor<'_> for QuantityVisitor<T> {
     type Value = T;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -135,11 +143,11 @@
     }
 }
 
-macro_rules! figures {
+macro_rules! impl_quantities {
     ($($kind:ty: $expected:literal),* $(,)?) => {$(
         impl<'de> Deserialize<'de> for $kind {
             fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-                from.deserialize_str(Figure::<$kind>(std::marker::PhantomData, $expected))
+                from.deserialize_str(QuantityVisitor::<$kind>(std::marker::PhantomData, $expected))
             }
         }
 
@@ -151,7 +159,7 @@
     )*};
 }
 
-figures! {
+impl_quantities! {
     Span: "a duration with its unit, such as \"250ms\", \"2s\", \"5m\" or \"1h\"",
     Size: "a size with its unit, such as \"512B\", \"64KiB\" or \"2MiB\"",
     Share: "a share from \"0%\" to \"100%\"",
