--- a/crates/capture/src/sink.rs
+++ b/crates/capture/src/sink.rs
@@ -65,7 +65,7 @@
     unwritten_bytes: usize,
 }
 
-/// The file extension of captures.
+/// The extension of capture file names.
 pub const ENDING: &str = ".jshcap";
 
 impl<D: Storage> Sink<D> {
@@ -86,8 +86,8 @@
     }
 
     /// Processes a message. Returns the outcome if a file was to be written.
-    pub fn take(&mut self, piece: Message) -> Option<WriteOutcome> {
-        let block = match piece {
+    pub fn take(&mut self, message: Message) -> Option<WriteOutcome> {
+        let block = match message {
             Message::Missed(rounds) => {
                 self.recorder.missed(rounds);
                 Ok(None)
@@ -109,8 +109,8 @@
             }
             Message::AuxiliarySteps(encoded) => self.recorder.auxiliary_steps(&encoded),
             Message::WriteOut(reason) => return Some(self.write_out(reason)),
-            Message::SetRingBytes(most) => {
-                self.ring.set_max_bytes(most);
+            Message::SetRingBytes(max_bytes) => {
+                self.ring.set_max_bytes(max_bytes);
                 Ok(None)
             }
         };
@@ -158,8 +158,8 @@
         let mut names = self.storage.list()?;
         names.retain(|name| name.starts_with(&prefix) && name.ends_with(ENDING));
         names.sort();
-        let most = self.bounds.max_files.max(1);
-        for name in names.iter().take(names.len().saturating_sub(most)) {
+        let max_files = self.bounds.max_files.max(1);
+        for name in names.iter().take(names.len().saturating_sub(max_files)) {
             self.storage.remove(name)?;
         }
         Ok(())
--- a/crates/operator/src/check.rs
+++ b/crates/operator/src/check.rs
@@ -1,16 +1,16 @@
-//! What only shows between the blocks of a file, and between the file and the platform's settings.
+//! Checks of relations between the blocks of a file, and between the file and the platform's settings.
 
 use crate::units::Span;
 use crate::{By, Effect, File, Grade, Repeat};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The label of the call block that stands for all calls without one of their own.
+/// The label of the call block for all calls without a block of their own.
 pub const ANY: &str = "any";
-/// Calls of a run that can be told apart.
+/// Maximum position of a call in a run that can have its own block.
 pub const MAX_PLACE: usize = 64;
 
-/// All that does not fit together, with the path to the key.
+/// Returns all conflicts between blocks, each as the path of the key and a message.
 pub fn between_blocks(file: &File) -> Vec<(String, String)> {
     let mut problems = Vec::new();
     dependencies(file, &mut problems);
@@ -20,18 +20,18 @@
     problems
 }
 
-/// The longest time between two words of an edge.
+/// Maximum interval between two summaries of an edge.
 const MAX_WINDOW: Duration = Duration::from_secs(600);
-/// The kinds of what a team can own, before the '/'.
+/// The kinds of parts that a team can own, before the '/'.
 const OWNED_KINDS: [&str; 4] = ["class", "tenant", "dependency", "region"];
 
-/// What is done once for the fleet, or known to all of it, needs one.
+/// Checks the blocks that need a fleet: handovers, teams, steering and history.
 fn handovers(file: &File, problems: &mut Vec<(String, String)>) {
     let mut report = |key: String, what: String| problems.push((key, what));
     for (class, handover) in &file.handover {
         let key = |key: &str| format!("handover.{class}.{key}");
         if file.fleet.is_none() {
-            let what = "needs a fleet block: it is another of its members that takes over".to_string();
+            let what = "needs a fleet block: another member takes over the work".to_string();
             report(format!("handover.{class}"), what);
         }
         if file.route.get(class).is_some_and(|route| route.repeat != Repeat::Keyed) {
@@ -39,16 +39,17 @@
         }
         let plain = handover.path.bytes().all(|b| b.is_ascii_graphic());
         if !handover.path.starts_with('/') || !plain {
-            report(key("path"), "must begin with '/' and hold no spaces".to_string());
+            report(key("path"), "must begin with '/' and contain no spaces".to_string());
         }
         match (handover.effect, handover.resource) {
             (Effect::Asks, None) => {
-                let what = "is missing: effect \"asks\" needs the address of what is asked".to_string();
+                let what =
+                    "is missing: effect \"asks\" needs the address of the resource to query".to_string();
                 report(key("resource"), what);
             }
-            // Guards against an operator who takes a resource that is never asked for one that is.
+            // An operator could otherwise assume that the resource is queried.
             (Effect::Fenced | Effect::Unknown, Some(_)) => {
-                report(key("resource"), "is asked only with effect \"asks\": leave it out".to_string());
+                report(key("resource"), "is used only with effect \"asks\": leave it out".to_string());
             }
             (_, Some(address)) if address.port() == 0 => {
                 report(key("resource"), "must have a port above 0".to_string());
@@ -62,7 +63,10 @@
             report(format!("team.{name}"), what);
         }
         if file.fleet.is_none() {
-            report(format!("team.{name}"), "needs a fleet block: the route table is the fleet's".to_string());
+            report(
+                format!("team.{name}"),
+                "needs a fleet block: the route table belongs to the fleet".to_string(),
+            );
         }
         for owned in &team.owns {
             let known = owned
@@ -70,12 +74,12 @@
                 .is_some_and(|(kind, name)| OWNED_KINDS.contains(&kind) && !name.is_empty());
             if !known {
                 let kinds = OWNED_KINDS.map(|kind| format!("\"{kind}/NAME\"")).join(", ");
-                report(format!("team.{name}.owns"), format!("has {owned:?}, and must hold {kinds} only"));
+                report(format!("team.{name}.owns"), format!("has {owned:?}, and must contain only {kinds}"));
             }
         }
     }
     if file.history.is_some() && file.fleet.is_none() {
-        report("history".into(), "needs a fleet block: it tells what is asked of the fleet".to_string());
+        report("history".into(), "needs a fleet block: it records operations of the fleet".to_string());
     }
     if let Some(steering) = &file.steering {
         if steering.every.0 > MAX_WINDOW {
@@ -91,17 +95,20 @@
             _ => {}
         }
         match &file.fleet {
-            None => report("steering".into(), "needs a fleet block: its tables are the fleet's".to_string()),
+            None => {
+                report("steering".into(), "needs a fleet block: its tables belong to the fleet".to_string())
+            }
             Some(fleet) if fleet.region.is_none() => {
-                report("steering".into(), "needs fleet.region, to say where this nodo stands".to_string());
+                report("steering".into(), "needs fleet.region, the region of this nodo".to_string());
             }
             Some(_) => {}
         }
     }
 }
 
-/// Guards against a repeat that nobody can tell from another request.
-const NOT_KEYED: &str = "must be a keyed class: without a key a repeat cannot be told from another request";
+/// Message for a class without operation keys, whose repeats could not be recognized.
+const NOT_KEYED: &str =
+    "must be a keyed class: without a key a repeat cannot be distinguished from a new request";
 
 fn fleet(file: &File, problems: &mut Vec<(String, String)>) {
     let mut report = |key: String, what: String| problems.push((key, what));
@@ -110,7 +117,9 @@
             let count = fleet.voter.len();
             report(
                 "fleet.voter".into(),
-                format!("there are {count}: name 1, 3, 5 or 7, an even number bears no more"),
+                format!(
+                    "there are {count}, but must be 1, 3, 5 or 7: an even number tolerates no more failures"
+                ),
             );
         }
         let mut seen = BTreeSet::new();
@@ -123,7 +132,7 @@
                 report(format!("{key}.address"), "must have a port above 0".to_string());
             }
             if !seen.insert(voter.address) {
-                report(format!("{key}.address"), "is another voter's as well".to_string());
+                report(format!("{key}.address"), "is also another voter's".to_string());
             }
         }
     }
@@ -136,15 +145,15 @@
         let Some(fleet) = &file.fleet else {
             report(
                 format!("task.{name}"),
-                "needs a fleet block: it is done once for the whole fleet".to_string(),
+                "needs a fleet block: it runs once for the whole fleet".to_string(),
             );
             continue;
         };
         match (task.every, &task.cron) {
             (Some(_), Some(_)) => {
-                report(key("cron"), "stands beside every: one of them says when".to_string())
+                report(key("cron"), "must not be set together with every: set only one of them".to_string())
             }
-            (None, None) => report(format!("task.{name}"), "needs every or cron, to say when".to_string()),
+            (None, None) => report(format!("task.{name}"), "needs every or cron as its schedule".to_string()),
             (Some(every), None) if every < Span::ms(1000) => {
                 report(key("every"), "must be at least 1s".to_string());
             }
@@ -152,7 +161,7 @@
         }
         let plain = task.path.bytes().all(|b| b.is_ascii_graphic());
         if !task.path.starts_with('/') || !plain {
-            report(key("path"), "must begin with '/' and hold no spaces".to_string());
+            report(key("path"), "must begin with '/' and contain no spaces".to_string());
         }
         if task.address.port() == 0 {
             report(key("address"), "must have a port above 0".to_string());
@@ -169,10 +178,10 @@
     let mut report = |name: &str, key: &str, what: String| {
         problems.push((format!("dependency.{name}.{key}"), what));
     };
-    let whole: f64 = file.dependency.values().map(|d| d.share.0).sum();
+    let total_share: f64 = file.dependency.values().map(|d| d.share.0).sum();
     let mut in_cycles: BTreeSet<&str> = BTreeSet::new();
     for (name, d) in &file.dependency {
-        // The name stands in a header of answers as it is.
+        // The name is sent unescaped in a header of answers.
         if name.is_empty()
             || name.len() > 64
             || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._".contains(&b))
@@ -181,12 +190,12 @@
         }
         if let Some(next) = &d.fall_back {
             if !file.dependency.contains_key(next) {
-                report(name, "fall_back", format!("names {next:?}, which is no dependency of this file"));
+                report(name, "fall_back", format!("names {next:?}, which is not a dependency in this file"));
             } else if !in_cycles.contains(name.as_str())
                 && let Some(cycle) = cycle_from(file, name)
             {
                 let path: Vec<&str> = cycle.iter().copied().chain([cycle[0]]).collect();
-                report(name, "fall_back", format!("goes round in a cycle: {}", path.join(" → ")));
+                report(name, "fall_back", format!("forms a cycle: {}", path.join(" → ")));
                 in_cycles.extend(cycle);
             }
         }
@@ -200,15 +209,18 @@
             report(name, "addresses", "must have a port above 0".to_string());
         }
     }
-    if whole > 1.0 + 1e-9
+    if total_share > 1.0 + 1e-9
         && let Some(name) = file.dependency.keys().next_back()
     {
-        let what = format!("brings the shares of all dependencies to {:.0}%: at most 100%", whole * 100.0);
+        let what = format!(
+            "brings the shares of all dependencies to {:.0}%; the maximum is 100%",
+            total_share * 100.0
+        );
         report(name, "share", what);
     }
 }
 
-/// The dependencies of a cycle of fall-backs in which this one is, beginning with it.
+/// Returns the cycle of fallbacks that includes the dependency, starting with it.
 fn cycle_from<'a>(file: &'a File, name: &'a str) -> Option<Vec<&'a str>> {
     let mut path = vec![name];
     let mut at = name;
@@ -217,7 +229,7 @@
             return Some(path);
         }
         if path.contains(&next) {
-            // A cycle, but not through this one.
+            // The cycle does not include `name`.
             return None;
         }
         path.push(next);
@@ -240,40 +252,39 @@
                 .ok()
                 .filter(|n| (1..=MAX_PLACE).contains(n) && n.to_string() == *place);
             if place != ANY && number.is_none() {
-                let what =
-                    format!("must be labelled by its place in the run, \"1\" to \"{MAX_PLACE}\", or {ANY:?}");
+                let what = format!(
+                    "must be labelled by its position in the run, \"1\" to \"{MAX_PLACE}\", or {ANY:?}"
+                );
                 report(&format!("call.{place}"), what);
             }
             if !file.dependency.contains_key(&call.to) {
-                let what = format!("names {:?}, which is no dependency of this file", call.to);
+                let what = format!("names {:?}, which is not a dependency in this file", call.to);
                 report(&format!("call.{place}.to"), what);
             }
             if call.kept.is_some() && !safe {
-                let what = format!("{kind} class must never be answered from a kept reply");
+                let what = format!("{kind} class must never be answered from a cached reply");
                 report(&format!("call.{place}.kept"), what);
             }
         }
         if !route.call.contains_key(ANY) {
-            report(
-                "call",
-                format!("needs a block call {ANY:?} for the calls that have no block of their own"),
-            );
+            report("call", format!("needs a block call {ANY:?} for the calls without a block of their own"));
         }
     }
 }
 
-/// A class as the platform's settings have it.
+/// A class in the platform's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class<'a> {
-    /// Its name.
+    /// The name of the class.
     pub name: &'a str,
-    /// Whether it may run again.
+    /// Whether its requests may run again.
     pub repeat: Repeat,
-    /// Whether its requests call what lies below.
+    /// Whether its requests call dependencies.
     pub calls: bool,
 }
 
-/// What does not fit between the file and the classes of the platform's settings, with the path to the key.
+/// Returns all conflicts between the file and the classes of the platform's settings, each as the path of
+/// the key and a message.
 pub fn against_settings(file: &File, classes: &[Class]) -> Vec<(String, String)> {
     let mut problems = Vec::new();
     for (name, route) in &file.route {
@@ -303,7 +314,7 @@
             Some(_) => {}
         }
     }
-    // A class without a route would have calls that go nowhere.
+    // Calls of a class without a route would have no destination.
     for class in classes.iter().filter(|class| class.calls && !file.dependency.is_empty()) {
         if !file.route.contains_key(class.name) {
             problems.push((format!("route.{}", class.name), "is missing: the class makes calls".to_string()));
--- a/crates/operator/src/explain.rs
+++ b/crates/operator/src/explain.rs
@@ -1,14 +1,14 @@
-//! The file written out with every default filled in.
+//! Writes the file out in HCL with all defaults filled in.
 
 use crate::{Effect, File, Full, Handover};
 use serde_json::Value;
 use std::fmt::Write;
 
-/// The file in HCL, every default filled in. What is not set and has no default is left out. Reading the text gives
-/// the same file again.
+/// Writes the file in HCL with all defaults filled in. Keys that are not set and have no default are
+/// omitted. Reading the text gives the same file.
 pub fn explain(file: &File) -> String {
     let mut text = String::new();
-    // A file is made of maps, lists, numbers and texts, all of which can be written.
+    // A file consists of maps, lists, numbers and strings, all of which can be serialized.
     if let Ok(Value::Object(all)) = serde_json::to_value(file) {
         for (name, value) in &all {
             match value {
@@ -24,36 +24,39 @@
     text
 }
 
-/// What a handover class promises, in the words of an operator: which of the three safeties it has, on what condition, and what becomes of
-/// a run that fails where it began.
+/// Describes a handover class to operators: the guarantee of its effect, the conditions for it, and what
+/// happens to a run that fails on its first nodo.
 pub fn promise(handover: &Handover) -> String {
-    let begun = match (handover.effect, handover.resource) {
+    let started = match (handover.effect, handover.resource) {
         (Effect::Asks, Some(resource)) => format!(
-            "asks: begun work of a lost nodo is asked of {resource}{} by operation key, and so is a run that fails. What was done is the \
-             outcome; another nodo runs it once more only if it is said to have never run; where that cannot tell, or does not \
-             answer four times within {} each, the outcome is 'unknown' and it is never run again. Safe only if, once it said \
-             that a key never ran, it turns lower tokens of that key away; nothing here can check that",
+            "asks: for started work of a lost nodo, and for a run that fails, {resource}{} is queried by operation key. Its report \
+             is the outcome. Another nodo runs the work again only if the resource reports that it never ran. If the \
+             resource does not know, or does not answer in four tries of {} each, the outcome is 'unknown' and the \
+             work is never run again. Safe only if the resource, once it has reported that a key never ran, rejects lower \
+             tokens of that key; this cannot be checked here",
             handover.path, handover.timeout
         ),
         (Effect::Fenced, _) => {
-            "fenced: begun work of a lost nodo runs again at another, under a higher token. Safe only if what it acts on turns \
-             lower tokens away and answers a repeat of a key with what it did; nothing here can check that. A run that fails is not \
-             run again: its outcome is 'unknown'"
+            "fenced: started work of a lost nodo runs again on another nodo with a higher token. Safe only if the resource \
+             rejects lower tokens and answers a repeated key with the original result; this cannot be checked here. A run \
+             that fails is not run again: its outcome is 'unknown'"
                 .to_string()
         }
         (Effect::Asks | Effect::Unknown, _) => {
-            "unknown: begun work of a lost nodo, and a run that fails, is never run again: its outcome is 'unknown', and kept"
+            "unknown: started work of a lost nodo, and a run that fails, is never run again: its outcome is stored as 'unknown'"
                 .to_string()
         }
     };
     let full = match handover.full {
-        Full::Run => "where the agreed state has no room it runs all the same, and is lost with its nodo",
-        Full::Refuse => "where the agreed state has no room it is turned away",
+        Full::Run => {
+            "if the replicated state has no room, the request runs anyway and is not taken over if its nodo is lost"
+        }
+        Full::Refuse => "if the replicated state has no room, the request is refused",
     };
-    format!("{begun}. Work counts as begun from when the fleet holds it; {full}")
+    format!("{started}. Work counts as started once the fleet has recorded it; {full}")
 }
 
-/// Nothing in a name or a figure needs more than this; a template is no value of the file.
+/// Quotes a string. Only these characters need escapes, since templates are rejected as values.
 fn quoted(text: &str) -> String {
     format!("\"{}\"", text.replace('\\', "\\\\").replace('"', "\\\""))
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,11 +1,12 @@
-//! The operator's own file, in HCL: the one place where it is read, checked and given its defaults.
+//! The operator's configuration file in HCL: the one place where it is read, checked and given its defaults.
 //!
-//! The platform's configuration tells a nodo where it stands; this file tells what the operator wants of it beyond
-//! that: dependencies and their budgets, and routes. A nodo that is given none behaves as if this crate were not there.
+//! The platform's configuration describes a nodo's environment. This file configures the optional features:
+//! dependencies and their budgets, routes, captures and the fleet. Without a file a nodo behaves as if this
+//! crate did not exist.
 //!
-//! [`read`] goes through four steps, each of which stops at what it finds wrong: the grammar ([`hcl_edit`]), types and
-//! keys (serde, over [`source`]), ranges (garde), and what only shows between blocks ([`check`]). Every [`Problem`] names
-//! file, line, column, the key and what was expected.
+//! [`read`] checks a file in four steps: the grammar ([`hcl_edit`]), types and keys (serde, through
+//! [`source`]), ranges (garde), and relations between blocks ([`check`]). Reading stops after the first step
+//! that finds an error. Every [`Problem`] names file, line, column, key and the expected value.
 //!
 //! ```
 //! let text = r#"
@@ -35,50 +36,50 @@
 use std::net::SocketAddr;
 use units::{Rate, Share, Size, Span};
 
-/// The longest file that is read, in bytes. Ours: a file that a person wrote is far shorter.
+/// Maximum length of a file. Files written by hand are far shorter.
 pub const MAX_FILE_BYTES: usize = 1024 * 1024;
-/// Dependencies and routes that a file may have.
+/// Maximum number of blocks of one kind, such as dependencies or routes.
 pub const MAX_BLOCKS: usize = 64;
-/// Members of a fleet that agree: as many as anybody needs.
+/// Maximum number of voters of a fleet.
 pub const MAX_VOTERS: usize = 7;
-/// Parts of the route table that one team may own by its block.
+/// Maximum number of parts of the route table that a team block may own.
 pub const MAX_OWNED: usize = 64;
-/// Addresses of one dependency.
+/// Maximum number of addresses of a dependency.
 pub const MAX_ADDRESSES: usize = 16;
 
-/// The whole file.
+/// The operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// What lies below the nodo, by name.
+    /// The nodo's dependencies, by name.
     #[serde(default)]
     #[garde(dive, length(max = MAX_BLOCKS))]
     pub dependency: BTreeMap<String, Dependency>,
-    /// Where the calls of a class go, by the name of the class.
+    /// The routes of calls, by the name of the class.
     #[serde(default)]
     #[garde(dive, length(max = MAX_BLOCKS))]
     pub route: BTreeMap<String, Route>,
-    /// Repeated attempts, over all dependencies.
+    /// The budget for retries, over all dependencies.
     #[serde(default)]
     #[garde(dive)]
     pub retries: Retries,
-    /// Replies kept to fall back on.
+    /// The cache of replies used as a fallback.
     #[serde(default)]
     #[garde(dive)]
     pub kept: Kept,
-    /// Captures of what was decided; none where it is left out.
+    /// Captures of the decisions; disabled if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub capture: Option<Capture>,
-    /// The fleet that this nodo is a member of; none where it is left out.
+    /// The fleet that this nodo is a member of; none if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub fleet: Option<Fleet>,
-    /// What is to be done once for the whole fleet, by name.
+    /// Tasks that run once for the whole fleet, by name.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[garde(dive, length(max = MAX_BLOCKS))]
     pub task: BTreeMap<String, Task>,
-    /// Classes whose work in hand is taken over when its nodo is lost, by the name of the class.
+    /// Classes whose in-flight work is taken over when its nodo is lost, by the name of the class.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[garde(dive, length(max = MAX_BLOCKS))]
     pub handover: BTreeMap<String, Handover>,
@@ -86,415 +87,422 @@
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[garde(dive, length(max = MAX_BLOCKS))]
     pub team: BTreeMap<String, Team>,
-    /// Who is served soonest where, from what edges measure; off where it is left out.
+    /// Steering of clients to the region with the lowest measured delay; disabled if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub steering: Option<Steering>,
-    /// What this nodo asks of the fleet and hears, written down for checkers; nothing where it is left out.
+    /// Recording of this nodo's requests to the fleet and their results, for checkers; disabled if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub history: Option<History>,
 }
 
-/// One thing that lies below, and what this nodo may ask of it.
+/// A dependency and the limits on its use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Dependency {
-    /// Where it listens; a call that cannot connect to one goes to the next.
+    /// The addresses of the dependency. A call that cannot connect to one goes to the next.
     #[garde(length(min = 1, max = MAX_ADDRESSES))]
     pub addresses: Vec<SocketAddr>,
-    /// Calls in hand at most, those given up counted until they are surely over.
+    /// Maximum number of in-flight calls. Abandoned calls count until they must have ended.
     #[serde(default = "defaults::calls")]
     #[garde(range(min = 1, max = 1024))]
     pub calls: usize,
-    /// Calls that wait for room at most.
+    /// Maximum number of queued calls.
     #[serde(default = "defaults::waiting")]
     #[garde(range(max = 1024))]
     pub waiting: usize,
-    /// The longest that a call waits for room.
+    /// Maximum time that a call is queued.
     #[serde(default = "defaults::wait")]
     #[garde(skip)]
     pub wait: Span,
-    /// Bytes of calls' bodies, waiting and in hand, at most.
+    /// Maximum bytes of bodies of queued and in-flight calls.
     #[serde(default = "defaults::bytes")]
     #[garde(custom(at_least_size(2048)))]
     pub bytes: Size,
-    /// Calls begun a second at most; none where it is left out.
+    /// Maximum calls started per second; unlimited if omitted.
     #[serde(default)]
     #[garde(skip)]
     pub rate: Option<Rate>,
-    /// Connections open at once, idle ones included.
+    /// Maximum number of open connections, idle ones included.
     #[serde(default = "defaults::calls")]
     #[garde(range(min = 1, max = 1024))]
     pub connections: usize,
-    /// The part of the nodo's places for parked runs, and of their memory, that runs which wait for this may take.
+    /// The share of the nodo's slots for parked runs, and of their memory, that runs waiting for this
+    /// dependency may use.
     #[serde(default = "defaults::share")]
     #[garde(custom(above_zero))]
     pub share: Share,
-    /// How long a call that was given up may go on below.
+    /// How long an abandoned call may continue in the dependency.
     #[serde(default = "defaults::linger")]
     #[garde(skip)]
     pub linger: Span,
-    /// One attempt is given up after this time, or sooner when its request has less left.
+    /// Timeout of one attempt; shorter if its request has less time left.
     #[serde(default = "defaults::timeout")]
     #[garde(custom(at_least_ms(1)))]
     pub timeout: Span,
-    /// The dependency that calls go to when this one cannot take them, or failed them.
+    /// The dependency used when this one has no capacity for a call or failed it.
     #[serde(default)]
     #[garde(skip)]
     pub fall_back: Option<String>,
-    /// The part of the present limit that calls may take which fell back on this from another.
+    /// The share of the current limit that calls falling back from other dependencies may use.
     #[serde(default = "defaults::guests")]
     #[garde(skip)]
     pub guests: Share,
-    /// What the dependency can take, as it is learned.
+    /// The adaptive concurrency limit.
     #[serde(default)]
     #[garde(dive)]
     pub limit: Limit,
-    /// When it is left alone for a while.
+    /// The circuit breaker.
     #[serde(default)]
     #[garde(dive)]
     pub breaker: Breaker,
 }
 
-/// The learned limit on calls in hand.
+/// The adaptive limit on in-flight calls.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Whether it is learned; else it is `calls` all the time.
+    /// Whether the limit adapts; otherwise it is always `calls`.
     #[serde(default = "defaults::yes")]
     #[garde(skip)]
     pub learned: bool,
-    /// Where it begins.
+    /// The initial limit.
     #[serde(default = "defaults::limit_start")]
     #[garde(range(min = 1, max = 1024))]
     pub start: usize,
-    /// It never goes below.
+    /// The minimum limit.
     #[serde(default = "defaults::limit_least")]
     #[garde(range(min = 1, max = 1024))]
     pub least: usize,
 }
 
-/// The circuit breaker.
+/// The settings of a circuit breaker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Breaker {
-    /// The calls of so long are looked at.
+    /// The sliding window over which calls are evaluated.
     #[serde(default = "defaults::window")]
     #[garde(custom(at_least_ms(100)))]
     pub window: Span,
-    /// It opens when this part of them failed.
+    /// The share of failed calls at which the breaker opens.
     #[serde(default = "defaults::half")]
     #[garde(custom(above_zero))]
     pub failures: Share,
-    /// A call that takes longer is a slow one.
+    /// The duration above which a call counts as slow.
     #[serde(default = "defaults::slow")]
     #[garde(custom(at_least_ms(1)))]
     pub slow: Span,
-    /// It opens when this part of them was slow.
+    /// The share of slow calls at which the breaker opens.
     #[serde(default = "defaults::most")]
     #[garde(custom(above_zero))]
     pub slow_calls: Share,
-    /// Fewer calls than this say nothing.
+    /// Minimum number of calls in the window for the breaker to open.
     #[serde(default = "defaults::least_calls")]
     #[garde(range(min = 1, max = 100_000))]
     pub least: usize,
-    /// How long it stays open the first time; twice as long each further time.
+    /// How long the breaker stays open the first time. Doubles each further time.
     #[serde(default = "defaults::open")]
     #[garde(custom(at_least_ms(10)))]
     pub wait: Span,
-    /// The longest that it stays open.
+    /// The maximum time that the breaker stays open.
     #[serde(default = "defaults::longest")]
     #[garde(skip)]
     pub longest: Span,
-    /// Calls in hand while it is half open; as many must go well for it to close.
+    /// Maximum in-flight calls while half open. As many must succeed for the breaker to close.
     #[serde(default = "defaults::probes")]
     #[garde(range(min = 1, max = 64))]
     pub probes: usize,
 }
 
-/// Whether the requests of a class may run again; must say the same as the settings.
+/// Whether the requests of a class may run again. Must match the platform's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
-    /// They may run any number of times.
+    /// Requests may run any number of times.
     Safe,
-    /// They come with a key and must not run twice within its window.
+    /// Requests have an operation key and must not run twice within its window.
     Keyed,
-    /// They must not run twice.
+    /// Requests must not run twice.
     Unsafe,
 }
 
-/// Where the calls of one class go.
+/// The route of the calls of one class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Whether the class may run again.
+    /// Whether requests of the class may run again.
     #[garde(skip)]
     pub repeat: Repeat,
-    /// Whether an answer may be made without a call that cannot be made. It then says what it lacks.
+    /// Whether a request may be answered without a call that cannot be made. The answer then names what is
+    /// missing.
     #[serde(default)]
     #[garde(skip)]
     pub without: bool,
-    /// The calls of a run by their place in it, from "1"; "any" is for those that are not named.
+    /// The calls of a run by their position, from "1"; "any" applies to all others.
     #[serde(default)]
     #[garde(dive)]
     pub call: BTreeMap<String, Call>,
 }
 
-/// Where one call of a run goes.
+/// The route of one call of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
     /// The name of the dependency.
     #[garde(skip)]
     pub to: String,
-    /// Whether it may go to the dependencies that this one falls back on.
+    /// Whether the call may use the fallbacks of the dependency.
     #[serde(default = "defaults::yes")]
     #[garde(skip)]
     pub elsewhere: bool,
-    /// A reply to the same call that is no older than this may stand in. The answer then says how old it is.
+    /// Maximum age of a cached reply to the same call that may be used instead. The answer then states its
+    /// age.
     #[serde(default)]
     #[garde(skip)]
     pub kept: Option<Span>,
 }
 
-/// Attempts beyond the first, over all dependencies.
+/// The budget for attempts after the first, over all dependencies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
-    /// So many for each first attempt.
+    /// Retries earned by each first attempt.
     #[serde(default = "defaults::retry_share")]
     #[garde(skip)]
     pub share: Share,
-    /// So many may be saved up.
+    /// Maximum number of unused retries that are saved.
     #[serde(default = "defaults::retries_saved")]
     #[garde(range(min = 1, max = 10_000))]
     pub saved: usize,
-    /// Attempts for one call at most.
+    /// Maximum attempts for one call.
     #[serde(default = "defaults::attempts")]
     #[garde(range(min = 1, max = 8))]
     pub attempts: usize,
 }
 
-/// Replies kept to fall back on.
+/// The cache of replies used as a fallback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Kept {
-    /// Bytes of replies and of what names them, at most.
+    /// Maximum bytes of replies and their keys.
     #[serde(default = "defaults::kept_bytes")]
     #[garde(skip)]
     pub bytes: Size,
 }
 
-/// Captures of all that was decided on, for afterwards.
+/// Captures of the decisions and their inputs, for later analysis.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Capture {
-    /// Where files go.
+    /// The folder for capture files.
     #[garde(length(min = 1, max = 4096))]
     pub folder: String,
-    /// Memory for what was decided last; it is written out on SIGUSR1, when a guard keeps a rule, and when refusals jump.
+    /// Memory for the most recent blocks. They are written on SIGUSR1, when a guard prevents a rule
+    /// violation, and when refusals rise sharply.
     #[serde(default = "defaults::ring")]
     #[garde(custom(at_least_size(256 * 1024)))]
     pub ring: Size,
-    /// Whether all is written, not only when there is a reason.
+    /// Whether all rounds are written, and not only on a trigger.
     #[serde(default)]
     #[garde(skip)]
     pub all: bool,
-    /// Files that are kept; the oldest go.
+    /// Maximum number of files; the oldest are removed.
     #[serde(default = "defaults::files")]
     #[garde(range(min = 1, max = 10_000))]
     pub files: usize,
-    /// The decision state goes along this often; a replay can begin at each.
+    /// The interval between snapshots of the decision state. A replay can start at each.
     #[serde(default = "defaults::snapshot")]
     #[garde(custom(at_least_ms(100)))]
     pub snapshot: Span,
-    /// Refusals have jumped when they are this part of a second's requests, and twice that of before.
+    /// The refused share of one second's requests that triggers a write, if it is also twice the share
+    /// before.
     #[serde(default = "defaults::half")]
     #[garde(custom(above_zero))]
     pub refusals: Share,
 }
 
-/// The fleet that a nodo is a member of, by the nodo's name.
+/// The fleet that the nodo is a member of, under its own name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Its name. Members of another fleet are turned away.
+    /// The name of the fleet. Members of other fleets are rejected.
     #[garde(custom(valid_name))]
     pub name: String,
-    /// What lasts of this member: how often it was started, and the disk of its voter.
+    /// The folder for this member's persistent data: its incarnation number and the voter's storage.
     #[garde(length(min = 1, max = 4096))]
     pub folder: String,
-    /// Where others connect, if this nodo votes; its own address among the voters if left out.
+    /// The address on which a voter listens for other members; its own address among the voters if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub listen: Option<SocketAddr>,
-    /// How long a lease lasts from when its holder asked for it to go on.
+    /// The duration of a lease, from when its holder requested the renewal.
     #[serde(default = "defaults::ttl")]
     #[garde(custom(at_least_ms(500)))]
     pub ttl: Span,
-    /// How far a clock's rate may be off, to either side.
+    /// The maximum rate error of a clock, in either direction.
     #[serde(default = "defaults::drift")]
     #[garde(custom(valid_drift))]
     pub drift: Share,
-    /// Where this nodo stands, as route tables and steering name it; nowhere in particular where it is left out.
+    /// The region of this nodo, as named in route tables and steering; none if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(inner(custom(valid_name)))]
     pub region: Option<String>,
-    /// How many of the nodos get a new route table first, and all others only when these do no worse. The file of the one that leads says.
+    /// The share of nodos that get a new route table first. All others follow only if these do no worse.
+    /// The leader's file applies.
     #[serde(default)]
     #[garde(skip)]
     pub trial: Trial,
-    /// Connections of others at once, where this nodo votes.
+    /// Maximum number of connections from other members to a voter.
     #[serde(default = "defaults::links")]
     #[garde(range(min = 1, max = 1024))]
     pub links: usize,
-    /// The members that agree, the same in every member's file.
+    /// The voters, the same in every member's file.
     #[garde(dive, length(min = 1, max = MAX_VOTERS))]
     pub voter: BTreeMap<String, Voter>,
 }
 
-/// How many of the nodos get a new route table first.
+/// The share of nodos that get a new route table first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Trial {
-    /// It goes to all at once.
+    /// All nodos get it at once.
     #[default]
     None,
-    /// A tenth of them.
+    /// A tenth of the nodos.
     Tenth,
-    /// A quarter.
+    /// A quarter of the nodos.
     Quarter,
-    /// A half.
+    /// Half of the nodos.
     Half,
 }
 
-/// A member that agrees.
+/// A voter of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Voter {
-    /// Where it listens, as seen from here.
+    /// The address of the voter, as seen from this nodo.
     #[garde(skip)]
     pub address: SocketAddr,
 }
 
-/// How safe the calls of a task are.
+/// How the calls of a task are protected from a former holder of its lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Grade {
-    /// What is called turns away every token under one that it has seen.
+    /// The called service rejects every token lower than one it has seen.
     #[default]
     Checked,
-    /// It cannot: calls and ways are bounded, and the next holder waits them out.
+    /// The service cannot check tokens. Calls and delays are bounded, and the next holder waits until they
+    /// have passed.
     Timed,
 }
 
-/// What happens to times that nobody ran.
+/// What happens to missed runs of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Missed {
-    /// They are let go.
+    /// Missed runs are skipped.
     Skip,
-    /// All of them together are run once.
+    /// All missed runs are replaced by one run.
     #[default]
     Once,
-    /// Each is run.
+    /// Each missed run is made up.
     Each,
 }
 
-/// What is to be done once for the whole fleet: a call over HTTP.
+/// A task that runs once for the whole fleet: an HTTP call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Task {
-    /// Where it is called.
+    /// The address that is called.
     #[garde(skip)]
     pub address: SocketAddr,
     /// The path of the call.
     #[serde(default = "defaults::path")]
     #[garde(length(min = 1, max = 256))]
     pub path: String,
-    /// It is due every so often, counted from the start of 1970.
+    /// The interval at which the task is due, counted from the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub every: Option<Span>,
-    /// It is due when this cron line says, in UTC.
+    /// The cron schedule of the task, in UTC.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub cron: Option<String>,
-    /// How safe its calls are.
+    /// How its calls are protected from a former holder.
     #[serde(default)]
     #[garde(skip)]
     pub grade: Grade,
-    /// For one call.
+    /// The timeout of one call.
     #[serde(default = "defaults::call")]
     #[garde(custom(at_least_ms(1)))]
     pub timeout: Span,
-    /// The longest way to what is called, and the longest pause of this nodo; for timed calls.
+    /// For timed calls: the maximum delay to the called service and the maximum pause of this nodo.
     #[serde(default = "defaults::way")]
     #[garde(custom(at_least_ms(1)))]
     pub way: Span,
-    /// Calls for one time by each holder, the first included.
+    /// Maximum calls by each holder for one due time, the first included.
     #[serde(default = "defaults::tries")]
     #[garde(range(min = 1, max = 1000))]
     pub tries: u32,
-    /// Between two of them; twice as long each time.
+    /// The wait between two calls. Doubles each time.
     #[serde(default = "defaults::pause")]
     #[garde(custom(at_least_ms(1)))]
     pub wait: Span,
-    /// What happens to times that nobody ran.
+    /// What happens to missed runs of a task.
     #[serde(default)]
     #[garde(skip)]
     pub missed: Missed,
-    /// For so long after its time a run counts as in time, where what was missed is let go.
+    /// How long after its due time a run is not missed, if missed runs are skipped.
     #[serde(default = "defaults::late")]
     #[garde(skip)]
     pub late: Span,
 }
 
-/// What becomes of work of a class that was begun and whose nodo is lost.
+/// What happens to started work of a class when its nodo is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// What it acts on tells by operation key whether it was done.
+    /// The resource reports by operation key whether the work was done.
     Asks,
-    /// What it acts on turns away lower tokens, and answers a repeat of a key with what it did.
+    /// The resource rejects lower tokens and answers a repeated key with the original result.
     Fenced,
-    /// Neither: nobody can tell.
+    /// Neither: the outcome cannot be determined.
     Unknown,
 }
 
-/// What is done with a request for which the agreed state has no room.
+/// What happens to a request if the replicated state has no room for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Full {
-    /// It runs, and is lost with its nodo.
+    /// The request runs, but is not taken over if its nodo is lost.
     Run,
-    /// It is turned away, and nothing of it ran.
+    /// The request is refused without having run.
     #[default]
     Refuse,
 }
 
-/// A class whose work in hand is taken over when its nodo is lost.
+/// A class whose in-flight work is taken over when its nodo is lost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Handover {
-    /// What is done with work that was begun.
+    /// What happens to started work.
     #[garde(skip)]
     pub effect: Effect,
-    /// What the class acts on, where it can be asked.
+    /// The address of the resource, if it can be queried.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub resource: Option<SocketAddr>,
-    /// The path under which it is asked.
+    /// The path of queries to the resource.
     #[serde(default = "defaults::path")]
     #[garde(length(min = 1, max = 256))]
     pub path: String,
-    /// For one question to it.
+    /// The timeout of one query to the resource.
     #[serde(default = "defaults::call")]
     #[garde(custom(at_least_ms(1)))]
     pub timeout: Span,
-    /// What is done where the agreed state has no room.
+    /// What happens if the replicated state has no room.
     #[serde(default)]
     #[garde(skip)]
     pub full: Full,
@@ -504,85 +512,88 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// What of the table is its own, such as `class/registrar-firma`: others touch it only with its word.
+    /// The parts of the table owned by the team, such as `class/registrar-firma`. Other teams need its
+    /// approval to edit them.
     #[serde(default)]
     #[garde(length(max = MAX_OWNED), inner(length(min = 1, max = 96)))]
     pub owns: Vec<String>,
-    /// What becomes of its edits while the fleet does not answer this nodo.
+    /// What happens to the team's edits while the fleet is unreachable from this nodo.
     #[serde(default)]
     #[garde(skip)]
     pub cut_off: CutOff,
 }
 
-/// What becomes of an edit that the fleet does not answer.
+/// What happens to an edit while the fleet is unreachable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CutOff {
-    /// It is kept on the nodo's disk, and sent on once the fleet answers.
+    /// The edit is stored on the nodo's disk and sent once the fleet is reachable.
     #[default]
     Hold,
-    /// It is refused, and nothing of it stays here.
+    /// The edit is refused and not stored.
     Refuse,
 }
 
-/// Steering of clients by what edges measure.
+/// Steering of clients by delays measured at the edges.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Steering {
-    /// How often this nodo tells the fleet what it has measured.
+    /// The interval at which this nodo sends its measurements to the fleet.
     #[serde(default = "defaults::summary")]
     #[garde(custom(at_least_ms(100)))]
     pub every: Span,
-    /// Requests a second that this nodo can take, as plans count it.
+    /// The nodo's capacity for planning, in requests per second.
     #[garde(skip)]
     pub capacity: Rate,
-    /// What makes a group of clients.
+    /// How clients are grouped.
     #[serde(default)]
     #[garde(skip)]
     pub by: By,
-    /// The field whose value makes the group, where a field does: as a header is named, with parts within parts set off by '/'.
+    /// The field that identifies the group if `by` is `field`: the name of a header, with nested parts
+    /// separated by '/'.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(inner(length(min = 1, max = 64)))]
     pub field: Option<String>,
-    /// Where delays come from.
+    /// How delays are measured.
     #[serde(default)]
     #[garde(skip)]
     pub delays: Delays,
 }
 
-/// What makes a group of clients.
+/// How clients are grouped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum By {
-    /// The number of the balancer through which they come.
+    /// By the number of the balancer they connect through.
     #[default]
     Balancer,
-    /// The prefix of the address that connects.
+    /// By the prefix of the client address.
     Address,
-    /// A field of the request.
+    /// By a field of the request.
     Field,
 }
 
-/// Where delays come from.
+/// How delays are measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Delays {
-    /// The system's smoothed round trip of each connection.
+    /// The kernel's smoothed round-trip time of each connection.
     #[default]
     Kernel,
-    /// The shortest time from an answer to the next request of a connection that carries one at a time: where something between ends
-    /// connections, and clients ask again at once.
+    /// The shortest time from an answer to the next request on a connection without pipelining. For
+    /// deployments where an intermediary terminates connections and clients send their next request
+    /// immediately.
     Gaps,
 }
 
-/// The history of this nodo's part in the fleet, for tests with many processes.
+/// The history of this nodo's operations in the fleet, for tests with many processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct History {
-    /// Where its files go, one for each start.
+    /// The folder for history files, one per incarnation.
     #[garde(length(min = 1, max = 4096))]
     pub folder: String,
-    /// Bytes of a file at most; then it says that it is full.
+    /// Maximum bytes of a file. When it is reached, the file records that it is full.
     #[serde(default = "defaults::history_bytes")]
     #[garde(custom(at_least_size(64 * 1024)))]
     pub bytes: Size,
@@ -626,7 +637,7 @@
     }
 }
 
-/// Every default of the file, in one place.
+/// The defaults of the file.
 mod defaults {
     use super::units::{Share, Size, Span};
 
@@ -757,7 +768,7 @@
     }
 }
 
-/// Names stand in paths, headers and lines of operators as they are.
+/// Checks a name. Names are used unescaped in paths, headers and operators' commands.
 fn valid_name(name: &str, _: &()) -> garde::Result {
     let plain = name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._".contains(&b));
     match plain && (1..=48).contains(&name.len()) {
@@ -780,18 +791,18 @@
     }
 }
 
-/// Something in the file that cannot be used.
+/// A problem with the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file, as it was named.
+    /// The path of the file, as given.
     pub file: String,
     /// The line, from 1.
     pub line: usize,
     /// The column in that line, in characters from 1.
     pub column: usize,
-    /// The way to the key at fault, such as `dependency.padron.calls`; empty for the file as a whole.
+    /// The path of the key, such as `dependency.padron.calls`; empty for the file as a whole.
     pub key: String,
-    /// What is wrong, and what was expected.
+    /// What is wrong and what was expected.
     pub what: String,
 }
 
@@ -807,10 +818,10 @@
 
 impl std::error::Error for Problem {}
 
-/// Reads and checks a file from its text; `name` is what messages call it.
+/// Reads and checks a file from its text. `name` is the file name for messages.
 ///
 /// # Errors
-/// All that the first step finds wrong which finds anything.
+/// All problems found by the first step that fails.
 pub fn read(name: &str, text: &str) -> Result<File, Vec<Problem>> {
     let problem = |line, column, key: &str, what: String| Problem {
         file: name.to_string(),
@@ -820,12 +831,12 @@
         what,
     };
     if text.len() > MAX_FILE_BYTES {
-        let what = format!("the file has {} bytes; {} at most are read", text.len(), MAX_FILE_BYTES);
+        let what = format!("the file has {} bytes; the maximum is {}", text.len(), MAX_FILE_BYTES);
         return Err(vec![problem(1, 1, "", what)]);
     }
     let body = hcl_edit::parser::parse_body(text).map_err(|e| {
         let at = e.location();
-        vec![problem(at.line(), at.column(), "", format!("this is no HCL: {}", e.message()))]
+        vec![problem(at.line(), at.column(), "", format!("this is not valid HCL: {}", e.message()))]
     })?;
     let located = |at: usize, key: &str, what: String| {
         let (line, column) = source::line_and_column(text, at);
@@ -849,7 +860,7 @@
 /// Reads and checks the file at a path.
 ///
 /// # Errors
-/// That it cannot be read, or what is wrong in it.
+/// The file cannot be read, or has problems.
 pub fn load(path: &str) -> Result<File, Vec<Problem>> {
     match std::fs::read_to_string(path) {
         Ok(text) => read(path, &text),
--- a/crates/operator/src/source.rs
+++ b/crates/operator/src/source.rs
@@ -1,7 +1,7 @@
-//! From the text of a file to the types of this crate: a serde deserializer over HCL that knows where everything stands.
+//! A serde deserializer over HCL that keeps the position of every value.
 //!
-//! An attribute is a field. A block is a field too: without a label it is a struct, with a label it is an entry of a map.
-//! Every value's place is remembered under the path to it, so that checks which come later can name it.
+//! An attribute is a field. A block is a field too: without a label it is a struct, with a label it is a map
+//! entry. The position of every value is stored by the path of its key, so that later checks can report it.
 
 use hcl_edit::Span as _;
 use hcl_edit::expr::Expression;
@@ -14,23 +14,23 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A error at a place of the text.
+/// An error at a position in the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceError {
-    /// The byte of the text.
+    /// The byte offset in the text.
     pub at: usize,
-    /// The path to the key.
+    /// The path of the key.
     pub key: String,
-    /// Source is wrong.
+    /// What is wrong.
     pub what: String,
 }
 
-/// Where the values of a file stand, by the path to them.
+/// The byte offsets of the values of a file, by the paths of their keys.
 #[derive(Clone, Debug, Default)]
 pub struct Positions(BTreeMap<String, usize>);
 
 impl Positions {
-    /// The place of a key, or of the nearest one round it where it is not written.
+    /// Returns the position of a key, or of the nearest enclosing one if the key is not in the text.
     pub fn nearest(&self, key: &str) -> usize {
         let mut key = key;
         loop {
@@ -43,7 +43,7 @@
     }
 }
 
-/// The line and the column, both from 1, of a byte of the text.
+/// Returns the line and the column, both from 1, of a byte offset.
 pub fn line_and_column(text: &str, at: usize) -> (usize, usize) {
     let mut at = at.min(text.len());
     while !text.is_char_boundary(at) {
@@ -54,10 +54,10 @@
     (before.matches('\n').count() + 1, before[line_start..].chars().count() + 1)
 }
 
-/// Reads a value of any type from a body, with the positions of what was read.
+/// Reads a value of any type from a body, with the positions of all values read.
 ///
 /// # Errors
-/// The first key or value that does not fit the type.
+/// The first key or value that does not match the type.
 pub fn read<T: DeserializeOwned>(body: &Body) -> Result<(T, Positions), SourceError> {
     let positions = RefCell::default();
     let path = KeyPath { positions: &positions, key: String::new(), at: 0 };
@@ -66,7 +66,7 @@
     Ok((value, positions.take()))
 }
 
-/// The path to a value and the place where it stands.
+/// The path and the position of a value.
 struct KeyPath<'a> {
     positions: &'a RefCell<Positions>,
     key: String,
@@ -81,7 +81,7 @@
         KeyPath { positions: self.positions, key, at }
     }
 
-    /// Gives a error this place, unless it has one further in.
+    /// Gives an error this position, unless it already has a more specific one.
     fn source_error(&self, error: ReadError) -> SourceError {
         match error {
             ReadError::Located(error) => error,
@@ -92,7 +92,7 @@
                     .iter()
                     .map(|known| (strsim::damerau_levenshtein(known, &name), *known))
                     .min()
-                    // Further away than this, it is more likely another word than a slip.
+                    // At a greater distance the key is probably another word and no misspelling.
                     .filter(|(distance, known)| *distance <= known.len().div_ceil(3));
                 let what = match near {
                     Some((_, near)) => format!("is not known; did you mean {near:?}?"),
@@ -112,7 +112,7 @@
     }
 }
 
-/// Source serde reports, before it is known where.
+/// An error from serde, with its position once that is known.
 #[derive(Debug)]
 enum ReadError {
     Unlocated(String),
@@ -138,7 +138,7 @@
     }
 
     fn invalid_type(found: Unexpected, expected: &dyn de::Expected) -> ReadError {
-        // The words of a program for what is simply a number.
+        // Replaces Rust type names by descriptions for operators.
         let expected = match expected.to_string().as_str() {
             "usize" | "u64" => "a whole number of 0 or more".to_string(),
             "a sequence" => "a list".to_string(),
@@ -165,7 +165,7 @@
     }
 }
 
-/// Source was found, in the words of someone who writes the file.
+/// Describes a found value in the terms of the file format.
 fn describe(found: Unexpected) -> String {
     match found {
         Unexpected::Str(text) => format!("{text:?}"),
@@ -180,7 +180,7 @@
     }
 }
 
-/// Source a value is made from.
+/// The syntax node that a value is read from.
 #[derive(Clone, Copy)]
 enum Source<'a> {
     Body(&'a Body),
@@ -195,7 +195,7 @@
 }
 
 impl<'a> Value<'a> {
-    /// The one block without a label that this is.
+    /// Returns the body of a single block without a label.
     fn body(&self) -> Result<&'a Body, ReadError> {
         match self.source {
             Source::Body(body) => Ok(body),
@@ -203,7 +203,7 @@
             Source::Blocks([block, ..]) if !block.labels.is_empty() => {
                 Err(ReadError::Unlocated("takes no label".to_string()))
             }
-            Source::Blocks(_) => Err(ReadError::Unlocated("must stand once".to_string())),
+            Source::Blocks(_) => Err(ReadError::Unlocated("must appear only once".to_string())),
             Source::Plain(_) => Err(ReadError::Unlocated("must be a block, as in NAME { … }".to_string())),
         }
     }
@@ -231,7 +231,9 @@
             Expression::Array(array) => {
                 visitor.visit_seq(Items { items: array.iter(), index: 0, path: self.path })
             }
-            _ => Err(ReadError::Unlocated("must be a plain value: nothing is computed here".to_string())),
+            _ => Err(ReadError::Unlocated(
+                "must be a literal value: expressions are not supported".to_string(),
+            )),
         }
     }
 
@@ -250,7 +252,7 @@
         self.path.locate(read)
     }
 
-    /// A map is made of blocks with a label each.
+    /// Reads a map from labelled blocks.
     fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ReadError> {
         let Source::Blocks(blocks) = self.source else {
             return Err(ReadError::Unlocated(
@@ -271,7 +273,7 @@
                     key: self.path.child_key(label.as_str()),
                     ..*self.path
                 };
-                return path.locate(Err(ReadError::Unlocated("stands twice".to_string())));
+                return path.locate(Err(ReadError::Unlocated("is defined twice".to_string())));
             }
         }
         let entries: Vec<Field> =
@@ -302,7 +304,7 @@
 /// A field of a body.
 enum Field<'a> {
     Attribute(&'a str, &'a Expression, usize),
-    /// All blocks of this name; or, with the label for the name, the one block that has it.
+    /// A labelled block as a map entry: the label and the block.
     Block(&'a str, &'a [&'a Block]),
     Blocks(&'a str, Vec<&'a Block>),
 }
@@ -311,18 +313,18 @@
     span.map_or(0, |span| span.start)
 }
 
-/// The fields of a body, with blocks of one name gathered.
+/// Returns the fields of a body, with blocks of the same name grouped.
 fn fields<'a>(body: &'a Body, path: &KeyPath) -> Result<Vec<Field<'a>>, ReadError> {
     let mut fields: Vec<Field> = Vec::new();
     for structure in body {
         match structure {
             Structure::Attribute(attribute) => {
                 let (name, at) = (attribute.key.as_str(), start(attribute.span()));
-                // The grammar refuses an attribute that stands twice, and not one that is a block as well.
+                // The parser rejects duplicate attributes, but not an attribute with the name of a block.
                 if fields.iter().any(|f| matches!(f, Field::Blocks(other, _) if *other == name)) {
                     return path
                         .child(name, Some(at))
-                        .locate(Err(ReadError::Unlocated("is a block above".to_string())));
+                        .locate(Err(ReadError::Unlocated("is already defined as a block".to_string())));
                 }
                 fields.push(Field::Attribute(name, &attribute.value, at));
             }
@@ -369,7 +371,7 @@
         let (name, source) = match field {
             Field::Attribute(name, value, _) => (*name, Source::Plain(value)),
             Field::Block(name, blocks) => {
-                // The label is the name here; what is in the block is the value.
+                // The label is the key; the body is the value.
                 let path = self.path.child(name, blocks.first().map(|block| start(block.span())));
                 let body = blocks.first().map(|block| Source::Body(&block.body));
                 let value = Value { source: body.unwrap_or(Source::Blocks(&[])), path: &path };
--- a/crates/operator/src/tests.rs
+++ b/crates/operator/src/tests.rs
@@ -1,4 +1,4 @@
-//! What the file gets for every kind of mistake, and that nothing is lost when it is written out.
+//! Tests of the messages for each kind of error, and that a written file reads back unchanged.
 
 use super::*;
 
@@ -31,15 +31,15 @@
 }
 "#;
 
-/// All messages for the good file with one thing replaced.
-fn wrong(from: &str, to: &str) -> Vec<String> {
+/// Returns all messages for the good file after one replacement.
+fn errors_for(from: &str, to: &str) -> Vec<String> {
     assert!(GOOD.contains(from), "{from}");
     let text = GOOD.replacen(from, to, 1);
     read("f.hcl", &text).expect_err(&text).iter().map(Problem::to_string).collect()
 }
 
 #[test]
-fn a_file_is_read_and_its_defaults_are_filled_in() {
+fn a_file_is_read_with_defaults_filled_in() {
     let file = read("f.hcl", GOOD).unwrap();
     let padron = &file.dependency["padron"];
     assert_eq!((padron.calls, padron.waiting, padron.addresses.len()), (8, 16, 2));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn written_out_and_read_again_it_is_the_same_file() {
+fn a_written_file_reads_back_unchanged() {
     let file = read("f.hcl", GOOD).unwrap();
     let text = explain::explain(&file);
     assert!(text.contains("  timeout = \"2s\"\n") && !text.contains("null"), "{text}");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn every_mistake_is_told_with_its_place_its_key_and_what_was_expected() {
+fn every_error_names_its_position_its_key_and_the_expected_value() {
     let cases: &[(&str, &str, &str)] = &[
         (
             "calls     = 8",
@@ -96,8 +96,8 @@
             "calls = [8]",
             "dependency.padron.calls: must be a whole number of 0 or more, not a list",
         ),
-        ("calls     = 8", "calls = 4 + 4", "must be a plain value: nothing is computed here"),
-        ("calls     = 8", "calls = 8\n  calls = 9", "f.hcl:5:3: this is no HCL"),
+        ("calls     = 8", "calls = 4 + 4", "must be a literal value: expressions are not supported"),
+        ("calls     = 8", "calls = 8\n  calls = 9", "f.hcl:5:3: this is not valid HCL"),
         ("\"127.0.0.1:5442\"", "\"replica.local\"", "f.hcl:3:34: dependency.padron.addresses.1: "),
         ("[\"127.0.0.1:5443\"]", "[]", "f.hcl:13:3: dependency.replica.addresses: length is lower than 1"),
         ("addresses = [\"127.0.0.1:5443\"]", "", "f.hcl:12:1: dependency.replica: addresses is missing"),
@@ -109,7 +109,7 @@
         (
             "addresses = [\"127.0.0.1:5443\"]",
             "addresses = [\"127.0.0.1:5443\"]\n  fall_back = \"padron\"",
-            "f.hcl:7:3: dependency.padron.fall_back: goes round in a cycle: padron → replica → padron",
+            "f.hcl:7:3: dependency.padron.fall_back: forms a cycle: padron → replica → padron",
         ),
         (
             "\"safe\"",
@@ -125,43 +125,51 @@
         (
             "call \"any\" { to = \"padron\" }",
             "call \"any\" {\n to = \"padron\"\n kept = \"1s\"\n }",
-            "call.any.kept: a keyed class must never be answered from",
+            "call.any.kept: a keyed class must never be answered from a cached reply",
         ),
         (
             "repeat  = \"safe\"",
             "repeat = \"unsafe\"",
             "f.hcl:17:3: route.consulta-estado.without: an unsafe class",
         ),
-        ("call \"1\"", "call \"first\"", "route.consulta-estado.call.first: must be labelled by its place"),
-        ("call \"1\"", "call \"any\"", "call.any: stands twice"),
+        (
+            "call \"1\"",
+            "call \"first\"",
+            "route.consulta-estado.call.first: must be labelled by its position",
+        ),
+        ("call \"1\"", "call \"any\"", "call.any: is defined twice"),
         ("call \"1\"", "call", "route.consulta-estado.call: needs one label"),
         ("call \"any\" { to = \"replica\" }", "", "route.consulta-estado.call: needs a block call \"any\""),
         ("to = \"replica\"", "to = \"rep\"", "f.hcl:22:16: route.consulta-estado.call.any.to: names \"rep\""),
         ("  breaker {", "  breaker \"x\" {", "f.hcl:8:3: dependency.padron.breaker: takes no label"),
-        ("dependency \"replica\"", "dependency \"padron\"", "f.hcl:12:1: dependency.padron: stands twice"),
+        (
+            "dependency \"replica\"",
+            "dependency \"padron\"",
+            "f.hcl:12:1: dependency.padron: is defined twice",
+        ),
         ("dependency \"replica\"", "dependency \"re plica\"", "must be named by 1 to 64 letters"),
-        ("dependency \"padron\" {", "dependency \"padron\" {{", "this is no HCL"),
-        ("calls     = 8", "calls = \"${1}\"", "must be a plain value"),
+        ("dependency \"padron\" {", "dependency \"padron\" {{", "this is not valid HCL"),
+        ("calls     = 8", "calls = \"${1}\"", "must be a literal value"),
     ];
     for (from, to, expected) in cases {
-        let told = wrong(from, to);
-        assert!(told.iter().any(|line| line.contains(expected)), "{to}: {told:#?}");
+        let messages = errors_for(from, to);
+        assert!(messages.iter().any(|line| line.contains(expected)), "{to}: {messages:#?}");
     }
 }
 
 #[test]
-fn several_mistakes_between_blocks_are_told_at_once() {
-    let told = read(
+fn several_conflicts_between_blocks_are_reported_at_once() {
+    let messages = read(
         "f.hcl",
         &GOOD
             .replace("to = \"replica\"", "to = \"a\"")
             .replace("any\" { to = \"padron\"", "any\" { to = \"b\""),
     );
-    assert_eq!(told.unwrap_err().len(), 2);
+    assert_eq!(messages.unwrap_err().len(), 2);
 }
 
 #[test]
-fn the_settings_must_say_the_same_of_each_class() {
+fn the_settings_must_match_the_routes_of_each_class() {
     use check::{Class, against_settings};
     let file = read("f.hcl", GOOD).unwrap();
     let mut classes = vec![
@@ -172,14 +180,14 @@
     classes[1].repeat = Repeat::Unsafe;
     classes.push(Class { name: "verificar-firma", repeat: Repeat::Safe, calls: true });
     classes.push(Class { name: "quiet", repeat: Repeat::Safe, calls: false });
-    let told: Vec<String> = against_settings(&file, &classes).into_iter().map(|(key, _)| key).collect();
-    assert_eq!(told, ["route.registrar-firma.repeat", "route.verificar-firma"]);
-    let told = against_settings(&file, &classes[..1]);
-    assert_eq!(told[0].0, "route.registrar-firma");
+    let messages: Vec<String> = against_settings(&file, &classes).into_iter().map(|(key, _)| key).collect();
+    assert_eq!(messages, ["route.registrar-firma.repeat", "route.verificar-firma"]);
+    let messages = against_settings(&file, &classes[..1]);
+    assert_eq!(messages[0].0, "route.registrar-firma");
 }
 
 #[test]
-fn figures_keep_their_value_through_text() {
+fn quantities_keep_their_value_through_text() {
     for text in ["0ms", "1ms", "90s", "2m", "3h"] {
         assert_eq!(text.parse::<Span>().unwrap().to_string(), text);
     }
@@ -200,19 +208,19 @@
     }
 }
 
-/// The parser goes down into every bracket, and must give up before its stack does.
+/// The parser recurses into brackets and must reject deep nesting before its stack overflows.
 #[test]
-fn a_file_that_nests_without_end_is_refused() {
+fn deeply_nested_files_are_rejected() {
     for (open, depth) in [("[", 100_000), ("{", 100_000), ("(", 100_000), ("!", 100_000)] {
         let text = format!("dependency \"a\" {{\n  calls = {}\n}}\n", open.repeat(depth));
-        let told = read("f.hcl", &text).unwrap_err();
-        assert!(told[0].what.contains("this is no HCL"), "{:?}", told[0]);
+        let messages = read("f.hcl", &text).unwrap_err();
+        assert!(messages[0].what.contains("this is not valid HCL"), "{:?}", messages[0]);
     }
 }
 
-/// The example shows every key, and its comments tell the truth where they speak of defaults.
+/// The example file must show every key, and the defaults in its comments must be correct.
 #[test]
-fn the_example_is_good_and_shows_everything_that_can_be_set() {
+fn the_example_is_valid_and_shows_every_key() {
     let text = include_str!("../../../deploy/operator-example.hcl");
     let file = read("operator-example.hcl", text).unwrap();
     let written = explain::explain(&file);
@@ -255,7 +263,7 @@
 "#;
 
 #[test]
-fn a_fleet_and_its_tasks_are_read_and_written_out() {
+fn a_fleet_and_its_tasks_read_back_unchanged() {
     let file = read("f.hcl", FLEET).unwrap();
     let fleet = file.fleet.as_ref().unwrap();
     assert_eq!((fleet.ttl, fleet.links, fleet.voter.len()), (Span::ms(10_000), 64, 3));
@@ -264,16 +272,16 @@
 }
 
 #[test]
-fn a_fleet_that_cannot_be_used_is_refused_by_key() {
+fn an_invalid_fleet_is_rejected_by_key() {
     for (from, to, key, what) in [
         ("  voter \"n3\" { address = \"10.0.0.3:7400\" }\n", "", "5:3: fleet.voter", "an even number"),
-        ("10.0.0.3:7400", "10.0.0.2:7400", "fleet.voter.n3.address", "another voter's"),
+        ("10.0.0.3:7400", "10.0.0.2:7400", "fleet.voter.n3.address", "also another voter's"),
         ("10.0.0.3:7400", "10.0.0.3:0", "fleet.voter.n3.address", "a port above 0"),
         ("\"cordoba\"", "\"con espacio\"", "3:3: fleet.name", "1 to 48 letters"),
         ("  folder", "  drift = \"30%\"\n  folder", "fleet.drift", "at most 20%"),
         ("  folder", "  ttl = \"100ms\"\n  folder", "fleet.ttl", "at least 500ms"),
-        ("  cron    = \"30 2 * * *\"\n", "", "task.cierre", "needs every or cron"),
-        ("  every ", "  cron = \"* * * * *\"\n  every ", "task.sonda.cron", "one of them says when"),
+        ("  cron    = \"30 2 * * *\"\n", "", "task.cierre", "needs every or cron as its schedule"),
+        ("  every ", "  cron = \"* * * * *\"\n  every ", "task.sonda.cron", "set only one of them"),
         ("\"30s\"", "\"30ms\"", "task.sonda.every", "at least 1s"),
         ("\"/cierre\"", "\"cierre\"", "task.cierre.path", "begin with '/'"),
         (
@@ -286,13 +294,13 @@
         ("task \"sonda\"", "task \"son da\"", "task.son da", "1 to 48 letters"),
     ] {
         assert!(FLEET.contains(from), "{from}");
-        let told = read("f.hcl", &FLEET.replacen(from, to, 1)).expect_err(key);
-        let told: Vec<String> = told.iter().map(Problem::to_string).collect();
-        assert!(told.iter().any(|line| line.contains(key) && line.contains(what)), "{key}: {told:?}");
+        let messages = read("f.hcl", &FLEET.replacen(from, to, 1)).expect_err(key);
+        let messages: Vec<String> = messages.iter().map(Problem::to_string).collect();
+        assert!(messages.iter().any(|line| line.contains(key) && line.contains(what)), "{key}: {messages:?}");
     }
     let task = FLEET.split("task").nth(1).unwrap();
-    let told = read("f.hcl", &format!("task{task}")).unwrap_err();
-    assert!(told[0].to_string().contains("needs a fleet block"), "{}", told[0]);
+    let messages = read("f.hcl", &format!("task{task}")).unwrap_err();
+    assert!(messages[0].to_string().contains("needs a fleet block"), "{}", messages[0]);
 }
 
 const HANDOVER: &str = r#"
@@ -327,7 +335,7 @@
 }
 
 #[test]
-fn handovers_teams_and_steering_are_read_and_written_out() {
+fn handovers_teams_and_steering_read_back_unchanged() {
     let file = read("f.hcl", &with_handover()).unwrap();
     let (asks, fenced) = (&file.handover["registrar-firma"], &file.handover["anotar"]);
     assert_eq!((asks.full, asks.timeout, fenced.full), (Full::Refuse, Span::ms(2000), Full::Run));
@@ -338,21 +346,25 @@
     assert_eq!(file.history.as_ref().unwrap().bytes, units::Size(16 * 1024 * 1024));
     assert_eq!(read("g.hcl", &explain::explain(&file)).unwrap(), file);
     for (class, effect, says) in [
-        ("registrar-firma", Effect::Asks, "asked of 10.0.1.3:8080/operaciones by operation key"),
-        ("registrar-firma", Effect::Asks, "turns lower tokens of that key away; nothing here can check that"),
-        ("anotar", Effect::Fenced, "nothing here can check that. A run that fails is not run again"),
-        ("anotar", Effect::Unknown, "a run that fails, is never run again: its outcome is 'unknown'"),
+        ("registrar-firma", Effect::Asks, "10.0.1.3:8080/operaciones is queried by operation key"),
+        ("registrar-firma", Effect::Asks, "rejects lower tokens of that key; this cannot be checked here"),
+        ("anotar", Effect::Fenced, "this cannot be checked here. A run that fails is not run again"),
+        (
+            "anotar",
+            Effect::Unknown,
+            "a run that fails, is never run again: its outcome is stored as 'unknown'",
+        ),
     ] {
         let promise = explain::promise(&Handover { effect, ..file.handover[class].clone() });
         assert!(promise.contains(says), "{promise}");
-        // Which of the three it is comes first.
+        // The text must start with the effect.
         let name = format!("{effect:?}: ").to_lowercase();
         assert!(promise.starts_with(&name), "{promise}");
     }
 }
 
 #[test]
-fn handovers_that_cannot_be_used_are_refused_by_key() {
+fn invalid_handovers_are_rejected_by_key() {
     let good = with_handover();
     for (from, to, key, what) in [
         ("\"asks\"", "\"asked\"", "12:3: handover.registrar-firma.effect", "one of asks, fenced, unknown"),
@@ -382,25 +394,35 @@
         ("\"norte\"", "\"nor te\"", "fleet.region", "1 to 48 letters"),
     ] {
         assert!(good.contains(from), "{from}");
-        let told = read("f.hcl", &good.replacen(from, to, 1)).expect_err(key);
-        let told: Vec<String> = told.iter().map(Problem::to_string).collect();
-        assert!(told.iter().any(|line| line.contains(key) && line.contains(what)), "{key}: {told:?}");
+        let messages = read("f.hcl", &good.replacen(from, to, 1)).expect_err(key);
+        let messages: Vec<String> = messages.iter().map(Problem::to_string).collect();
+        assert!(messages.iter().any(|line| line.contains(key) && line.contains(what)), "{key}: {messages:?}");
     }
-    let told: Vec<String> = read("f.hcl", HANDOVER).unwrap_err().iter().map(Problem::to_string).collect();
-    assert_eq!(told.iter().filter(|line| line.contains("needs a fleet block")).count(), 6, "{told:?}");
+    let messages: Vec<String> = read("f.hcl", HANDOVER).unwrap_err().iter().map(Problem::to_string).collect();
+    assert_eq!(
+        messages.iter().filter(|line| line.contains("needs a fleet block")).count(),
+        6,
+        "{messages:?}"
+    );
 }
 
 #[test]
-fn a_class_that_is_handed_over_must_be_keyed() {
+fn a_handover_class_must_be_keyed() {
     let route = "route \"anotar\" {\n  repeat = \"safe\"\n  call \"any\" { to = \"padron\" }\n}\ndependency \"padron\" {\n  addresses = [\"127.0.0.1:1\"]\n}\n";
-    let told = read("f.hcl", &format!("{}{route}", with_handover())).unwrap_err();
-    assert!(told[0].to_string().contains("handover.anotar: must be a keyed class"), "{}", told[0]);
+    let messages = read("f.hcl", &format!("{}{route}", with_handover())).unwrap_err();
+    assert!(messages[0].to_string().contains("handover.anotar: must be a keyed class"), "{}", messages[0]);
     let file = read("f.hcl", &with_handover()).unwrap();
     let class = |name, repeat| check::Class { name, repeat, calls: false };
-    let told = check::against_settings(&file, &[class("anotar", Repeat::Unsafe)]);
-    assert_eq!(told.len(), 2);
-    assert!(told[0].0 == "handover.anotar" && told[0].1.contains("must be a keyed class"), "{told:?}");
-    assert!(told[1].0 == "handover.registrar-firma" && told[1].1.contains("no class"), "{told:?}");
+    let messages = check::against_settings(&file, &[class("anotar", Repeat::Unsafe)]);
+    assert_eq!(messages.len(), 2);
+    assert!(
+        messages[0].0 == "handover.anotar" && messages[0].1.contains("must be a keyed class"),
+        "{messages:?}"
+    );
+    assert!(
+        messages[1].0 == "handover.registrar-firma" && messages[1].1.contains("no class"),
+        "{messages:?}"
+    );
     let classes = [class("anotar", Repeat::Keyed), class("registrar-firma", Repeat::Keyed)];
     assert_eq!(check::against_settings(&file, &classes), []);
 }
--- a/crates/operator/src/units.rs
+++ b/crates/operator/src/units.rs
@@ -1,4 +1,4 @@
-//! Figures with units: durations, sizes, shares and rates. A bare number is none of them.
+//! Quantities with units: durations, sizes, shares and rates. A number without a unit is rejected.
 
 use serde::de::{Error, Unexpected, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -14,53 +14,53 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-/// A part of a whole, from 0 to 1, written "25%".
+/// A share from 0 to 1, written "25%".
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Share(pub f64);
 
-/// So many a second, written "200/s".
+/// A rate per second, written "200/s".
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rate(pub f64);
 
 impl Span {
-    /// So many milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn ms(ms: u64) -> Span {
         Span(Duration::from_millis(ms))
     }
 }
 
 impl Share {
-    /// So many in a hundred.
+    /// Creates a share from a percentage.
     pub fn percent(percent: f64) -> Share {
         Share(percent / 100.0)
     }
 }
 
-/// A text that says no figure of this kind.
+/// A text is not a quantity of the expected kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseQuantityError;
 
 const SPANS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
 const SIZES: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 
-/// Reads a whole number and one of the units; the number times what the unit stands for.
+/// Parses a whole number followed by one of the units. Returns the number times the unit's factor.
 fn with_unit(text: &str, units: &[(&str, u64)]) -> Result<u64, ParseQuantityError> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
     let factor = units.iter().find(|(name, _)| *name == unit).ok_or(ParseQuantityError)?.1;
     let number: u64 = number.parse().map_err(|_| ParseQuantityError)?;
-    // Guards against figures that would overflow wherever they are added up: a thousand years of milliseconds fit.
+    // Rejects values whose sums could overflow later. A thousand years in milliseconds are below the limit.
     number.checked_mul(factor).filter(|all| *all < 1 << 45).ok_or(ParseQuantityError)
 }
 
-/// Writes a number with the largest unit that leaves it whole.
+/// Writes a number in the largest unit that divides it.
 fn write_with_unit(f: &mut fmt::Formatter<'_>, number: u64, units: &[(&str, u64)]) -> fmt::Result {
     let fits = |(_, factor): &&(&str, u64)| number >= *factor && number.is_multiple_of(*factor);
     let (unit, factor) = units.iter().rev().find(fits).unwrap_or(&units[0]);
     write!(f, "{}{unit}", number / factor)
 }
 
-/// Reads a number that stands before `end`.
+/// Parses the number before the suffix `end`.
 fn parse_before(text: &str, end: &str) -> Result<f64, ParseQuantityError> {
     let number = text.strip_suffix(end).ok_or(ParseQuantityError)?;
     let plain = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
@@ -117,7 +117,7 @@
 
 impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Rounded where the division by 100 left a trace.
+        // Rounds off the error of the division by 100.
         write!(f, "{}%", (self.0 * 1e8).round() / 1e6)
     }
 }
@@ -128,7 +128,7 @@
     }
 }
 
-/// Takes a text of one kind of figure and says what was expected in place of all else.
+/// Deserializes a quantity from a string; the text describes what was expected.
 struct QuantityVisitor<T>(std::marker::PhantomData<T>, &'static str);
 
 impl<T: FromStr> Visitor<'_> for QuantityVisitor<T> {
