--- a/crates/capture/src/edit.rs
+++ b/crates/capture/src/edit.rs
@@ -20,9 +20,11 @@
             blocks.push((offset, format::BLOCK_HEADER_BYTES + header.compressed_bytes as usize, header));
         }
     }
-    let begins = blocks.iter().rposition(|(_, _, header)| header.snapshot && header.starts_at <= from);
+    let first_snapshot =
+        blocks.iter().rposition(|(_, _, header)| header.snapshot && header.starts_at <= from);
     // If every snapshot is later than `from`, starts at the first one.
-    let Some(first) = begins.or_else(|| blocks.iter().position(|(_, _, header)| header.snapshot)) else {
+    let Some(first) = first_snapshot.or_else(|| blocks.iter().position(|(_, _, header)| header.snapshot))
+    else {
         return Ok(None);
     };
     let last = blocks[first..]
@@ -36,11 +38,11 @@
     Ok(Some(out))
 }
 
-/// Makes a capture of one state and the rounds after it.
+/// Builds a capture of one state and the rounds after it.
 ///
 /// # Errors
 /// Only an error of the encoder, which no rounds cause.
-pub fn make(header: &Header, state: Vec<u8>, rounds: &[Round]) -> Result<Vec<u8>, FormatError> {
+pub fn build_capture(header: &Header, state: Vec<u8>, rounds: &[Round]) -> Result<Vec<u8>, FormatError> {
     let limits = Limits { block_bytes: usize::MAX, snapshot_every: f64::INFINITY };
     let mut recorder = Recorder::new(header.clone(), limits);
     recorder.snapshot(rounds.first().map_or(0.0, |first| first.now), state)?;
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -90,10 +90,10 @@
 
 /// Returns the file header.
 pub fn file_header() -> [u8; FILE_HEADER_BYTES] {
-    let mut head = [0; FILE_HEADER_BYTES];
-    head[..6].copy_from_slice(MAGIC);
-    head[6..].copy_from_slice(&VERSION.to_le_bytes());
-    head
+    let mut header = [0; FILE_HEADER_BYTES];
+    header[..6].copy_from_slice(MAGIC);
+    header[6..].copy_from_slice(&VERSION.to_le_bytes());
+    header
 }
 
 /// Checks the file header and returns its version.
@@ -101,10 +101,10 @@
 /// # Errors
 /// The bytes are not a capture, or have a later version.
 pub fn read_file_header(bytes: &[u8]) -> Result<u16, FormatError> {
-    let Some(head) = bytes.get(..FILE_HEADER_BYTES).filter(|head| head[..6] == *MAGIC) else {
+    let Some(header) = bytes.get(..FILE_HEADER_BYTES).filter(|header| header[..6] == *MAGIC) else {
         return Err(FormatError::NotACapture);
     };
-    match u16::from_le_bytes([head[6], head[7]]) {
+    match u16::from_le_bytes([header[6], header[7]]) {
         0 => Err(FormatError::NotACapture),
         version if version > VERSION => Err(FormatError::UnsupportedVersion(version)),
         version => Ok(version),
@@ -121,11 +121,11 @@
     Ok(())
 }
 
-/// Compresses a payload and appends it to `out` as a block. Lengths and checksum in `head` are filled in.
+/// Compresses a payload and appends it to `out` as a block. Lengths and checksum in `header` are filled in.
 ///
 /// # Errors
 /// The payload is too long.
-pub fn append_block(out: &mut Vec<u8>, head: BlockHeader, payload: &[u8]) -> Result<(), FormatError> {
+pub fn append_block(out: &mut Vec<u8>, header: BlockHeader, payload: &[u8]) -> Result<(), FormatError> {
     if payload.len() > MAX_PAYLOAD_BYTES {
         return Err(FormatError::Payload(format!(
             "{} bytes exceed the maximum payload of a block",
@@ -134,19 +134,19 @@
     }
     let packed =
         zstd::bulk::compress(payload, ZSTD_LEVEL).map_err(|e| FormatError::Payload(e.to_string()))?;
-    let head = BlockHeader {
+    let header = BlockHeader {
         uncompressed_bytes: payload.len() as u32,
         compressed_bytes: packed.len() as u32,
         checksum: crc32c::crc32c(&packed),
-        ..head
+        ..header
     };
     let start = out.len();
     out.extend(BLOCK_MAGIC);
-    out.extend(head.number.to_le_bytes());
-    out.extend(head.starts_at.to_bits().to_le_bytes());
-    out.extend(head.ends_at.to_bits().to_le_bytes());
-    out.push(u8::from(head.snapshot));
-    for number in [head.records, head.uncompressed_bytes, head.compressed_bytes, head.checksum] {
+    out.extend(header.number.to_le_bytes());
+    out.extend(header.starts_at.to_bits().to_le_bytes());
+    out.extend(header.ends_at.to_bits().to_le_bytes());
+    out.push(u8::from(header.snapshot));
+    for number in [header.records, header.uncompressed_bytes, header.compressed_bytes, header.checksum] {
         out.extend(number.to_le_bytes());
     }
     let checksum = crc32c::crc32c(&out[start..]);
@@ -160,21 +160,21 @@
 /// # Errors
 /// The header is truncated or corrupt.
 pub fn read_block_header(bytes: &[u8]) -> Result<BlockHeader, FormatError> {
-    let Some(head) = bytes.get(..BLOCK_HEADER_BYTES) else { return Err(FormatError::Truncated) };
-    let four = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let eight = |at: usize| u64::from(four(at)) | u64::from(four(at + 4)) << 32;
-    if head[..4] != BLOCK_MAGIC || crc32c::crc32c(&head[..45]) != four(45) {
+    let Some(header) = bytes.get(..BLOCK_HEADER_BYTES) else { return Err(FormatError::Truncated) };
+    let u32_at = |at: usize| u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
+    let u64_at = |at: usize| u64::from(u32_at(at)) | u64::from(u32_at(at + 4)) << 32;
+    if header[..4] != BLOCK_MAGIC || crc32c::crc32c(&header[..45]) != u32_at(45) {
         return Err(FormatError::Checksum);
     }
     let read = BlockHeader {
-        number: eight(4),
-        starts_at: f64::from_bits(eight(12)),
-        ends_at: f64::from_bits(eight(20)),
-        snapshot: head[28] == 1,
-        records: four(29),
-        uncompressed_bytes: four(33),
-        compressed_bytes: four(37),
-        checksum: four(41),
+        number: u64_at(4),
+        starts_at: f64::from_bits(u64_at(12)),
+        ends_at: f64::from_bits(u64_at(20)),
+        snapshot: header[28] == 1,
+        records: u32_at(29),
+        uncompressed_bytes: u32_at(33),
+        compressed_bytes: u32_at(37),
+        checksum: u32_at(41),
     };
     // Bounds the allocation for a corrupt or crafted header whose checksum matches.
     if read.uncompressed_bytes as usize > MAX_PAYLOAD_BYTES
@@ -190,23 +190,24 @@
 /// # Errors
 /// The block is truncated or corrupt.
 pub fn read_block(bytes: &[u8]) -> Result<(BlockHeader, Vec<Record>, usize), FormatError> {
-    let head = read_block_header(bytes)?;
-    let end = BLOCK_HEADER_BYTES + head.compressed_bytes as usize;
+    let header = read_block_header(bytes)?;
+    let end = BLOCK_HEADER_BYTES + header.compressed_bytes as usize;
     let Some(packed) = bytes.get(BLOCK_HEADER_BYTES..end) else { return Err(FormatError::Truncated) };
-    if crc32c::crc32c(packed) != head.checksum {
+    if crc32c::crc32c(packed) != header.checksum {
         return Err(FormatError::Checksum);
     }
-    let wrong = |what: &dyn fmt::Display| FormatError::Payload(what.to_string());
-    let payload = zstd::bulk::decompress(packed, head.uncompressed_bytes as usize).map_err(|e| wrong(&e))?;
+    let payload_error = |what: &dyn fmt::Display| FormatError::Payload(what.to_string());
+    let payload =
+        zstd::bulk::decompress(packed, header.uncompressed_bytes as usize).map_err(|e| payload_error(&e))?;
     let mut rest = &payload[..];
     let mut records = Vec::new();
-    for _ in 0..head.records {
-        let (record, after) = postcard::take_from_bytes::<Record>(rest).map_err(|e| wrong(&e))?;
+    for _ in 0..header.records {
+        let (record, after) = postcard::take_from_bytes::<Record>(rest).map_err(|e| payload_error(&e))?;
         records.push(record);
         rest = after;
     }
     if !rest.is_empty() {
-        return Err(wrong(&format!("{} bytes follow the last record", rest.len())));
+        return Err(payload_error(&format!("{} bytes follow the last record", rest.len())));
     }
-    Ok((head, records, end))
+    Ok((header, records, end))
 }
--- a/crates/capture/src/tap.rs
+++ b/crates/capture/src/tap.rs
@@ -131,12 +131,12 @@
 #[derive(Clone, Debug)]
 pub struct RefusalSpikeDetector {
     /// The minimum refused share of one second's requests.
-    share: f64,
+    min_share: f64,
     second: u64,
     arrived: f64,
     refused: f64,
     /// The smoothed share of the preceding seconds.
-    before: f64,
+    smoothed_share: f64,
     quiet_until: f64,
 }
 
@@ -149,13 +149,13 @@
 
 impl RefusalSpikeDetector {
     /// Creates a detector with the given minimum share.
-    pub fn new(share: f64) -> RefusalSpikeDetector {
+    pub fn new(min_share: f64) -> RefusalSpikeDetector {
         RefusalSpikeDetector {
-            share,
+            min_share,
             second: 0,
             arrived: 0.0,
             refused: 0.0,
-            before: 0.0,
+            smoothed_share: 0.0,
             quiet_until: f64::NEG_INFINITY,
         }
     }
@@ -167,15 +167,16 @@
         let second = now as u64;
         if second != self.second {
             let share = if self.arrived > 0.0 { self.refused / self.arrived } else { 0.0 };
-            self.before += SMOOTHING * (share - self.before);
+            self.smoothed_share += SMOOTHING * (share - self.smoothed_share);
             (self.second, self.arrived, self.refused) = (second, 0.0, 0.0);
         }
         self.arrived += events.iter().filter(|event| matches!(event, Event::Arrived(_))).count() as f64;
         self.refused +=
             actions.iter().filter(|action| matches!(action, Action::Refuse { .. })).count() as f64;
         let share = self.refused / self.arrived.max(1.0);
-        let jumped = self.refused >= MIN_REFUSALS && share >= self.share && share > 2.0 * self.before;
-        let detected = jumped && now >= self.quiet_until;
+        let spiked =
+            self.refused >= MIN_REFUSALS && share >= self.min_share && share > 2.0 * self.smoothed_share;
+        let detected = spiked && now >= self.quiet_until;
         if detected {
             self.quiet_until = now + QUIET_SECONDS;
         }
--- a/crates/capture/src/tap/tests.rs
+++ b/crates/capture/src/tap/tests.rs
@@ -10,11 +10,11 @@
     let (mut tap, mut over, mut asked) = (Tap::new(0.5), Vec::new(), 0);
     for n in 1..=rounds {
         let now = n as f64 / 10.0;
-        let mut hand_over = |piece| {
+        let mut hand_over = |message| {
             asked += 1;
             let taken = takes(asked);
             if taken {
-                over.push(piece);
+                over.push(message);
             }
             taken
         };
@@ -47,8 +47,8 @@
     for pattern in 0u32..1 << 12 {
         let over = send_rounds(14, |asked| asked > 12 || pattern >> (asked - 1) & 1 == 1);
         let (mut next, mut gap) = (1, false);
-        for piece in &over {
-            match piece {
+        for message in &over {
+            match message {
                 Message::Missed(rounds) => {
                     next += rounds;
                     gap = true;
--- a/crates/capture/src/tests.rs
+++ b/crates/capture/src/tests.rs
@@ -54,26 +54,26 @@
 struct Random(u64);
 
 impl Random {
-    fn below(&mut self, most: u64) -> u64 {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
         self.0 ^= self.0 >> 27;
-        (self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % most
+        (self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % bound
     }
 }
 
 /// Simulates an overloaded server in which runs end, calls are lost and callers leave. Before each round,
-/// `made` gets the module, a function that makes the round from its actions, and a copy of the module to
+/// `on_round` gets the module, a function that makes the round from its actions, and a copy of the module to
 /// step.
-fn overload(
+fn simulate_overload(
     seed: u64,
     rounds: u64,
-    mut made: impl FnMut(&Controller, &dyn Fn(Vec<Action>) -> Round, &mut Controller),
+    mut on_round: impl FnMut(&Controller, &dyn Fn(Vec<Action>) -> Round, &mut Controller),
 ) {
     let mut module = Controller::new(settings()).unwrap();
     let mut random = Random(seed * 2 + 1);
     let mut now = 1e5;
-    let (mut next, mut at_work): (u64, BTreeMap<RequestId, bool>) = (0, BTreeMap::new());
+    let (mut next, mut running): (u64, BTreeMap<RequestId, bool>) = (0, BTreeMap::new());
     for number in 1..=rounds {
         // In some rounds no time has passed since the previous one.
         now += random.below(8) as f64 / 1000.0;
@@ -97,11 +97,11 @@
                 repeats,
             }));
         }
-        let working: Vec<(RequestId, bool)> = at_work.iter().map(|(id, calls)| (*id, *calls)).collect();
-        for (id, calls) in working {
+        let in_progress: Vec<(RequestId, bool)> = running.iter().map(|(id, calls)| (*id, *calls)).collect();
+        for (id, calls) in in_progress {
             match (calls, random.below(12)) {
                 (false, 0) => {
-                    at_work.remove(&id);
+                    running.remove(&id);
                     events.push(Event::Ended { id, outcome: Outcome::Done });
                 }
                 (false, 1) => events.push(Event::CallWanted { id }),
@@ -114,7 +114,7 @@
                         Outcome::TurnedAway,
                     ];
                     let outcome = outcomes[random.below(5) as usize];
-                    at_work.insert(id, false);
+                    running.insert(id, false);
                     events.push(Event::CallEnded { id, outcome, took: random.below(300) as f64 / 1000.0 });
                 }
                 (_, 11) if random.below(30) == 0 => events.push(Event::Withdrawn { id }),
@@ -132,13 +132,13 @@
         let mut copy = Controller::load(&module.save()).unwrap();
         let round =
             |actions: Vec<Action>| Round { number, now, names: Vec::new(), events: events.clone(), actions };
-        made(&module, &round, &mut copy);
+        on_round(&module, &round, &mut copy);
         let mut actions = Vec::new();
         module.step(now, &events, &mut actions);
         for action in &actions {
             match action {
-                Action::Run(id) | Action::SkipCall(id) => drop(at_work.insert(*id, false)),
-                Action::Call { id, .. } => drop(at_work.insert(*id, true)),
+                Action::Run(id) | Action::SkipCall(id) => drop(running.insert(*id, false)),
+                Action::Call { id, .. } => drop(running.insert(*id, true)),
                 _ => {}
             }
         }
@@ -147,20 +147,20 @@
 
 /// Records a capture of the simulated server. Rounds in `missing` are dropped.
 pub(crate) fn capture(seed: u64, rounds: u64, limits: Limits, missing: std::ops::Range<u64>) -> Vec<u8> {
-    let head = Header { version: "1".into(), nodo: "n1".into(), epoch: 0.0, settings: settings() };
-    let mut recorder = Recorder::new(head, limits);
+    let header = Header { version: "1".into(), nodo: "n1".into(), epoch: 0.0, settings: settings() };
+    let mut recorder = Recorder::new(header, limits);
     let mut bytes = format::file_header().to_vec();
     let mut number = 0;
-    overload(seed, rounds, |before, round, copy| {
+    simulate_overload(seed, rounds, |before, round, copy| {
         number += 1;
-        let asked = round(Vec::new());
+        let input = round(Vec::new());
         let mut actions = Vec::new();
-        copy.step(asked.now, &asked.events, &mut actions);
+        copy.step(input.now, &input.events, &mut actions);
         if missing.contains(&number) {
             return recorder.missed(1);
         }
-        if recorder.wants(asked.now) == Wants::Snapshot {
-            recorder.snapshot(asked.now, before.save()).unwrap();
+        if recorder.wants(input.now) == Wants::Snapshot {
+            recorder.snapshot(input.now, before.save()).unwrap();
         }
         if let Some(block) = recorder.round(&round(actions)).unwrap() {
             bytes.extend(block);
@@ -223,7 +223,7 @@
 
 #[test]
 fn saving_a_loaded_state_gives_the_same_bytes() {
-    overload(9, 500, |before, _, copy| assert!(copy.save() == before.save()));
+    simulate_overload(9, 500, |before, _, copy| assert!(copy.save() == before.save()));
     assert!(Controller::load(b"").is_err());
     let saved = Controller::new(settings()).unwrap().save();
     assert!(Controller::load(&saved[..saved.len() - 1]).is_err());
--- a/crates/node/src/cli/capture.rs
+++ b/crates/node/src/cli/capture.rs
@@ -342,7 +342,7 @@
     }
     for (head, state, rounds) in &runs {
         let Some(small) = minimise(state, rounds, |rounds| shows(head, rounds)) else { continue };
-        let bytes = edit::make(head, state.clone(), &small).map_err(wrong)?;
+        let bytes = edit::build_capture(head, state.clone(), &small).map_err(wrong)?;
         std::fs::write(out, &bytes)
             .map_err(|e| (format!("{}: cannot be written: {e}\n", out.display()), UNREADABLE))?;
         let (before, after) = (rounds.len(), small.len());
