--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -1,8 +1,10 @@
-//! Holds a capture against the four rules, as far as they show in it, apart from the code that made the decisions: each
-//! request gets one answer by its due time, nothing with an effect runs twice or is turned away after it ran, and nothing
-//! that came after the grace is run. What the cores and the dependency survive does not show in a capture.
+//! Checks a capture against the four rules, as far as they show in one, independently of the decision code:
+//! each request gets one answer by its due time; nothing with an effect runs twice or is refused after it
+//! ran; and nothing that arrived after the drain grace runs. The limits of the cores and the dependency do
+//! not show in a capture.
 //!
-//! Only requests whose arrival is in the capture are judged, and a gap or a spoilt block is where judging begins anew.
+//! Only requests whose arrival is in the capture are checked. After a gap or a corrupt part the check
+//! restarts without any open requests.
 
 use crate::reader::Part;
 use crate::record::{Record, Round};
@@ -10,15 +12,15 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// An answer may come so much after its due time, in seconds: what the rules of the sockets allow.
-const SLACK: f64 = 0.05;
-/// Requests that are remembered after their end at most, for repeats of them; the oldest go first.
-const MAX_KNOWN: usize = 100_000;
+/// Tolerance for an answer after its due time, as the rules for sockets allow.
+const ANSWER_SLACK_SECONDS: f64 = 0.05;
+/// Maximum number of requests tracked, ended ones included, to detect repeats; the oldest are removed first.
+const MAX_TRACKED: usize = 100_000;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
-    /// The round in which it shows.
+pub struct Violation {
+    /// The round in which the violation shows.
     pub round: u64,
     /// The request.
     pub id: RequestId,
@@ -26,79 +28,79 @@
     pub rule: Rule,
 }
 
-/// The rules, in the words of those who count on them.
+/// The rule that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// No answer by the due time.
-    Lost,
-    /// Two answers.
+    /// There was no answer by the due time.
+    NotAnswered,
+    /// The request was answered twice.
     AnsweredTwice,
-    /// An effect twice.
+    /// A request with an effect ran twice.
     RanTwice,
-    /// Turned away after it ran.
+    /// The request was refused after it ran.
     RefusedAfterRun,
-    /// Run though it came after the grace of a nodo that leaves.
+    /// The request ran although it arrived after the drain grace of a leaving nodo.
     RunAfterGrace,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let what = match self.rule {
-            Rule::Lost => "was not answered by its due time",
+            Rule::NotAnswered => "was not answered by its due time",
             Rule::AnsweredTwice => "was answered twice",
             Rule::RanTwice => "ran twice",
-            Rule::RefusedAfterRun => "was turned away after it ran",
-            Rule::RunAfterGrace => "was run though it came after the grace",
+            Rule::RefusedAfterRun => "was refused after it ran",
+            Rule::RunAfterGrace => "ran although it arrived after the drain grace",
         };
         write!(f, "round {}: request {} {what}", self.round, self.id.0)
     }
 }
 
-struct Known {
+struct TrackedRequest {
     request: Request,
     arrived: f64,
     due: f64,
-    /// An answer is owed.
-    owed: bool,
-    /// One was given.
+    /// Whether an answer is still owed.
+    answer_owed: bool,
+    /// Whether an answer was given.
     answered: bool,
     ran: bool,
 }
 
-/// The checker.
+/// Checks the rules over the parts of a capture.
 #[derive(Default)]
-pub struct Rules {
+pub struct RuleChecker {
     settings: Option<Settings>,
-    known: BTreeMap<RequestId, Known>,
-    /// When the nodo was told to leave.
-    left_at: Option<f64>,
-    broken: Vec<Broken>,
+    tracked: BTreeMap<RequestId, TrackedRequest>,
+    /// The time of the first request to leave.
+    leaving_since: Option<f64>,
+    violations: Vec<Violation>,
 }
 
-impl Rules {
-    /// Nothing was seen yet.
-    pub fn new() -> Rules {
-        Rules::default()
+impl RuleChecker {
+    /// Creates a checker that has processed no parts.
+    pub fn new() -> RuleChecker {
+        RuleChecker::default()
     }
 
-    /// Takes the next part of a capture.
+    /// Processes the next part of a capture.
     pub fn take(&mut self, part: &Part) {
         match part {
-            Part::Spoilt { .. } => self.known.clear(),
+            Part::Corrupt { .. } => self.tracked.clear(),
             Part::Block { records, .. } => records.iter().for_each(|record| self.record(record)),
         }
     }
 
-    /// All that was broken.
-    pub fn end(self) -> Vec<Broken> {
-        self.broken
+    /// Returns all violations.
+    pub fn end(self) -> Vec<Violation> {
+        self.violations
     }
 
     fn record(&mut self, record: &Record) {
         match record {
-            Record::Head(head) => self.settings = Some(head.settings.clone()),
-            Record::Snapshot(_) | Record::SideStates(_) | Record::Sides(_) => {}
-            Record::Gap { .. } => self.known.clear(),
+            Record::Header(header) => self.settings = Some(header.settings.clone()),
+            Record::Snapshot(_) | Record::AuxiliaryStates(_) | Record::AuxiliarySteps(_) => {}
+            Record::Gap { .. } => self.tracked.clear(),
             Record::Round(round) => {
                 if let Some(settings) = self.settings.take() {
                     let changed = self.round(&settings, round);
@@ -115,22 +117,22 @@
                 Event::Arrived(request) => {
                     self.arrived(changed.unwrap_or(settings), request, round.now);
                 }
-                // One that is given all the same goes nowhere and does no harm.
+                // An answer given anyway has no recipient and is no violation.
                 Event::Withdrawn { id } => self.no_answer_owed(*id),
-                // With the end of a run its answer goes out, unless one was given before.
+                // The answer is sent when the run ends, unless one was given before.
                 Event::Ended { id, outcome: Outcome::Done | Outcome::Failed } => {
-                    if let Some(known) = self.known.get_mut(id) {
-                        (known.owed, known.answered) = (false, true);
+                    if let Some(tracked) = self.tracked.get_mut(id) {
+                        (tracked.answer_owed, tracked.answered) = (false, true);
                     }
                 }
                 Event::Ended { id, outcome: Outcome::NotStarted } => {
-                    if let Some(known) = self.known.get_mut(id) {
-                        known.ran = false;
+                    if let Some(tracked) = self.tracked.get_mut(id) {
+                        tracked.ran = false;
                     }
                 }
-                // Requests that are open keep their places in it, and with them their classes.
+                // New settings keep the class indices of open requests.
                 Event::Settings(new) => changed = Some(&**new),
-                Event::Leave { .. } => self.left_at = self.left_at.or(Some(round.now)),
+                Event::Leave { .. } => self.leaving_since = self.leaving_since.or(Some(round.now)),
                 _ => {}
             }
         }
@@ -138,9 +140,11 @@
             match action {
                 Action::Run(id) => self.ran(settings, *id, round.number),
                 Action::Refuse { id, .. } => {
-                    let effect = |known: &Known| settings.classes[known.request.class].repeat != Repeat::Safe;
-                    if self.known.get(id).is_some_and(|known| known.ran && effect(known)) {
-                        self.tell(round.number, *id, Rule::RefusedAfterRun);
+                    let effect = |tracked: &TrackedRequest| {
+                        settings.classes[tracked.request.class].repeat != Repeat::Safe
+                    };
+                    if self.tracked.get(id).is_some_and(|tracked| tracked.ran && effect(tracked)) {
+                        self.report(round.number, *id, Rule::RefusedAfterRun);
                     }
                     self.answered(*id, round.number);
                 }
@@ -148,84 +152,92 @@
                 _ => {}
             }
         }
-        let late = |known: &Known| known.owed && round.now > known.due + SLACK;
+        let late =
+            |tracked: &TrackedRequest| tracked.answer_owed && round.now > tracked.due + ANSWER_SLACK_SECONDS;
         let lost: Vec<RequestId> =
-            self.known.iter().filter(|(_, known)| late(known)).map(|(id, _)| *id).collect();
+            self.tracked.iter().filter(|(_, tracked)| late(tracked)).map(|(id, _)| *id).collect();
         for id in lost {
-            self.tell(round.number, id, Rule::Lost);
+            self.report(round.number, id, Rule::NotAnswered);
             self.no_answer_owed(id);
         }
-        while self.known.len() > MAX_KNOWN {
-            self.known.pop_first();
+        while self.tracked.len() > MAX_TRACKED {
+            self.tracked.pop_first();
         }
         changed.cloned()
     }
 
-    fn tell(&mut self, round: u64, id: RequestId, rule: Rule) {
-        self.broken.push(Broken { round, id, rule });
+    fn report(&mut self, round: u64, id: RequestId, rule: Rule) {
+        self.violations.push(Violation { round, id, rule });
     }
 
     fn arrived(&mut self, settings: &Settings, request: &Request, now: f64) {
         let arrived = now - request.waited;
         let deadline = settings.classes[request.class].deadline;
         let due = request.time_left.map_or(arrived + deadline, |left| now + left).max(now);
-        let known = Known { request: request.clone(), arrived, due, owed: true, answered: false, ran: false };
-        self.known.insert(request.id, known);
+        let tracked = TrackedRequest {
+            request: request.clone(),
+            arrived,
+            due,
+            answer_owed: true,
+            answered: false,
+            ran: false,
+        };
+        self.tracked.insert(request.id, tracked);
     }
 
     fn no_answer_owed(&mut self, id: RequestId) {
-        if let Some(known) = self.known.get_mut(&id) {
-            known.owed = false;
+        if let Some(tracked) = self.tracked.get_mut(&id) {
+            tracked.answer_owed = false;
         }
     }
 
     fn answered(&mut self, id: RequestId, round: u64) {
-        match self.known.get_mut(&id) {
-            Some(known) if known.answered => self.tell(round, id, Rule::AnsweredTwice),
-            Some(known) => (known.owed, known.answered) = (false, true),
+        match self.tracked.get_mut(&id) {
+            Some(tracked) if tracked.answered => self.report(round, id, Rule::AnsweredTwice),
+            Some(tracked) => (tracked.answer_owed, tracked.answered) = (false, true),
             None => {}
         }
     }
 
     fn ran(&mut self, settings: &Settings, id: RequestId, round: u64) {
-        let Some(known) = self.known.get(&id) else { return };
-        let class = known.request.class;
-        let (arrived, before) = (known.arrived, known.ran);
-        let late = self.left_at.is_some_and(|left| arrived > left + settings.drain_grace);
-        // A paused run that is taken up again is no second run.
+        let Some(tracked) = self.tracked.get(&id) else { return };
+        let class = tracked.request.class;
+        let (arrived, before) = (tracked.arrived, tracked.ran);
+        let late = self.leaving_since.is_some_and(|left| arrived > left + settings.drain_grace);
+        // Resuming a paused run is not a second run.
         let again = before && settings.halt != jaspershunt::StopMode::Pause;
         let twice = match settings.classes[class].repeat {
             Repeat::Safe => false,
             Repeat::Unsafe => again,
             Repeat::Keyed(window) => {
-                let first = known.request.repeats.and_then(|first| self.known.get(&first));
-                let within = |first: &Known| first.ran && arrived <= first.arrived + window;
+                let first = tracked.request.repeats.and_then(|first| self.tracked.get(&first));
+                let within = |first: &TrackedRequest| first.ran && arrived <= first.arrived + window;
                 again || first.is_some_and(|first| first.request.class == class && within(first))
             }
         };
-        if let Some(known) = self.known.get_mut(&id) {
-            known.ran = true;
+        if let Some(tracked) = self.tracked.get_mut(&id) {
+            tracked.ran = true;
         }
         if late {
-            self.tell(round, id, Rule::RunAfterGrace);
+            self.report(round, id, Rule::RunAfterGrace);
         }
         if twice {
-            self.tell(round, id, Rule::RanTwice);
+            self.report(round, id, Rule::RanTwice);
         }
     }
 }
 
-/// Checks rounds alone, under these settings.
-pub fn check_rounds(settings: &Settings, rounds: &[Round]) -> Vec<Broken> {
-    let mut rules = Rules::new();
+/// Checks rounds under the given settings.
+pub fn check_rounds(settings: &Settings, rounds: &[Round]) -> Vec<Violation> {
+    let mut rules = RuleChecker::new();
     rules.settings = Some(settings.clone());
     rounds.iter().for_each(|round| rules.record(&Record::Round(round.clone())));
     rules.end()
 }
 
 /// Checks a whole capture.
-pub fn check<'a>(parts: impl IntoIterator<Item = &'a Part>) -> Vec<Broken> {
-    let mut rules = Rules::new();
+pub fn check<'a>(parts: impl IntoIterator<Item = &'a Part>) -> Vec<Violation> {
+    let mut rules = RuleChecker::new();
     for part in parts {
         rules.take(part);
     }
--- a/crates/capture/src/summary.rs
+++ b/crates/capture/src/summary.rs
@@ -1,63 +1,64 @@
-//! What a capture holds, in figures.
+//! Figures on the content of a capture.
 
 use crate::reader::Part;
-use crate::record::{Head, Record, Round};
+use crate::record::{Header, Record, Round};
 use jaspershunt::{Action, Event, Outcome, RequestId, Settings};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Callers that are named with their refusals; those with the most.
-const CALLERS: usize = 5;
+/// Number of callers listed with their refusals.
+const MAX_CALLERS: usize = 5;
 
-/// What became of the requests of a class.
+/// Outcomes of the requests of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Class {
-    /// Read.
+    /// Requests read.
     pub read: u64,
-    /// Runs begun.
+    /// Runs started.
     pub runs: u64,
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Turned away.
+    /// Requests refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests answered with a failure.
     pub failed: u64,
-    /// Over because their callers had gone.
+    /// Requests withdrawn because their callers were gone.
     pub gone: u64,
-    /// From the reading to the end of those that were served, in milliseconds: median, 90th and 99th in 100, most.
+    /// Time from reading to the end of served requests, in milliseconds: median, 90th and 99th percentile,
+    /// maximum.
     pub served_ms: Option<[f64; 4]>,
 }
 
-/// What a capture holds.
+/// Summary of a capture.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// The nodo, and the version of its program.
+    /// The name of the nodo.
     pub nodo: String,
-    /// That version.
+    /// The version of its program.
     pub version: String,
-    /// Unix time of the first round, in seconds, and how long it is to the last.
+    /// The Unix time of the first round, in seconds.
     pub from_unix: f64,
-    /// Seconds from the first round to the last.
+    /// The time from the first round to the last, in seconds.
     pub seconds: f64,
-    /// Blocks, and those that begin with the state.
+    /// Number of blocks.
     pub blocks: u64,
-    /// Blocks that begin with the state.
+    /// Number of blocks that start with a snapshot.
     pub snapshots: u64,
-    /// Rounds.
+    /// Number of rounds.
     pub rounds: u64,
-    /// Rounds that the capture says it does not have, and in how many places.
+    /// Number of rounds recorded as dropped.
     pub missing: u64,
-    /// Places where rounds are missing.
+    /// Number of gaps in which rounds were dropped.
     pub gaps: u64,
-    /// Places that are torn or spoilt, with why.
+    /// Corrupt parts, each with the reason.
     pub spoilt: Vec<String>,
-    /// Changes of settings.
+    /// Number of settings changes.
     pub changes: u64,
-    /// By class.
+    /// Figures by class name.
     pub classes: BTreeMap<String, Class>,
-    /// The callers that were refused most, and how often.
+    /// The callers with the most refusals, each with their number.
     pub refused_callers: Vec<(u64, u64)>,
-    /// The most that waited at once, and the most at work, as the events have it.
+    /// Maximum number of requests open at once, queued or running.
     pub most_open: u64,
 }
 
@@ -73,18 +74,18 @@
     epoch: f64,
 }
 
-/// Sums a capture up.
+/// Summarizes a capture.
 pub fn summary(parts: &[Part]) -> Summary {
     let mut counter = Counter::default();
     for part in parts {
         match part {
-            Part::Spoilt { offset, length, why } => {
-                counter.summary.spoilt.push(format!("{length} bytes at {offset}: {why}"));
+            Part::Corrupt { offset, length, error } => {
+                counter.summary.spoilt.push(format!("{length} bytes at {offset}: {error}"));
                 counter.open.clear();
             }
-            Part::Block { head, records, .. } => {
+            Part::Block { header, records, .. } => {
                 counter.summary.blocks += 1;
-                counter.summary.snapshots += u64::from(head.snapshot);
+                counter.summary.snapshots += u64::from(header.snapshot);
                 records.iter().for_each(|record| counter.record(record));
             }
         }
@@ -95,12 +96,12 @@
 impl Counter {
     fn record(&mut self, record: &Record) {
         match record {
-            Record::Head(Head { version, nodo, epoch, settings }) => {
+            Record::Header(Header { version, nodo, epoch, settings }) => {
                 (self.summary.nodo, self.summary.version) = (nodo.clone(), version.clone());
                 self.epoch = *epoch;
                 self.settings = Some(settings.clone());
             }
-            Record::Snapshot(_) | Record::SideStates(_) | Record::Sides(_) => {}
+            Record::Snapshot(_) | Record::AuxiliaryStates(_) | Record::AuxiliarySteps(_) => {}
             Record::Gap { rounds } => {
                 self.summary.missing += rounds;
                 self.summary.gaps += 1;
@@ -131,12 +132,12 @@
                     self.summary.most_open = self.summary.most_open.max(self.open.len() as u64);
                 }
                 Event::Ended { id, outcome: Outcome::Done } => {
-                    self.over(*id, |class| class.served += 1, Some(round.now));
+                    self.finish(*id, |class| class.served += 1, Some(round.now));
                 }
                 Event::Ended { id, outcome: Outcome::Failed } => {
-                    self.over(*id, |class| class.failed += 1, None)
+                    self.finish(*id, |class| class.failed += 1, None)
                 }
-                Event::Withdrawn { id } => self.over(*id, |class| class.gone += 1, None),
+                Event::Withdrawn { id } => self.finish(*id, |class| class.gone += 1, None),
                 Event::Settings(settings) => {
                     self.summary.changes += 1;
                     self.settings = Some((**settings).clone());
@@ -155,15 +156,15 @@
                     if let Some((_, caller, _)) = self.open.get(id) {
                         *self.refused.entry(*caller).or_default() += 1;
                     }
-                    self.over(*id, |class| class.refused += 1, None);
+                    self.finish(*id, |class| class.refused += 1, None);
                 }
-                Action::Fail(id) => self.over(*id, |class| class.failed += 1, None),
+                Action::Fail(id) => self.finish(*id, |class| class.failed += 1, None),
                 _ => {}
             }
         }
     }
 
-    fn over(&mut self, id: RequestId, count: impl FnOnce(&mut Class), served_at: Option<f64>) {
+    fn finish(&mut self, id: RequestId, count: impl FnOnce(&mut Class), served_at: Option<f64>) {
         let Some((name, _, read_at)) = self.open.remove(&id) else { return };
         count(self.class(&name));
         if let Some(at) = served_at {
@@ -174,13 +175,13 @@
     fn end(mut self) -> Summary {
         for (name, mut times) in std::mem::take(&mut self.served) {
             times.sort_by(f64::total_cmp);
-            // The cast is exact for any number of requests that a file can hold.
+            // The cast is exact for any number of requests that fits in a file.
             let at = |share: f64| times[((times.len() - 1) as f64 * share).round() as usize];
             self.class(&name).served_ms = Some([at(0.5), at(0.9), at(0.99), at(1.0)]);
         }
         let mut callers: Vec<(u64, u64)> = std::mem::take(&mut self.refused).into_iter().collect();
         callers.sort_by_key(|(caller, refused)| (std::cmp::Reverse(*refused), *caller));
-        callers.truncate(CALLERS);
+        callers.truncate(MAX_CALLERS);
         let first = self.first.unwrap_or(0.0);
         Summary {
             from_unix: self.epoch + first,
--- a/crates/capture/src/what_if.rs
+++ b/crates/capture/src/what_if.rs
@@ -1,5 +1,6 @@
-//! What the decisions would have been with other settings, or in another build: what was told, run against them. It is open
-//! loop: what came afterwards came of what was decided then, so that only the beginning of a difference can be trusted.
+//! Replays recorded events with other settings, or in another build, and counts the actions. The replay is
+//! open loop: later events are consequences of the original decisions, so only the start of a difference is
+//! reliable.
 
 use crate::reader::Part;
 use crate::record::{Record, Round};
@@ -7,22 +8,22 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Settings that are to be others.
+/// Settings to override.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Others {
-    /// Cores.
+pub struct Overrides {
+    /// Number of cores.
     pub cores: Option<u32>,
     /// Memory, in kilobytes.
     pub memory_kb: Option<f64>,
-    /// Running requests on the cores, for each core, that the server survives.
+    /// Running requests per core beyond which the server fails.
     pub crowd_multiple: Option<f64>,
-    /// Its part of the calls that the dependency survives.
+    /// The nodo's share of the concurrent calls that the shared dependency sustains.
     pub fair_calls: Option<f64>,
 }
 
-impl Others {
-    /// Settings with these in them.
-    pub fn settings(&self, settings: &Settings) -> Settings {
+impl Overrides {
+    /// Returns the settings with the overrides applied.
+    pub fn apply(&self, settings: &Settings) -> Settings {
         let mut other = settings.clone();
         other.cores = self.cores.unwrap_or(other.cores);
         other.memory_kb = self.memory_kb.unwrap_or(other.memory_kb);
@@ -34,36 +35,41 @@
     }
 }
 
-/// What came of it.
+/// The result of a replay with other settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WhatIf {
-    /// Rounds that were run.
+    /// Rounds replayed.
     pub rounds: u64,
-    /// The first round that asks for something else, and its time from the first, in seconds.
-    pub parts_at: Option<(u64, f64)>,
-    /// How often each thing was asked for: then, and now.
-    pub asked: BTreeMap<&'static str, (u64, u64)>,
+    /// The first round whose actions differ, and its time from the first round in seconds.
+    pub diverges_at: Option<(u64, f64)>,
+    /// The number of actions by name: in the capture and in the replay.
+    pub action_counts: BTreeMap<&'static str, (u64, u64)>,
 }
 
 impl fmt::Display for WhatIf {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "open loop: what was told came of what was decided then, whatever is decided now")?;
-        match self.parts_at {
-            Some((round, at)) => {
-                writeln!(f, "{} rounds; the decisions part at round {round}, {at:.3} s in", self.rounds)?
-            }
-            None => writeln!(f, "{} rounds; all decisions are the same", self.rounds)?,
+        writeln!(
+            f,
+            "open loop: the recorded events are consequences of the original decisions, not of these"
+        )?;
+        match self.diverges_at {
+            Some((round, at)) => writeln!(
+                f,
+                "{} rounds; the decisions diverge at round {round}, {at:.3} s after the start",
+                self.rounds
+            )?,
+            None => writeln!(f, "{} rounds; all decisions are identical", self.rounds)?,
         }
         writeln!(f, "{:<12} {:>9} {:>9} {:>9}", "asked for", "then", "now", "")?;
-        for (what, (then, now)) in &self.asked {
-            // The casts are exact for any count that a file can hold.
+        for (what, (then, now)) in &self.action_counts {
+            // The casts are exact for any count that fits in a file.
             writeln!(f, "{what:<12} {then:>9} {now:>9} {:>+9}", *now as i64 - *then as i64)?;
         }
         Ok(())
     }
 }
 
-fn word(action: &Action) -> Option<&'static str> {
+fn action_name(action: &Action) -> Option<&'static str> {
     Some(match action {
         Action::Run(_) => "run",
         Action::Stop(_) => "stop",
@@ -76,13 +82,13 @@
     })
 }
 
-/// Runs what was told against the present decision code with other settings.
-pub fn what_if(parts: &[Part], others: &Others) -> WhatIf {
+/// Replays a capture through the current decision code with overridden settings.
+pub fn what_if(parts: &[Part], overrides: &Overrides) -> WhatIf {
     let mut result = WhatIf::default();
     let (mut module, mut settings, mut began): (Option<Controller>, Option<Settings>, Option<f64>) =
         (None, None, None);
-    // Told with the first round, so that the clock does not move for it.
-    let mut told = None;
+    // Applied as an event of the first round, so that the clock does not advance for it.
+    let mut pending_settings = None;
     for part in parts {
         let Part::Block { records, .. } = part else {
             module = None;
@@ -90,18 +96,18 @@
         };
         for record in records {
             match record {
-                Record::Head(head) => settings = Some(others.settings(&head.settings)),
+                Record::Header(header) => settings = Some(overrides.apply(&header.settings)),
                 Record::Gap { .. } => module = None,
-                // One that runs goes on; its state is not that of the capture any more.
+                // A running replay continues, since its state has diverged from the capture.
                 Record::Snapshot(state) if module.is_none() => {
                     module = Controller::load(state).ok();
-                    told = settings.clone().filter(|_| *others != Others::default());
+                    pending_settings = settings.clone().filter(|_| *overrides != Overrides::default());
                 }
-                Record::Snapshot(_) | Record::SideStates(_) | Record::Sides(_) => {}
+                Record::Snapshot(_) | Record::AuxiliaryStates(_) | Record::AuxiliarySteps(_) => {}
                 Record::Round(round) => {
                     if let Some(module) = &mut module {
                         let from = *began.get_or_insert(round.now);
-                        run(module, round, (told.take(), others), from, &mut result);
+                        run(module, round, (pending_settings.take(), overrides), from, &mut result);
                     }
                 }
             }
@@ -113,27 +119,27 @@
 fn run(
     module: &mut Controller,
     round: &Round,
-    (told, others): (Option<Settings>, &Others),
+    (new_settings, overrides): (Option<Settings>, &Overrides),
     from: f64,
     result: &mut WhatIf,
 ) {
     let other = |event: &Event| match event {
-        Event::Settings(settings) => Event::Settings(Box::new(others.settings(settings))),
+        Event::Settings(settings) => Event::Settings(Box::new(overrides.apply(settings))),
         event => event.clone(),
     };
-    let first = told.map(|settings| Event::Settings(Box::new(settings)));
+    let first = new_settings.map(|settings| Event::Settings(Box::new(settings)));
     let events: Vec<Event> = first.into_iter().chain(round.events.iter().map(other)).collect();
     let mut actions = Vec::new();
     module.step(round.now, &events, &mut actions);
     result.rounds += 1;
-    if result.parts_at.is_none() && actions != round.actions {
-        result.parts_at = Some((round.number, round.now - from));
+    if result.diverges_at.is_none() && actions != round.actions {
+        result.diverges_at = Some((round.number, round.now - from));
     }
-    for action in round.actions.iter().filter_map(word) {
-        result.asked.entry(action).or_default().0 += 1;
+    for action in round.actions.iter().filter_map(action_name) {
+        result.action_counts.entry(action).or_default().0 += 1;
     }
-    for action in actions.iter().filter_map(word) {
-        result.asked.entry(action).or_default().1 += 1;
+    for action in actions.iter().filter_map(action_name) {
+        result.action_counts.entry(action).or_default().1 += 1;
     }
 }
 
--- a/crates/node/tests/capture.rs
+++ b/crates/node/tests/capture.rs
@@ -1,6 +1,6 @@
 //! The program with captures on: written when asked for, readable by its own commands, and in nobody's way.
 
-use jaspershunt_capture::format::put_record;
+use jaspershunt_capture::format::append_record;
 use jaspershunt_capture::reader::{Part, parts};
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig};
@@ -165,7 +165,7 @@
     let mut payload = Vec::new();
     for part in parts(&std::fs::read(file).unwrap()).unwrap() {
         let Part::Block { records, .. } = part else { panic!("spoilt") };
-        records.iter().for_each(|record| put_record(&mut payload, record).unwrap());
+        records.iter().for_each(|record| append_record(&mut payload, record).unwrap());
     }
     payload.windows(word.len()).any(|bytes| bytes == word.as_bytes())
 }
@@ -205,7 +205,7 @@
         std::fs::write(&part, &bytes[..bytes.len() - 9]).unwrap();
         assert!(capture(&["summary"], &part, &[]).0.contains("1 places are spoilt"));
         std::fs::write(&part, b"nothing").unwrap();
-        assert!(capture(&["replay"], &part, &[]).0.contains("this is no capture"));
+        assert!(capture(&["replay"], &part, &[]).0.contains("this is not a capture file"));
     });
 }
 
