--- a/crates/node/tests/crossing_connections.rs
+++ b/crates/node/tests/crossing_connections.rs
@@ -6,7 +6,7 @@
 mod common;
 use common::*;
 use jaspershunt_node::config::Facts;
-use jaspershunt_node::engine::Idle;
+use jaspershunt_node::engine::IdlePolicy;
 use jaspershunt_node::engine::input::{Input, QUEUE};
 use jaspershunt_node::fastcgi::connection::{Front, accept};
 use jaspershunt_node::fastcgi::records::{kind, put_record};
@@ -39,7 +39,7 @@
     address: SocketAddr,
     front: Rc<Front>,
     work: mpsc::Receiver<Input>,
-    idle: watch::Sender<Idle>,
+    idle: watch::Sender<IdlePolicy>,
     stop: Option<oneshot::Sender<()>>,
     accepts: JoinHandle<()>,
     _facts: watch::Sender<Rc<Facts>>,
@@ -59,7 +59,7 @@
     fn on(listener: TcpListener, address: SocketAddr, change: impl FnOnce(&mut Front)) -> Server {
         let config = config(address, address, address, address);
         let (engine, work) = mpsc::channel(QUEUE);
-        let (idle, idle_out) = watch::channel(Idle::default());
+        let (idle, idle_out) = watch::channel(IdlePolicy::default());
         let (facts, facts_out) = watch::channel(Rc::new(config.facts()));
         let mut front = Front::new(&config, engine, idle_out, facts_out, Rc::new(Cell::new(0)));
         change(&mut front);
@@ -88,7 +88,7 @@
         loop {
             match self.work.recv().await.unwrap() {
                 Input::Work { reply, .. } => return reply,
-                Input::Gone { .. } => {}
+                Input::CallerGone { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
@@ -131,7 +131,7 @@
 struct ServedByItself {
     address: SocketAddr,
     front: Rc<Front>,
-    _idle: watch::Sender<Idle>,
+    _idle: watch::Sender<IdlePolicy>,
     stop: Option<oneshot::Sender<()>>,
     accepts: JoinHandle<()>,
 }
@@ -303,7 +303,7 @@
         yield_now().await;
         // Between these there is no place in which the connections' tasks could run.
         assert!(put(&resting, &bytes) && put(&half_read, &bytes[40..]) && put(&new, &bytes));
-        server.idle.send_modify(|idle| idle.hang_up = true);
+        server.idle.send_modify(|idle| idle.close_after_answers = true);
         for _ in 0..3 {
             served(server.handed_over().await, b"made");
         }
@@ -324,7 +324,7 @@
         // Less than the record that begins the request.
         half_a_record.send(&bytes[..5]).await;
         yield_now().await;
-        server.idle.send_modify(|idle| idle.hang_up = true);
+        server.idle.send_modify(|idle| idle.close_after_answers = true);
         let (_, text, status) = half_read.answer().await.expect("an answer");
         assert_eq!((&text[..], status), ("", OVERLOADED));
         assert!(half_read.answer().await.is_none() && half_a_record.answer().await.is_none());
@@ -335,8 +335,8 @@
 fn a_request_that_crosses_the_close_of_a_resting_connection_is_answered() {
     local(async {
         let close = [
-            |idle: &mut Idle| idle.limit = Duration::ZERO,
-            |idle: &mut Idle| (idle.limit, idle.standing) = (Duration::ZERO, true),
+            |idle: &mut IdlePolicy| idle.limit = Duration::ZERO,
+            |idle: &mut IdlePolicy| (idle.limit, idle.permanent) = (Duration::ZERO, true),
         ];
         for close in close {
             let mut server = Server::start(8).await;
@@ -577,7 +577,7 @@
         for _ in 0..POLLS {
             yield_now().await;
         }
-        server.idle.send_modify(|idle| (idle.passing, idle.last_call) = (true, true));
+        server.idle.send_modify(|idle| (idle.hand_over, idle.stop_reading) = (true, true));
         for _ in 0..POLLS {
             yield_now().await;
         }
--- a/crates/node/tests/nodo.rs
+++ b/crates/node/tests/nodo.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use jaspershunt_node::config;
-use jaspershunt_node::engine::Idle;
+use jaspershunt_node::engine::IdlePolicy;
 use jaspershunt_node::engine::input::Input;
 use jaspershunt_node::fastcgi::connection::{Came, Front, accept};
 use jaspershunt_node::fastcgi::records::{kind, put_record};
@@ -282,7 +282,7 @@
     front: Rc<Front>,
     address: SocketAddr,
     inputs: mpsc::Receiver<Input>,
-    _idle: watch::Sender<Idle>,
+    _idle: watch::Sender<IdlePolicy>,
 }
 
 impl Alone {
@@ -291,7 +291,7 @@
         let at = address.to_string();
         let text = config_text(&at, &at, &at, &at).replace(r#""sockets":1024"#, sockets);
         let (engine, inputs) = mpsc::channel(99);
-        let (_idle, idle) = watch::channel(Idle::default());
+        let (_idle, idle) = watch::channel(IdlePolicy::default());
         let config = config::read(&text, |_| None).unwrap();
         let facts = watch::channel(Rc::new(config.facts())).1;
         let front = Rc::new(Front::new(&config, engine, idle, facts, Rc::default()));
