--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -1,12 +1,13 @@
 //! The figures that operators are shown: what became of requests, by class, since the start of this process.
 //!
-//! Each is counted where the matter ends or begins, by the engine alone, so that at any moment what was taken is what
-//! ended and what is still open.
+//! Each is counted where the matter ends or begins, by the engine alone, so that at any moment what was taken
+//! is what ended and what is still open.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Classes that are counted by name. A site has a handful; this bounds what many changes of settings may add up to.
+/// Classes that are counted by name. A site has a handful; this bounds what many changes of settings may add
+/// up to.
 const MAX_CLASSES: usize = 256;
 /// Under this name those of further classes are counted together.
 const OTHERS: &str = "(others)";
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -1,8 +1,8 @@
 //! The one task that owns the decision module and the state of every request.
 //!
-//! Everything reaches it through one queue. It takes all that is queued, tells the module in one step, and carries
-//! out what the module asks for in order. It knows no protocol and never waits on a socket: what it wants done
-//! elsewhere it hands to the tasks of the interpreter, the database, the directory and the connections.
+//! All inputs reach it through one queue. It drains the queue, passes the events to the module in one step,
+//! and executes the module's actions in order. It knows no protocol and never waits on a socket: I/O is
+//! delegated to the tasks of the interpreter, the database, the directory and the connections.
 
 use crate::admin::{Desk, Order};
 use crate::capture::Capture;
@@ -44,42 +44,44 @@
 use input::{Input, QUEUE};
 use upgrade::Partner;
 
-/// Calls that wait to be made.
+/// Capacity of the queue of calls to be made.
 pub const CALL_QUEUE: usize = 1024;
-/// A wake waits so long for the gauges; then it goes without.
+/// Time that a wake waits for the gauges before it is delivered without them.
 const GAUGES_TIMEOUT: Duration = Duration::from_millis(15);
-/// A run whose end is not heard of this long after its answer is given up: its notice is lost. Ours, longer than any
-/// pause of a machine.
+/// A run whose end is not reported within this time after its request was answered is given up, as its notice
+/// is lost. Longer than any pause of a machine.
 const LOST_RUN_TIMEOUT: Duration = Duration::from_secs(40);
-/// Seconds that the module is told less than there are until the kill, for answers to be written in. Ours: some of
-/// the waits for the gauges.
+/// Part of the time until the kill that is withheld from the module, so that answers can still be written.
+/// Several times the timeout of the gauges.
 const STOP_MARGIN_SECONDS: f64 = 0.1;
-/// Seconds that a key is remembered beyond its window: the rule allows the window's end 50 ms, and the same again.
+/// Time that a key is remembered beyond its window: the rule's tolerance of 50 ms at the window's end,
+/// doubled.
 const WINDOW_SLACK_SECONDS: f64 = 0.1;
-/// Seconds by which the time of a request's arrival may be ahead, as clocks are never quite alike.
+/// Maximum by which a request's arrival time may lie in the future, as clocks differ.
 const MAX_CLOCK_AHEAD_SECONDS: f64 = 1.0;
-/// Seconds beyond its deadline that a request may have waited before it is read; more makes no sense.
+/// Maximum queueing delay beyond the deadline that is accepted in a request; longer ones are invalid.
 const MAX_QUEUEING_BEYOND_DEADLINE_SECONDS: f64 = 60.0;
-/// The module's clock shows this at the start, so that the start of the interpreter is not before 0.
+/// The module's clock at the start of the engine, so that the start of the interpreter is not before 0.
 const CLOCK_START_SECONDS: f64 = 1e5;
 
-/// Which of balancers' idle connections are closed.
+/// Which connections of balancers are closed or handed over.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdlePolicy {
-    /// Those that have been idle for this long.
+    /// Idle time after which a connection is closed.
     pub limit: Duration,
-    /// Whether that goes for all time to come, and not only for this moment.
+    /// Whether the limit applies from now on, and not only at this moment.
     pub permanent: bool,
-    /// Connections are passed on to a later start as soon as they are quiet.
+    /// Whether quiet connections are handed over to the later process.
     pub hand_over: bool,
-    /// Those that are not quiet are read no more, so that they become so.
+    /// Whether reading stops on connections that are not quiet, so that they become quiet.
     pub stop_reading: bool,
-    /// Every connection ends once what was read of it is answered, whatever more it brings.
+    /// Whether each connection is closed once all requests read from it are answered, whatever is sent on it
+    /// later.
     pub close_after_answers: bool,
 }
 
 impl Default for IdlePolicy {
-    /// None are closed.
+    /// Closes no connection.
     fn default() -> IdlePolicy {
         IdlePolicy {
             limit: Duration::MAX,
@@ -91,7 +93,7 @@
     }
 }
 
-/// The ways to the other tasks.
+/// The channels to the other tasks.
 pub struct Channels {
     /// To the engine itself, for timers.
     pub engine: mpsc::WeakSender<Input>,
@@ -99,36 +101,37 @@
     pub interpreter: mpsc::Sender<Command>,
     /// To the database.
     pub database: mpsc::Sender<database::Call>,
-    /// What the directory is told.
+    /// The mode reported to the directory.
     pub directory: watch::Sender<Option<Mode>>,
-    /// How long connections may be idle.
+    /// The policy for idle connections.
     pub idle: watch::Sender<IdlePolicy>,
-    /// How many requests are owed an answer.
+    /// The number of in-flight requests and runs.
     pub owed: watch::Sender<usize>,
-    /// What operators are shown.
+    /// State shared with the operators' interface.
     pub desk: Rc<Desk>,
-    /// The settings in force, for those who read requests.
+    /// The settings in force, for the tasks that read requests.
     pub facts: watch::Sender<Rc<Facts>>,
 }
 
-/// Where the run of a request is.
+/// The stage of a request's run.
 enum Stage {
-    /// Not started, or stopped and to be started anew.
+    /// Not started, or stopped and to be restarted.
     Queued,
-    /// The interpreter has it.
+    /// Running in the interpreter.
     Running,
-    /// It waits for a call.
+    /// Waiting for a call.
     AtCall {
-        /// The notice that asked for the call.
+        /// The number of the notice that requested the call.
         pos: u64,
         /// The call's body.
         content: Rc<[u8]>,
-        /// The number of the call that was made, and what gives it up when dropped; several dependencies have their own.
+        /// The number of the call that was made, and the sender whose drop cancels it; `None` with several
+        /// dependencies, which cancel calls themselves.
         made: Option<(u64, Option<oneshot::Sender<()>>)>,
     },
-    /// Waits for the run of another try of its key.
+    /// Waiting for the run of another try of the same key.
     AwaitsKey,
-    /// It has run, and its end is on the way to the fleet.
+    /// It has run, and its end is being recorded in the fleet.
     AwaitsRecord,
 }
 
@@ -137,25 +140,25 @@
     class: usize,
     key: Option<Key>,
     body: Rc<[u8]>,
-    /// When it came to the machine, on the module's clock.
+    /// Arrival at the machine, on the module's clock.
     arrived: f64,
-    /// Where the answer goes, while one is owed.
+    /// Where the answer goes; `None` once answered.
     reply: Option<ReplyTo>,
     stage: Stage,
-    /// It was started at least once.
+    /// Whether it was started at least once.
     started: bool,
-    /// Calls that its run has asked for.
+    /// Number of calls that its run has requested.
     calls: usize,
     held_kb: f64,
-    /// What its answer will have to say of itself.
+    /// What its answer reports as missing or stale.
     label: Label,
-    /// When the oldest kept reply came that its run was given, on the module's clock.
+    /// Arrival of the oldest cached reply that its run was given, on the module's clock.
     stale_since: Option<Duration>,
-    /// Its tenant, by place in the settings.
+    /// Its tenant, by index in the settings.
     tenant: Option<usize>,
-    /// The route table that it began with, and goes by to its end.
+    /// The route table in force at its arrival, which applies until its end.
     table: Option<Snapshot>,
-    /// Where its last call went by that.
+    /// The route of its last call by that table.
     by: Option<Rc<By>>,
 }
 
@@ -164,7 +167,7 @@
         matches!(self.stage, Stage::Running | Stage::AtCall { .. })
     }
 
-    /// What its answer says of itself at this time of the module's clock.
+    /// The label of its answer at this time of the module's clock; `None` if complete and fresh.
     fn label(&self, now: f64) -> Option<Box<Label>> {
         let stale = self.stale_since.map(|since| (now - since.as_secs_f64()).max(0.0) * 1000.0);
         let label = Label { stale_ms: stale.map(|ms| ms.ceil() as u64), ..self.label.clone() };
@@ -180,58 +183,60 @@
     now: f64,
     settings: Settings,
     names: Names,
-    /// Their names, as the interpreter is told them.
+    /// The names of the classes, quoted for the interpreter.
     classes: Vec<Rc<str>>,
-    /// Changes of the settings so far.
+    /// Number of changes of the settings so far.
     changes: u64,
-    /// Places of classes that a change took the name from, with its number, while requests that name them may be on their way
-    /// here. At most one for each place.
+    /// Indices of classes that a change removed, with the number of the change, while requests that refer to
+    /// them may be queued. At most one entry for each index.
     retired: Vec<(u64, usize)>,
     stop_timeout: Duration,
     channels: Channels,
-    /// The module, from when the interpreter is up: only then it is known how warm that is.
+    /// The decision module; created once the interpreter is up, as only then its warmth is known.
     module: Option<Controller>,
     requests: BTreeMap<RequestId, Entry>,
     by_uid: HashMap<Rc<str>, RequestId>,
     keys: JournaledKeyTable,
     followers: BTreeMap<Key, Vec<RequestId>>,
-    /// What the module has not been told yet.
+    /// Events for the module's next step.
     events: Vec<Event>,
     feedback: Option<f64>,
     module_healthy: bool,
-    /// Operators had clients sent away.
+    /// Whether operators have clients sent away.
     lameduck: bool,
     link_up: bool,
     calls: u64,
-    /// What decides on calls where the operator's file names dependencies.
+    /// The decisions on calls, where the operator's file names dependencies.
     dependencies: Option<Dependencies>,
     /// The newest route table of the fleet, where the operator's file names teams.
     table: Option<Snapshot>,
-    /// The work that the fleet holds for this nodo, where the operator's file names classes for that.
+    /// The work recorded in the fleet for this nodo, where the operator's file names classes for handover.
     handover: Option<Handover>,
-    /// What records all of this, where the operator's file wants that.
+    /// The capture of all decisions, where the operator's file asks for one.
     capture: Option<Capture>,
-    /// Beyond this the table of keys is pressed for memory.
+    /// The size of the key table from which it counts as short of memory.
     pressed_from_bytes: usize,
-    /// Wakes that wait for the gauges, and the tag under which those were asked for.
+    /// Wakes that wait for the gauges.
     wakes: Vec<u64>,
+    /// The tag of the last request for the gauges.
     tag: u64,
     owed: usize,
-    /// Who owns the keys, the right to run what is new, where more than one process can be there, and the other process of an
-    /// upgrade.
+    /// Which process owns the keys.
     claims: Claims,
+    /// The right to run new requests, where there can be more than one process.
     right: Option<Right>,
+    /// The other process of an upgrade.
     partner: Partner,
-    /// The directory is to hear of this process once it has the right.
+    /// Whether health is to be reported to the directory once this process has the right.
     report_pending: bool,
-    /// When all must be answered, once the nodo leaves.
+    /// When all requests must be answered, once the nodo leaves.
     stop_at: Option<f64>,
-    /// What comes later than this is not run, once the nodo leaves.
+    /// Requests that arrive later than this are not run, once the nodo leaves.
     grace_until: Option<f64>,
 }
 
 impl Engine {
-    /// An engine that has heard nothing yet.
+    /// Returns an engine without requests, before the interpreter is up.
     pub fn new(config: &Config, clock: Clock, channels: Channels) -> Engine {
         let mut settings = config.settings.clone();
         let dependencies =
@@ -283,12 +288,12 @@
         }
     }
 
-    /// Works until nothing can reach it any more.
+    /// Processes inputs until all senders are gone.
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>, mut orders: mpsc::Receiver<Order>) {
         let mut batch = Vec::with_capacity(QUEUE);
         loop {
             tokio::select! {
-                // What operators want does not wait behind requests.
+                // Operators' orders do not wait behind requests.
                 biased;
                 Some(order) = orders.recv() => self.handle_order(order),
                 taken = inputs.recv_many(&mut batch, QUEUE) => {
@@ -301,13 +306,13 @@
         }
     }
 
-    /// Does what operators want.
+    /// Carries out an operator's order.
     pub fn handle_order(&mut self, order: Order) {
         match order {
             Order::Lameduck { on, done } => {
                 self.set_lameduck(on);
                 self.send_lameduck();
-                // An error means that the caller did not wait.
+                // An error means that the operator's connection is gone.
                 let _ = done.send(());
             }
             Order::Look { done } => {
@@ -318,18 +323,18 @@
             Order::WriteCapture => self.write_capture(Reason::Asked),
             Order::Settings { facts, done } => {
                 let _ = done.send(self.reload_settings(&facts));
-                // The module hears of it in a step of its own, before any request that came with it.
+                // The module gets the settings in a step of their own, before any request that is queued.
                 self.step([]);
             }
         }
     }
 
-    /// Takes in all of a batch, then steps the module once, and again while carrying out what it asks for gives it
-    /// news.
+    /// Handles all inputs of a batch, then steps the module, and again as long as executing its actions
+    /// produces new events.
     pub fn step(&mut self, batch: impl IntoIterator<Item = Input>) {
-        // The module's clock never goes back, whatever the system's does.
+        // The module's clock is monotonic, even if the system's is set back.
         self.now = self.now.max(self.clock.now() - self.epoch);
-        // After all of the batch was read, before any of it can run: see `upgrade::claims`.
+        // After the whole batch was read and before any of it can run: see `upgrade::claims`.
         self.check_right();
         self.begin_capture();
         self.expire_keys();
@@ -362,10 +367,10 @@
         self.capture_sides();
         self.report_load();
         let owed = self.in_flight();
-        self.channels.owed.send_if_modified(|told| std::mem::replace(told, owed) != owed);
+        self.channels.owed.send_if_modified(|shown| std::mem::replace(shown, owed) != owed);
     }
 
-    /// Takes in one thing. What concerns the module is put among its events.
+    /// Handles one input and queues events for the module.
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Work { id, work, reply } => self.arrive(id, work, reply),
@@ -396,15 +401,15 @@
             Input::OperatorFile(file) => self.reload_operator_file(file),
             Input::RouteTable(table) => self.use_route_table(table),
             Input::Peer(peer) => self.handle_peer_message(peer),
-            Input::Fleet(word) => self.handle_fleet_event(word),
-            Input::Leave { since: told } => {
+            Input::Fleet(event) => self.handle_fleet_event(event),
+            Input::Leave { since } => {
                 if let Some(dependencies) = &mut self.dependencies {
                     dependencies.leave(Duration::from_secs_f64(self.now));
                 }
-                let told = self.now - told.elapsed().as_secs_f64();
-                // Guards against answers that are given up after the kill, where this waited behind much else.
-                self.stop_at = Some(told + self.stop_timeout.as_secs_f64() - STOP_MARGIN_SECONDS);
-                self.grace_until = Some(told + self.settings.drain_grace);
+                let noticed_at = self.now - since.elapsed().as_secs_f64();
+                // Guards against answers due after the kill, where this notice was queued for long.
+                self.stop_at = Some(noticed_at + self.stop_timeout.as_secs_f64() - STOP_MARGIN_SECONDS);
+                self.grace_until = Some(noticed_at + self.settings.drain_grace);
                 self.module_healthy = false;
                 self.notify_leave();
                 self.schedule_hand_over();
@@ -412,7 +417,8 @@
         }
     }
 
-    /// The free number for an answer. Settings that were read anew may have callers told nothing; the module then says no other.
+    /// The value sent to callers with each answer. Reloaded settings may turn it off; the module then gives
+    /// no new value.
     fn caller_feedback(&self) -> Option<f64> {
         self.feedback.filter(|_| self.settings.say != CallerFeedback::Nothing)
     }
@@ -468,7 +474,7 @@
         }
     }
 
-    /// Sends the engine something after a time; each wait has a timer of its own.
+    /// Sends an input to the engine after a delay; each has its own timer.
     fn send_after(&self, time: Duration, input: Input) {
         let engine = self.channels.engine.clone();
         let at = Instant::now() + time;
--- a/crates/node/src/engine/arrivals.rs
+++ b/crates/node/src/engine/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests as they come and go: what reaches the module, and the one place from which they are answered.
+//! Arrival and end of requests: admission to the module, and the one function that answers them.
 
 use super::{
     Engine, Entry, LOST_RUN_TIMEOUT, MAX_CLOCK_AHEAD_SECONDS, MAX_QUEUEING_BEYOND_DEADLINE_SECONDS, Stage,
@@ -12,7 +12,8 @@
 use jaspershunt::{Event, Outcome, Request, RequestId};
 use jaspershunt_routes::trial::RequestEnd as Tried;
 
-/// Whom the route table has no room for is told to stay away so long, in seconds. Ours: about what a request takes.
+/// Time that callers are told to stay away when a limit of the route table is reached; about the duration of
+/// a request.
 const ROUTE_LIMIT_STAY_AWAY_SECONDS: f64 = 1.0;
 
 impl Engine {
@@ -26,10 +27,11 @@
         self.channels.desk.counts.borrow_mut().taken(&self.settings.classes[class].name);
         let admitted = match goes {
             Goes::Nowhere => Err((reply, Answer::Failed)),
-            // Before the fleet holds it: what another nodo began is gone on with, however many there are.
+            // Checked before the request is recorded in the fleet: work taken over from another nodo is
+            // always run.
             _ if self.exceeds_route_limits(&work) => {
                 if let Some(table) = &self.table {
-                    // Guards against a table that turns all away and is judged by the few that it lets in.
+                    // Guards against a table that refuses most requests and is judged by the few it admits.
                     self.channels.desk.tally.borrow_mut().record(table, Tried::Failed);
                 }
                 let stay_away = self.settings.max_stay_away.min(ROUTE_LIMIT_STAY_AWAY_SECONDS);
@@ -39,20 +41,21 @@
             _ => self.admit(id, work, reply),
         };
         if let Err((reply, answer)) = admitted {
-            // It never reached the module, and is over.
+            // It never reached the module, so it is over.
             self.count_end(class, Some(&answer));
             reply.send(Reply::new(answer, self.caller_feedback()));
         }
     }
 
-    /// Whether the route table has no room for another request of this class or tenant. It goes for all requests that are here, whichever
-    /// table they began with; those whose callers left count as long as they run.
+    /// Whether another request of this class or tenant would exceed the route table's limits. They count all
+    /// in-flight requests, whichever table these began with, and those whose callers have left as long as
+    /// they run.
     fn exceeds_route_limits(&self, work: &Work) -> bool {
         let Some(table) = &self.table else { return false };
         let here = |is: &dyn Fn(&Entry) -> bool| self.requests.values().filter(|entry| is(entry)).count();
         let class = &self.settings.classes[work.class].name;
         let full = table.class_limit(class).is_some_and(|limit| {
-            // Those that the fleet is asked to hold are not here yet; this one is counted with them.
+            // Requests being recorded in the fleet are not in `requests` yet; this one is counted among them.
             let open = self.channels.desk.counts.borrow().of_class(class).open().saturating_sub(1) as usize;
             open.max(here(&|entry| entry.class == work.class)) >= limit
         });
@@ -62,8 +65,9 @@
         full || places.is_some_and(|places| here(&|entry| entry.tenant == work.tenant) >= places)
     }
 
-    /// Guards against a run of what came after the grace: a request has come with its last byte, whatever time its first one
-    /// names. The module then hears that it came now, and still when its caller stops waiting.
+    /// Guards against a run of a request that was complete only after the grace, whatever arrival time it
+    /// names. The module gets the present time as its arrival, and the time left until its caller stops
+    /// waiting.
     fn adjust_late_arrival(&self, work: &mut Work) {
         let Some(arrived) = work.arrived.filter(|_| self.grace_until.is_some_and(|end| self.now > end))
         else {
@@ -71,7 +75,7 @@
         };
         let deadline = self.settings.classes[work.class].deadline;
         let waited = self.now + self.epoch - arrived;
-        // One whose time makes no sense is turned away for that.
+        // One with an invalid arrival time is refused for that later.
         if waited > 0.0 && waited <= deadline + MAX_QUEUEING_BEYOND_DEADLINE_SECONDS {
             work.caller_timeout =
                 Some((work.caller_timeout.map_or(deadline, |waits| waits.min(deadline)) - waited).max(0.0));
@@ -90,7 +94,7 @@
         self.channels.desk.counts.borrow_mut().ended(&self.settings.classes[class].name, how);
     }
 
-    /// Takes a request on, or gives back the way to its caller with the answer that it gets at once.
+    /// Admits a request, or returns its reply channel with the answer that it gets at once.
     pub(super) fn admit(
         &mut self,
         id: RequestId,
@@ -98,14 +102,14 @@
         reply: ReplyTo,
     ) -> Result<(), (ReplyTo, Answer)> {
         if self.module.is_none() {
-            // No request comes before the interpreter is up; one that does finds a nodo that cannot run it.
+            // The nodo cannot run requests before the interpreter is up.
             let stay_away = self.settings.max_stay_away;
             return Err((reply, Answer::Refused { stay_away, last: false }));
         }
         if self.by_uid.contains_key(&work.uid) {
             return Err((reply, Answer::Bad));
         }
-        // A peer's word is taken only within what a request can have waited: the module learns from these times.
+        // Arrival times outside the possible range are rejected, as the module learns from them.
         let arrived = work.arrived.map_or(self.now, |unix| unix - self.epoch);
         let deadline = self.settings.classes[work.class].deadline;
         if arrived > self.now + MAX_CLOCK_AHEAD_SECONDS
@@ -113,9 +117,9 @@
         {
             return Err((reply, Answer::Bad));
         }
-        // Guards against an answer that is given when the caller of this try has long left: what is left of a request's time
-        // gets less with each try, and nothing but this tells so where no notice comes of callers that leave. A caller that
-        // says to wait beyond the deadline of its class has no use for an answer then.
+        // Guards against an answer after the caller of this try has left: the time left of a request shrinks
+        // with each try, and where callers' departures are not notified, only this field shows it. An answer
+        // after the deadline of the class is useless to the caller, however long it says it waits.
         let time_left = work.caller_timeout.map(|waits| (arrived + waits - self.now).min(deadline).max(0.0));
         let arrived = arrived.max(self.now - deadline).min(self.now);
         let mut repeats = None;
@@ -126,7 +130,7 @@
                 key,
                 digest(&self.settings.classes[work.class].name, &work.body),
                 id,
-                // Guards against a try that came within the window and was read after it, behind much else.
+                // Guards against a try that arrived within the window and was queued until after its end.
                 arrived,
                 held,
             ) {
@@ -134,7 +138,7 @@
                 Err(TryRejected::OtherBody) => {
                     return Err((reply, Answer::Bad));
                 }
-                // What cannot be remembered cannot be kept from running twice.
+                // A key that cannot be remembered could run twice.
                 Err(TryRejected::Full) => {
                     let stay_away = self.settings.max_stay_away;
                     return Err((reply, Answer::Refused { stay_away, last: false }));
@@ -177,7 +181,8 @@
         Ok(())
     }
 
-    /// The one place from which requests are answered: the way there is used up with the answer.
+    /// Answers a request. The only function that does, and it consumes the reply channel, so each gets one
+    /// answer.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         self.answer_or_left(id, answer, false);
     }
@@ -193,7 +198,8 @@
         if let Some(table) = &entry.table {
             let late = self.now - entry.arrived > self.settings.classes[class].deadline;
             let how = match answer {
-                // Whoever left did not wait for it; what came by a fault of its own says nothing of a table.
+                // A caller that left did not wait for the answer; an invalid request says nothing about a
+                // table.
                 _ if left => Some(Tried::Slow),
                 Answer::Served(_) if late => Some(Tried::Slow),
                 Answer::Served(_) => Some(Tried::InTime),
@@ -213,7 +219,7 @@
             return;
         }
         if let Some(entry) = self.requests.get(&id).filter(|entry| entry.reply.is_some()) {
-            // The module knows nothing any more of one whose end is on the way to the fleet.
+            // The module no longer has a request whose end is being recorded in the fleet.
             if !matches!(entry.stage, Stage::AwaitsRecord) {
                 self.events.push(Event::Withdrawn { id });
             }
@@ -221,7 +227,7 @@
         }
     }
 
-    /// No answer is owed any more: the request is over, unless it still runs.
+    /// Removes an answered request, unless it still runs.
     pub(super) fn release(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get(&id) else { return };
         if entry.runs() {
@@ -246,10 +252,10 @@
         }
     }
 
-    /// Guards against a notice that never comes: the run would take a place in the module for ever.
+    /// Guards against a lost notice of a run's end: the run would occupy the module for ever.
     pub(super) fn run_lost(&mut self, id: RequestId) {
         if let Some(entry) = self.requests.get(&id).filter(|entry| entry.runs()) {
-            log!(WARN, "the end of run {} was never heard of", entry.uid);
+            log!(WARN, "the end of run {} was never reported", entry.uid);
             self.events.push(Event::Ended { id, outcome: Outcome::Stopped });
             self.remove(id);
         }
--- a/crates/node/src/engine/calls.rs
+++ b/crates/node/src/engine/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of runs to what is below, where there is one dependency; several are in [`super::dependencies`].
+//! Calls of runs to a single dependency; [`super::dependencies`] handles several.
 
 use super::{Engine, Stage};
 use crate::database;
@@ -15,7 +15,7 @@
         }
         let Some(entry) = self.requests.get_mut(&id) else { return };
         let Stage::AtCall { made, .. } = &mut entry.stage else { return };
-        // A call that was given up for a later one says nothing any more.
+        // Ignores a call that was cancelled for a later one.
         if made.as_ref().is_none_or(|(made, _)| *made != number) {
             return;
         }
@@ -29,7 +29,7 @@
     }
 
     pub(super) fn make_call(&mut self, id: RequestId, give_up_after: f64) {
-        // An earlier call of this request is given up as its place is taken.
+        // Cancels an earlier call of this request.
         self.give_up_call(id);
         let Some(entry) = self.requests.get_mut(&id) else { return };
         let Stage::AtCall { made, .. } = &mut entry.stage else { return };
--- a/crates/node/src/engine/captures.rs
+++ b/crates/node/src/engine/captures.rs
@@ -9,7 +9,8 @@
 use jaspershunt_capture::tap::Reason;
 
 impl Engine {
-    /// All that is decided from here on goes to the capture, if there is one; now and then with the states as they stand.
+    /// All that is decided from here on goes to the capture, if there is one; now and then with the states as
+    /// they stand.
     pub(super) fn begin_capture(&mut self) {
         let (Some(capture), Some(module)) = (&mut self.capture, &self.module) else { return };
         capture.press(self.keys.bytes() > self.pressed_from_bytes);
@@ -43,8 +44,8 @@
     }
 }
 
-/// What records the decisions, where the operator's file wants that. A nodo whose captures cannot be written serves all the
-/// same.
+/// What records the decisions, where the operator's file wants that. A nodo whose captures cannot be written
+/// serves all the same.
 pub(super) fn capture_of(config: &Config, epoch: f64, settings: &Settings) -> Option<Capture> {
     let wanted = config.operator.as_ref()?.capture.as_ref()?;
     let version = env!("CARGO_PKG_VERSION").to_string();
--- a/crates/node/src/engine/dependencies.rs
+++ b/crates/node/src/engine/dependencies.rs
@@ -1,5 +1,5 @@
-//! The engine's side of several dependencies: carries out what [`jaspershunt_dependencies`] decides, and shows the module
-//! one outcome for each call that it asked for.
+//! The engine's side of several dependencies: executes the decisions of [`jaspershunt_dependencies`], and
+//! reports to the module one outcome for each call that it requested.
 
 use super::{Engine, Entry, Stage};
 use crate::config::Config;
@@ -18,35 +18,35 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The part of the crowd that the cores survive, and of the memory, that runs parked at calls may take, at all
-/// dependencies together. Ours: the module holds 0.8 of the crowd at most and counts what is parked as coming back all
-/// at once where runs cannot be paused; the rest is for those that do not call.
+/// Share of the concurrency that the cores survive, and of the memory, that runs parked at calls may take, at
+/// all dependencies together. The module admits at most 0.8 of that concurrency, and where runs cannot be
+/// paused it counts all parked ones as returning at once; the rest is for runs without calls.
 const MAX_PARKED_SHARE: f64 = 0.6;
 
-/// What decides on calls, and what is under way for it.
+/// The decisions on calls, and the calls and attempts in flight.
 pub(super) struct Dependencies {
     pub(super) decisions: JournaledDependencies,
-    /// Each attempt is given up when its half is dropped.
+    /// Dropping a sender cancels its attempt.
     attempts: HashMap<AttemptId, oneshot::Sender<()>>,
     calls: HashMap<CallId, RequestId>,
-    /// When the next [`Input::DependenciesDue`] comes.
+    /// The time of the next [`Input::DependenciesDue`].
     due: Option<Duration>,
-    /// Classes of which the file allows answers without a call.
+    /// For each class, whether the file allows answers without a call.
     skippable: Vec<bool>,
-    /// Their names, as the file has them.
+    /// The names of the classes.
     classes: Vec<String>,
-    /// The operator's file in force, without the table of the fleet over it.
+    /// The operator's file in force, without the overlay of the fleet's route table.
     file: Rc<File>,
 }
 
-/// Classes, in the order of the settings, of which the file allows answers without a call.
+/// For each class, in the order of the settings, whether the file allows answers without a call.
 fn skippable(file: &File, classes: &[String]) -> Vec<bool> {
     classes.iter().map(|name| file.route.get(name).is_some_and(|route| route.without)).collect()
 }
 
 impl Dependencies {
-    /// What the operator's file asks for; `None` where it names no dependencies. Tells the module in its settings that it
-    /// has several below, and narrows the classes of which it may skip calls to those of which the file allows it.
+    /// Reads the operator's file; `None` where it names no dependencies. Sets the module's settings to
+    /// several dependencies, and disables skipped calls in classes where the file does not allow them.
     pub fn new(config: &Config, now: Duration, settings: &mut Settings) -> Option<Dependencies> {
         let file = config.operator.as_ref().filter(|file| !file.dependency.is_empty())?;
         let crowd = f64::from(settings.cores) * settings.crowd_multiple * MAX_PARKED_SHARE;
@@ -68,12 +68,12 @@
         Some(Dependencies { decisions, attempts, calls, due: None, skippable, classes, file: file.clone() })
     }
 
-    /// The nodo leaves.
+    /// Drains the dependencies, as the nodo leaves.
     pub fn leave(&mut self, now: Duration) {
         self.decisions.drain(now);
     }
 
-    /// The run of a request goes on without its present call: its answer will lack what that would have brought.
+    /// Records in the label that the run continues without the reply to its present call.
     pub fn label(&self, entry: &mut Entry) {
         let by_file = || self.decisions.dependency_of(entry.class, entry.calls).unwrap_or("unknown");
         let name = entry.by.as_ref().map_or_else(by_file, |by| &by.to);
@@ -85,7 +85,7 @@
 }
 
 impl Engine {
-    /// The module wants a call made; it is number `number`.
+    /// Starts a call that the module requested, under this number.
     pub(super) fn start_call_at_dependencies(&mut self, id: RequestId, number: u64, left: Duration) {
         let by = self.route_of_call(id);
         let Some(entry) = self.requests.get_mut(&id) else { return };
@@ -106,8 +106,8 @@
         });
     }
 
-    /// Where the present call of a request goes by the table that it began with; nothing where that has no word on it, or sends it to
-    /// what this nodo has no address for.
+    /// The route of the request's present call by the table that it began with; `None` where the table has no
+    /// route for it, or names a dependency unknown to this nodo.
     fn route_of_call(&self, id: RequestId) -> Option<Rc<By>> {
         let entry = self.requests.get(&id)?;
         let (table, dependencies) = (entry.table.as_ref()?, self.dependencies.as_ref()?);
@@ -121,13 +121,14 @@
         here(&by.to).then(|| Rc::new(by))
     }
 
-    /// Goes by another table from now on; requests that are here go on by theirs. What dependencies bear goes for all.
+    /// Puts a route table into force. In-flight requests keep their routes; budgets of dependencies apply to
+    /// all.
     pub(super) fn use_route_table(&mut self, table: Snapshot) {
-        // Guards against a member that was begun again and hears of an older one first: a revision is never taken back.
+        // Guards against a restarted member that receives an older table first: the revision never decreases.
         if self.table.as_ref().is_some_and(|before| before.revision > table.revision) {
             return;
         }
-        // A trial that begins or ends elsewhere changes nothing of what dependencies bear here.
+        // The same revision differs only in its trial, which does not change budgets here.
         if self.table.as_ref().is_some_and(|before| before.revision == table.revision) {
             self.table = Some(table);
             return;
@@ -141,9 +142,9 @@
         }
     }
 
-    /// The call that a request waits for is given up, if there is one.
+    /// Cancels the call that a request waits for, if there is one.
     pub(super) fn give_up_call(&mut self, id: RequestId) {
-        // The one database's call is given up as what stands for it is dropped.
+        // A call to the single database is cancelled as its sender is dropped.
         if self.dependencies.is_none() {
             return;
         }
@@ -172,7 +173,7 @@
         });
     }
 
-    /// Takes up an operator's file that was read anew, as far as a nodo that runs can.
+    /// Reloads the operator's file, as far as that is possible without a restart.
     pub(super) fn reload_operator_file(&mut self, file: Rc<File>) {
         let stays = "the operator's file before stays in force";
         let Some(dependencies) = &self.dependencies else {
@@ -181,7 +182,7 @@
         if file.dependency.is_empty() {
             return log!(WARN, "dependencies come and go with a restart only; {stays}");
         }
-        // The module was told at its start of which classes it may skip calls.
+        // The module gets the classes with skippable calls only at its start.
         let changed = skippable(&file, &dependencies.classes);
         if let Some(place) = changed.iter().zip(&dependencies.skippable).position(|(new, old)| new != old) {
             return log!(
@@ -190,7 +191,7 @@
                 dependencies.classes[place]
             );
         }
-        // What the fleet's table says of dependencies stands over each file.
+        // The fleet's route table overrides each file.
         let over = self.table.as_ref().map(|table| overlay(&file, table.table()));
         self.decide(|dependencies, now, out| {
             dependencies.decisions.reload(now, over.as_ref().unwrap_or(&file), out);
@@ -199,7 +200,7 @@
         log!("the operator's file is in use as it was read again");
     }
 
-    /// Has something decided and carries out what follows.
+    /// Runs a decision and executes the resulting actions.
     fn decide(&mut self, decide: impl FnOnce(&mut Dependencies, Duration, &mut Vec<Action>)) {
         let now = Duration::from_secs_f64(self.now);
         let Some(dependencies) = &mut self.dependencies else { return };
@@ -208,7 +209,7 @@
         let mut actions = VecDeque::from(out);
         while let Some(action) = actions.pop_front() {
             if let Some(attempt) = self.execute_dependency_action(action) {
-                // It never left: there was no room in the way to the connections.
+                // It was never sent: the queue to the connections was full.
                 let Some(dependencies) = &mut self.dependencies else { return };
                 dependencies.attempts.remove(&attempt);
                 let mut out = Vec::new();
@@ -227,7 +228,7 @@
         self.schedule_dependencies(now);
     }
 
-    /// Sees to it that the engine hears when the next change by time alone is due.
+    /// Sets a timer for the next tick of the decisions.
     fn schedule_dependencies(&mut self, now: Duration) {
         let Some(dependencies) = &mut self.dependencies else { return };
         let Some(next) = dependencies.decisions.next_tick(now) else { return };
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Carries out one action; returns an attempt that could not be sent.
+    /// Executes one action; returns an attempt that could not be sent.
     fn execute_dependency_action(&mut self, action: Action) -> Option<AttemptId> {
         let fence = match &action {
             Action::Attempt { call, .. } => {
@@ -268,7 +269,7 @@
                 };
                 return self.channels.database.try_send(call).is_err().then_some(attempt);
             }
-            // The connection closes as its half is dropped.
+            // Dropping the sender closes the connection.
             Action::Abandon { attempt } => drop(dependencies.attempts.remove(&attempt)),
             Action::End { call, end } => {
                 if let Some(id) = dependencies.calls.remove(&call) {
--- a/crates/node/src/engine/drain.rs
+++ b/crates/node/src/engine/drain.rs
@@ -1,4 +1,5 @@
-//! The nodo's health as others see it, and how it leaves: what operators, the module and a notice to leave have to say about it.
+//! The nodo's health as others see it, and how it leaves: what operators, the module and a notice to leave
+//! have to say about it.
 
 use super::Engine;
 use crate::directory::Mode;
@@ -16,14 +17,14 @@
         }
     }
 
-    /// Whether health checks are answered as good. Operators who send clients away go before the module, which knows
-    /// nothing of it: what still comes is served as ever.
+    /// Whether health checks are answered as good. Operators who send clients away go before the module,
+    /// which knows nothing of it: what still comes is served as ever.
     pub(super) fn is_healthy(&self) -> bool {
         self.module_healthy && !self.lameduck
     }
 
-    /// Has the directory told of the present health, once the module has said that all is well. A process that has not the
-    /// right to run what is new says nothing for the nodo.
+    /// Has the directory told of the present health, once the module has said that all is well. A process
+    /// that has not the right to run what is new says nothing for the nodo.
     pub(super) fn report_health(&mut self) {
         if self.claims == Claims::Lost || self.channels.desk.lost.get() {
             self.report_pending = true;
@@ -38,8 +39,8 @@
         if let (Some(stop_at), Some(grace_until)) = (self.stop_at, self.grace_until)
             && self.module.is_some()
         {
-            // Guards against a grace that the module counts from when it hears of the notice, which may be long after it came:
-            // the interpreter may have come up only now.
+            // Guards against a grace that the module counts from when it hears of the notice, which may be
+            // long after it came: the interpreter may have come up only now.
             let drain_grace = (grace_until - self.now).max(0.0);
             self.events.push(Event::Settings(Box::new(Settings { drain_grace, ..self.share() })));
             self.events.push(Event::Leave { within: (stop_at - self.now).max(0.0) });
--- a/crates/node/src/engine/handover.rs
+++ b/crates/node/src/engine/handover.rs
@@ -1,9 +1,10 @@
-//! Work that survives this nodo: a request of a class that the operator's file names under `handover` is held by the fleet before it
-//! runs, its outcome is recorded there before anybody is told, and work of a nodo that is lost may come here.
+//! Work that survives this nodo: a request of a class under `handover` in the operator's file is recorded in
+//! the fleet before it runs, its outcome is recorded there before it is answered, and this nodo may take over
+//! work of a lost nodo.
 //!
-//! What is done with it is decided in [`jaspershunt_work::local`], whose schedules are played there; this carries its actions out for the
-//! engine, which never waits for the fleet: what does is a task of its own, whose word comes back through the engine's queue. Without
-//! such a class there is nothing of this.
+//! [`jaspershunt_work::local`] decides, and is tested there under many schedules; this module executes its
+//! actions. The engine never waits for the fleet: separate tasks do, and send their results through the
+//! engine's queue. Without such a class all of this is inactive.
 
 use super::{Engine, Stage};
 use crate::config::Config;
@@ -28,16 +29,18 @@
 mod runs;
 mod tries;
 
-/// Tries that wait outside the module at once, for what comes of their offer or for the end of another nodo's run.
+/// Maximum number of tries that wait outside the module, for the result of their offer or the end of another
+/// nodo's run.
 const MAX_WAITING: usize = 1024;
-/// Who waits for the fleet is answered so long before its time is over, in seconds: the answer has a way to go.
+/// Time before its deadline at which a try that waits for the fleet is answered, so that the answer still
+/// arrives.
 const ANSWER_MARGIN_SECONDS: f64 = 0.05;
-/// Between two attempts to have something agreed of which nothing was heard, and two query_permits that were not answered.
+/// Delay before an entry without a result is proposed again, and before an unanswered query is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// One attempt is given up after this.
+/// Timeout of one proposal.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Questions to resources at once, each with a connection of its own; others wait. Ours: what one loss brings an heir is asked in a
-/// few rounds.
+/// Maximum number of concurrent queries to resources, each on its own connection; others wait. The queries
+/// that the loss of a nodo causes at a successor take a few rounds.
 pub(crate) const MAX_CONCURRENT_QUERIES: usize = 16;
 
 /// A try that waits outside the module.
@@ -47,30 +50,30 @@
     key: Key,
 }
 
-/// Work that this process was told to run.
+/// Work that the fleet assigned to this process.
 struct Run {
     token: u64,
-    /// The module has it. Else its end is on the way to be agreed.
+    /// Whether the module has it; else its end is being committed.
     in_module: bool,
-    /// The run whose caller is told that end.
+    /// The request whose caller gets that end.
     id: Option<RequestId>,
-    /// A try that is turned away once it is agreed that nothing ran.
+    /// A try that is refused once it is committed that nothing ran.
     pending_refusal: Option<(ReplyTo, usize, Answer)>,
-    /// What was agreed of it while the module had it still.
+    /// The end that was committed while the module still had it.
     committed_end: Option<End>,
 }
 
-/// The work that this process has in the fleet, and who waits for what.
+/// This process's work recorded in the fleet, and the tries that wait for it.
 pub(super) struct Handover {
     classes: BTreeMap<String, operator::Handover>,
     region: String,
-    /// What decides, from the member's first start on.
+    /// The decisions on this work; created at the first incarnation of the member.
     local_work: Option<LocalWork>,
     waiting: BTreeMap<RequestId, Waiting>,
     runs: BTreeMap<Key, Run>,
     inherited_count: u64,
     query_permits: Rc<Semaphore>,
-    /// The room that was told last, and by which start.
+    /// The capacity reported last, and the holder that reported it.
     reported_capacity: Option<(Holder, u32)>,
 }
 
@@ -83,7 +86,7 @@
 }
 
 fn ms(seconds: f64) -> u64 {
-    // No time that gets here is before 1970 or beyond what fits.
+    // All times here are after 1970 and fit.
     (seconds.max(0.0) * 1000.0) as u64
 }
 
@@ -91,7 +94,7 @@
     ms as f64 / 1000.0
 }
 
-/// How a try is answered whose key came to this.
+/// The answer to a try whose key ended like this.
 fn answer_of(end: &End, stay_away: f64) -> Answer {
     match end {
         End::Done(result) => Answer::Served(result.as_slice().into()),
@@ -101,7 +104,7 @@
 }
 
 impl Handover {
-    /// What the operator's file asks for; `None` where it names no class.
+    /// Reads the operator's file; `None` where it names no class for handover.
     pub fn new(config: &Config) -> Option<Handover> {
         let file = config.operator.as_ref().filter(|file| !file.handover.is_empty())?;
         let region = file.fleet.as_ref().and_then(|fleet| fleet.region.clone()).unwrap_or_default();
@@ -117,17 +120,18 @@
         })
     }
 
-    /// Answers that are owed outside the module, and ends that are not agreed yet; with `here` also the runs that the module has.
+    /// Counts unanswered tries outside the module and ends that are not committed yet; with `in_module` also
+    /// the runs that the module has.
     pub fn in_flight(&self, in_module: bool) -> usize {
         self.waiting.len() + self.runs.values().filter(|run| in_module || !run.in_module).count()
     }
 
-    /// Whether a try of the class at this place waits outside the module.
+    /// Whether a try of the class at this index waits outside the module.
     pub(super) fn has_waiting_in_class(&self, place: usize) -> bool {
         self.waiting.values().any(|waits| waits.work.class == place)
     }
 
-    /// The process takes part as this start from now on.
+    /// Sets the holder that this process acts as.
     fn set_holder(&mut self, me: &Holder) {
         match &mut self.local_work {
             Some(own) if own.holder() == me => {}
@@ -141,9 +145,9 @@
     }
 }
 
-/// What was decided.
+/// Execution of decisions.
 impl Engine {
-    /// Has something decided, and carries out what comes of it.
+    /// Runs a decision on local work and executes the resulting actions.
     fn with_local_work(&mut self, on: impl FnOnce(&mut LocalWork, u64)) {
         let now_ms = ms(self.now + self.epoch);
         let Some(own) = self.handover.as_mut().and_then(|handover| handover.local_work.as_mut()) else {
@@ -157,7 +161,7 @@
                 Action::Run { token, offer, taken_over: taken } => self.start_fleet_run(token, offer, taken),
                 Action::Answer { key, end } => self.end_committed(&key.into(), &end),
                 Action::NotRecorded { key, reason } => self.not_recorded(&key.into(), reason),
-                // It may have run, here or elsewhere.
+                // It may have run, here or on another nodo.
                 Action::OutcomeUnavailable { key, .. } => self.end_committed(&key.into(), &End::Unknown),
             }
         }
@@ -166,7 +170,7 @@
     fn propose(&self, entry: Entry) {
         let desk = self.channels.desk.clone();
         self.spawn_fleet_task(async move {
-            // The member may have begun again meanwhile.
+            // The member may have restarted meanwhile.
             let way = desk.fleet.borrow().clone();
             let came = match way {
                 Some(way) => fleet::propose(&way, &entry, PROPOSE_TIMEOUT).await,
@@ -194,12 +198,13 @@
         self.with_local_work(|own, now_ms| own.on_outcome(entry, outcome.as_ref(), now_ms));
     }
 
-    /// Asks what the class's work acts on what became of it.
+    /// Queries the resource that the class acts on for the outcome of this work.
     fn query_resource(&mut self, token: u64, offer: &Offer) {
         let key = Key::from(offer.key.as_str());
         let Some(handover) = &self.handover else { return };
         let file = handover.classes.get(&offer.class);
-        // The class may be gone from this nodo's file, or have another effect there: nobody is known who could tell.
+        // The class may be missing from this nodo's file, or have another effect there: then no resource can
+        // be queried.
         let Some((resource, path, within)) =
             file.and_then(|file| Some((file.resource?, file.path.clone(), file.timeout.0)))
         else {
@@ -209,12 +214,12 @@
         };
         let query_permits = handover.query_permits.clone();
         self.spawn_fleet_task(async move {
-            let one = query_permits.acquire().await;
+            let permit = query_permits.acquire().await;
             let told = fleet::ask(resource, &path, &key, token, within).await;
             if told == QueryResult::AnswerLost {
                 sleep(RETRY_DELAY).await;
             }
-            drop(one);
+            drop(permit);
             FleetEvent::QueryAnswered { key, token, result: told }
         });
     }
@@ -223,16 +228,17 @@
         let Some(me) = self.channels.desk.fleet.borrow().as_ref().map(|way| way.me.clone()) else { return };
         let Some(handover) = &mut self.handover else { return };
         handover.set_holder(&me);
-        // Guards against two processes of an upgrade that both act for the nodo: the earlier start leaves others' work alone.
+        // Guards against two processes of an upgrade that both act for the nodo: the earlier one takes over
+        // no work.
         if self.claims != Claims::Mine {
             seen.owned.retain(|owned| !owned.taken_over);
         }
         self.with_local_work(|own, now_ms| own.on_view(&seen, now_ms));
     }
 
-    /// The word of tasks that waited for the fleet.
-    pub(super) fn handle_fleet_event(&mut self, word: FleetEvent) {
-        match word {
+    /// Handles an event from a task that talks to the fleet.
+    pub(super) fn handle_fleet_event(&mut self, event: FleetEvent) {
+        match event {
             FleetEvent::Proposed { entry, result: came } => self.entry_settled(&entry, came),
             FleetEvent::Due { id } => self.wait_expired(id),
             FleetEvent::View(seen) => self.view_received(seen),
@@ -243,7 +249,7 @@
                 self.with_local_work(LocalWork::tick);
                 self.report_capacity();
             }
-            // One that is not enrolled yet says it again.
+            // A holder that is not enrolled yet reports it again.
             FleetEvent::CapacityReported { committed: false } => {
                 if let Some(handover) = &mut self.handover {
                     handover.reported_capacity = None;
@@ -254,13 +260,13 @@
         }
     }
 
-    /// Runs what waits for the fleet beside the engine.
+    /// Spawns a task that waits for the fleet; its event comes through the engine's queue.
     fn spawn_fleet_task(&self, waits: impl Future<Output = FleetEvent> + 'static) {
         let engine = self.channels.engine.clone();
         spawn_local(async move {
-            let word = waits.await;
+            let event = waits.await;
             if let Some(engine) = engine.upgrade() {
-                let _ = engine.send(Input::Fleet(word)).await;
+                let _ = engine.send(Input::Fleet(event)).await;
             }
         });
     }
--- a/crates/node/src/engine/handover/leave.rs
+++ b/crates/node/src/engine/handover/leave.rs
@@ -1,4 +1,4 @@
-//! What the fleet is told of this nodo: what it could take, and that it leaves.
+//! Reports to the fleet on this nodo: its capacity for work, and its leaving.
 
 use super::{Engine, PROPOSE_TIMEOUT, ms};
 use crate::engine::input::{FleetEvent, Input, ProposalResult};
@@ -8,15 +8,16 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Seconds before all must be answered at which a nodo that leaves hands over what it has not ended: an entry's way, twice.
+/// Time before all requests must be answered at which a leaving nodo hands over its in-flight work: twice the
+/// time to commit an entry.
 const HAND_OVER_MARGIN_SECONDS: f64 = 0.3;
-/// How often it is seen whether what this nodo could take has changed; a word on it goes out no more often.
+/// Interval of checks whether this nodo's capacity has changed, and so the minimum between two reports.
 const CAPACITY_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Told again when it has changed by this part.
+/// Relative change of the capacity from which it is reported again.
 const CAPACITY_REPORT_STEP: f64 = 0.25;
 
 impl Engine {
-    /// Begins to tell the fleet what this nodo could take.
+    /// Starts the reports of this nodo's capacity to the fleet.
     pub(in crate::engine) fn begin_handover(&self) {
         if self.handover.is_some() {
             self.send_after(Duration::ZERO, Input::Fleet(FleetEvent::ReportCapacity));
@@ -43,7 +44,7 @@
         });
     }
 
-    /// The nodo leaves: what it cannot end in its grace goes to others just before.
+    /// Schedules the handover of work that does not end within the grace of a leaving nodo.
     pub(in crate::engine) fn schedule_hand_over(&self) {
         if self.handover.is_some() {
             let left = self.stop_at.map_or(0.0, |at| at - self.now) - HAND_OVER_MARGIN_SECONDS;
@@ -52,7 +53,8 @@
     }
 
     pub(super) fn hand_over(&mut self) {
-        // Guards against callers that are answered by their deadline alone, which may be after this nodo's end.
+        // Guards against callers that would be answered only at their deadline, which may be after this
+        // nodo's end.
         self.give_up_waiting();
         let way = self.channels.desk.fleet.borrow().clone();
         let Some(handover) = &self.handover else { return };
@@ -66,7 +68,7 @@
         );
         let entry = Entry::HandOver { by: way.me.clone(), now_ms: ms(self.now + self.epoch) };
         spawn_local(async move {
-            // Whatever comes of it: what is held by a start that has gone is an heir's as well.
+            // The result does not matter: work of an incarnation that is gone goes to a successor anyway.
             let _ = fleet::propose(&way, &entry, Duration::from_secs_f64(HAND_OVER_MARGIN_SECONDS)).await;
             desk.handed.set(true);
         });
--- a/crates/node/src/engine/handover/runs.rs
+++ b/crates/node/src/engine/handover/runs.rs
@@ -1,4 +1,4 @@
-//! What the module has of work that the fleet holds, and its ends.
+//! Work recorded in the fleet while the module has it, and its ends.
 
 use super::{ANSWER_MARGIN_SECONDS, Engine, Run, Stage, Waiting, answer_of, seconds};
 use crate::engine::input::{FleetEvent, Input, RunEnd};
@@ -12,13 +12,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Memory that a run of another nodo's work counts here, in kilobytes: what is agreed does not say. Ours.
+/// Memory assumed for a run of another nodo's work, in kilobytes: the replicated state does not contain it.
 const SUCCESSOR_RUN_KB: f64 = 64.0;
-/// Runs of other nodos' work have ids from here on.
+/// First id of runs of other nodos' work.
 const FIRST_INHERITED_ID: u64 = 1 << 60;
 
 impl Engine {
-    /// The token under which this process has a key.
+    /// The token under which this process owns a key.
     pub(in crate::engine) fn token_of(&self, key: Option<&Key>) -> Option<(Key, u64)> {
         let key = key?;
         let run = self.handover.as_ref()?.runs.get(key)?;
@@ -34,7 +34,7 @@
         self.requests.iter().any(|(id, entry)| Some(*id) != but && entry.key.as_ref() == Some(key))
     }
 
-    /// Work is begun under this token, and is to run.
+    /// Starts work that is committed as begun under this token.
     pub(super) fn start_fleet_run(&mut self, token: u64, offer: Offer, taken: bool) {
         let key = Key::from(offer.key.as_str());
         let Some(handover) = &mut self.handover else { return };
@@ -42,10 +42,12 @@
         let run = handover.runs.entry(key.clone()).or_insert(fresh);
         run.token = token;
         if run.in_module {
-            // It was lost to another and has come back while its run went on: that is this one's, and not run beside it.
+            // The key was lost to another nodo and came back while its run continued: that run counts, and no
+            // second one starts.
             return;
         }
-        // Guards against a second run of a key in its window by this nodo, whoever had the key between.
+        // Guards against a second run of a key by this nodo within its window, whoever owned the key in
+        // between.
         if self.keys.run_state(&key).is_some() {
             return self.report_run_result(&key, None, RunResult::OutcomeUnknown);
         }
@@ -66,16 +68,16 @@
         }
     }
 
-    /// Runs work that another nodo had.
+    /// Runs work taken over from another nodo.
     fn inherit(&mut self, key: &Key, token: u64, offer: Offer) {
-        // Its class is gone here: nothing of it runs.
+        // The class no longer exists here, so nothing of it runs.
         let Ok(class) = self.names.class(&offer.class) else { return self.leaves_module(key, false) };
         let Some(handover) = &mut self.handover else { return };
         handover.inherited_count += 1;
         let id = RequestId(FIRST_INHERITED_ID + handover.inherited_count);
         let unix = self.now + self.epoch;
         let arrived = (seconds(offer.due_ms) - self.settings.classes[class].deadline).min(unix);
-        // The interpreter and what lies below know the run by this: another one for each heir.
+        // The interpreter and the dependencies identify the run by this, so it differs for each successor.
         let uid = format!("{:016x}", digest(&format!("{token}/{key}"), &offer.body));
         let work = Work {
             uid: uid.into(),
@@ -99,8 +101,9 @@
         }
     }
 
-    /// The platform ends a run that waits for a call as its request is answered. Work of another nodo has no request there: guards against
-    /// a run of it that waits for ever, and with it all who wait for the outcome, once the call has been given up.
+    /// Ends an inherited run that waits for a call. The platform ends a waiting run as its request is
+    /// answered, but inherited work has no request there: guards against a run, and all who wait for its
+    /// outcome, waiting for ever once the call was given up.
     pub(in crate::engine) fn end_inherited(&mut self, id: RequestId) {
         let Some(entry) =
             self.requests.get(&id).filter(|entry| id.0 >= FIRST_INHERITED_ID && entry.reply.is_none())
@@ -112,15 +115,16 @@
         }
         let uid = entry.uid.clone();
         if self.settings.halt != StopMode::Drop || !self.send_command(Command::Break { uid }) {
-            // It cannot be told: what it has done is asked for all the same.
+            // The run cannot be stopped: its outcome is queried all the same.
             self.run_ended(id, RunEnd::Failed);
         }
     }
 
-    /// The run of a key is over: where the fleet holds it, its end is agreed first and told then. Whether that is so.
+    /// Has the end of a key's run committed before it is answered, where the key is recorded in the fleet;
+    /// returns whether it is.
     ///
-    /// In this order, since an answer that is out when this nodo is lost before the record would stand beside the one of an heir. The
-    /// other way round, what is recorded and not told is told to the next try.
+    /// The record comes first: if this nodo were lost between an answer and its record, a successor could
+    /// give a different answer. A recorded end that was not answered is returned to the next try.
     pub(in crate::engine) fn record_end_in_fleet(&mut self, id: RequestId, key: &Key, end: End) -> bool {
         if !self.module_has_key(key) {
             return false;
@@ -151,15 +155,15 @@
         true
     }
 
-    /// The module has a key no more, and this is what came of it.
+    /// Reports the result of a key that has left the module.
     fn report_run_result(&mut self, key: &Key, id: Option<RequestId>, ran: RunResult) {
         let run = self.handover.as_mut().and_then(|handover| handover.runs.get_mut(key));
         let Some(run) = run else { return };
         run.in_module = false;
         run.id = id.or(run.id);
         let (token, told) = (run.token, run.committed_end.take());
-        // Guards against a try that waited for the run of its key and leaves after that one, whose end was never heard: that nothing ran
-        // would be said of both, and another nodo would run the key again.
+        // Guards against a try that waited for a run of its key whose end was never reported, and leaves
+        // after it: reporting that nothing ran would let another nodo run the key again.
         let started = ran == RunResult::NeverRan && self.keys.run_state(key).is_some();
         let ran = if started { RunResult::OutcomeUnknown } else { ran };
         match told {
@@ -168,7 +172,7 @@
         }
     }
 
-    /// The end of a key is agreed: all that wait for it here are told.
+    /// Answers all tries that wait for a key, once its end is committed.
     pub(super) fn end_committed(&mut self, key: &Key, end: &End) {
         self.answer_waiting(key, end);
         let stay_away = self.settings.max_stay_away;
@@ -199,7 +203,7 @@
         }
     }
 
-    /// A try that never ran is turned away, once that is agreed: another nodo may run it from then on.
+    /// Refuses a try that never ran, once that is committed: another nodo may run it from then on.
     fn refuse_after_commit(&mut self, key: &Key, reply: ReplyTo, class: usize, answer: Answer) {
         let run = self.handover.as_mut().and_then(|handover| handover.runs.get_mut(key));
         let Some(run) = run.filter(|run| run.in_module) else {
@@ -210,14 +214,15 @@
         self.leaves_module(key, false);
     }
 
-    /// A further try takes the place of one that waits to be turned away: guards against that one getting no answer.
+    /// Fails a try whose pending refusal is replaced by that of a further try; guards against it getting no
+    /// answer.
     fn fail_refused(&self, before: Option<(ReplyTo, usize, Answer)>) {
         if let Some((reply, class, _)) = before {
             self.answer_outside_module(class, Some(reply), Answer::Failed);
         }
     }
 
-    /// The module turns a try away that the fleet holds; whether it was one.
+    /// Refuses a try that is recorded in the fleet, as the module decided; returns whether it was recorded.
     pub(in crate::engine) fn refuse_recorded(&mut self, id: RequestId, answer: &Answer) -> bool {
         let Some(entry) = self.requests.get(&id) else { return false };
         let Some(key) = entry.key.clone() else { return false };
@@ -244,10 +249,11 @@
         self.report_run_result(key, None, RunResult::NeverRan);
     }
 
-    /// A try of a key has left the module. If it was the last, and no end of the key is on its way, that is its end.
+    /// Reports the end of a key as the last try of it leaves the module, unless its end is already being
+    /// committed.
     pub(in crate::engine) fn leaves_module(&mut self, key: &Key, started: bool) {
         if self.module_has_key(key) && !self.has_try_in_module(key, None) {
-            // What was started and not seen to its end may have had its effect.
+            // A run that was started and whose end is unknown may have had its effect.
             self.report_run_result(
                 key,
                 None,
--- a/crates/node/src/engine/handover/tests.rs
+++ b/crates/node/src/engine/handover/tests.rs
@@ -87,7 +87,8 @@
         let over = rig.value(1, RunEnd::Failed);
         rig.engine.step([over]);
         assert_eq!(rig.commands(), ["apply 1"]);
-        // It was lost to another, which is lost as well, and comes back; what it acts on says that it never ran.
+        // It was lost to another, which is lost as well, and comes back; what it acts on says that it never
+        // ran.
         let Entry::Offer { offer, .. } = entry else { panic!("no offer") };
         let mine = OwnedItem {
             key: KEY.into(),
@@ -112,7 +113,8 @@
     });
 }
 
-/// The end of a run is never heard of, and a repeat that waited for it goes with it: the repeat itself has not run, its key has.
+/// The end of a run is never heard of, and a repeat that waited for it goes with it: the repeat itself has
+/// not run, its key has.
 #[test]
 fn a_key_whose_run_was_lost_is_not_said_never_to_have_run() {
     paused(async {
@@ -141,7 +143,8 @@
     });
 }
 
-/// All callers have their answers, and a run goes on that this nodo could hand over: it is in hand until then.
+/// All callers have their answers, and a run goes on that this nodo could hand over: it is in hand until
+/// then.
 #[test]
 fn a_nodo_that_leaves_has_its_runs_in_hand_until_they_are_handed_over() {
     paused(async {
@@ -198,7 +201,8 @@
     });
 }
 
-/// Its call is given up: no request is over for the platform by that, so the nodo ends the run itself, and asks what became of it.
+/// Its call is given up: no request is over for the platform by that, so the nodo ends the run itself, and
+/// asks what became of it.
 #[test]
 fn an_heirs_run_that_waits_for_a_call_ends_with_its_time() {
     paused(async {
@@ -230,7 +234,8 @@
     });
 }
 
-/// One copy of an offer was refused, as this start was not enrolled yet; another may be agreed by now, and run elsewhere.
+/// One copy of an offer was refused, as this start was not enrolled yet; another may be agreed by now, and
+/// run elsewhere.
 #[test]
 fn the_refusal_of_one_copy_says_nothing_of_the_others() {
     paused(async {
--- a/crates/node/src/engine/handover/tries.rs
+++ b/crates/node/src/engine/handover/tries.rs
@@ -1,4 +1,4 @@
-//! Tries that come from callers: each is offered to the fleet, and waits outside the module for what comes of that.
+//! Tries from callers: each is offered to the fleet, and waits outside the module for the result.
 
 use super::{ANSWER_MARGIN_SECONDS, Engine, MAX_WAITING, Stage, Waiting, answer_of, effect, ms};
 use crate::engine::input::{FleetEvent, Input};
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 impl Engine {
-    /// Whether the fleet is to hold a try before it runs. One whose key is known here has its way already.
+    /// Whether a try must be recorded in the fleet before it runs. One whose key is known here needs no
+    /// record.
     pub(in crate::engine) fn needs_record(&self, work: &Work) -> bool {
         let Some(handover) = &self.handover else { return false };
         let class = &self.settings.classes[work.class].name;
@@ -19,7 +20,7 @@
             && work.key.as_ref().is_some_and(|key| !known(key))
     }
 
-    /// Has the fleet hold a try. Nothing of it reaches the module before its outcome is here.
+    /// Offers a try to the fleet. It does not reach the module before the outcome of the offer.
     pub(in crate::engine) fn offer(&mut self, id: RequestId, work: Work, reply: ReplyTo) {
         let unix = self.now + self.epoch;
         let (Some(handover), Some(key)) = (&mut self.handover, work.key.clone()) else { return };
@@ -68,7 +69,8 @@
             Refusal::OtherBody => {
                 self.answer_outside_module(waits.work.class, Some(waits.reply), Answer::Bad)
             }
-            // As many as may wait for this key here, or it has run: a word that nothing ran would be false.
+            // The maximum number of tries waits for this key here, or it has run: a refusal would state
+            // falsely that nothing ran.
             _ if known => self.answer_outside_module(waits.work.class, Some(waits.reply), Answer::Failed),
             // Nothing of this try runs; another nodo may have its key.
             _ => {
@@ -78,14 +80,14 @@
         }
     }
 
-    /// The fleet does not hold a key, and this process has not run it.
+    /// Answers the tries of a key that the fleet did not record and this process has not run.
     pub(super) fn not_recorded(&mut self, key: &Key, why: Refusal) {
         let Some(handover) = &mut self.handover else { return };
         for id in handover.waiting_for(key) {
             let waits = self.handover.as_mut().and_then(|handover| handover.waiting.remove(&id));
             let Some(waits) = waits else { continue };
             let answer = match why {
-                // Nobody else has it either.
+                // No other nodo has it either.
                 Refusal::Full | Refusal::TooLong => {
                     self.serve_unrecorded(id, waits);
                     continue;
@@ -101,7 +103,7 @@
         }
     }
 
-    /// The agreed state has no room for a try.
+    /// Handles a try for which the replicated state has no room.
     fn serve_unrecorded(&mut self, id: RequestId, waits: Waiting) {
         let Waiting { work, reply, .. } = waits;
         let class = work.class;
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Tells all tries of a key that wait outside the module.
+    /// Answers all tries of a key that wait outside the module.
     pub(super) fn answer_waiting(&mut self, key: &Key, end: &End) {
         let stay_away = self.settings.max_stay_away;
         let Some(handover) = &mut self.handover else { return };
@@ -137,7 +139,7 @@
         }
     }
 
-    /// The caller of a try that waits outside the module has gone; whether it was one.
+    /// Handles the disconnect of a caller whose try waits outside the module; returns whether there was one.
     pub(in crate::engine) fn waiting_caller_gone(&mut self, id: RequestId) -> bool {
         let waits = self.handover.as_mut().and_then(|handover| handover.waiting.remove(&id));
         let Some(Waiting { work, key, .. }) = waits else { return false };
@@ -146,7 +148,7 @@
         true
     }
 
-    /// This process ends: who waits for the fleet is told nothing. The module knows nothing of them.
+    /// Answers all tries that wait for the fleet, as this process ends. The module does not have them.
     pub(in crate::engine) fn give_up_waiting(&mut self) {
         let waiting = self.handover.iter().flat_map(|handover| handover.waiting.keys());
         let recorded = self.requests.iter().filter(|(_, entry)| matches!(entry.stage, Stage::AwaitsRecord));
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Who waits for the fleet has no more time.
+    /// Fails a try whose time to wait for the fleet is over.
     pub(super) fn wait_expired(&mut self, id: RequestId) {
         if let Some(waits) = self.handover.as_mut().and_then(|handover| handover.waiting.remove(&id)) {
             self.answer_outside_module(waits.work.class, Some(waits.reply), Answer::Failed);
--- a/crates/node/src/engine/input.rs
+++ b/crates/node/src/engine/input.rs
@@ -1,5 +1,5 @@
-//! What reaches the engine, through its one queue. The tasks that speak with the interpreter, the database and the
-//! balancers know this file and not the engine.
+//! The inputs of the engine's queue. The tasks of the interpreter, the database and the balancers'
+//! connections depend on this module and not on the engine.
 
 use crate::request::{Key, ReplyTo, Work};
 use crate::upgrade::link::Out;
@@ -10,24 +10,24 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// What may wait for the engine at once; those who have more to say wait.
+/// Capacity of the engine's queue; senders wait while it is full.
 pub const QUEUE: usize = 1024;
 
-/// What reaches the engine.
+/// An input of the engine.
 #[derive(Debug)]
 pub enum Input {
     /// A try of a request was read.
     Work {
-        /// Its id in this program.
+        /// Its id in this process.
         id: RequestId,
         /// The try.
         work: Work,
         /// Where its reply goes.
         reply: ReplyTo,
     },
-    /// All that was read by the settings before so many changes of them has come.
+    /// All requests that were read under the settings before this change have been handled.
     SettingsReached {
-        /// The number of changes.
+        /// The number of the change.
         change: u64,
     },
     /// A health check was read.
@@ -35,209 +35,210 @@
         /// Where its reply goes.
         reply: ReplyTo,
     },
-    /// The caller of a try has gone.
+    /// The caller of a try has disconnected.
     CallerGone {
         /// The try.
         id: RequestId,
     },
-    /// The interpreter told something.
+    /// A message from the interpreter.
     Interpreter(Message),
-    /// The link to the interpreter is up, and all that was missed has been heard.
+    /// The link to the interpreter is up, and all missed messages were delivered.
     LinkUp,
-    /// It is down.
+    /// The link to the interpreter is down.
     LinkDown,
     /// A call ended.
     CallEnded {
         /// Its request.
         id: RequestId,
-        /// Which call of the request it was; with an operator's file, which attempt at it.
+        /// The number of the call; with several dependencies, that of the attempt.
         number: u64,
         /// How it ended.
         end: CallEnd,
         /// How long it took, in seconds.
         took: f64,
     },
-    /// A time has come that the decisions on dependencies asked for.
+    /// The timer that the decisions on dependencies asked for has fired.
     DependenciesDue,
-    /// The operator's file was read anew.
+    /// The operator's file was reloaded.
     OperatorFile(Rc<jaspershunt_operator::File>),
-    /// The fleet has another route table.
+    /// The fleet has a new route table.
     RouteTable(jaspershunt_routes::Snapshot),
-    /// The time of an [`Action::Wake`](jaspershunt::Action::Wake) has come.
+    /// The timer of an [`Action::Wake`](jaspershunt::Action::Wake) has fired.
     Woke {
         /// Its token.
         token: u64,
     },
-    /// The gauges asked for with this tag have been waited for long enough.
+    /// The gauges requested with this tag did not come in time.
     GaugesTimeout {
         /// The tag.
         tag: u64,
     },
-    /// The end of a run that was answered has been waited for long enough.
+    /// The end of a run that was already answered did not come in time.
     RunLost {
         /// The request.
         id: RequestId,
     },
-    /// The other process of an upgrade said something.
+    /// A message from the other process of an upgrade.
     Peer(Peer),
-    /// What came of something that waited for the fleet.
+    /// An event from a task that talks to the fleet.
     Fleet(FleetEvent),
     /// The nodo is to leave.
     Leave {
-        /// When it was told to: the grace and the time to the kill count from then, however long this waits in the queue.
+        /// When the notice came: the grace and the time to the kill count from then, however long this is
+        /// queued.
         since: Instant,
     },
 }
 
-/// What came of an entry on work that was proposed to the fleet.
+/// The result of proposing an entry on work to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
-    /// It never left: nothing of it is agreed, or will be.
+    /// It was never sent: it is not committed and never will be.
     NotSent,
-    /// Nobody knows in time; it may be agreed yet.
+    /// No result came in time; the entry may still be committed.
     Unknown,
-    /// It was agreed, and came to this.
+    /// It was committed, with this outcome.
     Committed(jaspershunt_work::Outcome),
-    /// It was refused, and had been said more than once: another copy of it may be agreed yet.
+    /// It was refused after it had been sent more than once: another copy may still be committed.
     ResentRefused(jaspershunt_work::Refusal),
 }
 
-/// The word of a task that waited for the fleet.
+/// An event from a task that talks to the fleet.
 #[derive(Debug)]
 pub enum FleetEvent {
-    /// What came of an entry that was to be agreed.
+    /// The result of a proposed entry.
     Proposed {
         /// The entry.
         entry: jaspershunt_work::Entry,
-        /// What came of it.
+        /// Its result.
         result: ProposalResult,
     },
-    /// A try that waits for the fleet has no more time.
+    /// The time of a try that waits for the fleet is over.
     Due {
         /// The try.
         id: RequestId,
     },
-    /// What this start is shown of the agreed work.
+    /// This incarnation's view of the replicated work.
     View(jaspershunt_work::MemberView),
-    /// What the resource says of work that may have run.
+    /// The resource's answer to a query on work that may have run.
     QueryAnswered {
         /// The key.
         key: Key,
-        /// The token under which it was asked.
+        /// The token under which it was queried.
         token: u64,
-        /// What it says.
+        /// The answer.
         result: jaspershunt_work::QueryResult,
     },
-    /// It is time to see what this nodo could take.
+    /// The timer for reporting this nodo's capacity has fired.
     ReportCapacity,
-    /// What came of the word on that.
+    /// The result of the last capacity report.
     CapacityReported {
         /// Whether it is committed.
         committed: bool,
     },
-    /// A nodo that leaves hands over what it has not ended.
+    /// A leaving nodo is to hand over its in-flight work.
     HandOver,
 }
 
-/// What the other process of an upgrade says; see [`Message`](crate::upgrade::wire::Message).
+/// A message from the other process of an upgrade; see [`Message`](crate::upgrade::wire::Message).
 #[derive(Debug)]
 pub enum Peer {
-    /// Another start asks how operators have it.
+    /// Another process asks for the operators' lameduck state.
     LameduckQuery {
-        /// Told whether clients are sent away; nothing by a process that has lost the right.
+        /// Gets whether clients are sent away; `None` from a process that has lost the right.
         answer: oneshot::Sender<Option<bool>>,
     },
-    /// An earlier start is there to take over from.
+    /// An earlier process exists to take over from.
     Earlier {
-        /// The way to it.
+        /// The channel to it.
         to: mpsc::Sender<Out>,
-        /// It has clients sent away, as far as it is the one to say so.
+        /// Whether it has clients sent away; `None` where it has lost the right.
         lameduck: Option<bool>,
     },
-    /// The right to run what is new was there to be had, with nobody alive beside this process.
+    /// The right to run new requests was free, and no other process is alive.
     Found(Right),
-    /// It was taken from a process that says nothing, and that can run nothing more that is new by now.
+    /// The right was taken from an unresponsive process, which can no longer run new requests.
     Taken(Right),
-    /// Whether this process has it.
+    /// A query whether this process has the right.
     RightQuery {
-        /// Told.
+        /// Gets the answer.
         answer: oneshot::Sender<bool>,
     },
-    /// A later start can run requests.
+    /// A later process is ready to run requests.
     Begin {
-        /// The way to it.
+        /// The channel to it.
         to: mpsc::Sender<Out>,
-        /// Told whether the keys are given.
+        /// Gets whether the keys were handed over.
         given: oneshot::Sender<bool>,
     },
-    /// The reply to a try that was sent to the later start.
+    /// The reply to a try that was relayed to the later process.
     Reply {
         /// The try.
         ticket: u64,
         /// The reply.
         reply: Told,
     },
-    /// A piece of the earlier start's table of keys.
+    /// A chunk of the earlier process's key table.
     Table(Vec<Entry>),
-    /// That was all of it, and here is the right.
+    /// The end of the key table, with the right.
     Yours {
         /// The right.
         right: Right,
-        /// What is to be doubted all the same, in Unix seconds.
+        /// The period whose keys remain in doubt, in Unix seconds.
         doubt: Option<(f64, f64)>,
     },
-    /// That was all of the table of a process that had lost the right.
+    /// The end of the key table of a process that had lost the right.
     Yielded,
-    /// A try that reached the earlier start.
+    /// A try relayed by the earlier process.
     Work {
-        /// What it is known by there.
+        /// Its id there.
         ticket: u64,
         /// The try.
         work: Relayed,
-        /// The way for its reply.
+        /// The channel for its reply.
         to: mpsc::Sender<Out>,
     },
-    /// The caller of such a try has gone.
+    /// The caller of a relayed try has disconnected.
     Gone {
         /// The try.
         ticket: u64,
     },
-    /// What the earlier start still takes of what both share.
+    /// The earlier process's present share of the common resources.
     Load(Load),
-    /// What became of a key that the earlier start had in hand.
+    /// The result of a key that was in flight at the earlier process.
     Ended(Entry),
-    /// Operators send clients away, or take them again.
+    /// Operators send clients away, or accept them again.
     Lameduck {
         /// Whether they are sent away.
         on: bool,
     },
-    /// The earlier start has ended its work, and is gone.
+    /// The earlier process has finished its work and ended.
     Farewell,
     /// The link broke.
     Broke,
-    /// The nodo ends at once: what is still owed fails.
+    /// The nodo ends at once: unanswered requests fail.
     GiveUp,
 }
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RunEnd {
-    /// Well, with this result.
+    /// Successfully, with this result.
     Done(Vec<u8>),
     /// It failed.
     Failed,
-    /// It was stopped, or ended at a call as its request is over.
+    /// It was stopped, or ended at a call because its request was over.
     Stopped,
-    /// Nothing was started.
+    /// It was never started.
     NotStarted,
 }
 
-/// What the interpreter tells.
+/// A message from the interpreter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     /// The interpreter is up.
     Banner {
-        /// It started cold.
+        /// Whether it started cold.
         cold: bool,
         /// How long ago it started, in seconds.
         age: f64,
@@ -260,11 +261,11 @@
         /// The body of the call.
         content: Vec<u8>,
     },
-    /// The gauges, in the order of the settings; those without a reading are missing.
+    /// The gauges, in the order of the settings; `None` for those without a reading.
     Gauges {
         /// The tag of the command.
         tag: u64,
-        /// The number of commands before it.
+        /// The number of commands that preceded it.
         vouches: u64,
         /// The readings.
         readings: Vec<Option<f64>>,
@@ -286,8 +287,8 @@
 /// How a call ended.
 #[derive(Debug, PartialEq)]
 pub struct CallEnd {
-    /// How.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The reply, if it went well.
+    /// The reply, if successful.
     pub body: Vec<u8>,
 }
--- a/crates/node/src/engine/keys.rs
+++ b/crates/node/src/engine/keys.rs
@@ -17,22 +17,24 @@
 }
 
 impl Engine {
-    /// Forgets keys whose window has passed. They stay for as long as a request can lie unread and still be run, since one
-    /// that came within the window is judged by when it came.
+    /// Forgets keys whose window has passed. They stay for as long as a request can lie unread and still be
+    /// run, since one that came within the window is judged by when it came.
     pub(super) fn expire_keys(&mut self) {
         self.keys.expire(self.now - longest(&self.settings, |class| class.deadline));
     }
 
-    /// How long a key is remembered whose run begins now: by the settings that its request came under, and by those in force.
+    /// How long a key is remembered whose run begins now: by the settings that its request came under, and by
+    /// those in force.
     pub(super) fn window_of(&self, class: usize) -> f64 {
         let class = &self.settings.classes[class];
         let own = if let Repeat::Keyed(window) = class.repeat { window } else { 0.0 };
         own.max(current_window(&self.settings, &self.names, &class.name))
     }
 
-    /// Has keys remembered for the windows of settings that come into force. Guards against a key that ran under a shorter
-    /// window and would run again within the longer one. A window that gets shorter takes nothing from keys that ran. What
-    /// class a key is of is not kept, so all stay for the largest change; a class that was not there may have been before.
+    /// Has keys remembered for the windows of settings that come into force. Guards against a key that ran
+    /// under a shorter window and would run again within the longer one. A window that gets shorter takes
+    /// nothing from keys that ran. What class a key is of is not kept, so all stay for the largest change; a
+    /// class that was not there may have been before.
     pub(super) fn lengthen_windows(&mut self, settings: &Settings, names: &Names) {
         let window = |name| current_window(settings, names, name);
         let longer = |name| window(name) - current_window(&self.settings, &self.names, name);
--- a/crates/node/src/engine/runs.rs
+++ b/crates/node/src/engine/runs.rs
@@ -1,4 +1,4 @@
-//! Runs and the interpreter that has them: what it is told and what it says, gauges among it.
+//! Runs: commands to the interpreter and messages from it, including gauges.
 
 use super::{CLOCK_START_SECONDS, Engine, GAUGES_TIMEOUT, Stage, WINDOW_SLACK_SECONDS};
 use crate::engine::input::{Input, Message, RunEnd};
@@ -41,15 +41,15 @@
                 }
             }
             Message::Rejected { command, uid } => {
-                // An order to stop may cross the end of its run.
+                // A stop command may cross the end of its run.
                 if command != "BREAK" {
                     log!(WARN, "interpreter: {command} of {uid} was not carried out");
                 }
                 if let Some(id) = self.by_uid.get(&uid).copied()
                     && command == "APPLY"
                 {
-                    // Guards against a request that the interpreter does not know, and which would keep its key from
-                    // the one that it belongs to.
+                    // Guards against a rejected request that would block its key for the request that the key
+                    // belongs to.
                     if let Some(entry) = self.requests.get(&id).filter(|entry| entry.runs())
                         && let Some(key) = &entry.key
                     {
@@ -59,7 +59,7 @@
                 } else if let Some(id) = self.by_uid.get(&uid).copied()
                     && command == "CONTINUE"
                 {
-                    // Nothing of it is paused there; what it did before is not known.
+                    // No paused run is known there; what it did before the pause is unknown.
                     self.run_ended(id, RunEnd::Failed);
                 }
             }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The interpreter is up: the module begins at its start, and takes requests from now on.
+    /// Creates the module once the interpreter is up, with its clock at the interpreter's start.
     pub(super) fn interpreter_up(&mut self, cold: bool, age: f64) {
         if self.module.is_some() {
             return;
@@ -83,13 +83,13 @@
         self.channels.desk.up.set(true);
         self.request_handover();
         self.begin_handover();
-        // It may have been told to leave before its interpreter came up.
+        // The notice to leave may have come before the interpreter was up.
         self.notify_leave();
         log!("interpreter is up since {age:.3} s, {}", if cold { "cold" } else { "warm" });
     }
 
-    /// Starts a run, or takes up a paused one. The module keeps keyed requests from running twice; this guards the
-    /// rule once more, with the nodo's own record of what ran: such a try gets what that run made.
+    /// Starts a run, or resumes a paused one. The module keeps keyed requests from running twice; this checks
+    /// the rule again by the nodo's own record of runs: a try whose key ran gets the result of that run.
     pub(super) fn start_run(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get(&id) else { return };
         let resumes = entry.started && self.settings.halt == StopMode::Pause;
@@ -108,11 +108,11 @@
         entry.stage = Stage::Running;
         entry.started = true;
         if !resumes {
-            // A run that begins anew asks for its calls again.
+            // A restarted run requests its calls again.
             (entry.calls, entry.label, entry.stale_since) = (0, Label::default(), None);
         }
         let command = if resumes {
-            // A paused run is the interpreter's still: told to run it anew, that would do nothing.
+            // The interpreter still has the paused run, and would ignore a command to start it again.
             Command::Continue { uid: entry.uid.clone() }
         } else {
             let class = self.classes[entry.class].clone();
@@ -127,7 +127,7 @@
     }
 
     pub(super) fn run_ended(&mut self, id: RequestId, end: RunEnd) {
-        // A call that is still out is given up with this.
+        // Cancels a pending call of the run.
         self.give_up_call(id);
         let Some(entry) = self.requests.get_mut(&id).filter(|entry| entry.runs()) else { return };
         entry.stage = Stage::Queued;
@@ -136,16 +136,16 @@
         let paused = matches!(end, RunEnd::Stopped) && self.settings.halt == StopMode::Pause && !over;
         let of_fleet = match &end {
             RunEnd::Done(result) => Some((End::Done(result.clone()), Outcome::Done)),
-            // What it called before it failed is not known here.
+            // Which calls it made before it failed is not known here.
             RunEnd::Failed => Some((End::Unknown, Outcome::Failed)),
             RunEnd::Stopped if over => Some((End::Unknown, Outcome::Stopped)),
-            // It is paused, or nothing of it ran: the module has more to say.
+            // It is paused, or nothing of it ran: the module decides what follows.
             RunEnd::Stopped | RunEnd::NotStarted => None,
         };
         if let (Some(key), Some((work_end, outcome))) = (&key, of_fleet)
             && self.record_end_in_fleet(id, key, work_end)
         {
-            // The cores are free, whenever the answer goes out.
+            // The cores are free even if the answer is sent later.
             return self.events.push(Event::Ended { id, outcome });
         }
         let outcome = match end {
@@ -164,8 +164,8 @@
             RunEnd::Stopped => Outcome::Stopped,
             RunEnd::NotStarted => Outcome::NotStarted,
         };
-        // Guards against the result of a run that was paused and went on: its key would count as failed from the pause on, and
-        // those that wait for it would be told so.
+        // Guards against a paused run whose key counts as failed from the pause on, so that the waiting tries
+        // fail and its later result is lost.
         if let Some(key) = &key
             && !paused
         {
@@ -177,7 +177,7 @@
         self.events.push(Event::Ended { id, outcome });
     }
 
-    /// A try may be turned away only if nothing of its key ran here; else it fails, which promises nothing.
+    /// Refuses a try, if nothing of its key ran here; else fails it, which promises nothing.
     pub(super) fn refuse(&mut self, id: RequestId, stay_away: f64, last: bool) {
         let Some(entry) = self.requests.get(&id) else { return };
         let unsafe_ran = entry.started && !matches!(self.settings.classes[entry.class].repeat, Repeat::Safe);
@@ -197,7 +197,7 @@
     pub(super) fn send_command(&self, command: Command) -> bool {
         let sent = self.channels.interpreter.try_send(command).is_ok();
         if !sent {
-            log!(WARN, "interpreter: too many commands wait");
+            log!(WARN, "interpreter: the command queue is full or closed");
         }
         sent
     }
@@ -212,9 +212,9 @@
         }
     }
 
-    /// Passes on all wakes that have come.
+    /// Delivers all waiting wakes to the module.
     pub(super) fn deliver_wakes(&mut self, gauges: Gauges) {
-        // What was asked for under the present tag has come, or is waited for no more.
+        // The gauges requested under the present tag have come, or are no longer waited for.
         self.tag += 1;
         let wakes = self.wakes.drain(..).map(|token| Event::Woke { token, gauges });
         self.events.extend(wakes);
--- a/crates/node/src/engine/settings.rs
+++ b/crates/node/src/engine/settings.rs
@@ -21,11 +21,13 @@
         let free = |place| !self.names.has_class_at(place) && !self.is_open(place);
         let (mut settings, names) = merge(&self.settings, facts.settings.clone(), facts.names.clone(), free)
             .map_err(|problem| format!("settings.{problem}"))?;
-        // Guards against a notice to leave that waits behind much else: the grace is the one in force when it came.
+        // Guards against a notice to leave that waits behind much else: the grace is the one in force when it
+        // came.
         if self.channels.desk.leaves.get() {
             settings.drain_grace = self.settings.drain_grace;
         }
-        // Guards against readings that are asked for in one order and read in another: these wakes go without them.
+        // Guards against readings that are asked for in one order and read in another: these wakes go without
+        // them.
         if names.gauges != self.names.gauges {
             self.deliver_wakes(Gauges::default());
         }
@@ -46,8 +48,9 @@
             || self.retired.iter().any(|(_, retired)| *retired == place)
     }
 
-    /// Guards against two changes before a request is taken in that was read before the first: its place would be that of
-    /// another class. What was read before this change is ahead of what the engine now sends itself.
+    /// Guards against two changes before a request is taken in that was read before the first: its place
+    /// would be that of another class. What was read before this change is ahead of what the engine now sends
+    /// itself.
     fn retire_places(&mut self, names: &Names) {
         self.changes += 1;
         for place in (0..self.settings.classes.len()).filter(|place| self.names.has_class_at(*place)) {
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -162,7 +162,8 @@
         let work = rig.work(1, 1, 0.5);
         rig.engine.step([work]);
         assert_eq!(rig.commands(), ["apply 1"]);
-        // The wait counts from when it came to the machine: its 2 s end at 1.5 s, and the answer is given just ahead.
+        // The wait counts from when it came to the machine: its 2 s end at 1.5 s, and the answer is given
+        // just ahead.
         rig.until(1.47).await;
         assert_eq!(rig.answers(), []);
         rig.until(1.5).await;
@@ -201,8 +202,8 @@
     });
 }
 
-/// Strangers name keys that they have seen: with another body they are served nothing, and a run that the interpreter
-/// knows nothing of does not use the key up.
+/// Strangers name keys that they have seen: with another body they are served nothing, and a run that the
+/// interpreter knows nothing of does not use the key up.
 #[test]
 fn a_key_is_of_no_use_with_another_body() {
     paused(async {
@@ -357,7 +358,8 @@
     });
 }
 
-/// A notice to leave may wait behind much else: all is answered before the kill, which counts from when it came.
+/// A notice to leave may wait behind much else: all is answered before the kill, which counts from when it
+/// came.
 #[test]
 fn a_notice_to_leave_that_waited_gives_no_more_time() {
     paused(async {
@@ -374,8 +376,8 @@
     });
 }
 
-/// A peer that names a time long past must not make the module believe that requests lie unread for ages, for which it
-/// would run nothing for a long while.
+/// A peer that names a time long past must not make the module believe that requests lie unread for ages, for
+/// which it would run nothing for a long while.
 #[test]
 fn the_grace_counts_from_the_notice_though_the_interpreter_comes_up_after_it() {
     paused(async {
@@ -421,7 +423,8 @@
     });
 }
 
-/// Guards against operators who wait behind requests: an order is obeyed before anything of a full queue is taken.
+/// Guards against operators who wait behind requests: an order is obeyed before anything of a full queue is
+/// taken.
 #[test]
 fn operators_are_heard_before_a_full_queue_of_requests() {
     paused(async {
@@ -445,7 +448,8 @@
     });
 }
 
-/// Settings change again and again while requests come, wait and run: each gets one answer, and the figures agree.
+/// Settings change again and again while requests come, wait and run: each gets one answer, and the figures
+/// agree.
 #[test]
 fn settings_that_change_in_a_storm_lose_no_request() {
     paused(async {
@@ -484,7 +488,8 @@
     });
 }
 
-/// No notice comes of callers that leave, where the settings have it so: all that tells is how long they said to wait.
+/// No notice comes of callers that leave, where the settings have it so: all that tells is how long they said
+/// to wait.
 #[test]
 fn an_answer_is_due_when_the_caller_of_this_try_leaves() {
     paused(async {
@@ -599,8 +604,8 @@
     Snapshot::new(revision, false, 0, Table { things })
 }
 
-/// A class is full at its limit and a tenant at its share, others go on, and what ends makes room. Guards against a table on trial that
-/// turns all away and is judged by what it let in.
+/// A class is full at its limit and a tenant at its share, others go on, and what ends makes room. Guards
+/// against a table on trial that turns all away and is judged by what it let in.
 #[test]
 fn the_route_table_bounds_requests_of_a_class_and_of_a_tenant() {
     use jaspershunt_routes::{Field, Kind, Table, Thing, Value};
@@ -645,7 +650,8 @@
     });
 }
 
-/// Guards against a table that is judged by what began before its trial, or that is loaded anew when the trial begins or ends elsewhere.
+/// Guards against a table that is judged by what began before its trial, or that is loaded anew when the
+/// trial begins or ends elsewhere.
 #[test]
 fn requests_that_begin_during_a_trial_are_counted_for_it() {
     paused(async {
@@ -692,7 +698,8 @@
         let second = rig.work(2, 0, 0.0);
         rig.engine.step([second]);
         rig.engine.step([Input::RouteTable(table(5, "lejos", 7))]);
-        // What the new one is silent on is as in the file again; a file that is read again stands below the table.
+        // What the new one is silent on is as in the file again; a file that is read again stands below the
+        // table.
         assert_eq!(limits(&rig), [4, 4]);
         rig.engine.step([Input::RouteTable(table(6, "a", 3))]);
         rig.engine.step([Input::OperatorFile(Rc::new(file(&BELOW.replace("calls = 4", "calls = 8"))))]);
--- a/crates/node/src/engine/tests/reload.rs
+++ b/crates/node/src/engine/tests/reload.rs
@@ -1,4 +1,5 @@
-//! Settings that change while keys are remembered and requests are open, on a clock that stands until all is done.
+//! Settings that change while keys are remembered and requests are open, on a clock that stands until all is
+//! done.
 
 use super::*;
 
@@ -202,7 +203,8 @@
     });
 }
 
-/// The notice to leave waits behind a full queue, and settings with a longer grace are taken up before it is read.
+/// The notice to leave waits behind a full queue, and settings with a longer grace are taken up before it is
+/// read.
 #[test]
 fn the_grace_is_the_one_in_force_when_the_notice_came() {
     paused(async {
@@ -223,7 +225,8 @@
     });
 }
 
-/// Settings are taken up during the grace and after it: what runs is answered once, nothing new runs, and `closed` stays reported.
+/// Settings are taken up during the grace and after it: what runs is answered once, nothing new runs, and
+/// `closed` stays reported.
 #[test]
 fn settings_that_change_as_the_nodo_leaves_change_nothing_of_that() {
     paused(async {
@@ -248,8 +251,8 @@
     });
 }
 
-/// A request was read, and two changes of the settings overtake it on its way to the engine. Its class has gone with the first, and
-/// the second brings one that has no place yet.
+/// A request was read, and two changes of the settings overtake it on its way to the engine. Its class has
+/// gone with the first, and the second brings one that has no place yet.
 #[test]
 fn a_request_that_two_changes_of_the_settings_overtake_keeps_its_class() {
     paused(async {
@@ -269,8 +272,9 @@
     });
 }
 
-/// The settings without a class, or with another effect or other figures of it, while its requests are held, run, are at a call, and
-/// run though they were answered: each keeps the figures that it came with, and is answered once.
+/// The settings without a class, or with another effect or other figures of it, while its requests are held,
+/// run, are at a call, and run though they were answered: each keeps the figures that it came with, and is
+/// answered once.
 #[test]
 fn open_requests_of_a_class_that_goes_or_changes_end_as_they_came() {
     let effect = |to: &str| changed("\"semantics\":\"free\"", &format!("\"semantics\":\"{to}\""));
@@ -327,7 +331,8 @@
     });
 }
 
-/// The gauges are asked for by the settings before, and their readings come once other gauges, or another order, are in force.
+/// The gauges are asked for by the settings before, and their readings come once other gauges, or another
+/// order, are in force.
 #[test]
 fn readings_asked_for_before_other_gauges_are_in_force_are_not_taken_for_those() {
     paused(async {
--- a/crates/node/src/engine/upgrade.rs
+++ b/crates/node/src/engine/upgrade.rs
@@ -1,5 +1,5 @@
-//! The engine's side of an upgrade: gives the keys away, sends on what is new, and takes over what an earlier start had.
-//! Who owns the keys is decided in [`crate::upgrade::claims`].
+//! The engine's side of an upgrade: gives the keys away, sends on what is new, and takes over what an earlier
+//! start had. Who owns the keys is decided in [`crate::upgrade::claims`].
 
 use super::{Engine, Entry, Stage, WINDOW_SLACK_SECONDS};
 use crate::config::OTHER_SOCKETS;
@@ -18,11 +18,13 @@
 
 /// Tries that may be out at the later start at once; more are refused.
 const MAX_RELAYS: usize = 4096;
-/// Seconds between two words on what this process takes. Ours: less than the 0.1 s after which memory is counted.
+/// Seconds between two words on what this process takes. Ours: less than the 0.1 s after which memory is
+/// counted.
 const LOAD_REPORT_INTERVAL_SECONDS: f64 = 0.05;
 /// Requests on the cores, for each core, that are left to a start in any case, so that it works at all.
 const MIN_CROWD_MULTIPLE: f64 = 1.5;
-/// Tries that reached the other process have ids of their own here: the number of the link, and what it calls them.
+/// Tries that reached the other process have ids of their own here: the number of the link, and what it calls
+/// them.
 const FIRST_RELAYED_ID: u64 = 1 << 61;
 const TICKET_BITS: u32 = 40;
 const MAX_LINKS: u64 = 1 << 20;
@@ -177,9 +179,9 @@
 
     // The process that hands over.
 
-    /// Gives all keys to the other process, and with them all that is new from here on, and the right if this process has
-    /// it. What it is told goes in order, so that the table is there before the first try that needs it. Returns whether they
-    /// are given.
+    /// Gives all keys to the other process, and with them all that is new from here on, and the right if this
+    /// process has it. What it is told goes in order, so that the table is there before the first try that
+    /// needs it. Returns whether they are given.
     fn hand_over_keys(&mut self, to: mpsc::Sender<Out>) -> bool {
         self.partner.replace(Some(to));
         let expires_in_flight =
@@ -256,13 +258,15 @@
         self.claims.place(self.now, Try { known, may_repeat, arrived })
     }
 
-    /// What this process still has to see to its end: answers that are owed, here or by way of the later start, and, while
-    /// that owns the keys, the runs of keys whose callers have left, since what they come to has to be told.
+    /// What this process still has to see to its end: answers that are owed, here or by way of the later
+    /// start, and, while that owns the keys, the runs of keys whose callers have left, since what they come
+    /// to has to be told.
     pub(super) fn in_flight(&self) -> usize {
         let told = self.claims == Claims::Theirs;
         let runs = |e: &&Entry| e.reply.is_none() && e.key.is_some() && e.runs();
         let unheard = if told { self.requests.values().filter(runs).count() } else { 0 };
-        // Guards against a nodo that leaves once all callers have their answers, and takes with it a run that it could hand over.
+        // Guards against a nodo that leaves once all callers have their answers, and takes with it a run that
+        // it could hand over.
         let leaves = self.stop_at.is_some() && !self.channels.desk.handed.get();
         let outside = self.handover.as_ref().map_or(0, |handover| handover.in_flight(leaves));
         self.owed + self.partner.relays.len() + unheard + outside
@@ -354,8 +358,9 @@
         self.events.push(Event::Settings(Box::new(self.share())));
     }
 
-    /// The settings, with this process's part of what two share: the rules count memory and the crowd on the cores for both
-    /// together. Calls are left as they are: the module keeps their mean under half of its part.
+    /// The settings, with this process's part of what two share: the rules count memory and the crowd on the
+    /// cores for both together. Calls are left as they are: the module keeps their mean under half of its
+    /// part.
     pub(super) fn share(&self) -> Settings {
         let (load, set) = (self.partner.load, &self.settings);
         if self.claims == Claims::Theirs || load == Load::default() {
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,5 +1,5 @@
-//! Requests and replies as the engine knows them, whatever protocol carries them, and how a request is read from the
-//! fields that every protocol carries by the same names.
+//! Requests and replies as the engine knows them, whatever protocol carries them, and how a request is read
+//! from the fields that every protocol carries by the same names.
 
 use jaspershunt::{CallerId, Repeat, Settings};
 use jaspershunt_settings::Names;
@@ -221,12 +221,13 @@
 
 /// A way back to another process, through which the request came.
 pub trait Relay: fmt::Debug {
-    /// Hands over the reply to what that process knows by this number. Never waits; one that has gone needs none.
+    /// Hands over the reply to what that process knows by this number. Never waits; one that has gone needs
+    /// none.
     fn reply(&self, ticket: u64, reply: Reply);
 }
 
-/// Where the one reply to a request goes. The receiver has room for as many replies as it lets requests be open, so
-/// that sending never waits; a receiver that has gone needs none.
+/// Where the one reply to a request goes. The receiver has room for as many replies as it lets requests be
+/// open, so that sending never waits; a receiver that has gone needs none.
 #[derive(Clone, Debug)]
 pub struct ReplyTo(Destination);
 
