--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -1,15 +1,15 @@
-//! The figures that operators are shown: what became of requests, by class, since the start of this process.
+//! The request counters shown to operators, by class, since the start of this process.
 //!
-//! Each is counted where the matter ends or begins, by the engine alone, so that at any moment what was taken
-//! is what ended and what is still open.
+//! Only the engine counts, as a request begins or ends, so that at any moment the requests taken equal those
+//! ended plus those still open.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Classes that are counted by name. A site has a handful; this bounds what many changes of settings may add
-/// up to.
+/// Maximum number of classes counted by name. A site has a handful; this bounds the total over many changes
+/// of settings.
 const MAX_CLASSES: usize = 256;
-/// Under this name those of further classes are counted together.
+/// The name under which all further classes are counted.
 const OTHERS: &str = "(others)";
 
 /// How a request ended.
@@ -17,26 +17,26 @@
 pub enum Ended {
     /// With the result of a run.
     Answered,
-    /// Turned away.
+    /// Refused.
     Deferred,
-    /// In any other way.
+    /// Failed.
     Errored,
-    /// Its caller had left: it is failed, as an answer does no harm.
+    /// Failed as its caller had left.
     Left,
 }
 
-/// What became of the requests of one class.
+/// The counters of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Class {
-    /// Read and taken on.
+    /// Read and accepted for handling.
     pub taken: u64,
     /// Served.
     pub answered: u64,
-    /// Turned away.
+    /// Refused.
     pub deferred: u64,
     /// Failed.
     pub errored: u64,
-    /// Those of the failed whose callers had left.
+    /// Failed requests whose callers had left.
     pub left: u64,
     /// Runs handed to the interpreter.
     pub sends: u64,
@@ -47,36 +47,36 @@
         self.answered + self.deferred + self.errored
     }
 
-    /// Those that are not over.
+    /// Requests that are not over.
     pub fn open(&self) -> u64 {
         self.taken.saturating_sub(self.ended())
     }
 }
 
-/// The figures. Their names are those that operators know; `INFO` shows them as they stand here.
+/// The counters. `INFO` shows them under these names and in this order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// By class, those that settings no longer name included.
+    /// By class, including classes no longer in the settings.
     transactions: BTreeMap<String, Class>,
     /// Requests taken and not over.
     current: u64,
     /// Runs handed to the interpreter.
     sends: u64,
-    /// Configuration files taken up at SIGHUP.
+    /// Configuration files loaded at SIGHUP.
     conf_loaded: u64,
-    /// Those turned down.
+    /// Configuration files rejected at SIGHUP.
     conf_invalid: u64,
 }
 
 impl Counts {
-    /// Nothing was counted yet.
+    /// Returns counters at zero for these classes.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a str>) -> Counts {
         let mut counts = Counts::default();
         counts.add_classes(classes);
         counts
     }
 
-    /// From now on these classes are shown too, be it with zeros.
+    /// Adds classes, which are then shown even while their counters are zero.
     pub fn add_classes<'a>(&mut self, classes: impl IntoIterator<Item = &'a str>) {
         for class in classes {
             self.class(class);
@@ -86,20 +86,20 @@
     fn class(&mut self, class: &str) -> &mut Class {
         let known = self.transactions.contains_key(class) || self.transactions.len() < MAX_CLASSES;
         let name = if known { class } else { OTHERS };
-        // Looked up before it is made, as a name is copied then.
+        // Copies the name only if the class is new.
         if !self.transactions.contains_key(name) {
             self.transactions.insert(name.into(), Class::default());
         }
         self.transactions.entry(name.into()).or_default()
     }
 
-    /// A request was read and taken on.
+    /// Counts a request that was read and accepted.
     pub fn taken(&mut self, class: &str) {
         self.class(class).taken += 1;
         self.current += 1;
     }
 
-    /// A request that was taken is over.
+    /// Counts the end of an accepted request.
     pub fn ended(&mut self, class: &str, how: Ended) {
         let row = self.class(class);
         match how {
@@ -111,13 +111,13 @@
         self.current = self.current.saturating_sub(1);
     }
 
-    /// A run was handed to the interpreter. One that is sent again over a new link is still the same.
+    /// Counts a run sent to the interpreter. One sent again over a new link is not counted again.
     pub fn run_sent(&mut self, class: &str) {
         self.class(class).sends += 1;
         self.sends += 1;
     }
 
-    /// A configuration file was read at SIGHUP.
+    /// Counts a configuration file read at SIGHUP.
     pub fn configuration_read(&mut self, good: bool) {
         if good {
             self.conf_loaded += 1;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// What became of a class.
+    /// The counters of a class.
     pub fn of_class(&self, class: &str) -> Class {
         self.transactions.get(class).copied().unwrap_or_default()
     }
@@ -136,7 +136,7 @@
         self.current
     }
 
-    /// Whether what was taken is what ended and what is open, by class and in all.
+    /// Whether requests taken equal those ended plus those open, by class and in total.
     pub fn is_consistent(&self) -> bool {
         let rows = self.transactions.values();
         rows.clone().all(|row| row.taken >= row.ended() && row.errored >= row.left)
--- a/crates/node/src/engine/captures.rs
+++ b/crates/node/src/engine/captures.rs
@@ -1,4 +1,4 @@
-//! What records the decisions, where the operator's file wants that.
+//! Capture of the decisions, where the operator's file asks for one.
 
 use super::Engine;
 use crate::capture::Capture;
@@ -9,8 +9,7 @@
 use jaspershunt_capture::tap::Reason;
 
 impl Engine {
-    /// All that is decided from here on goes to the capture, if there is one; now and then with the states as
-    /// they stand.
+    /// Begins the next step of the capture, if there is one, with a snapshot of all states when one is due.
     pub(super) fn begin_capture(&mut self) {
         let (Some(capture), Some(module)) = (&mut self.capture, &self.module) else { return };
         capture.press(self.keys.bytes() > self.pressed_from_bytes);
@@ -21,7 +20,7 @@
         });
     }
 
-    /// Hands over what was asked of the keys and of the decisions on dependencies.
+    /// Passes the recorded steps of the keys and of the decisions on dependencies to the capture.
     pub(super) fn capture_sides(&mut self) {
         let Some(capture) = &mut self.capture else { return };
         let below = self
@@ -30,13 +29,13 @@
             .map(|dependencies| dependencies.decisions.take_steps())
             .unwrap_or_default();
         let sides = Sides { keys: self.keys.take_steps(), below };
-        // What comes before the module is no part of a capture: it begins with the first state.
+        // A capture begins with the first snapshot, which needs the module.
         if self.module.is_some() {
             capture.sides(sides);
         }
     }
 
-    /// Has what was captured written out, if anything is.
+    /// Writes out the capture, if there is one.
     pub(super) fn write_capture(&mut self, reason: Reason) {
         if let Some(capture) = &mut self.capture {
             capture.write_out(reason);
@@ -44,8 +43,8 @@
     }
 }
 
-/// What records the decisions, where the operator's file wants that. A nodo whose captures cannot be written
-/// serves all the same.
+/// Starts the capture, where the operator's file asks for one. A nodo whose capture cannot be written serves
+/// without.
 pub(super) fn capture_of(config: &Config, epoch: f64, settings: &Settings) -> Option<Capture> {
     let wanted = config.operator.as_ref()?.capture.as_ref()?;
     let version = env!("CARGO_PKG_VERSION").to_string();
--- a/crates/node/src/engine/drain.rs
+++ b/crates/node/src/engine/drain.rs
@@ -1,5 +1,4 @@
-//! The nodo's health as others see it, and how it leaves: what operators, the module and a notice to leave
-//! have to say about it.
+//! The nodo's reported health, and its leaving, as decided by operators, the module and a notice to leave.
 
 use super::Engine;
 use crate::directory::Mode;
@@ -17,14 +16,14 @@
         }
     }
 
-    /// Whether health checks are answered as good. Operators who send clients away go before the module,
-    /// which knows nothing of it: what still comes is served as ever.
+    /// Whether health checks are answered as good. Operators' lameduck overrides the module, which is not
+    /// informed: requests that still arrive are served as usual.
     pub(super) fn is_healthy(&self) -> bool {
         self.module_healthy && !self.lameduck
     }
 
-    /// Has the directory told of the present health, once the module has said that all is well. A process
-    /// that has not the right to run what is new says nothing for the nodo.
+    /// Reports the present health to the directory, once the module exists. A process without the right to
+    /// run new requests reports nothing for the nodo.
     pub(super) fn report_health(&mut self) {
         if self.claims == Claims::Lost || self.channels.desk.lost.get() {
             self.report_pending = true;
@@ -34,13 +33,13 @@
         }
     }
 
-    /// Tells the module that the nodo leaves, if it does.
+    /// Notifies the module that the nodo leaves, if it does.
     pub(super) fn notify_leave(&mut self) {
         if let (Some(stop_at), Some(grace_until)) = (self.stop_at, self.grace_until)
             && self.module.is_some()
         {
-            // Guards against a grace that the module counts from when it hears of the notice, which may be
-            // long after it came: the interpreter may have come up only now.
+            // Guards against a grace counted from the module's step instead of the notice, which may be much
+            // earlier if the interpreter was not up.
             let drain_grace = (grace_until - self.now).max(0.0);
             self.events.push(Event::Settings(Box::new(Settings { drain_grace, ..self.share() })));
             self.events.push(Event::Leave { within: (stop_at - self.now).max(0.0) });
--- a/crates/node/src/engine/settings.rs
+++ b/crates/node/src/engine/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that are read anew while the nodo runs.
+//! Settings that are reloaded while the nodo runs.
 
 use super::Engine;
 use crate::config::Facts;
@@ -10,24 +10,25 @@
 use std::time::Duration;
 
 impl Engine {
-    /// Takes up settings that were read anew. Requests that are open keep what they came with, in its place.
+    /// Puts reloaded settings into force. In-flight requests keep the class that they arrived under, at its
+    /// index.
     pub(super) fn reload_settings(&mut self, facts: &Facts) -> Result<(), String> {
         if self.dependencies.is_some() {
             return Err(
                 "settings change with a restart only where the operator's file names dependencies".into()
             );
         }
-        // One that was named until now may be that of a request which was read and is not here yet.
+        // A class named until now may still be that of a queued request.
         let free = |place| !self.names.has_class_at(place) && !self.is_open(place);
         let (mut settings, names) = merge(&self.settings, facts.settings.clone(), facts.names.clone(), free)
             .map_err(|problem| format!("settings.{problem}"))?;
-        // Guards against a notice to leave that waits behind much else: the grace is the one in force when it
-        // came.
+        // Guards against a changed grace while the notice to leave is queued: the one in force when it came
+        // applies.
         if self.channels.desk.leaves.get() {
             settings.drain_grace = self.settings.drain_grace;
         }
-        // Guards against readings that are asked for in one order and read in another: these wakes go without
-        // them.
+        // Guards against readings requested in one order and read in another: waiting wakes are delivered
+        // without them.
         if names.gauges != self.names.gauges {
             self.deliver_wakes(Gauges::default());
         }
@@ -41,16 +42,16 @@
         Ok(())
     }
 
-    /// Whether requests of the class at this place are open, wait for the fleet, or may be on their way here.
+    /// Whether requests of the class at this index are in flight, wait for the fleet, or may be queued.
     fn is_open(&self, place: usize) -> bool {
         self.requests.values().any(|entry| entry.class == place)
             || self.handover.as_ref().is_some_and(|handover| handover.has_waiting_in_class(place))
             || self.retired.iter().any(|(_, retired)| *retired == place)
     }
 
-    /// Guards against two changes before a request is taken in that was read before the first: its place
-    /// would be that of another class. What was read before this change is ahead of what the engine now sends
-    /// itself.
+    /// Guards against two changes while a request that was read before them is queued: its index would be
+    /// that of another class. Requests read before this change are ahead of the marker that the engine now
+    /// sends itself.
     fn retire_places(&mut self, names: &Names) {
         self.changes += 1;
         for place in (0..self.settings.classes.len()).filter(|place| self.names.has_class_at(*place)) {
--- a/crates/node/src/engine/upgrade.rs
+++ b/crates/node/src/engine/upgrade.rs
@@ -1,5 +1,5 @@
-//! The engine's side of an upgrade: gives the keys away, sends on what is new, and takes over what an earlier
-//! start had. Who owns the keys is decided in [`crate::upgrade::claims`].
+//! The engine's side of an upgrade: hands over the keys, relays new tries, and takes over from an earlier
+//! process. [`crate::upgrade::claims`] decides which process owns the keys.
 
 use super::{Engine, Entry, Stage, WINDOW_SLACK_SECONDS};
 use crate::config::OTHER_SOCKETS;
@@ -16,67 +16,66 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Tries that may be out at the later start at once; more are refused.
+/// Maximum number of tries relayed to the later process at once; more are refused.
 const MAX_RELAYS: usize = 4096;
-/// Seconds between two words on what this process takes. Ours: less than the 0.1 s after which memory is
-/// counted.
+/// Interval between reports of this process's load; less than the 0.1 s after which memory is counted.
 const LOAD_REPORT_INTERVAL_SECONDS: f64 = 0.05;
-/// Requests on the cores, for each core, that are left to a start in any case, so that it works at all.
+/// Minimum of concurrent requests for each core that a process always keeps, so that it works at all.
 const MIN_CROWD_MULTIPLE: f64 = 1.5;
-/// Tries that reached the other process have ids of their own here: the number of the link, and what it calls
-/// them.
+/// First id of tries relayed by the other process; such an id contains the number of the link and the ticket
+/// there.
 const FIRST_RELAYED_ID: u64 = 1 << 61;
 const TICKET_BITS: u32 = 40;
 const MAX_LINKS: u64 = 1 << 20;
 
-/// What the engine knows of the other process.
+/// The engine's state of the other process.
 #[derive(Default)]
 pub(super) struct Partner {
-    /// The way there, while the link holds.
+    /// The channel to it, while the link is up.
     to: Option<mpsc::Sender<Out>>,
-    /// Tries that are out there, and where their replies go.
+    /// Tries relayed to it, and where their replies go.
     relays: BTreeMap<u64, ReplyTo>,
-    /// Keys taken over so far, from this one and from others before it.
+    /// Number of keys taken over, from this process and earlier ones.
     adopted: u64,
-    /// Links so far: two other processes may name their tries alike.
+    /// Number of links so far: tickets of two other processes may be the same.
     links: u64,
-    /// What it takes of what both share, as was last told or heard.
+    /// The load last sent or received.
     load: Load,
-    /// When it is told again.
+    /// When the load is sent next.
     load_due: f64,
 }
 
 impl Partner {
-    /// Takes the place of another one, which is returned.
+    /// Replaces the partner by one with this channel; returns the former one.
     fn replace(&mut self, to: Option<mpsc::Sender<Out>>) -> Partner {
         let fresh = Partner { to, adopted: self.adopted, links: self.links + 1, ..Partner::default() };
         std::mem::replace(self, fresh)
     }
 
-    /// What a try of it is called here.
+    /// The id here of a try relayed by it.
     fn id_of(&self, ticket: u64) -> RequestId {
         let ticket = ticket & ((1 << TICKET_BITS) - 1);
         RequestId(FIRST_RELAYED_ID + ((self.links % MAX_LINKS) << TICKET_BITS) + ticket)
     }
 
-    /// Says something; whether it is on its way.
+    /// Sends a message; returns whether it was queued.
     fn send(&self, message: impl Into<Out>) -> bool {
         self.to.as_ref().is_some_and(|to| to.try_send(message.into()).is_ok())
     }
 }
 
 impl Engine {
-    /// The interpreter is up: an earlier start, if there is one, is asked to hand over.
+    /// Asks the earlier process, if there is one, to hand over, as the interpreter is up.
     pub(super) fn request_handover(&self) {
         self.partner.send(Message::Begin);
     }
 
-    /// Tells the other process what operators want.
+    /// Sends the operators' lameduck state to the other process.
     pub(super) fn send_lameduck(&self) {
         self.partner.send(Message::Lameduck { on: self.lameduck });
     }
 
-    /// What the other process says.
+    /// Handles a message from the other process.
     pub(super) fn handle_peer_message(&mut self, peer: Peer) {
         match peer {
             Peer::LameduckQuery { answer } => drop(answer.send(self.claims.owns().then_some(self.lameduck))),
@@ -86,7 +85,7 @@
                 match lameduck {
                     Some(true) => self.set_lameduck(true),
                     Some(false) => {}
-                    // It has been away, and hears how operators have it.
+                    // It had lost the right, and gets the operators' present state.
                     None => self.send_lameduck(),
                 }
                 if self.module.is_some() {
@@ -142,9 +141,9 @@
         }
     }
 
-    // The right.
+    // The right to run new requests.
 
-    /// Sees whether this process has the right still. Cheap, as a look is good for a while.
+    /// Checks whether this process still has the right. Cheap, as the result of a check is valid for a while.
     pub(super) fn check_right(&mut self) {
         let Some(right) = &mut self.right else { return };
         if right.is_held() {
@@ -160,7 +159,7 @@
         self.partner_lost();
     }
 
-    /// This process has the right, unless it was taken again on the way.
+    /// Sets the right of this process, unless another one has taken it meanwhile.
     fn set_right(&mut self, right: Right) {
         self.right = Some(right);
         self.channels.desk.lost.set(false);
@@ -170,7 +169,7 @@
         }
     }
 
-    /// Says nothing more for the nodo: another process does.
+    /// Stops reporting for the nodo, as another process does.
     fn stop_reporting(&mut self) {
         self.report_pending |= self.channels.directory.send_replace(None).is_some();
         self.channels.desk.lost.set(true);
@@ -179,9 +178,9 @@
 
     // The process that hands over.
 
-    /// Gives all keys to the other process, and with them all that is new from here on, and the right if this
-    /// process has it. What it is told goes in order, so that the table is there before the first try that
-    /// needs it. Returns whether they are given.
+    /// Hands over all keys to the other process, and with them all new requests, and the right if this
+    /// process has it. Messages stay in order, so that the table arrives before the first try that needs it.
+    /// Returns whether the keys were handed over.
     fn hand_over_keys(&mut self, to: mpsc::Sender<Out>) -> bool {
         self.partner.replace(Some(to));
         let expires_in_flight =
@@ -198,7 +197,7 @@
         let count = all.len();
         let said = wire::pieces(all).into_iter().all(|piece| self.partner.send(Message::Table(piece)));
         let load = self.load();
-        // There is no way back once the right has left, so there has to be room for all of it.
+        // The right cannot be taken back once sent, so the queue needs room for all messages.
         let fits = said && self.partner.send(Message::Load(load));
         let last = match self.right.take() {
             Some(right) if fits => {
@@ -210,7 +209,7 @@
                 Message::Yielded.into()
             }
             right => {
-                // The other one has not been told that anything is its own.
+                // The other process has not received ownership of anything.
                 log!(ERROR, "upgrade: {count} keys are too many for the link; they stay here");
                 self.right = right;
                 self.partner.replace(None);
@@ -218,14 +217,14 @@
             }
         };
         if !self.partner.send(last) {
-            // The link has ended with this; the right is nobody's, and is taken back.
+            // The link broke, so the right is free and will be taken back.
             log!(ERROR, "upgrade: the link broke as the keys were given");
         }
         log!("upgrade: {count} keys are the other start's, {} requests are ended here", self.requests.len());
         true
     }
 
-    /// What this process takes of what both share.
+    /// This process's use of the common resources.
     fn load(&self) -> Load {
         let kb: f64 = self.requests.values().map(|entry| entry.held_kb).sum();
         let running = self.requests.values().filter(|entry| matches!(entry.stage, Stage::Running)).count();
@@ -233,7 +232,7 @@
         Load { kb: kb * self.settings.run_factor, running: running as u32, descriptors: descriptors as u32 }
     }
 
-    /// Tells the later start now and then how much is left for it.
+    /// Reports this process's load to the later process at intervals.
     pub(super) fn report_load(&mut self) {
         if self.claims != Claims::Theirs || self.now < self.partner.load_due {
             return;
@@ -246,7 +245,7 @@
         }
     }
 
-    /// Where a try goes, as far as keys have a say.
+    /// Where a try is handled, as far as that depends on keys.
     pub(super) fn route_try(&mut self, work: &Work) -> Goes {
         let known = match &work.key {
             None => Known::NoKey,
@@ -258,21 +257,21 @@
         self.claims.place(self.now, Try { known, may_repeat, arrived })
     }
 
-    /// What this process still has to see to its end: answers that are owed, here or by way of the later
-    /// start, and, while that owns the keys, the runs of keys whose callers have left, since what they come
-    /// to has to be told.
+    /// Counts the work that this process must finish: unanswered requests, here or relayed to the later
+    /// process, and, while that owns the keys, runs of keys whose callers have left, since their results must
+    /// be reported.
     pub(super) fn in_flight(&self) -> usize {
         let told = self.claims == Claims::Theirs;
         let runs = |e: &&Entry| e.reply.is_none() && e.key.is_some() && e.runs();
         let unheard = if told { self.requests.values().filter(runs).count() } else { 0 };
-        // Guards against a nodo that leaves once all callers have their answers, and takes with it a run that
-        // it could hand over.
+        // Guards against a nodo that ends once all callers are answered while it has a run that it could hand
+        // over.
         let leaves = self.stop_at.is_some() && !self.channels.desk.handed.get();
         let outside = self.handover.as_ref().map_or(0, |handover| handover.in_flight(leaves));
         self.owed + self.partner.relays.len() + unheard + outside
     }
 
-    /// Sends a try to the later start.
+    /// Relays a try to the later process.
     pub(super) fn relay(&mut self, id: RequestId, work: Work, reply: ReplyTo) {
         let class = &self.settings.classes[work.class].name;
         let tenant =
@@ -283,13 +282,14 @@
             self.partner.relays.insert(id.0, reply);
             return;
         }
-        // Guards against a refusal of a key that another try has had run at the other process.
+        // Guards against a refusal of a key that may have run at the other process by another try.
         let stay_away = self.settings.max_stay_away;
         let answer = if keyed { Answer::Failed } else { Answer::Refused { stay_away, last: false } };
         reply.send(Reply::new(answer, self.caller_feedback()));
     }
 
-    /// The caller of a try that is out at the later start has gone; whether it was one.
+    /// Handles the disconnect of a caller whose try was relayed to the later process; returns whether there
+    /// was one.
     pub(super) fn relayed_caller_gone(&mut self, id: RequestId) -> bool {
         let Some(reply) = self.partner.relays.remove(&id.0) else { return false };
         self.partner.send(Message::Gone { ticket: id.0 });
@@ -297,7 +297,7 @@
         true
     }
 
-    /// Tells the later start what a key has come to that was in hand here.
+    /// Reports to the later process the result of a key that was in flight here.
     pub(super) fn report_key_to_partner(&mut self, key: &Key) {
         if self.partner.to.is_none() || self.claims != Claims::Theirs {
             return;
@@ -316,7 +316,7 @@
         }
     }
 
-    /// The nodo is about to end: what is still owed fails.
+    /// Fails all unanswered requests, as the nodo is about to end.
     fn give_up_all(&mut self) {
         for id in std::mem::take(&mut self.partner.relays).into_iter().map(|(ticket, reply)| {
             reply.send(Reply::new(Answer::Failed, self.caller_feedback()));
@@ -334,7 +334,7 @@
 
     // The process that takes over.
 
-    /// Takes over what is known of a key.
+    /// Takes over the state of a key.
     fn adopt(&mut self, entry: wire::Entry) {
         let until = entry.until - self.epoch;
         self.partner.adopted += 1;
@@ -352,15 +352,15 @@
         }
     }
 
-    /// Takes in how much the earlier start still takes, and has the module keep to the rest.
+    /// Records the load of the earlier process, and limits the module to the rest.
     fn apply_partner_load(&mut self, load: Load) {
         self.partner.load = load;
         self.events.push(Event::Settings(Box::new(self.share())));
     }
 
-    /// The settings, with this process's part of what two share: the rules count memory and the crowd on the
-    /// cores for both together. Calls are left as they are: the module keeps their mean under half of its
-    /// part.
+    /// The settings with this process's share of the common resources: the rules count memory and concurrency
+    /// on the cores for both processes together. Calls are not reduced: the module keeps their mean under
+    /// half of its share.
     pub(super) fn share(&self) -> Settings {
         let (load, set) = (self.partner.load, &self.settings);
         if self.claims == Claims::Theirs || load == Load::default() {
@@ -374,9 +374,9 @@
         }
     }
 
-    // Both.
+    // Both processes.
 
-    /// The other process is gone, or beyond reach. What it had in hand may have run.
+    /// Handles the loss of the other process or its link. Its in-flight work may have run.
     fn partner_lost(&mut self) {
         let partner = self.partner.replace(None);
         for (_, reply) in partner.relays {
@@ -390,7 +390,7 @@
         }
     }
 
-    /// Those that wait for the run of a key get what it made.
+    /// Answers the tries that wait for a key's run with its result.
     pub(super) fn serve_followers(&mut self, key: &Key, result: Option<Rc<[u8]>>) {
         for follower in self.followers.remove(key).unwrap_or_default() {
             self.serve_from(follower, result.clone());
@@ -402,7 +402,7 @@
     settings.classes.iter().map(time).fold(0.0, f64::max)
 }
 
-/// The longest that a key is remembered.
+/// The longest time that a key is remembered.
 pub(super) fn longest_window(settings: &Settings) -> f64 {
     longest(settings, |class| match class.repeat {
         Repeat::Keyed(window) => window + WINDOW_SLACK_SECONDS,
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,5 +1,5 @@
-//! Requests and replies as the engine knows them, whatever protocol carries them, and how a request is read
-//! from the fields that every protocol carries by the same names.
+//! Requests and replies in the engine, independent of the protocol, and the parsing of a request from fields
+//! whose names are the same in each protocol.
 
 use jaspershunt::{CallerId, Repeat, Settings};
 use jaspershunt_settings::Names;
@@ -11,20 +11,20 @@
 pub const MAX_BODY_BYTES: usize = 2 * 1024;
 /// The longest operation key, in bytes.
 const MAX_KEY_BYTES: usize = 128;
-/// Requests need less than this many kilobytes.
+/// Upper bound of the memory that a request may need, exclusive.
 const MAX_REQUEST_KB: f64 = 2_000.0;
-/// More work than this, in milliseconds, is no estimate: an hour.
+/// The largest valid estimate of a request's work: an hour.
 const MAX_ESTIMATE_MS: f64 = 3_600_000.0;
 const WORK_PATH: &str = "/v1/";
 const CHECK_PATH: &str = "/healthz";
 
 pub use jaspershunt_keys::Key;
 
-/// An operation key as it can stand in a header: what is not plain is written as %XX.
+/// Escapes an operation key for a header: bytes other than graphic ASCII, and `%`, become %XX.
 pub fn escape_key(key: &str) -> String {
     let mut text = String::with_capacity(key.len());
     for byte in key.bytes() {
-        // Guards against a key that ends the header and begins another.
+        // Guards against a key that ends the header and injects another.
         if byte.is_ascii_graphic() && byte != b'%' {
             text.push(char::from(byte));
         } else {
@@ -34,7 +34,7 @@
     text
 }
 
-/// What a peer asks for.
+/// A request from a peer.
 #[derive(Debug, PartialEq)]
 pub enum PeerRequest {
     /// A health check.
@@ -43,36 +43,36 @@
     Work(Work),
 }
 
-/// A try of a request, as it was read.
+/// A try of a request, as parsed.
 #[derive(Debug, PartialEq)]
 pub struct Work {
-    /// The id that the peer gave this try; the interpreter and the database know it by that.
+    /// The id that the peer gave this try; the interpreter and the database use it too.
     pub uid: Rc<str>,
-    /// Its class, by place in the settings.
+    /// Its class, by index in the settings.
     pub class: usize,
-    /// Its tenant, by place in the settings, if it is one of them.
+    /// Its tenant, by index in the settings, if there is one.
     pub tenant: Option<usize>,
     /// Who sent it.
     pub caller: CallerId,
-    /// When it came to the machine, in Unix seconds; `None` where that is not told.
+    /// Its arrival at the machine, in Unix seconds; `None` if not given.
     pub arrived: Option<f64>,
-    /// How long its caller waits for this try from then on, in seconds; `None` where that is not told.
+    /// How long its caller waits for this try from then on, in seconds; `None` if not given.
     pub caller_timeout: Option<f64>,
     /// Whether it is marked as a further try or a second copy.
     pub resent: bool,
     /// The work to expect, in seconds on one core.
     pub cost_hint: Option<f64>,
-    /// The memory that it takes while held, in kilobytes.
+    /// The memory that it takes while queued, in kilobytes.
     pub held_kb: f64,
     /// Its rank by worth, from 0 to under 1.
     pub rank: f64,
-    /// What all its tries share; in keyed classes only.
+    /// The operation key that all its tries share; in keyed classes only.
     pub key: Option<Key>,
-    /// The body, as it came.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// Why a request cannot be taken. Nothing of it ran; the peer gets status 400.
+/// Why a request is invalid. Nothing of it ran; the peer gets status 400.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BadRequest(pub String);
 
@@ -86,10 +86,10 @@
     Err(BadRequest(format!("{field} {problem}")))
 }
 
-/// Reads a request from its path, method, fields and body.
+/// Parses a request from its path, method, fields and body.
 ///
 /// # Errors
-/// The first field that is missing or wrong.
+/// The first field that is missing or invalid.
 pub fn read<'a>(
     path: &str,
     method: &str,
@@ -158,7 +158,7 @@
         tenant,
         caller: CallerId(caller),
         arrived: number("X-Arrived-Ms")?.map(|ms| ms / 1000.0),
-        // Where the settings do not promise it, it is nobody's word for how long the caller waits.
+        // Ignored unless the settings state that the deadline is passed on, as else its value is meaningless.
         caller_timeout: number("X-Deadline-Ms")?.filter(|_| names.passes_deadline).map(|ms| ms / 1000.0),
         resent,
         cost_hint: estimate.filter(|ms| *ms > 0.0).map(|ms| ms / 1000.0),
@@ -172,9 +172,9 @@
 /// A final answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The result that a run made.
+    /// The result of a run.
     Served(Rc<[u8]>),
-    /// Turned away: this try never ran.
+    /// Refused: this try never ran.
     Refused {
         /// For how many seconds the caller should keep away; 0 gives no advice.
         stay_away: f64,
@@ -183,83 +183,82 @@
     },
     /// Failed; promises nothing.
     Failed,
-    /// The request cannot be understood.
+    /// The request is invalid.
     Bad,
     /// The answer to a health check.
     Health {
-        /// In good health.
+        /// Whether the nodo is healthy.
         good: bool,
     },
 }
 
-/// What a served answer says of itself where it was not made from whole and fresh replies.
+/// Marks a served answer that was made without some replies or from cached ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Label {
-    /// The dependencies that it was made without, by name, each once.
+    /// The names of the dependencies whose replies are missing, each once.
     pub missing: Vec<Rc<str>>,
-    /// The age of the oldest kept reply that it was made from, in milliseconds.
+    /// The age of the oldest cached reply used, in milliseconds.
     pub stale_ms: Option<u64>,
 }
 
-/// An answer with the number that callers are told on every answer.
+/// An answer with the feedback value that callers get with every answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     /// The answer.
     pub answer: Answer,
-    /// The free number, once there is one.
+    /// The feedback value, once the module has given one.
     pub feedback: Option<f64>,
-    /// What a served answer says of itself; `None` where it is complete.
+    /// The label of a served answer; `None` if it is complete and fresh.
     pub label: Option<Box<Label>>,
 }
 
 impl Reply {
-    /// An answer with nothing to say of itself.
+    /// Returns a reply without a label.
     pub fn new(answer: Answer, feedback: Option<f64>) -> Reply {
         Reply { answer, feedback, label: None }
     }
 }
 
-/// A way back to another process, through which the request came.
+/// The connection to another process that relayed requests.
 pub trait Relay: fmt::Debug {
-    /// Hands over the reply to what that process knows by this number. Never waits; one that has gone needs
-    /// none.
+    /// Sends the reply to the try with this ticket there. Never blocks; does nothing if that process is gone.
     fn reply(&self, ticket: u64, reply: Reply);
 }
 
-/// Where the one reply to a request goes. The receiver has room for as many replies as it lets requests be
-/// open, so that sending never waits; a receiver that has gone needs none.
+/// Where the one reply to a request goes. The receiver's queue has room for as many replies as it admits
+/// requests, so sending never blocks; a reply to a closed receiver is dropped.
 #[derive(Clone, Debug)]
 pub struct ReplyTo(Destination);
 
 #[derive(Clone, Debug)]
 enum Destination {
-    /// A connection here, and what the peer knows the request by.
+    /// A connection to this process, and the peer's id of the request.
     Connection(mpsc::Sender<(u16, Reply)>, u16),
-    /// The other process of an upgrade, and what that knows the request by.
+    /// The other process of an upgrade, and its id of the request.
     Relay(Rc<dyn Relay>, u64),
-    /// No caller: work that came from another nodo.
+    /// No caller: work taken over from another nodo.
     Nobody,
 }
 
 impl ReplyTo {
-    /// The peer's connection, and what it knows the request by.
+    /// Returns a reply channel to a peer's connection, with the peer's id of the request.
     pub fn new(to: mpsc::Sender<(u16, Reply)>, ticket: u16) -> ReplyTo {
         ReplyTo(Destination::Connection(to, ticket))
     }
 
-    /// The other process of an upgrade, and what that knows the request by.
+    /// Returns a reply channel to the other process of an upgrade, with its id of the request.
     pub fn relay(to: Rc<dyn Relay>, ticket: u64) -> ReplyTo {
         ReplyTo(Destination::Relay(to, ticket))
     }
 
-    /// Nobody waits for it.
+    /// Returns a reply channel without a caller.
     pub fn nobody() -> ReplyTo {
         ReplyTo(Destination::Nobody)
     }
 
-    /// Hands over the reply.
+    /// Sends the reply.
     pub fn send(self, reply: Reply) {
-        // An error means that the connection or the other process has ended: nobody waits.
+        // An error means that the connection or the other process has ended, so nobody waits.
         match self.0 {
             Destination::Connection(to, ticket) => drop(to.try_send((ticket, reply))),
             Destination::Relay(to, ticket) => to.reply(ticket, reply),
