--- a/crates/node/src/engine/handover/runs.rs
+++ b/crates/node/src/engine/handover/runs.rs
@@ -135,7 +135,7 @@
                     let length = result.len();
                     log!(
                         ERROR,
-                        "a result of {length} bytes is not kept by the fleet: {MAX_RESULT_BYTES} at most"
+                        "a result of {length} bytes is not recorded in the fleet: the maximum is {MAX_RESULT_BYTES}"
                     );
                 }
                 RunResult::Done(result)
--- a/crates/node/src/engine/runs.rs
+++ b/crates/node/src/engine/runs.rs
@@ -97,7 +97,7 @@
             && !resumes
         {
             if self.keys.run_state(&key).is_some() {
-                log!(ERROR, "request {} must not run: another try of it did", entry.uid);
+                log!(ERROR, "request {} must not run: another try of its key ran", entry.uid);
                 self.write_capture(Reason::Guard);
                 return self.answer_from_key(id);
             }
@@ -183,7 +183,7 @@
         let unsafe_ran = entry.started && !matches!(self.settings.classes[entry.class].repeat, Repeat::Safe);
         let key_ran = entry.key.as_ref().is_some_and(|key| self.keys.run_state(key).is_some());
         if unsafe_ran || key_ran {
-            log!(ERROR, "request {} must not be turned away: it ran", entry.uid);
+            log!(ERROR, "request {} must not be refused: it or its key ran", entry.uid);
             self.write_capture(Reason::Guard);
             self.answer(id, Answer::Failed);
         } else {
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The engine with the test in the place of every other task, on a clock that stands until all is done.
+//! Tests of the engine, with the test in place of all other tasks and a clock that advances only when idle.
 
 use super::input::{CallEnd, Message, RunEnd};
 use super::*;
@@ -93,7 +93,7 @@
         Input::Work { id: RequestId(id), work, reply: ReplyTo::new(self.reply_to.clone(), id as u16) }
     }
 
-    /// The same from a caller that says how long it waits, counted from when the request came to the machine.
+    /// The same with the time that the caller waits, counted from the arrival of the request.
     fn work_until(&self, id: u64, class: usize, waited: f64, waits: f64) -> Input {
         match self.work(id, class, waited) {
             Input::Work { id, work, reply } => {
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Lets so much time pass since the start, with all timers that come due.
+    /// Advances the clock to this time since the start, and handles all timers that fire.
     pub(super) async fn until(&mut self, seconds: f64) {
         let end = self.began + Duration::from_secs_f64(seconds);
         while let Ok(Some(input)) = timeout_at(end, self.inputs.recv()).await {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The commands since the last look, without query_permits for the gauges.
+    /// The commands since the last call, without requests for the gauges.
     pub(super) fn commands(&mut self) -> Vec<String> {
         let all = std::iter::from_fn(|| self.commands.try_recv().ok());
         let name = |command| match command {
@@ -144,7 +144,7 @@
     }
 }
 
-/// Runs a test on a clock that only moves when nothing else is left to do.
+/// Runs a test on a clock that advances only when the runtime is idle.
 pub(super) fn paused(test: impl Future<Output = ()>) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
@@ -162,14 +162,13 @@
         let work = rig.work(1, 1, 0.5);
         rig.engine.step([work]);
         assert_eq!(rig.commands(), ["apply 1"]);
-        // The wait counts from when it came to the machine: its 2 s end at 1.5 s, and the answer is given
-        // just ahead.
+        // The wait counts from the arrival: its 2 s end at 1.5 s, and the answer is given just before.
         rig.until(1.47).await;
         assert_eq!(rig.answers(), []);
         rig.until(1.5).await;
         assert_eq!(rig.answers(), [(1, Answer::Failed)]);
         assert_eq!(rig.commands(), ["break 1"]);
-        // The result crosses the order to stop.
+        // The result crosses the stop command.
         let end = rig.value(1, RunEnd::Done(vec![7]));
         let again = rig.work(2, 1, 0.0);
         rig.engine.step([end, again]);
@@ -179,7 +178,7 @@
 }
 
 #[test]
-fn a_key_whose_run_came_to_nothing_neither_runs_again_nor_is_turned_away() {
+fn a_key_whose_run_had_no_result_neither_runs_again_nor_is_refused() {
     paused(async {
         for end in [RunEnd::Failed, RunEnd::Stopped, RunEnd::NotStarted] {
             let mut rig = Rig::new();
@@ -193,7 +192,7 @@
             rig.engine.step([again]);
             assert_eq!(rig.answers(), [(2, Answer::Failed)]);
             assert_eq!(rig.commands(), ["apply 1"]);
-            // After the window it is a request like any other.
+            // After the window the key may run again.
             rig.until(60.2).await;
             let late = rig.work(3, 1, 0.0);
             rig.engine.step([late]);
@@ -202,10 +201,10 @@
     });
 }
 
-/// Strangers name keys that they have seen: with another body they are served nothing, and a run that the
-/// interpreter knows nothing of does not use the key up.
+/// Guards against a foreign caller that reuses a key it has seen: with another body it gets no result, and a
+/// run that the interpreter rejects does not consume the key.
 #[test]
-fn a_key_is_of_no_use_with_another_body() {
+fn a_key_with_another_body_is_rejected() {
     paused(async {
         let mut rig = Rig::new();
         let stranger = |rig: &Rig, id| match rig.work(id, 1, 0.0) {
@@ -234,7 +233,7 @@
 }
 
 #[test]
-fn tries_of_one_key_in_one_step_know_each_other() {
+fn tries_of_one_key_in_one_step_run_once() {
     paused(async {
         let mut rig = Rig::new();
         let tries = [rig.work(1, 1, 0.0), rig.work(2, 1, 0.0)];
@@ -245,7 +244,7 @@
 }
 
 #[test]
-fn the_nodo_itself_keeps_a_key_from_running_twice_or_being_turned_away_after_its_run() {
+fn the_engine_keeps_a_key_from_running_twice_or_being_refused_after_its_run() {
     paused(async {
         let mut rig = Rig::new();
         let work = rig.work(1, 1, 0.0);
@@ -254,7 +253,7 @@
         rig.engine.handle_input(second);
         let third = rig.work(3, 1, 0.0);
         rig.engine.handle_input(third);
-        // Whatever a module might ask for.
+        // Actions that a faulty module could request.
         rig.engine.execute(Action::Run(RequestId(2)));
         rig.engine.execute(Action::Refuse { id: RequestId(3), stay_away: 0.0, last: false });
         assert_eq!(rig.commands(), ["apply 1"]);
@@ -278,7 +277,7 @@
         rig.engine.make_call(RequestId(1), 1.0);
         let mut second = rig.calls.try_recv().unwrap();
         assert!(first.given_up.try_recv() == Err(oneshot::error::TryRecvError::Closed));
-        // What the first one still says counts for nothing.
+        // The end of the first call is ignored.
         let end = |call: &database::Call, outcome| {
             let end = CallEnd { outcome, body: vec![3] };
             Input::CallEnded { id: call.id, number: call.number, end, took: 0.1 }
@@ -297,7 +296,7 @@
 }
 
 #[test]
-fn a_run_whose_end_is_never_heard_of_is_let_go() {
+fn a_run_whose_end_is_never_reported_is_removed() {
     paused(async {
         let mut rig = Rig::new();
         let work = rig.work(1, 0, 0.0);
@@ -311,24 +310,26 @@
 }
 
 #[test]
-fn wakes_ask_for_the_gauges_and_go_without_where_none_come() {
+fn wakes_request_the_gauges_and_are_delivered_without_them_after_the_timeout() {
     paused(async {
         let mut rig = Rig::new();
         let work = rig.work(1, 0, 0.0);
         rig.engine.step([work]);
         rig.commands();
         rig.engine.step([Input::Woke { token: 0 }]);
-        let Ok(Command::Gauges { tag }) = rig.commands.try_recv() else { panic!("no question") };
+        let Ok(Command::Gauges { tag }) = rig.commands.try_recv() else {
+            panic!("no request for the gauges")
+        };
         assert_eq!(rig.engine.wakes.len(), 1);
         rig.engine.step([Input::Interpreter(Message::Gauges { tag, vouches: 1, readings: vec![Some(1.0)] })]);
         assert!(rig.engine.wakes.is_empty());
-        // No answer: the wake waits no longer than it may.
+        // Without readings the wake is delivered after its timeout.
         rig.until(0.05).await;
         rig.engine.step([Input::Woke { token: 0 }]);
         assert_eq!(rig.engine.wakes.len(), 1);
         rig.until(0.07).await;
         assert!(rig.engine.wakes.is_empty());
-        // No link: nobody is asked.
+        // Without a link no gauges are requested.
         rig.engine.step([Input::LinkDown]);
         while rig.commands.try_recv().is_ok() {}
         rig.engine.step([Input::Woke { token: 0 }]);
@@ -337,7 +338,7 @@
 }
 
 #[test]
-fn until_the_interpreter_is_up_nothing_is_reported_and_nothing_taken() {
+fn until_the_interpreter_is_up_nothing_is_reported_or_accepted() {
     paused(async {
         let mut rig = Rig::before_the_interpreter();
         let check = Input::Check { reply: ReplyTo::new(rig.reply_to.clone(), 9) };
@@ -350,7 +351,7 @@
         assert_eq!(*rig.mode.borrow(), None);
         rig.engine.step([Input::Interpreter(Message::Banner { cold: true, age: 1.0 })]);
         assert_eq!(*rig.mode.borrow(), Some(Mode::Open));
-        // Told to leave before that, it takes nothing when the interpreter comes up.
+        // After an earlier notice to leave, it accepts nothing when the interpreter comes up.
         let mut rig = Rig::before_the_interpreter();
         rig.engine.step([Input::Leave { since: Instant::now() }]);
         rig.engine.step([Input::Interpreter(Message::Banner { cold: true, age: 1.0 })]);
@@ -358,10 +359,10 @@
     });
 }
 
-/// A notice to leave may wait behind much else: all is answered before the kill, which counts from when it
-/// came.
+/// A notice to leave may be queued for long: all requests are answered before the kill, which counts from its
+/// arrival.
 #[test]
-fn a_notice_to_leave_that_waited_gives_no_more_time() {
+fn a_queued_notice_to_leave_gives_no_more_time() {
     paused(async {
         let mut rig = Rig::new();
         let told = Instant::now();
@@ -376,8 +377,6 @@
     });
 }
 
-/// A peer that names a time long past must not make the module believe that requests lie unread for ages, for
-/// which it would run nothing for a long while.
 #[test]
 fn the_grace_counts_from_the_notice_though_the_interpreter_comes_up_after_it() {
     paused(async {
@@ -400,15 +399,17 @@
     });
 }
 
+/// Guards against a peer that gives an arrival time long past: the module would infer a large queueing delay
+/// and run nothing for a long while.
 #[test]
-fn a_time_of_arrival_that_makes_no_sense_does_no_harm() {
+fn an_invalid_arrival_time_is_rejected() {
     paused(async {
         let mut rig = Rig::new();
-        let strange =
+        let invalid =
             [rig.work(1, 0, -2.0), rig.work(2, 0, -1e12), rig.work(3, 0, 70.0), rig.work(4, 0, 1e12)];
-        rig.engine.step(strange);
+        rig.engine.step(invalid);
         assert_eq!(rig.answers(), [1, 2, 3, 4].map(|id| (id, Answer::Bad)));
-        // A clock a little ahead, and a machine that stood for a while, are no fault of the balancer.
+        // A clock slightly ahead and a machine that was paused are accepted.
         let ahead = rig.work(5, 0, -0.5);
         rig.engine.step([ahead]);
         assert_eq!(rig.commands(), ["apply 5"]);
@@ -423,10 +424,9 @@
     });
 }
 
-/// Guards against operators who wait behind requests: an order is obeyed before anything of a full queue is
-/// taken.
+/// Guards against operators' orders that wait behind requests: an order is handled before a full queue.
 #[test]
-fn operators_are_heard_before_a_full_queue_of_requests() {
+fn orders_are_handled_before_a_full_queue_of_requests() {
     paused(async {
         let mut rig = Rig::new();
         let (input, inputs) = mpsc::channel(QUEUE);
@@ -448,10 +448,10 @@
     });
 }
 
-/// Settings change again and again while requests come, wait and run: each gets one answer, and the figures
-/// agree.
+/// Settings change repeatedly while requests arrive, wait and run: each gets one answer, and the counters are
+/// consistent.
 #[test]
-fn settings_that_change_in_a_storm_lose_no_request() {
+fn frequent_changes_of_settings_lose_no_request() {
     paused(async {
         let mut rig = Rig::new();
         let mut answered = std::collections::BTreeMap::new();
@@ -466,7 +466,7 @@
             assert_eq!(taken.try_recv(), Ok(Ok(())), "change {n}");
             for command in rig.commands() {
                 if let Some(digit) = command.strip_prefix("apply ") {
-                    // Every other run ends at once, whatever its class is called now.
+                    // Every other run ends at once, whatever the present name of its class.
                     let of = |id: &u64| format!("{id:016x}")[15..] == *digit;
                     let open: Vec<u64> = rig.engine.requests.keys().map(|id| id.0).filter(of).collect();
                     for id in open.into_iter().filter(|id| id % 2 == 0) {
@@ -484,21 +484,20 @@
         assert!(answered.values().all(|times| *times == 1));
         let counts = rig.engine.channels.desk.counts.borrow();
         assert_eq!((counts.current(), counts.is_consistent(), counts.of_class("read").taken), (0, true, 400));
-        assert!(rig.engine.settings.classes.len() < 20, "places are used again");
+        assert!(rig.engine.settings.classes.len() < 20, "indices of classes are reused");
     });
 }
 
-/// No notice comes of callers that leave, where the settings have it so: all that tells is how long they said
-/// to wait.
+/// Where the settings exclude notices of callers that leave, only their stated waiting time shows it.
 #[test]
 fn an_answer_is_due_when_the_caller_of_this_try_leaves() {
     paused(async {
         let mut rig = Rig::new();
         let batch = [
             rig.work_until(1, 0, 0.1, 0.4),
-            // Longer than anybody waits for this class; the worth of an answer ends after 2 s all the same.
+            // Longer than the deadline of the class; the answer is worthless after 2 s all the same.
             rig.work_until(2, 0, 0.0, 500.0),
-            // No time left, and less than none.
+            // No time left, and negative time.
             rig.work_until(3, 0, 0.2, 0.2),
             rig.work_until(4, 0, 3.0, 1.0),
             rig.work_until(5, 0, 0.0, 0.0),
@@ -519,9 +518,9 @@
     });
 }
 
-/// Tries of one key each have their own caller, who leaves at its own time.
+/// Each try of a key has its own caller, which leaves at its own time.
 #[test]
-fn a_try_that_waits_for_another_ones_run_is_answered_in_its_own_time() {
+fn a_try_that_waits_for_another_run_is_answered_by_its_own_deadline() {
     paused(async {
         let mut rig = Rig::new();
         let first = rig.work_until(1, 1, 0.0, 1.5);
@@ -539,12 +538,13 @@
     });
 }
 
-/// What the cores cannot bear is paused, and goes on later; the run of a key is none that failed meanwhile.
+/// A run that exceeds the capacity of the cores is paused and resumed later; its key does not count as failed
+/// meanwhile.
 #[test]
-fn a_paused_run_is_told_to_go_on_and_its_result_serves_its_key() {
+fn a_paused_run_is_resumed_and_its_result_serves_its_key() {
     paused(async {
         let settings = SETTINGS.replace(r#""halt":"drop""#, r#""halt":"pause""#);
-        // Two on one core are what it survives; a third one comes back from its call.
+        // One core survives two runs; a third one returns from its call.
         let mut rig = Rig::with(&settings.replace(r#""fallMultiple":5"#, r#""fallMultiple":2.5"#));
         let work = |rig: &Rig, id: u64, class| rig.work(id, class, 0.0);
         let first = work(&rig, 1, 1);
@@ -552,7 +552,7 @@
         assert_eq!(rig.commands(), ["apply 1"]);
         rig.engine.execute(Action::Stop(RequestId(1)));
         assert_eq!(rig.commands(), ["break 1"]);
-        // A try that comes during the pause waits for what the run makes.
+        // A try that arrives during the pause waits for the result of the run.
         let (stopped, again) = (rig.value(1, RunEnd::Stopped), work(&rig, 2, 1));
         rig.engine.step([stopped, again]);
         assert_eq!(rig.commands(), ["continue 1"]);
@@ -588,7 +588,7 @@
     }
 "#;
 
-/// Sends the calls of "read" there, of which the fleet has so many for it.
+/// A route table that sends the calls of "read" to this dependency, with this budget.
 fn table(revision: u64, to: &str, budget: u32) -> Snapshot {
     use jaspershunt_routes::{Field, Kind, Table, Thing, Value};
     let call = Value::Call { to: to.into(), calls: budget };
@@ -604,8 +604,8 @@
     Snapshot::new(revision, false, 0, Table { things })
 }
 
-/// A class is full at its limit and a tenant at its share, others go on, and what ends makes room. Guards
-/// against a table on trial that turns all away and is judged by what it let in.
+/// A class is refused at its limit and a tenant at its share, others are admitted, and ended requests free
+/// capacity. Guards against a table on trial that refuses most requests and is judged by those it admits.
 #[test]
 fn the_route_table_bounds_requests_of_a_class_and_of_a_tenant() {
     use jaspershunt_routes::{Field, Kind, Table, Thing, Value};
@@ -641,7 +641,7 @@
         let again = of(&rig, 4, 0, None);
         rig.engine.step([again]);
         assert_eq!(rig.answers(), [(1, Answer::Served(vec![7].into()))]);
-        // One place of so many, whichever the class, and only for that tenant.
+        // One slot for all classes together, and only for that tenant.
         rig.engine.step([Input::RouteTable(table(2, 9, 1))]);
         let round = [of(&rig, 5, 0, Some(0)), of(&rig, 6, 1, Some(0)), of(&rig, 7, 0, Some(1))];
         rig.engine.step(round);
@@ -650,8 +650,8 @@
     });
 }
 
-/// Guards against a table that is judged by what began before its trial, or that is loaded anew when the
-/// trial begins or ends elsewhere.
+/// Guards against a table that is judged by requests from before its trial, or reloaded when a trial begins
+/// or ends elsewhere.
 #[test]
 fn requests_that_begin_during_a_trial_are_counted_for_it() {
     paused(async {
@@ -674,9 +674,9 @@
     });
 }
 
-/// Guards against a request that sees two tables.
+/// Guards against a request that is routed by two tables.
 #[test]
-fn a_request_goes_by_the_route_table_that_it_began_with() {
+fn a_request_is_routed_by_the_table_that_it_began_with() {
     paused(async {
         let settings = SETTINGS.replace(r#""nCores":1"#, r#""nCores":4"#);
         let text = format!(
@@ -690,7 +690,7 @@
             let status = rig.engine.dependencies.as_ref().unwrap().decisions.status();
             status.into_iter().map(|of| of.limit).collect::<Vec<_>>()
         };
-        // Before there is a table, as the file says.
+        // Without a table, the file applies.
         let first = rig.work(1, 0, 0.0);
         rig.engine.step([first]);
         rig.engine.step([Input::RouteTable(table(4, "b", 2))]);
@@ -698,13 +698,13 @@
         let second = rig.work(2, 0, 0.0);
         rig.engine.step([second]);
         rig.engine.step([Input::RouteTable(table(5, "lejos", 7))]);
-        // What the new one is silent on is as in the file again; a file that is read again stands below the
+        // The file applies to what the new table does not contain; a reloaded file does not override the
         // table.
         assert_eq!(limits(&rig), [4, 4]);
         rig.engine.step([Input::RouteTable(table(6, "a", 3))]);
         rig.engine.step([Input::OperatorFile(Rc::new(file(&BELOW.replace("calls = 4", "calls = 8"))))]);
         assert_eq!(limits(&rig), [3, 8]);
-        // An older table is not gone back to.
+        // An older table is ignored.
         rig.engine.step([Input::RouteTable(table(5, "b", 1))]);
         assert_eq!(limits(&rig), [3, 8]);
         let third = rig.work(3, 0, 0.0);
--- a/crates/node/src/engine/upgrade.rs
+++ b/crates/node/src/engine/upgrade.rs
@@ -153,7 +153,7 @@
         self.claims.lost();
         log!(
             WARN,
-            "upgrade: another start has taken the right to run from this one, which was silent; it yields"
+            "upgrade: another process has taken the right to run from this one, which did not respond; it yields"
         );
         self.stop_reporting();
         self.partner_lost();
@@ -210,7 +210,7 @@
             }
             right => {
                 // The other process has not received ownership of anything.
-                log!(ERROR, "upgrade: {count} keys are too many for the link; they stay here");
+                log!(ERROR, "upgrade: {count} keys exceed the link's queue and were not handed over");
                 self.right = right;
                 self.partner.replace(None);
                 return false;
@@ -218,9 +218,12 @@
         };
         if !self.partner.send(last) {
             // The link broke, so the right is free and will be taken back.
-            log!(ERROR, "upgrade: the link broke as the keys were given");
+            log!(ERROR, "upgrade: the link broke while the keys were handed over");
         }
-        log!("upgrade: {count} keys are the other start's, {} requests are ended here", self.requests.len());
+        log!(
+            "upgrade: {count} keys were handed over; {} requests finish in this process",
+            self.requests.len()
+        );
         true
     }
 
@@ -312,7 +315,7 @@
         };
         let entry = wire::Entry { key: key.clone(), print, until: until + self.epoch, state };
         if !self.partner.send(Message::Ended(entry)) {
-            log!(ERROR, "upgrade: the link is full; what became of a key is not told");
+            log!(ERROR, "upgrade: the link is full; the result of a key was not sent");
         }
     }
 
