--- a/crates/node/src/counts/tests.rs
+++ b/crates/node/src/counts/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_was_taken_is_what_ended_and_what_is_open() {
+fn requests_taken_equal_those_ended_and_open() {
     let mut counts = Counts::new(["read", "sign"]);
     for _ in 0..5 {
         counts.taken("read");
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn names_are_bounded_and_totals_hold_beyond_the_bound() {
+fn class_names_are_bounded_and_totals_include_further_classes() {
     let names: Vec<String> = (0..2 * MAX_CLASSES).map(|n| n.to_string()).collect();
     let mut counts = Counts::new(names.iter().map(String::as_str));
     names.iter().for_each(|name| counts.taken(name));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn figures_carry_the_names_that_operators_know() {
+fn counters_keep_the_names_shown_to_operators() {
     let mut counts = Counts::new(["read"]);
     counts.taken("read");
     counts.ended("read", Ended::Deferred);
--- a/crates/node/src/engine/handover/tests.rs
+++ b/crates/node/src/engine/handover/tests.rs
@@ -1,4 +1,5 @@
-//! The engine with the test in the place of the fleet: what runs, and who is told what, when.
+//! Tests of handover in the engine, with the test in place of the fleet: what runs, and which answers go out
+//! when.
 
 use super::*;
 use crate::engine::input::{Message, RunEnd};
@@ -11,8 +12,8 @@
     Holder::new("n", 1)
 }
 
-/// The class `sign` is held by the fleet from here on.
-fn holds(rig: &mut Rig) {
+/// Requests of the class `sign` are recorded in the fleet from now on.
+fn record_in_fleet(rig: &mut Rig) {
     let file = r#"{"effect":"asks","resource":"127.0.0.1:9","path":"/"}"#;
     let mut handover = Handover {
         classes: [("sign".to_string(), serde_json::from_str(file).unwrap())].into(),
@@ -28,7 +29,7 @@
     rig.engine.handover = Some(handover);
 }
 
-/// A try is offered to the fleet; the entry.
+/// Offers a try to the fleet and returns the entry.
 fn offer(rig: &mut Rig, id: u64, key: &str) -> Entry {
     let Input::Work { id, work, reply } = rig.work(id, 1, 0.0) else { panic!("no work") };
     let due_ms = ms(rig.engine.now + rig.engine.epoch) + 4_000;
@@ -48,7 +49,7 @@
     Entry::Offer { by: me(), offer, begin: true, now_ms: due_ms - 4_000 }
 }
 
-fn agreed(rig: &mut Rig, entry: Entry, outcome: Outcome) {
+fn settle(rig: &mut Rig, entry: Entry, outcome: Outcome) {
     rig.engine
         .step([Input::Fleet(FleetEvent::Proposed { entry, result: ProposalResult::Committed(outcome) })]);
 }
@@ -58,37 +59,37 @@
 }
 
 #[test]
-fn nothing_runs_before_it_is_held_and_nobody_is_told_before_its_end_is_agreed() {
+fn no_run_before_its_offer_is_committed_and_no_answer_before_its_end_is() {
     paused(async {
         let mut rig = Rig::new();
-        holds(&mut rig);
+        record_in_fleet(&mut rig);
         let entry = offer(&mut rig, 1, KEY);
         assert!(rig.commands().is_empty());
-        agreed(&mut rig, entry, Outcome::Yours { token: 3 });
+        settle(&mut rig, entry, Outcome::Yours { token: 3 });
         assert_eq!(rig.commands(), ["apply 1"]);
         assert_eq!(rig.engine.token_of(Some(&KEY.into())), Some((KEY.into(), 3)));
         let over = rig.value(1, RunEnd::Done(vec![7]));
         rig.engine.step([over]);
         assert_eq!((rig.answers(), rig.engine.in_flight()), (vec![], 2));
-        // What was recorded first is told.
-        agreed(&mut rig, end(3, End::Done(vec![7])), Outcome::Known(End::Done(vec![9])));
+        // The end that was recorded first is the answer.
+        settle(&mut rig, end(3, End::Done(vec![7])), Outcome::Known(End::Done(vec![9])));
         assert_eq!(rig.answers(), [(1, served(&[9]))]);
         assert_eq!(rig.engine.in_flight(), 0);
     });
 }
 
 #[test]
-fn what_ran_here_is_not_run_here_again_under_any_token() {
+fn a_key_that_ran_here_does_not_run_here_again_under_any_token() {
     paused(async {
         let mut rig = Rig::new();
-        holds(&mut rig);
+        record_in_fleet(&mut rig);
         let entry = offer(&mut rig, 1, KEY);
-        agreed(&mut rig, entry.clone(), Outcome::Yours { token: 3 });
+        settle(&mut rig, entry.clone(), Outcome::Yours { token: 3 });
         let over = rig.value(1, RunEnd::Failed);
         rig.engine.step([over]);
         assert_eq!(rig.commands(), ["apply 1"]);
-        // It was lost to another, which is lost as well, and comes back; what it acts on says that it never
-        // ran.
+        // The key was lost to another nodo, which is lost too, and comes back; the resource reports that it
+        // never ran.
         let Entry::Offer { offer, .. } = entry else { panic!("no offer") };
         let mine = OwnedItem {
             key: KEY.into(),
@@ -104,24 +105,24 @@
             |told| Input::Fleet(FleetEvent::QueryAnswered { key: KEY.into(), token: 5, result: told });
         rig.engine.step([asked(QueryResult::NeverRan)]);
         let begin = Entry::Begin { key: KEY.into(), by: me(), token: 5 };
-        agreed(&mut rig, begin, Outcome::Yours { token: 5 });
+        settle(&mut rig, begin, Outcome::Yours { token: 5 });
         assert!(rig.commands().is_empty(), "its key was run twice");
         rig.engine.step([asked(QueryResult::CannotTell)]);
-        agreed(&mut rig, end(5, End::Unknown), Outcome::Known(End::Unknown));
+        settle(&mut rig, end(5, End::Unknown), Outcome::Known(End::Unknown));
         assert_eq!(rig.answers(), [(1, Answer::Failed)]);
         assert_eq!(rig.engine.in_flight(), 0);
     });
 }
 
-/// The end of a run is never heard of, and a repeat that waited for it goes with it: the repeat itself has
-/// not run, its key has.
+/// The end of a run is never reported, and a try that waited for it leaves too: that try has not run, but its
+/// key has.
 #[test]
-fn a_key_whose_run_was_lost_is_not_said_never_to_have_run() {
+fn a_key_whose_run_was_lost_is_not_reported_as_never_run() {
     paused(async {
         let mut rig = Rig::new();
-        holds(&mut rig);
+        record_in_fleet(&mut rig);
         let entry = offer(&mut rig, 1, KEY);
-        agreed(&mut rig, entry, Outcome::Yours { token: 3 });
+        settle(&mut rig, entry, Outcome::Yours { token: 3 });
         rig.until(40.5).await;
         assert_eq!(rig.commands()[0], "apply 1");
         let again = rig.work(2, 1, 0.0);
@@ -130,28 +131,28 @@
         rig.until(42.4).await;
         assert_eq!(rig.answers(), [(1, Answer::Failed), (2, Answer::Failed)]);
         assert!(rig.engine.requests.is_empty());
-        // It waits for a word of what the key acts on, and nothing else ends it.
-        agreed(&mut rig, end(3, End::NeverRan), Outcome::Known(End::NeverRan));
+        // Only the resource's answer to a query ends the key.
+        settle(&mut rig, end(3, End::NeverRan), Outcome::Known(End::NeverRan));
         assert_eq!(rig.engine.token_of(Some(&KEY.into())), Some((KEY.into(), 3)));
         rig.engine.step([Input::Fleet(FleetEvent::QueryAnswered {
             key: KEY.into(),
             token: 3,
             result: QueryResult::Done(vec![7]),
         })]);
-        agreed(&mut rig, end(3, End::Done(vec![7])), Outcome::Known(End::Done(vec![7])));
+        settle(&mut rig, end(3, End::Done(vec![7])), Outcome::Known(End::Done(vec![7])));
         assert_eq!(rig.engine.token_of(Some(&KEY.into())), None);
     });
 }
 
-/// All callers have their answers, and a run goes on that this nodo could hand over: it is in hand until
+/// All callers are answered while a run continues that this nodo can hand over: it counts as in flight until
 /// then.
 #[test]
-fn a_nodo_that_leaves_has_its_runs_in_hand_until_they_are_handed_over() {
+fn a_leaving_nodo_counts_its_runs_as_in_flight_until_they_are_handed_over() {
     paused(async {
         let mut rig = Rig::new();
-        holds(&mut rig);
+        record_in_fleet(&mut rig);
         let entry = offer(&mut rig, 1, KEY);
-        agreed(&mut rig, entry, Outcome::Yours { token: 3 });
+        settle(&mut rig, entry, Outcome::Yours { token: 3 });
         rig.engine.stop_at = Some(rig.engine.now + 10.0);
         rig.until(2.1).await;
         assert_eq!(rig.answers(), [(1, Answer::Failed)]);
@@ -162,12 +163,12 @@
 }
 
 #[test]
-fn a_nodo_that_leaves_answers_who_waits_and_whose_end_is_not_agreed() {
+fn a_leaving_nodo_answers_waiting_tries_and_those_with_an_uncommitted_end() {
     paused(async {
         let mut rig = Rig::new();
-        holds(&mut rig);
+        record_in_fleet(&mut rig);
         let entry = offer(&mut rig, 1, KEY);
-        agreed(&mut rig, entry, Outcome::Yours { token: 3 });
+        settle(&mut rig, entry, Outcome::Yours { token: 3 });
         let over = rig.value(1, RunEnd::Done(vec![7]));
         rig.engine.step([over]);
         offer(&mut rig, 2, "another");
@@ -180,43 +181,44 @@
 }
 
 #[test]
-fn of_two_tries_that_are_turned_away_each_gets_one_answer() {
+fn each_of_two_refused_tries_gets_one_answer() {
     paused(async {
         let mut rig = Rig::before_the_interpreter();
-        holds(&mut rig);
+        record_in_fleet(&mut rig);
         let entry = offer(&mut rig, 1, KEY);
         let second = offer(&mut rig, 2, KEY);
-        agreed(&mut rig, entry.clone(), Outcome::Yours { token: 3 });
-        // That nothing ran is not agreed: another has it, says the same, and this process may have it anew.
-        agreed(&mut rig, end(3, End::NeverRan), Outcome::Refused(Refusal::OldToken));
+        settle(&mut rig, entry.clone(), Outcome::Yours { token: 3 });
+        // That nothing ran is not committed: another nodo owns the key, reports the same, and this process
+        // owns it again.
+        settle(&mut rig, end(3, End::NeverRan), Outcome::Refused(Refusal::OldToken));
         assert_eq!(rig.answers(), []);
         let Entry::Offer { by, offer, now_ms, .. } = entry else { panic!("no offer: {second:?}") };
-        agreed(&mut rig, Entry::Offer { by, offer, begin: false, now_ms }, Outcome::Yours { token: 5 });
+        settle(&mut rig, Entry::Offer { by, offer, begin: false, now_ms }, Outcome::Yours { token: 5 });
         let begin = Entry::Begin { key: KEY.into(), by: me(), token: 5 };
-        agreed(&mut rig, begin, Outcome::Yours { token: 5 });
+        settle(&mut rig, begin, Outcome::Yours { token: 5 });
         assert_eq!(rig.answers(), [(1, Answer::Failed)]);
-        agreed(&mut rig, end(5, End::NeverRan), Outcome::Known(End::NeverRan));
+        settle(&mut rig, end(5, End::NeverRan), Outcome::Known(End::NeverRan));
         assert!(matches!(rig.answers()[..], [(2, Answer::Refused { .. })]));
         assert_eq!(rig.engine.in_flight(), 0);
     });
 }
 
-/// Its call is given up: no request is over for the platform by that, so the nodo ends the run itself, and
-/// asks what became of it.
+/// The run's call is given up. The platform sees no request end by that, so the nodo stops the run and
+/// queries the resource.
 #[test]
-fn an_heirs_run_that_waits_for_a_call_ends_with_its_time() {
+fn an_inherited_run_that_waits_for_a_call_ends_at_its_deadline() {
     paused(async {
         let mut rig = Rig::new();
-        holds(&mut rig);
+        record_in_fleet(&mut rig);
         let Entry::Offer { offer, .. } = offer(&mut rig, 1, KEY) else { panic!("no offer") };
         let mut rig = Rig::new();
-        holds(&mut rig);
+        record_in_fleet(&mut rig);
         let mine = OwnedItem { key: KEY.into(), offer, token: 5, state: Progress::Held, taken_over: true };
         rig.engine.with_local_work(|own, now_ms| {
             own.on_view(&MemberView { owned: vec![mine], ended: vec![] }, now_ms)
         });
         let begin = Entry::Begin { key: KEY.into(), by: me(), token: 5 };
-        agreed(&mut rig, begin, Outcome::Yours { token: 5 });
+        settle(&mut rig, begin, Outcome::Yours { token: 5 });
         let uid = rig.engine.requests.values().next().expect("it runs").uid.clone();
         let content = vec![2];
         rig.engine.step([Input::Interpreter(Message::Await { pos: 1, uid: uid.clone(), content })]);
@@ -229,22 +231,22 @@
             token: 5,
             result: QueryResult::Done(vec![7]),
         })]);
-        agreed(&mut rig, end(5, End::Done(vec![7])), Outcome::Known(End::Done(vec![7])));
+        settle(&mut rig, end(5, End::Done(vec![7])), Outcome::Known(End::Done(vec![7])));
         assert!(rig.engine.requests.is_empty() && rig.engine.in_flight() == 0);
     });
 }
 
-/// One copy of an offer was refused, as this start was not enrolled yet; another may be agreed by now, and
-/// run elsewhere.
+/// One copy of an offer was refused, as this incarnation was not enrolled yet; another copy may be committed
+/// and run elsewhere.
 #[test]
-fn the_refusal_of_one_copy_says_nothing_of_the_others() {
+fn the_refusal_of_one_copy_does_not_apply_to_the_others() {
     paused(async {
         for (came, told) in [
             (ProposalResult::Committed(Outcome::Refused(Refusal::NotPresent)), true),
             (ProposalResult::ResentRefused(Refusal::NotPresent), false),
         ] {
             let mut rig = Rig::new();
-            holds(&mut rig);
+            record_in_fleet(&mut rig);
             let entry = offer(&mut rig, 1, KEY);
             rig.engine.step([Input::Fleet(FleetEvent::Proposed { entry, result: came })]);
             let [(1, answer)] = &rig.answers()[..] else { panic!("no answer") };
@@ -254,7 +256,7 @@
 }
 
 #[test]
-fn what_never_ran_is_turned_away_and_what_nobody_knows_fails() {
+fn a_key_that_never_ran_is_refused_and_an_unknown_outcome_fails() {
     assert_eq!(answer_of(&End::NeverRan, 1.0), Answer::Refused { stay_away: 1.0, last: false });
     assert_eq!(answer_of(&End::Done(vec![7]), 1.0), Answer::Served([7].into()));
     for end in [End::Failed, End::Unknown] {
--- a/crates/node/src/engine/tests/reload.rs
+++ b/crates/node/src/engine/tests/reload.rs
@@ -1,9 +1,9 @@
-//! Settings that change while keys are remembered and requests are open, on a clock that stands until all is
-//! done.
+//! Settings that are reloaded while keys are remembered and requests are in flight, on a clock that advances
+//! only when idle.
 
 use super::*;
 
-/// The settings of the tests with this in the place of that.
+/// The settings of the tests with `from` replaced by `to`.
 fn changed(from: &str, to: &str) -> String {
     let text = SETTINGS.replace(from, to);
     assert_ne!(text, SETTINGS, "{from}");
@@ -15,7 +15,7 @@
     SETTINGS.replace("\"windowS\":60", &format!("\"windowS\":{seconds}"))
 }
 
-/// Has these settings taken up, as at a SIGHUP.
+/// Reloads these settings, as at a SIGHUP.
 fn reload(rig: &mut Rig, text: &str) {
     let (settings, names) = jaspershunt_settings::read(text, "settings").unwrap();
     let (done, mut taken) = oneshot::channel();
@@ -23,7 +23,7 @@
     assert_eq!(taken.try_recv(), Ok(Ok(())));
 }
 
-/// A try of the one key, under the class as the settings in force have it.
+/// A try of the one key, with the class's index in the settings in force.
 fn sign(rig: &Rig, id: u64, waited: f64) -> Input {
     let class = rig.engine.names.class("sign").unwrap();
     match rig.work(id, 1, waited) {
@@ -42,7 +42,7 @@
     assert_eq!(rig.answers(), [(1, served(&[7]))]);
 }
 
-/// A try is read now that came to the machine so long ago; whether it is run.
+/// Handles a try that arrived `waited` seconds ago; returns whether it runs.
 fn runs(rig: &mut Rig, id: u64, waited: f64) -> bool {
     let again = sign(rig, id, waited);
     rig.engine.step([again]);
@@ -66,7 +66,7 @@
     });
 }
 
-/// A window that gets longer takes nothing from a key that ran under a still longer one.
+/// An extended window does not shorten that of a key that ran under a still longer one.
 #[test]
 fn a_key_that_ran_under_the_longest_of_three_windows_is_remembered_for_that() {
     paused(async {
@@ -89,13 +89,13 @@
         rig.until(59.9).await;
         assert!(!runs(&mut rig, 2, 0.0));
         rig.until(60.2).await;
-        assert!(runs(&mut rig, 3, 0.0), "it is remembered for no longer than that");
+        assert!(runs(&mut rig, 3, 0.0), "it is remembered for too long");
     });
 }
 
-/// Guards against a window that grows with each change to and fro.
+/// Guards against a window that grows with each change back and forth.
 #[test]
-fn windows_that_change_to_and_fro_end() {
+fn windows_that_change_back_and_forth_end() {
     paused(async {
         let mut rig = Rig::with(&window(5));
         run_first(&mut rig);
@@ -110,7 +110,7 @@
     });
 }
 
-/// It came under the shorter window and waits for the core until the longer one is in force.
+/// The try arrives under the shorter window and is queued until the longer one is in force.
 #[test]
 fn a_try_that_waits_while_its_window_gets_longer_is_remembered_for_the_longer_one() {
     paused(async {
@@ -132,9 +132,9 @@
     });
 }
 
-/// The class is taken out of the settings and put back with a longer window.
+/// The class is removed from the settings and added again with a longer window.
 #[test]
-fn a_class_that_comes_back_with_a_longer_window_has_its_keys_remembered_for_it() {
+fn a_class_added_again_with_a_longer_window_extends_its_keys() {
     paused(async {
         let mut rig = Rig::with(&window(5));
         run_first(&mut rig);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn the_last_instant_of_a_window_is_within_it_and_what_comes_later_is_not() {
+fn the_last_instant_of_a_window_is_within_it_and_later_ones_are_not() {
     paused(async {
         let mut rig = Rig::new();
         run_first(&mut rig);
@@ -157,14 +157,14 @@
     });
 }
 
-/// The nodo is kept from its work as the window ends: what counts is when the try came, not when it is read.
+/// The try is queued as the window ends: its arrival counts, not when it is handled.
 #[test]
-fn a_try_that_came_within_the_window_and_is_read_after_it_does_not_run() {
+fn a_try_that_arrived_within_the_window_and_is_handled_after_it_does_not_run() {
     paused(async {
         let mut rig = Rig::new();
         run_first(&mut rig);
         rig.until(61.0).await;
-        // Nothing else that is read first may make the nodo forget it.
+        // Another input that is handled first must not make the nodo forget the key.
         let other = match rig.work(5, 1, 0.0) {
             Input::Work { id, work, reply } => {
                 Input::Work { id, work: Work { key: Some(Key::from("another key")), ..work }, reply }
@@ -181,7 +181,7 @@
     });
 }
 
-/// The window ends while the first try still runs, and another waits for what that makes.
+/// The window ends while the first try still runs, and another waits for its result.
 #[test]
 fn a_try_that_waits_for_a_run_as_the_window_ends_is_served_by_it() {
     paused(async {
@@ -203,8 +203,8 @@
     });
 }
 
-/// The notice to leave waits behind a full queue, and settings with a longer grace are taken up before it is
-/// read.
+/// The notice to leave waits behind a full queue, and settings with a longer grace come into force before it
+/// is handled.
 #[test]
 fn the_grace_is_the_one_in_force_when_the_notice_came() {
     paused(async {
@@ -225,10 +225,10 @@
     });
 }
 
-/// Settings are taken up during the grace and after it: what runs is answered once, nothing new runs, and
+/// Settings are reloaded during and after the grace: running requests are answered once, no new one runs, and
 /// `closed` stays reported.
 #[test]
-fn settings_that_change_as_the_nodo_leaves_change_nothing_of_that() {
+fn settings_that_change_as_the_nodo_leaves_do_not_affect_its_leaving() {
     paused(async {
         let mut rig = Rig::new();
         let first = rig.work(1, 0, 0.0);
@@ -251,8 +251,8 @@
     });
 }
 
-/// A request was read, and two changes of the settings overtake it on its way to the engine. Its class has
-/// gone with the first, and the second brings one that has no place yet.
+/// Two changes of the settings overtake a queued request: the first removes its class, and the second adds
+/// one that needs an index.
 #[test]
 fn a_request_that_two_changes_of_the_settings_overtake_keeps_its_class() {
     paused(async {
@@ -264,7 +264,7 @@
         let command = std::iter::from_fn(|| rig.commands.try_recv().ok())
             .find_map(|command| if let Command::Apply { class, .. } = command { Some(class) } else { None });
         assert_eq!(command.as_deref(), Some("\"read\""));
-        // Places are used again once nothing can be on its way to them.
+        // Indices are reused once no queued request can refer to them.
         rig.until(0.1).await;
         reload(&mut rig, &changed("\"read\"", "\"seek\""));
         let names: Vec<_> = rig.engine.settings.classes.iter().map(|class| class.name.as_str()).collect();
@@ -272,11 +272,10 @@
     });
 }
 
-/// The settings without a class, or with another effect or other figures of it, while its requests are held,
-/// run, are at a call, and run though they were answered: each keeps the figures that it came with, and is
-/// answered once.
+/// A class is removed, or its effect or numbers change, while its requests are queued, running, at a call, or
+/// running though answered: each keeps the numbers that it arrived under, and is answered once.
 #[test]
-fn open_requests_of_a_class_that_goes_or_changes_end_as_they_came() {
+fn in_flight_requests_of_a_removed_or_changed_class_keep_its_settings() {
     let effect = |to: &str| changed("\"semantics\":\"free\"", &format!("\"semantics\":\"{to}\""));
     let keyed = changed("\"semantics\":\"free\"", "\"semantics\":\"guarded\",\"windowS\":9");
     let figures = changed(
@@ -295,7 +294,7 @@
             let left = rig.work(2, 0, 0.0);
             rig.engine.step([left]);
             assert_eq!(rig.commands(), ["apply 1", "apply 2"]);
-            // Its caller leaves as the change comes, and it runs on.
+            // Its caller leaves as the settings change, and it continues to run.
             rig.engine.step([Input::CallerGone { id: RequestId(2) }]);
             let others = [rig.work(3, 0, 1.0), rig.work(4, 0, 1.0)];
             rig.engine.step(others);
@@ -304,7 +303,7 @@
             rig.until(3.0).await;
             let mut answered: Vec<_> = rig.answers().into_iter().map(|(id, _)| id).collect();
             answered.sort_unstable();
-            assert_eq!(answered, [1, 2, 3, 4], "in the time that they came with: {text}");
+            assert_eq!(answered, [1, 2, 3, 4], "within the deadline at their arrival: {text}");
             let ends = [1, 2, 3, 4].map(|id| rig.value(id, RunEnd::Stopped));
             rig.engine.step(ends);
             assert!(rig.engine.requests.is_empty() && rig.engine.by_uid.is_empty());
@@ -317,7 +316,7 @@
     }
 }
 
-/// The class stops being a keyed one and is one again: what ran is still known, under the key that it had.
+/// The class is no longer keyed and then keyed again: keys that ran are still known.
 #[test]
 fn a_key_is_known_when_its_class_is_keyed_again() {
     paused(async {
@@ -331,21 +330,23 @@
     });
 }
 
-/// The gauges are asked for by the settings before, and their readings come once other gauges, or another
+/// The gauges are requested under the previous settings, and the readings come after other gauges, or another
 /// order, are in force.
 #[test]
-fn readings_asked_for_before_other_gauges_are_in_force_are_not_taken_for_those() {
+fn readings_requested_under_previous_gauges_are_not_taken_for_new_ones() {
     paused(async {
         let mut rig = Rig::new();
         let work = rig.work(1, 0, 0.0);
         rig.engine.step([work]);
         rig.commands();
         rig.engine.step([Input::Woke { token: 0 }]);
-        let Ok(Command::Gauges { tag }) = rig.commands.try_recv() else { panic!("no question") };
+        let Ok(Command::Gauges { tag }) = rig.commands.try_recv() else {
+            panic!("no request for the gauges")
+        };
         reload(&mut rig, &changed(r#""meters":["on_cores"]"#, r#""meters":["heap_share"]"#));
-        assert!(rig.engine.wakes.is_empty(), "the wake goes on without readings");
+        assert!(rig.engine.wakes.is_empty(), "the wake is delivered without readings");
         let before = rig.engine.tag;
         rig.engine.step([Input::Interpreter(Message::Gauges { tag, vouches: 1, readings: vec![Some(1.0)] })]);
-        assert_eq!(rig.engine.tag, before, "an answer that is taken ends the question");
+        assert_eq!(rig.engine.tag, before, "an accepted answer changes the tag");
     });
 }
