--- a/crates/node/src/engine/handover.rs
+++ b/crates/node/src/engine/handover.rs
@@ -215,12 +215,12 @@
         let query_permits = handover.query_permits.clone();
         self.spawn_fleet_task(async move {
             let permit = query_permits.acquire().await;
-            let told = fleet::ask(resource, &path, &key, token, within).await;
-            if told == QueryResult::AnswerLost {
+            let result = fleet::ask(resource, &path, &key, token, within).await;
+            if result == QueryResult::AnswerLost {
                 sleep(RETRY_DELAY).await;
             }
             drop(permit);
-            FleetEvent::QueryAnswered { key, token, result: told }
+            FleetEvent::QueryAnswered { key, token, result }
         });
     }
 
--- a/crates/node/src/engine/handover/leave.rs
+++ b/crates/node/src/engine/handover/leave.rs
@@ -28,16 +28,21 @@
         self.send_after(CAPACITY_REPORT_INTERVAL, Input::Fleet(FleetEvent::ReportCapacity));
         let way = self.channels.desk.fleet.borrow().clone();
         let (Some(way), Some(handover)) = (way, &mut self.handover) else { return };
-        let most = f64::from(self.settings.cores) * self.settings.crowd_multiple;
+        let max_runs = f64::from(self.settings.cores) * self.settings.crowd_multiple;
         let runs = self.requests.values().filter(|entry| entry.runs()).count() as f64;
-        let room = if self.stop_at.is_some() { 0 } else { (most - runs).max(0.0) as u32 };
-        let same = |told: u32| f64::from(told.abs_diff(room)) <= f64::from(told) * CAPACITY_REPORT_STEP;
-        if handover.reported_capacity.as_ref().is_some_and(|(by, told)| *by == way.me && same(*told)) {
+        let capacity = if self.stop_at.is_some() { 0 } else { (max_runs - runs).max(0.0) as u32 };
+        let is_similar = |reported: u32| {
+            f64::from(reported.abs_diff(capacity)) <= f64::from(reported) * CAPACITY_REPORT_STEP
+        };
+        if handover
+            .reported_capacity
+            .as_ref()
+            .is_some_and(|(by, reported)| *by == way.me && is_similar(*reported))
+        {
             return;
         }
-        handover.reported_capacity = Some((way.me.clone(), room));
-        let entry =
-            Entry::Capacity { holder: way.me.clone(), region: handover.region.clone(), capacity: room };
+        handover.reported_capacity = Some((way.me.clone(), capacity));
+        let entry = Entry::Capacity { holder: way.me.clone(), region: handover.region.clone(), capacity };
         self.spawn_fleet_task(async move {
             let came = fleet::propose(&way, &entry, PROPOSE_TIMEOUT).await;
             FleetEvent::CapacityReported { committed: came == ProposalResult::Committed(Outcome::Done) }
--- a/crates/node/src/engine/handover/runs.rs
+++ b/crates/node/src/engine/handover/runs.rs
@@ -161,12 +161,12 @@
         let Some(run) = run else { return };
         run.in_module = false;
         run.id = id.or(run.id);
-        let (token, told) = (run.token, run.committed_end.take());
+        let (token, committed_end) = (run.token, run.committed_end.take());
         // Guards against a try that waited for a run of its key whose end was never reported, and leaves
         // after it: reporting that nothing ran would let another nodo run the key again.
         let started = ran == RunResult::NeverRan && self.keys.run_state(key).is_some();
         let ran = if started { RunResult::OutcomeUnknown } else { ran };
-        match told {
+        match committed_end {
             Some(end) => self.end_committed(key, &end),
             None => self.with_local_work(|own, _| own.on_run_result(key, token, ran)),
         }
--- a/crates/node/src/engine/handover/tests.rs
+++ b/crates/node/src/engine/handover/tests.rs
@@ -101,8 +101,7 @@
         rig.engine.with_local_work(|own, now_ms| {
             own.on_view(&MemberView { owned: vec![mine], ended: vec![] }, now_ms)
         });
-        let asked =
-            |told| Input::Fleet(FleetEvent::QueryAnswered { key: KEY.into(), token: 5, result: told });
+        let asked = |result| Input::Fleet(FleetEvent::QueryAnswered { key: KEY.into(), token: 5, result });
         rig.engine.step([asked(QueryResult::NeverRan)]);
         let begin = Entry::Begin { key: KEY.into(), by: me(), token: 5 };
         settle(&mut rig, begin, Outcome::Yours { token: 5 });
@@ -241,16 +240,16 @@
 #[test]
 fn the_refusal_of_one_copy_does_not_apply_to_the_others() {
     paused(async {
-        for (came, told) in [
+        for (result, is_refused) in [
             (ProposalResult::Committed(Outcome::Refused(Refusal::NotPresent)), true),
             (ProposalResult::ResentRefused(Refusal::NotPresent), false),
         ] {
             let mut rig = Rig::new();
             record_in_fleet(&mut rig);
             let entry = offer(&mut rig, 1, KEY);
-            rig.engine.step([Input::Fleet(FleetEvent::Proposed { entry, result: came })]);
+            rig.engine.step([Input::Fleet(FleetEvent::Proposed { entry, result })]);
             let [(1, answer)] = &rig.answers()[..] else { panic!("no answer") };
-            assert_eq!(matches!(answer, Answer::Refused { .. }), told, "{answer:?}");
+            assert_eq!(matches!(answer, Answer::Refused { .. }), is_refused, "{answer:?}");
         }
     });
 }
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -365,10 +365,10 @@
 fn a_queued_notice_to_leave_gives_no_more_time() {
     paused(async {
         let mut rig = Rig::new();
-        let told = Instant::now();
+        let noticed = Instant::now();
         rig.until(1.0).await;
         let work = rig.work(1, 0, 0.0);
-        rig.engine.step([work, Input::Leave { since: told }]);
+        rig.engine.step([work, Input::Leave { since: noticed }]);
         assert_eq!(rig.commands(), ["apply 1"]);
         rig.until(2.7).await;
         assert_eq!(rig.answers(), []);
--- a/crates/node/src/engine/tests/reload.rs
+++ b/crates/node/src/engine/tests/reload.rs
@@ -209,10 +209,10 @@
 fn the_grace_is_the_one_in_force_when_the_notice_came() {
     paused(async {
         let mut rig = Rig::new();
-        let told = Instant::now();
+        let noticed = Instant::now();
         rig.engine.channels.desk.leaves.set(true);
         reload(&mut rig, &changed("\"drainGraceS\":2", "\"drainGraceS\":60"));
-        rig.engine.step([Input::Leave { since: told }]);
+        rig.engine.step([Input::Leave { since: noticed }]);
         rig.until(1.5).await;
         let within = rig.work(1, 0, 0.0);
         rig.engine.step([within]);
--- a/crates/node/src/engine/upgrade.rs
+++ b/crates/node/src/engine/upgrade.rs
@@ -264,14 +264,14 @@
     /// process, and, while that owns the keys, runs of keys whose callers have left, since their results must
     /// be reported.
     pub(super) fn in_flight(&self) -> usize {
-        let told = self.claims == Claims::Theirs;
+        let partner_owns_keys = self.claims == Claims::Theirs;
         let runs = |e: &&Entry| e.reply.is_none() && e.key.is_some() && e.runs();
-        let unheard = if told { self.requests.values().filter(runs).count() } else { 0 };
+        let unreported_runs = if partner_owns_keys { self.requests.values().filter(runs).count() } else { 0 };
         // Guards against a nodo that ends once all callers are answered while it has a run that it could hand
         // over.
         let leaves = self.stop_at.is_some() && !self.channels.desk.handed.get();
         let outside = self.handover.as_ref().map_or(0, |handover| handover.in_flight(leaves));
-        self.owed + self.partner.relays.len() + unheard + outside
+        self.owed + self.partner.relays.len() + unreported_runs + outside
     }
 
     /// Relays a try to the later process.
