--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -1,8 +1,8 @@
 //! The one task that owns the decision module and the state of every request.
 //!
-//! Everything reaches it through one queue. It takes all that is queued, tells the module in one step, and carries
-//! out what the module asks for in order. It knows no protocol and never waits on a socket: what it wants done
-//! elsewhere it hands to the tasks of the interpreter, the database, the directory and the connections.
+//! All inputs reach it through one queue. It drains the queue, passes the events to the module in one step,
+//! and executes the module's actions in order. It knows no protocol and never waits on a socket: I/O is
+//! delegated to the tasks of the interpreter, the database, the directory and the connections.
 
 use crate::admin::{Desk, Order};
 use crate::capture::Capture;
@@ -26,9 +26,9 @@
 use tokio::time::{Instant, sleep};
 
 mod arrivals;
-mod below;
 mod calls;
 mod captures;
+mod dependencies;
 mod drain;
 mod handover;
 pub mod input;
@@ -38,92 +38,101 @@
 mod upgrade;
 use crate::upgrade::claims::Claims;
 use crate::upgrade::right::Right;
-use below::Several;
+use dependencies::Dependencies;
 use handover::Handover;
-pub(crate) use handover::MAX_QUESTIONS;
+pub(crate) use handover::MAX_CONCURRENT_QUERIES;
 use input::{Input, QUEUE};
 use upgrade::Partner;
 
-/// Calls that wait to be made.
-pub const CALLS: usize = 1024;
-/// A wake waits so long for the gauges; then it goes without.
-const GAUGES_WAIT: Duration = Duration::from_millis(15);
-/// A run whose end is not heard of this long after its answer is given up: its notice is lost. Ours, longer than any
-/// pause of a machine.
-const LOST_AFTER: Duration = Duration::from_secs(40);
-/// Seconds that the module is told less than there are until the kill, for answers to be written in. Ours: some of
-/// the waits for the gauges.
-const STOP_AHEAD: f64 = 0.1;
-/// Seconds that a key is remembered beyond its window: the rule allows the window's end 50 ms, and the same again.
-const WINDOW_SLACK: f64 = 0.1;
-/// Seconds by which the time of a request's arrival may be ahead, as clocks are never quite alike.
-const AHEAD: f64 = 1.0;
-/// Seconds beyond its deadline that a request may have waited before it is read; more makes no sense.
-const BEHIND: f64 = 60.0;
-/// The module's clock shows this at the start, so that the start of the interpreter is not before 0.
-const CLOCK_START: f64 = 1e5;
+/// Capacity of the queue of calls to be made.
+pub const CALL_QUEUE: usize = 1024;
+/// Time that a wake waits for the gauges before it is delivered without them.
+const GAUGES_TIMEOUT: Duration = Duration::from_millis(15);
+/// A run whose end is not reported within this time after its request was answered is given up, as its notice
+/// is lost. Longer than any pause of a machine.
+const LOST_RUN_TIMEOUT: Duration = Duration::from_secs(40);
+/// Part of the time until the kill that is withheld from the module, so that answers can still be written.
+/// Several times the timeout of the gauges.
+const STOP_MARGIN_SECONDS: f64 = 0.1;
+/// Time that a key is remembered beyond its window: the rule's tolerance of 50 ms at the window's end,
+/// doubled.
+const WINDOW_SLACK_SECONDS: f64 = 0.1;
+/// Maximum by which a request's arrival time may lie in the future, as clocks differ.
+const MAX_CLOCK_AHEAD_SECONDS: f64 = 1.0;
+/// Maximum queueing delay beyond the deadline that is accepted in a request; longer ones are invalid.
+const MAX_QUEUEING_BEYOND_DEADLINE_SECONDS: f64 = 60.0;
+/// The module's clock at the start of the engine, so that the start of the interpreter is not before 0.
+const CLOCK_START_SECONDS: f64 = 1e5;
 
-/// Which of balancers' idle connections are closed.
+/// Which connections of balancers are closed or handed over.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Idle {
-    /// Those that have been idle for this long.
+pub struct IdlePolicy {
+    /// Idle time after which a connection is closed.
     pub limit: Duration,
-    /// Whether that goes for all time to come, and not only for this moment.
-    pub standing: bool,
-    /// Connections are passed on to a later start as soon as they are quiet.
-    pub passing: bool,
-    /// Those that are not quiet are read no more, so that they become so.
-    pub last_call: bool,
-    /// Every connection ends once what was read of it is answered, whatever more it brings.
-    pub hang_up: bool,
+    /// Whether the limit applies from now on, and not only at this moment.
+    pub permanent: bool,
+    /// Whether quiet connections are handed over to the later process.
+    pub hand_over: bool,
+    /// Whether reading stops on connections that are not quiet, so that they become quiet.
+    pub stop_reading: bool,
+    /// Whether each connection is closed once all requests read from it are answered, whatever is sent on it
+    /// later.
+    pub close_after_answers: bool,
 }
 
-impl Default for Idle {
-    /// None are closed.
-    fn default() -> Idle {
-        Idle { limit: Duration::MAX, standing: false, passing: false, last_call: false, hang_up: false }
+impl Default for IdlePolicy {
+    /// Closes no connection.
+    fn default() -> IdlePolicy {
+        IdlePolicy {
+            limit: Duration::MAX,
+            permanent: false,
+            hand_over: false,
+            stop_reading: false,
+            close_after_answers: false,
+        }
     }
 }
 
-/// The ways to the other tasks.
-pub struct Ways {
+/// The channels to the other tasks.
+pub struct Channels {
     /// To the engine itself, for timers.
     pub engine: mpsc::WeakSender<Input>,
     /// To the interpreter.
     pub interpreter: mpsc::Sender<Command>,
     /// To the database.
     pub database: mpsc::Sender<database::Call>,
-    /// What the directory is told.
+    /// The mode reported to the directory.
     pub directory: watch::Sender<Option<Mode>>,
-    /// How long connections may be idle.
-    pub idle: watch::Sender<Idle>,
-    /// How many requests are owed an answer.
+    /// The policy for idle connections.
+    pub idle: watch::Sender<IdlePolicy>,
+    /// The number of in-flight requests and runs.
     pub owed: watch::Sender<usize>,
-    /// What operators are shown.
+    /// State shared with the operators' interface.
     pub desk: Rc<Desk>,
-    /// The settings in force, for those who read requests.
+    /// The settings in force, for the tasks that read requests.
     pub facts: watch::Sender<Rc<Facts>>,
 }
 
-/// Where the run of a request is.
-enum Place {
-    /// Not started, or stopped and to be started anew.
-    Held,
-    /// The interpreter has it.
+/// The stage of a request's run.
+enum Stage {
+    /// Not started, or stopped and to be restarted.
+    Queued,
+    /// Running in the interpreter.
     Running,
-    /// It waits for a call.
+    /// Waiting for a call.
     AtCall {
-        /// The notice that asked for the call.
+        /// The number of the notice that requested the call.
         pos: u64,
         /// The call's body.
         content: Rc<[u8]>,
-        /// The number of the call that was made, and what gives it up when dropped; several dependencies have their own.
+        /// The number of the call that was made, and the sender whose drop cancels it; `None` with several
+        /// dependencies, which cancel calls themselves.
         made: Option<(u64, Option<oneshot::Sender<()>>)>,
     },
-    /// Waits for the run of another try of its key.
-    Follows,
-    /// It has run, and its end is on the way to the fleet.
-    Recorded,
+    /// Waiting for the run of another try of the same key.
+    AwaitsKey,
+    /// It has run, and its end is being recorded in the fleet.
+    AwaitsRecord,
 }
 
 struct Entry {
@@ -131,34 +140,34 @@
     class: usize,
     key: Option<Key>,
     body: Rc<[u8]>,
-    /// When it came to the machine, on the module's clock.
+    /// Arrival at the machine, on the module's clock.
     arrived: f64,
-    /// Where the answer goes, while one is owed.
+    /// Where the answer goes; `None` once answered.
     reply: Option<ReplyTo>,
-    place: Place,
-    /// It was started at least once.
+    stage: Stage,
+    /// Whether it was started at least once.
     started: bool,
-    /// Calls that its run has asked for.
+    /// Number of calls that its run has requested.
     calls: usize,
     held_kb: f64,
-    /// What its answer will have to say of itself.
+    /// What its answer reports as missing or stale.
     label: Label,
-    /// When the oldest kept reply came that its run was given, on the module's clock.
+    /// Arrival of the oldest cached reply that its run was given, on the module's clock.
     stale_since: Option<Duration>,
-    /// Its tenant, by place in the settings.
+    /// Its tenant, by index in the settings.
     tenant: Option<usize>,
-    /// The route table that it began with, and goes by to its end.
+    /// The route table in force at its arrival, which applies until its end.
     table: Option<Snapshot>,
-    /// Where its last call went by that.
+    /// The route of its last call by that table.
     by: Option<Rc<By>>,
 }
 
 impl Entry {
     fn runs(&self) -> bool {
-        matches!(self.place, Place::Running | Place::AtCall { .. })
+        matches!(self.stage, Stage::Running | Stage::AtCall { .. })
     }
 
-    /// What its answer says of itself at this time of the module's clock.
+    /// The label of its answer at this time of the module's clock; `None` if complete and fresh.
     fn label(&self, now: f64) -> Option<Box<Label>> {
         let stale = self.stale_since.map(|since| (now - since.as_secs_f64()).max(0.0) * 1000.0);
         let label = Label { stale_ms: stale.map(|ms| ms.ceil() as u64), ..self.label.clone() };
@@ -174,156 +183,163 @@
     now: f64,
     settings: Settings,
     names: Names,
-    /// Their names, as the interpreter is told them.
+    /// The names of the classes, quoted for the interpreter.
     classes: Vec<Rc<str>>,
-    /// Changes of the settings so far.
+    /// Number of changes of the settings so far.
     changes: u64,
-    /// Places of classes that a change took the name from, with its number, while requests that name them may be on their way
-    /// here. At most one for each place.
+    /// Indices of classes that a change removed, with the number of the change, while requests that refer to
+    /// them may be queued. At most one entry for each index.
     retired: Vec<(u64, usize)>,
-    stop: Duration,
-    ways: Ways,
-    /// The module, from when the interpreter is up: only then it is known how warm that is.
+    stop_timeout: Duration,
+    channels: Channels,
+    /// The decision module; created once the interpreter is up, as only then its warmth is known.
     module: Option<Controller>,
     requests: BTreeMap<RequestId, Entry>,
     by_uid: HashMap<Rc<str>, RequestId>,
     keys: JournaledKeyTable,
     followers: BTreeMap<Key, Vec<RequestId>>,
-    /// What the module has not been told yet.
+    /// Events for the module's next step.
     events: Vec<Event>,
-    say: Option<f64>,
-    good: bool,
-    /// Operators had clients sent away.
+    feedback: Option<f64>,
+    module_healthy: bool,
+    /// Whether operators have clients sent away.
     lameduck: bool,
     link_up: bool,
     calls: u64,
-    /// What decides on calls where the operator's file names dependencies.
-    several: Option<Several>,
+    /// The decisions on calls, where the operator's file names dependencies.
+    dependencies: Option<Dependencies>,
     /// The newest route table of the fleet, where the operator's file names teams.
     table: Option<Snapshot>,
-    /// The work that the fleet holds for this nodo, where the operator's file names classes for that.
+    /// The work recorded in the fleet for this nodo, where the operator's file names classes for handover.
     handover: Option<Handover>,
-    /// What records all of this, where the operator's file wants that.
+    /// The capture of all decisions, where the operator's file asks for one.
     capture: Option<Capture>,
-    /// Beyond this the table of keys is pressed for memory.
-    pressed_from: usize,
-    /// Wakes that wait for the gauges, and the tag under which those were asked for.
+    /// The size of the key table from which it counts as short of memory.
+    pressed_from_bytes: usize,
+    /// Wakes that wait for the gauges.
     wakes: Vec<u64>,
+    /// The tag of the last request for the gauges.
     tag: u64,
     owed: usize,
-    /// Who owns the keys, the right to run what is new, where more than one process can be there, and the other process of an
-    /// upgrade.
+    /// Which process owns the keys.
     claims: Claims,
+    /// The right to run new requests, where there can be more than one process.
     right: Option<Right>,
+    /// The other process of an upgrade.
     partner: Partner,
-    /// The directory is to hear of this process once it has the right.
-    unreported: bool,
-    /// When all must be answered, once the nodo leaves.
+    /// Whether health is to be reported to the directory once this process has the right.
+    report_pending: bool,
+    /// When all requests must be answered, once the nodo leaves.
     stop_at: Option<f64>,
-    /// What comes later than this is not run, once the nodo leaves.
+    /// Requests that arrive later than this are not run, once the nodo leaves.
     grace_until: Option<f64>,
 }
 
 impl Engine {
-    /// An engine that has heard nothing yet.
-    pub fn new(config: &Config, clock: Clock, ways: Ways) -> Engine {
+    /// Returns an engine without requests, before the interpreter is up.
+    pub fn new(config: &Config, clock: Clock, channels: Channels) -> Engine {
         let mut settings = config.settings.clone();
-        let several = Several::new(config, Duration::from_secs_f64(CLOCK_START), &mut settings);
-        ways.desk.counts.borrow_mut().name(settings.classes.iter().map(|class| class.name.as_str()));
-        let epoch = clock.now() - CLOCK_START;
-        let claims = Claims::start(!ways.desk.shared.get());
+        let dependencies =
+            Dependencies::new(config, Duration::from_secs_f64(CLOCK_START_SECONDS), &mut settings);
+        channels
+            .desk
+            .counts
+            .borrow_mut()
+            .add_classes(settings.classes.iter().map(|class| class.name.as_str()));
+        let epoch = clock.now() - CLOCK_START_SECONDS;
+        let claims = Claims::start(!channels.desk.shared.get());
         let capture = captures::capture_of(config, epoch, &settings);
         Engine {
             clock,
             epoch,
-            now: CLOCK_START,
+            now: CLOCK_START_SECONDS,
             settings,
             names: config.names.clone(),
             classes: config.settings.classes.iter().map(|c| interpreter::quoted(&c.name)).collect(),
             changes: 0,
             retired: Vec::new(),
-            stop: config.stop,
-            ways,
+            stop_timeout: config.stop,
+            channels,
             module: None,
             requests: BTreeMap::new(),
             by_uid: HashMap::new(),
             keys: JournaledKeyTable::new(config.bounds.kept, capture.is_some()),
             followers: BTreeMap::new(),
             events: Vec::new(),
-            say: None,
-            good: true,
+            feedback: None,
+            module_healthy: true,
             lameduck: false,
             link_up: false,
             calls: 0,
-            several,
+            dependencies,
             table: None,
             handover: Handover::new(config),
             capture,
-            pressed_from: config.bounds.kept / 4 * 3,
+            pressed_from_bytes: config.bounds.kept / 4 * 3,
             wakes: Vec::new(),
             tag: 0,
             owed: 0,
             claims,
             right: None,
             partner: Partner::default(),
-            unreported: false,
+            report_pending: false,
             stop_at: None,
             grace_until: None,
         }
     }
 
-    /// Works until nothing can reach it any more.
+    /// Processes inputs until all senders are gone.
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>, mut orders: mpsc::Receiver<Order>) {
         let mut batch = Vec::with_capacity(QUEUE);
         loop {
             tokio::select! {
-                // What operators want does not wait behind requests.
+                // Operators' orders do not wait behind requests.
                 biased;
-                Some(order) = orders.recv() => self.obey(order),
+                Some(order) = orders.recv() => self.handle_order(order),
                 taken = inputs.recv_many(&mut batch, QUEUE) => {
                     if taken == 0 {
                         return;
                     }
-                    self.round(batch.drain(..));
+                    self.step(batch.drain(..));
                 }
             }
         }
     }
 
-    /// Does what operators want.
-    pub fn obey(&mut self, order: Order) {
+    /// Carries out an operator's order.
+    pub fn handle_order(&mut self, order: Order) {
         match order {
             Order::Lameduck { on, done } => {
                 self.set_lameduck(on);
-                self.pass_on_lameduck();
-                // An error means that the caller did not wait.
+                self.send_lameduck();
+                // An error means that the operator's connection is gone.
                 let _ = done.send(());
             }
             Order::Look { done } => {
-                self.look();
+                self.check_right();
                 // As above.
                 let _ = done.send(());
             }
             Order::WriteCapture => self.write_capture(Reason::Asked),
             Order::Settings { facts, done } => {
-                let _ = done.send(self.take_up_settings(&facts));
-                // The module hears of it in a step of its own, before any request that came with it.
-                self.round([]);
+                let _ = done.send(self.reload_settings(&facts));
+                // The module gets the settings in a step of their own, before any request that is queued.
+                self.step([]);
             }
         }
     }
 
-    /// Takes in all of a batch, then steps the module once, and again while carrying out what it asks for gives it
-    /// news.
-    pub fn round(&mut self, batch: impl IntoIterator<Item = Input>) {
-        // The module's clock never goes back, whatever the system's does.
+    /// Handles all inputs of a batch, then steps the module, and again as long as executing its actions
+    /// produces new events.
+    pub fn step(&mut self, batch: impl IntoIterator<Item = Input>) {
+        // The module's clock is monotonic, even if the system's is set back.
         self.now = self.now.max(self.clock.now() - self.epoch);
-        // After all of the batch was read, before any of it can run: see `upgrade::claims`.
-        self.look();
+        // After the whole batch was read and before any of it can run: see `upgrade::claims`.
+        self.check_right();
         self.begin_capture();
         self.expire_keys();
         for input in batch {
-            self.take(input);
+            self.handle_input(input);
         }
         let mut actions = Vec::new();
         while !self.events.is_empty() {
@@ -331,7 +347,7 @@
             let Some(module) = &mut self.module else { break };
             let Some(capture) = &mut self.capture else {
                 module.step(self.now, &events, &mut actions);
-                actions.drain(..).for_each(|action| self.carry_out(action));
+                actions.drain(..).for_each(|action| self.execute(action));
                 continue;
             };
             module.step(self.now, &events, &mut actions);
@@ -345,90 +361,91 @@
             let names = events.iter().filter_map(name).collect();
             capture.round(self.now, names, events, &actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
         self.capture_sides();
-        self.tell_load();
-        let owed = self.in_hand();
-        self.ways.owed.send_if_modified(|told| std::mem::replace(told, owed) != owed);
+        self.report_load();
+        let owed = self.in_flight();
+        self.channels.owed.send_if_modified(|shown| std::mem::replace(shown, owed) != owed);
     }
 
-    /// Takes in one thing. What concerns the module is put among its events.
-    fn take(&mut self, input: Input) {
+    /// Handles one input and queues events for the module.
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Work { id, work, reply } => self.arrive(id, work, reply),
             Input::Check { reply } => {
-                reply.send(Reply::new(Answer::Health { good: self.in_health() }, self.says()));
+                reply.send(Reply::new(Answer::Health { good: self.is_healthy() }, self.caller_feedback()));
             }
             Input::SettingsReached { change } => self.retired.retain(|(since, _)| *since > change),
-            Input::Gone { id } => self.gone(id),
-            Input::Heard(message) => self.heard(message),
+            Input::CallerGone { id } => self.caller_gone(id),
+            Input::Interpreter(message) => self.handle_interpreter_message(message),
             Input::LinkUp => self.link_up = true,
             Input::LinkDown => {
                 self.link_up = false;
-                self.wake(Gauges::default());
+                self.deliver_wakes(Gauges::default());
             }
             Input::CallEnded { id, number, end, took } => self.call_ended(id, number, end, took),
             Input::Woke { token } => {
                 self.wakes.push(token);
                 if !self.link_up {
-                    self.wake(Gauges::default());
+                    self.deliver_wakes(Gauges::default());
                 } else if self.wakes.len() == 1 {
                     self.ask_gauges();
                 }
             }
-            Input::NoGauges { tag } if tag == self.tag => self.wake(Gauges::default()),
-            Input::NoGauges { .. } => {}
-            Input::Lost { id } => self.lost(id),
-            Input::BelowDue => self.below_due(),
-            Input::Operator(file) => self.take_up(file),
-            Input::Table(table) => self.take_table(table),
-            Input::Peer(peer) => self.heard_of_partner(peer),
-            Input::Handover(word) => self.heard_of_fleet(word),
-            Input::Leave { told } => {
-                if let Some(several) = &mut self.several {
-                    several.leave(Duration::from_secs_f64(self.now));
+            Input::GaugesTimeout { tag } if tag == self.tag => self.deliver_wakes(Gauges::default()),
+            Input::GaugesTimeout { .. } => {}
+            Input::RunLost { id } => self.run_lost(id),
+            Input::DependenciesDue => self.dependencies_due(),
+            Input::OperatorFile(file) => self.reload_operator_file(file),
+            Input::RouteTable(table) => self.use_route_table(table),
+            Input::Peer(peer) => self.handle_peer_message(peer),
+            Input::Fleet(event) => self.handle_fleet_event(event),
+            Input::Leave { since } => {
+                if let Some(dependencies) = &mut self.dependencies {
+                    dependencies.leave(Duration::from_secs_f64(self.now));
                 }
-                let told = self.now - told.elapsed().as_secs_f64();
-                // Guards against answers that are given up after the kill, where this waited behind much else.
-                self.stop_at = Some(told + self.stop.as_secs_f64() - STOP_AHEAD);
-                self.grace_until = Some(told + self.settings.drain_grace);
-                self.good = false;
-                self.leave();
-                self.leave_fleet_later();
+                let noticed_at = self.now - since.elapsed().as_secs_f64();
+                // Guards against answers due after the kill, where this notice was queued for long.
+                self.stop_at = Some(noticed_at + self.stop_timeout.as_secs_f64() - STOP_MARGIN_SECONDS);
+                self.grace_until = Some(noticed_at + self.settings.drain_grace);
+                self.module_healthy = false;
+                self.notify_leave();
+                self.schedule_hand_over();
             }
         }
     }
 
-    /// The free number for an answer. Settings that were read anew may have callers told nothing; the module then says no other.
-    fn says(&self) -> Option<f64> {
-        self.say.filter(|_| self.settings.say != CallerFeedback::Nothing)
+    /// The value sent to callers with each answer. Reloaded settings may turn it off; the module then gives
+    /// no new value.
+    fn caller_feedback(&self) -> Option<f64> {
+        self.feedback.filter(|_| self.settings.say != CallerFeedback::Nothing)
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Run(id) => self.start_run(id),
             Action::Stop(id) => {
                 if let Some(entry) = self.requests.get(&id).filter(|entry| entry.runs()) {
-                    self.command(Command::Break { uid: entry.uid.clone() });
+                    self.send_command(Command::Break { uid: entry.uid.clone() });
                 }
             }
             Action::Refuse { id, stay_away, last } => self.refuse(id, stay_away, last),
             Action::Fail(id) => self.answer(id, Answer::Failed),
-            Action::ServeFrom(id) => self.follow(id),
+            Action::ServeFrom(id) => self.answer_from_key(id),
             Action::Call { id, give_up_after } => self.make_call(id, give_up_after),
             Action::SkipCall(id) => {
                 self.give_up_call(id);
                 if let Some(entry) = self.requests.get_mut(&id)
-                    && let Place::AtCall { pos, .. } = entry.place
+                    && let Stage::AtCall { pos, .. } = entry.stage
                 {
-                    entry.place = Place::Running;
-                    if let Some(several) = &self.several {
-                        several.label(entry);
+                    entry.stage = Stage::Running;
+                    if let Some(dependencies) = &self.dependencies {
+                        dependencies.label(entry);
                     }
                     let uid = entry.uid.clone();
-                    self.command(Command::Stub { uid, pos });
+                    self.send_command(Command::Stub { uid, pos });
                 }
             }
             Action::Keep { id, .. } => {
@@ -441,25 +458,25 @@
                     self.keys.release_try(&key, id);
                 }
             }
-            Action::Say(value) => self.say = Some(value),
+            Action::Say(value) => self.feedback = Some(value),
             Action::Health { good, .. } => {
-                self.good = good;
-                self.report();
+                self.module_healthy = good;
+                self.report_health();
             }
             Action::CloseIdle(after) => {
                 let after = if after > 0.0 { after } else { self.settings.idle };
                 self.close_idle(Duration::from_secs_f64(after));
             }
             Action::Wake { after, token } => {
-                self.after(Duration::from_secs_f64(after.max(0.0)), Input::Woke { token });
+                self.send_after(Duration::from_secs_f64(after.max(0.0)), Input::Woke { token });
             }
             Action::Note(text) => log!("{text}"),
         }
     }
 
-    /// Sends the engine something after a time; each wait has a timer of its own.
-    fn after(&self, time: Duration, input: Input) {
-        let engine = self.ways.engine.clone();
+    /// Sends an input to the engine after a delay; each has its own timer.
+    fn send_after(&self, time: Duration, input: Input) {
+        let engine = self.channels.engine.clone();
         let at = Instant::now() + time;
         tokio::task::spawn_local(async move {
             sleep(at.saturating_duration_since(Instant::now())).await;
--- a/crates/node/src/engine/handover.rs
+++ b/crates/node/src/engine/handover.rs
@@ -1,13 +1,14 @@
-//! Work that survives this nodo: a request of a class that the operator's file names under `handover` is held by the fleet before it
-//! runs, its outcome is recorded there before anybody is told, and work of a nodo that is lost may come here.
+//! Work that survives this nodo: a request of a class under `handover` in the operator's file is recorded in
+//! the fleet before it runs, its outcome is recorded there before it is answered, and this nodo may take over
+//! work of a lost nodo.
 //!
-//! What is done with it is decided in [`jaspershunt_work::local`], whose schedules are played there; this carries its actions out for the
-//! engine, which never waits for the fleet: what does is a task of its own, whose word comes back through the engine's queue. Without
-//! such a class there is nothing of this.
+//! [`jaspershunt_work::local`] decides, and is tested there under many schedules; this module executes its
+//! actions. The engine never waits for the fleet: separate tasks do, and send their results through the
+//! engine's queue. Without such a class all of this is inactive.
 
-use super::{Engine, Place};
+use super::{Engine, Stage};
 use crate::config::Config;
-use crate::engine::input::{Came, Input, Word};
+use crate::engine::input::{FleetEvent, Input, ProposalResult};
 use crate::fleet;
 use crate::request::{Answer, Key, ReplyTo, Work};
 use crate::upgrade::claims::Claims;
@@ -28,17 +29,19 @@
 mod runs;
 mod tries;
 
-/// Tries that wait outside the module at once, for what comes of their offer or for the end of another nodo's run.
+/// Maximum number of tries that wait outside the module, for the result of their offer or the end of another
+/// nodo's run.
 const MAX_WAITING: usize = 1024;
-/// Who waits for the fleet is answered so long before its time is over, in seconds: the answer has a way to go.
-const AHEAD_OF_DUE: f64 = 0.05;
-/// Between two attempts to have something agreed of which nothing was heard, and two questions that were not answered.
-const AGAIN: Duration = Duration::from_millis(100);
-/// One attempt is given up after this.
-const PROPOSE_WITHIN: Duration = Duration::from_secs(5);
-/// Questions to resources at once, each with a connection of its own; others wait. Ours: what one loss brings an heir is asked in a
-/// few rounds.
-pub(crate) const MAX_QUESTIONS: usize = 16;
+/// Time before its deadline at which a try that waits for the fleet is answered, so that the answer still
+/// arrives.
+const ANSWER_MARGIN_SECONDS: f64 = 0.05;
+/// Delay before an entry without a result is proposed again, and before an unanswered query is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Timeout of one proposal.
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of concurrent queries to resources, each on its own connection; others wait. The queries
+/// that the loss of a nodo causes at a successor take a few rounds.
+pub(crate) const MAX_CONCURRENT_QUERIES: usize = 16;
 
 /// A try that waits outside the module.
 struct Waiting {
@@ -47,31 +50,31 @@
     key: Key,
 }
 
-/// Work that this process was told to run.
+/// Work that the fleet assigned to this process.
 struct Run {
     token: u64,
-    /// The module has it. Else its end is on the way to be agreed.
-    here: bool,
-    /// The run whose caller is told that end.
+    /// Whether the module has it; else its end is being committed.
+    in_module: bool,
+    /// The request whose caller gets that end.
     id: Option<RequestId>,
-    /// A try that is turned away once it is agreed that nothing ran.
-    refused: Option<(ReplyTo, usize, Answer)>,
-    /// What was agreed of it while the module had it still.
-    told: Option<End>,
+    /// A try that is refused once it is committed that nothing ran.
+    pending_refusal: Option<(ReplyTo, usize, Answer)>,
+    /// The end that was committed while the module still had it.
+    committed_end: Option<End>,
 }
 
-/// The work that this process has in the fleet, and who waits for what.
+/// This process's work recorded in the fleet, and the tries that wait for it.
 pub(super) struct Handover {
     classes: BTreeMap<String, operator::Handover>,
     region: String,
-    /// What decides, from the member's first start on.
-    own: Option<LocalWork>,
+    /// The decisions on this work; created at the first incarnation of the member.
+    local_work: Option<LocalWork>,
     waiting: BTreeMap<RequestId, Waiting>,
     runs: BTreeMap<Key, Run>,
-    inherited: u64,
-    questions: Rc<Semaphore>,
-    /// The room that was told last, and by which start.
-    told: Option<(Holder, u32)>,
+    inherited_count: u64,
+    query_permits: Rc<Semaphore>,
+    /// The capacity reported last, and the holder that reported it.
+    reported_capacity: Option<(Holder, u32)>,
 }
 
 fn effect(handover: &operator::Handover) -> Effect {
@@ -83,7 +86,7 @@
 }
 
 fn ms(seconds: f64) -> u64 {
-    // No time that gets here is before 1970 or beyond what fits.
+    // All times here are after 1970 and fit.
     (seconds.max(0.0) * 1000.0) as u64
 }
 
@@ -91,7 +94,7 @@
     ms as f64 / 1000.0
 }
 
-/// How a try is answered whose key came to this.
+/// The answer to a try whose key ended like this.
 fn answer_of(end: &End, stay_away: f64) -> Answer {
     match end {
         End::Done(result) => Answer::Served(result.as_slice().into()),
@@ -101,163 +104,169 @@
 }
 
 impl Handover {
-    /// What the operator's file asks for; `None` where it names no class.
+    /// Reads the operator's file; `None` where it names no class for handover.
     pub fn new(config: &Config) -> Option<Handover> {
         let file = config.operator.as_ref().filter(|file| !file.handover.is_empty())?;
         let region = file.fleet.as_ref().and_then(|fleet| fleet.region.clone()).unwrap_or_default();
         Some(Handover {
             classes: file.handover.clone(),
             region,
-            own: None,
+            local_work: None,
             waiting: BTreeMap::new(),
             runs: BTreeMap::new(),
-            inherited: 0,
-            questions: Rc::new(Semaphore::new(MAX_QUESTIONS)),
-            told: None,
+            inherited_count: 0,
+            query_permits: Rc::new(Semaphore::new(MAX_CONCURRENT_QUERIES)),
+            reported_capacity: None,
         })
     }
 
-    /// Answers that are owed outside the module, and ends that are not agreed yet; with `here` also the runs that the module has.
-    pub fn in_hand(&self, here: bool) -> usize {
-        self.waiting.len() + self.runs.values().filter(|run| here || !run.here).count()
+    /// Counts unanswered tries outside the module and ends that are not committed yet; with `in_module` also
+    /// the runs that the module has.
+    pub fn in_flight(&self, in_module: bool) -> usize {
+        self.waiting.len() + self.runs.values().filter(|run| in_module || !run.in_module).count()
     }
 
-    /// Whether a try of the class at this place waits outside the module.
-    pub(super) fn waits_in(&self, place: usize) -> bool {
+    /// Whether a try of the class at this index waits outside the module.
+    pub(super) fn has_waiting_in_class(&self, place: usize) -> bool {
         self.waiting.values().any(|waits| waits.work.class == place)
     }
 
-    /// The process takes part as this start from now on.
-    fn takes_part(&mut self, me: &Holder) {
-        match &mut self.own {
+    /// Sets the holder that this process acts as.
+    fn set_holder(&mut self, me: &Holder) {
+        match &mut self.local_work {
             Some(own) if own.holder() == me => {}
             Some(own) => own.set_holder(me.clone()),
-            None => self.own = Some(LocalWork::new(me.clone())),
+            None => self.local_work = Some(LocalWork::new(me.clone())),
         }
     }
 
-    fn waits_for(&self, key: &Key) -> Vec<RequestId> {
+    fn waiting_for(&self, key: &Key) -> Vec<RequestId> {
         self.waiting.iter().filter(|(_, waits)| waits.key == *key).map(|(id, _)| *id).collect()
     }
 }
 
-/// What was decided.
+/// Execution of decisions.
 impl Engine {
-    /// Has something decided, and carries out what comes of it.
-    fn of_work(&mut self, on: impl FnOnce(&mut LocalWork, u64)) {
+    /// Runs a decision on local work and executes the resulting actions.
+    fn with_local_work(&mut self, on: impl FnOnce(&mut LocalWork, u64)) {
         let now_ms = ms(self.now + self.epoch);
-        let Some(own) = self.handover.as_mut().and_then(|handover| handover.own.as_mut()) else { return };
+        let Some(own) = self.handover.as_mut().and_then(|handover| handover.local_work.as_mut()) else {
+            return;
+        };
         on(own, now_ms);
         for action in own.actions() {
             match action {
                 Action::Propose(entry) => self.propose(entry),
-                Action::Query { token, offer } => self.ask(token, &offer),
-                Action::Run { token, offer, taken_over: taken } => self.run_of_fleet(token, offer, taken),
-                Action::Answer { key, end } => self.told(&key.into(), &end),
-                Action::NotRecorded { key, reason } => self.not_held(&key.into(), reason),
-                // It may have run, here or elsewhere.
-                Action::OutcomeUnavailable { key, .. } => self.told(&key.into(), &End::Unknown),
+                Action::Query { token, offer } => self.query_resource(token, &offer),
+                Action::Run { token, offer, taken_over: taken } => self.start_fleet_run(token, offer, taken),
+                Action::Answer { key, end } => self.end_committed(&key.into(), &end),
+                Action::NotRecorded { key, reason } => self.not_recorded(&key.into(), reason),
+                // It may have run, here or on another nodo.
+                Action::OutcomeUnavailable { key, .. } => self.end_committed(&key.into(), &End::Unknown),
             }
         }
     }
 
     fn propose(&self, entry: Entry) {
-        let desk = self.ways.desk.clone();
-        self.later(async move {
-            // The member may have begun again meanwhile.
+        let desk = self.channels.desk.clone();
+        self.spawn_fleet_task(async move {
+            // The member may have restarted meanwhile.
             let way = desk.fleet.borrow().clone();
             let came = match way {
-                Some(way) => fleet::propose(&way, &entry, PROPOSE_WITHIN).await,
-                None => Came::NotSent,
+                Some(way) => fleet::propose(&way, &entry, PROPOSE_TIMEOUT).await,
+                None => ProposalResult::NotSent,
             };
             let offers = matches!(entry, Entry::Offer { .. });
-            if came == Came::Nobody || (came == Came::NotSent && !offers) {
-                sleep(AGAIN).await;
+            if came == ProposalResult::Unknown || (came == ProposalResult::NotSent && !offers) {
+                sleep(RETRY_DELAY).await;
             }
-            Word::Agreed { entry, came }
+            FleetEvent::Proposed { entry, result: came }
         });
     }
 
-    fn agreed(&mut self, entry: &Entry, came: Came) {
+    fn entry_settled(&mut self, entry: &Entry, came: ProposalResult) {
         let outcome = match (came, entry) {
-            (Came::Agreed(outcome), _) => Some(outcome),
-            (Came::Unsure(why), _) => {
-                self.of_work(|own, _| own.on_resent(entry));
+            (ProposalResult::Committed(outcome), _) => Some(outcome),
+            (ProposalResult::ResentRefused(why), _) => {
+                self.with_local_work(|own, _| own.on_resent(entry));
                 Some(Outcome::Refused(why))
             }
             // Nothing of this try runs; another nodo may have its key.
-            (Came::NotSent, Entry::Offer { .. }) => Some(Outcome::Refused(Refusal::NotPresent)),
-            (Came::NotSent | Came::Nobody, _) => None,
+            (ProposalResult::NotSent, Entry::Offer { .. }) => Some(Outcome::Refused(Refusal::NotPresent)),
+            (ProposalResult::NotSent | ProposalResult::Unknown, _) => None,
         };
-        self.of_work(|own, now_ms| own.on_outcome(entry, outcome.as_ref(), now_ms));
+        self.with_local_work(|own, now_ms| own.on_outcome(entry, outcome.as_ref(), now_ms));
     }
 
-    /// Asks what the class's work acts on what became of it.
-    fn ask(&mut self, token: u64, offer: &Offer) {
+    /// Queries the resource that the class acts on for the outcome of this work.
+    fn query_resource(&mut self, token: u64, offer: &Offer) {
         let key = Key::from(offer.key.as_str());
         let Some(handover) = &self.handover else { return };
         let file = handover.classes.get(&offer.class);
-        // The class may be gone from this nodo's file, or have another effect there: nobody is known who could tell.
+        // The class may be missing from this nodo's file, or have another effect there: then no resource can
+        // be queried.
         let Some((resource, path, within)) =
             file.and_then(|file| Some((file.resource?, file.path.clone(), file.timeout.0)))
         else {
-            return self
-                .of_work(|own, now_ms| own.on_query_result(&key, token, QueryResult::CannotTell, now_ms));
+            return self.with_local_work(|own, now_ms| {
+                own.on_query_result(&key, token, QueryResult::CannotTell, now_ms)
+            });
         };
-        let questions = handover.questions.clone();
-        self.later(async move {
-            let one = questions.acquire().await;
-            let told = fleet::ask(resource, &path, &key, token, within).await;
-            if told == QueryResult::AnswerLost {
-                sleep(AGAIN).await;
+        let query_permits = handover.query_permits.clone();
+        self.spawn_fleet_task(async move {
+            let permit = query_permits.acquire().await;
+            let result = fleet::ask(resource, &path, &key, token, within).await;
+            if result == QueryResult::AnswerLost {
+                sleep(RETRY_DELAY).await;
             }
-            drop(one);
-            Word::Asked { key, token, told }
+            drop(permit);
+            FleetEvent::QueryAnswered { key, token, result }
         });
     }
 
-    fn seen(&mut self, mut seen: MemberView) {
-        let Some(me) = self.ways.desk.fleet.borrow().as_ref().map(|way| way.me.clone()) else { return };
+    fn view_received(&mut self, mut seen: MemberView) {
+        let Some(me) = self.channels.desk.fleet.borrow().as_ref().map(|way| way.me.clone()) else { return };
         let Some(handover) = &mut self.handover else { return };
-        handover.takes_part(&me);
-        // Guards against two processes of an upgrade that both act for the nodo: the earlier start leaves others' work alone.
+        handover.set_holder(&me);
+        // Guards against two processes of an upgrade that both act for the nodo: the earlier one takes over
+        // no work.
         if self.claims != Claims::Mine {
             seen.owned.retain(|owned| !owned.taken_over);
         }
-        self.of_work(|own, now_ms| own.on_view(&seen, now_ms));
+        self.with_local_work(|own, now_ms| own.on_view(&seen, now_ms));
     }
 
-    /// The word of tasks that waited for the fleet.
-    pub(super) fn heard_of_fleet(&mut self, word: Word) {
-        match word {
-            Word::Agreed { entry, came } => self.agreed(&entry, came),
-            Word::Due { id } => self.due(id),
-            Word::Seen(seen) => self.seen(seen),
-            Word::Asked { key, token, told } => {
-                self.of_work(|own, now_ms| own.on_query_result(&key, token, told, now_ms));
+    /// Handles an event from a task that talks to the fleet.
+    pub(super) fn handle_fleet_event(&mut self, event: FleetEvent) {
+        match event {
+            FleetEvent::Proposed { entry, result: came } => self.entry_settled(&entry, came),
+            FleetEvent::Due { id } => self.wait_expired(id),
+            FleetEvent::View(seen) => self.view_received(seen),
+            FleetEvent::QueryAnswered { key, token, result } => {
+                self.with_local_work(|own, now_ms| own.on_query_result(&key, token, result, now_ms));
             }
-            Word::TellRoom => {
-                self.of_work(LocalWork::tick);
-                self.tell_room();
+            FleetEvent::ReportCapacity => {
+                self.with_local_work(LocalWork::tick);
+                self.report_capacity();
             }
-            // One that is not enrolled yet says it again.
-            Word::RoomTold { agreed: false } => {
+            // A holder that is not enrolled yet reports it again.
+            FleetEvent::CapacityReported { committed: false } => {
                 if let Some(handover) = &mut self.handover {
-                    handover.told = None;
+                    handover.reported_capacity = None;
                 }
             }
-            Word::RoomTold { agreed: true } => {}
-            Word::HandOver => self.hand_over(),
+            FleetEvent::CapacityReported { committed: true } => {}
+            FleetEvent::HandOver => self.hand_over(),
         }
     }
 
-    /// Runs what waits for the fleet beside the engine.
-    fn later(&self, waits: impl Future<Output = Word> + 'static) {
-        let engine = self.ways.engine.clone();
+    /// Spawns a task that waits for the fleet; its event comes through the engine's queue.
+    fn spawn_fleet_task(&self, waits: impl Future<Output = FleetEvent> + 'static) {
+        let engine = self.channels.engine.clone();
         spawn_local(async move {
-            let word = waits.await;
+            let event = waits.await;
             if let Some(engine) = engine.upgrade() {
-                let _ = engine.send(Input::Handover(word)).await;
+                let _ = engine.send(Input::Fleet(event)).await;
             }
         });
     }
--- a/crates/node/src/engine/runs.rs
+++ b/crates/node/src/engine/runs.rs
@@ -1,6 +1,6 @@
-//! Runs and the interpreter that has them: what it is told and what it says, gauges among it.
+//! Runs: commands to the interpreter and messages from it, including gauges.
 
-use super::{CLOCK_START, Engine, GAUGES_WAIT, Place, WINDOW_SLACK};
+use super::{CLOCK_START_SECONDS, Engine, GAUGES_TIMEOUT, Stage, WINDOW_SLACK_SECONDS};
 use crate::engine::input::{Input, Message, RunEnd};
 use crate::interpreter::Command;
 use crate::log;
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 
 impl Engine {
-    pub(super) fn heard(&mut self, message: Message) {
+    pub(super) fn handle_interpreter_message(&mut self, message: Message) {
         match message {
-            Message::Banner { cold, age } => self.start(cold, age),
+            Message::Banner { cold, age } => self.interpreter_up(cold, age),
             Message::Value { uid, end, .. } => {
                 if let Some(id) = self.by_uid.get(&uid).copied() {
                     self.run_ended(id, end);
@@ -24,7 +24,7 @@
                 let Some(id) = self.by_uid.get(&uid).copied() else { return };
                 self.give_up_call(id);
                 let Some(entry) = self.requests.get_mut(&id).filter(|entry| entry.runs()) else { return };
-                entry.place = Place::AtCall { pos, content: content.into(), made: None };
+                entry.stage = Stage::AtCall { pos, content: content.into(), made: None };
                 entry.calls += 1;
                 self.events.push(Event::CallWanted { id });
                 self.end_inherited(id);
@@ -37,19 +37,19 @@
                             *place = reading;
                         }
                     }
-                    self.wake(gauges);
+                    self.deliver_wakes(gauges);
                 }
             }
             Message::Rejected { command, uid } => {
-                // An order to stop may cross the end of its run.
+                // A stop command may cross the end of its run.
                 if command != "BREAK" {
                     log!(WARN, "interpreter: {command} of {uid} was not carried out");
                 }
                 if let Some(id) = self.by_uid.get(&uid).copied()
                     && command == "APPLY"
                 {
-                    // Guards against a request that the interpreter does not know, and which would keep its key from
-                    // the one that it belongs to.
+                    // Guards against a rejected request that would block its key for the request that the key
+                    // belongs to.
                     if let Some(entry) = self.requests.get(&id).filter(|entry| entry.runs())
                         && let Some(key) = &entry.key
                     {
@@ -59,7 +59,7 @@
                 } else if let Some(id) = self.by_uid.get(&uid).copied()
                     && command == "CONTINUE"
                 {
-                    // Nothing of it is paused there; what it did before is not known.
+                    // No paused run is known there; what it did before the pause is unknown.
                     self.run_ended(id, RunEnd::Failed);
                 }
             }
@@ -67,29 +67,29 @@
         }
     }
 
-    /// The interpreter is up: the module begins at its start, and takes requests from now on.
-    pub(super) fn start(&mut self, cold: bool, age: f64) {
+    /// Creates the module once the interpreter is up, with its clock at the interpreter's start.
+    pub(super) fn interpreter_up(&mut self, cold: bool, age: f64) {
         if self.module.is_some() {
             return;
         }
         self.settings.cold = cold;
         let Ok(mut module) = Controller::new(self.settings.clone()) else { return };
         let mut actions = Vec::new();
-        module.step(self.now - age.min(CLOCK_START), &[], &mut actions);
+        module.step(self.now - age.min(CLOCK_START_SECONDS), &[], &mut actions);
         self.module = Some(module);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
-        self.ways.desk.up.set(true);
-        self.ask_to_begin();
+        self.channels.desk.up.set(true);
+        self.request_handover();
         self.begin_handover();
-        // It may have been told to leave before its interpreter came up.
-        self.leave();
+        // The notice to leave may have come before the interpreter was up.
+        self.notify_leave();
         log!("interpreter is up since {age:.3} s, {}", if cold { "cold" } else { "warm" });
     }
 
-    /// Starts a run, or takes up a paused one. The module keeps keyed requests from running twice; this guards the
-    /// rule once more, with the nodo's own record of what ran: such a try gets what that run made.
+    /// Starts a run, or resumes a paused one. The module keeps keyed requests from running twice; this checks
+    /// the rule again by the nodo's own record of runs: a try whose key ran gets the result of that run.
     pub(super) fn start_run(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get(&id) else { return };
         let resumes = entry.started && self.settings.halt == StopMode::Pause;
@@ -97,55 +97,55 @@
             && !resumes
         {
             if self.keys.run_state(&key).is_some() {
-                log!(ERROR, "request {} must not run: another try of it did", entry.uid);
+                log!(ERROR, "request {} must not run: another try of its key ran", entry.uid);
                 self.write_capture(Reason::Guard);
-                return self.follow(id);
+                return self.answer_from_key(id);
             }
             let window = self.window_of(entry.class);
-            self.keys.start_run(&key, id, entry.arrived + window + WINDOW_SLACK);
+            self.keys.start_run(&key, id, entry.arrived + window + WINDOW_SLACK_SECONDS);
         }
         let Some(entry) = self.requests.get_mut(&id) else { return };
-        entry.place = Place::Running;
+        entry.stage = Stage::Running;
         entry.started = true;
         if !resumes {
-            // A run that begins anew asks for its calls again.
+            // A restarted run requests its calls again.
             (entry.calls, entry.label, entry.stale_since) = (0, Label::default(), None);
         }
         let command = if resumes {
-            // A paused run is the interpreter's still: told to run it anew, that would do nothing.
+            // The interpreter still has the paused run, and would ignore a command to start it again.
             Command::Continue { uid: entry.uid.clone() }
         } else {
             let class = self.classes[entry.class].clone();
             Command::Apply { uid: entry.uid.clone(), class, body: entry.body.clone() }
         };
         let class = entry.class;
-        if !self.command(command) {
+        if !self.send_command(command) {
             self.run_ended(id, RunEnd::NotStarted);
         } else if !resumes {
-            self.ways.desk.counts.borrow_mut().sent(&self.settings.classes[class].name);
+            self.channels.desk.counts.borrow_mut().run_sent(&self.settings.classes[class].name);
         }
     }
 
     pub(super) fn run_ended(&mut self, id: RequestId, end: RunEnd) {
-        // A call that is still out is given up with this.
+        // Cancels a pending call of the run.
         self.give_up_call(id);
         let Some(entry) = self.requests.get_mut(&id).filter(|entry| entry.runs()) else { return };
-        entry.place = Place::Held;
+        entry.stage = Stage::Queued;
         let key = entry.key.clone();
         let over = entry.reply.is_none();
         let paused = matches!(end, RunEnd::Stopped) && self.settings.halt == StopMode::Pause && !over;
         let of_fleet = match &end {
             RunEnd::Done(result) => Some((End::Done(result.clone()), Outcome::Done)),
-            // What it called before it failed is not known here.
+            // Which calls it made before it failed is not known here.
             RunEnd::Failed => Some((End::Unknown, Outcome::Failed)),
             RunEnd::Stopped if over => Some((End::Unknown, Outcome::Stopped)),
-            // It is paused, or nothing of it ran: the module has more to say.
+            // It is paused, or nothing of it ran: the module decides what follows.
             RunEnd::Stopped | RunEnd::NotStarted => None,
         };
         if let (Some(key), Some((work_end, outcome))) = (&key, of_fleet)
-            && self.ends_in_fleet(id, key, work_end)
+            && self.record_end_in_fleet(id, key, work_end)
         {
-            // The cores are free, whenever the answer goes out.
+            // The cores are free even if the answer is sent later.
             return self.events.push(Event::Ended { id, outcome });
         }
         let outcome = match end {
@@ -164,8 +164,8 @@
             RunEnd::Stopped => Outcome::Stopped,
             RunEnd::NotStarted => Outcome::NotStarted,
         };
-        // Guards against the result of a run that was paused and went on: its key would count as failed from the pause on, and
-        // those that wait for it would be told so.
+        // Guards against a paused run whose key counts as failed from the pause on, so that the waiting tries
+        // fail and its later result is lost.
         if let Some(key) = &key
             && !paused
         {
@@ -177,27 +177,27 @@
         self.events.push(Event::Ended { id, outcome });
     }
 
-    /// A try may be turned away only if nothing of its key ran here; else it fails, which promises nothing.
+    /// Refuses a try, if nothing of its key ran here; else fails it, which promises nothing.
     pub(super) fn refuse(&mut self, id: RequestId, stay_away: f64, last: bool) {
         let Some(entry) = self.requests.get(&id) else { return };
         let unsafe_ran = entry.started && !matches!(self.settings.classes[entry.class].repeat, Repeat::Safe);
         let key_ran = entry.key.as_ref().is_some_and(|key| self.keys.run_state(key).is_some());
         if unsafe_ran || key_ran {
-            log!(ERROR, "request {} must not be turned away: it ran", entry.uid);
+            log!(ERROR, "request {} must not be refused: it or its key ran", entry.uid);
             self.write_capture(Reason::Guard);
             self.answer(id, Answer::Failed);
         } else {
             let answer = Answer::Refused { stay_away, last };
-            if !self.refuse_held(id, &answer) {
+            if !self.refuse_recorded(id, &answer) {
                 self.answer(id, answer);
             }
         }
     }
 
-    pub(super) fn command(&self, command: Command) -> bool {
-        let sent = self.ways.interpreter.try_send(command).is_ok();
+    pub(super) fn send_command(&self, command: Command) -> bool {
+        let sent = self.channels.interpreter.try_send(command).is_ok();
         if !sent {
-            log!(WARN, "interpreter: too many commands wait");
+            log!(WARN, "interpreter: the command queue is full or closed");
         }
         sent
     }
@@ -205,16 +205,16 @@
     pub(super) fn ask_gauges(&mut self) {
         self.tag += 1;
         let tag = self.tag;
-        if self.command(Command::Gauges { tag }) {
-            self.after(GAUGES_WAIT, Input::NoGauges { tag });
+        if self.send_command(Command::Gauges { tag }) {
+            self.send_after(GAUGES_TIMEOUT, Input::GaugesTimeout { tag });
         } else {
-            self.wake(Gauges::default());
+            self.deliver_wakes(Gauges::default());
         }
     }
 
-    /// Passes on all wakes that have come.
-    pub(super) fn wake(&mut self, gauges: Gauges) {
-        // What was asked for under the present tag has come, or is waited for no more.
+    /// Delivers all waiting wakes to the module.
+    pub(super) fn deliver_wakes(&mut self, gauges: Gauges) {
+        // The gauges requested under the present tag have come, or are no longer waited for.
         self.tag += 1;
         let wakes = self.wakes.drain(..).map(|token| Event::Woke { token, gauges });
         self.events.extend(wakes);
