--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -9,10 +9,10 @@
 use jaspershunt_fleet::tasks::{CallOutcome, TaskSpec};
 use jaspershunt_fleet::{Entry, Holder, LeaseTiming};
 use jaspershunt_member::frame::{self, Envelope};
-use jaspershunt_member::member::{Disk as MemberDisk, no_lead, no_parts, tick};
+use jaspershunt_member::member::{Disk as MemberDisk, no_part_proposals, no_parts, tick};
 use jaspershunt_member::store::{Store, StoreError};
-use jaspershunt_member::voter::{Agreed, Voter};
-use jaspershunt_member::{Input, Member, Output, Setup, To};
+use jaspershunt_member::voter::{Voter, VoterState};
+use jaspershunt_member::{Input, Member, Output, Recipient, Setup};
 use jaspershunt_stand_ins::disk::{Disk, Image};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -294,7 +294,7 @@
         let disk = &self.seats[0].disk;
         let opened = Store::open(disk.open(), FLEET, &self.seats[0].name, [77, 1]);
         let (mut store, found) = opened.expect("an empty disk can be opened");
-        let state = Agreed::founded(found.identity.disk, &self.seats[0].name).save();
+        let state = VoterState::founded(found.identity.disk, &self.seats[0].name).save();
         store.found(found.identity.disk, state).expect("a disk that works is written");
     }
 
@@ -374,10 +374,10 @@
             fleet: FLEET.to_string(),
             me: me.clone(),
             voters: (0..self.sketch.voters).map(name).collect(),
-            terms: self.terms(),
+            timing: self.terms(),
             tasks: (0..self.sketch.tasks).map(|task| self.spec(task)).collect(),
             parts: no_parts,
-            lead: no_lead,
+            part_proposals: no_part_proposals,
         };
         let mut draws = StdRng::seed_from_u64(self.rng.random());
         let random = Box::new(move || draws.random());
@@ -433,30 +433,30 @@
     // Messages.
 
     /// The process that something reaches, if any does.
-    fn reached(&self, to: &To) -> Option<usize> {
+    fn reached(&self, to: &Recipient) -> Option<usize> {
         match to {
             // Its listener is the first one's that lives.
-            To::Voter(name) => {
+            Recipient::Voter(name) => {
                 let place = self.seats.iter().position(|seat| seat.name == *name)?;
                 self.alive(place).next()
             }
-            To::Holder(holder) => {
+            Recipient::Holder(holder) => {
                 self.processes.iter().position(|process| process.alive && process.member.me() == holder)
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: &To, said: frame::Said) {
+    fn send(&mut self, from: usize, to: &Recipient, message: frame::Message) {
         let Some(to) = self.reached(to) else { return };
         let from_member = self.processes[from].member.me().clone();
-        let envelope = Envelope { fleet: FLEET.to_string(), from: from_member, said };
+        let envelope = Envelope { fleet: FLEET.to_string(), from: from_member, message };
         let bytes: Rc<[u8]> = frame::encode(&envelope).into();
         let (one, other) = (self.processes[from].place, self.processes[to].place);
         for place in [one, other] {
             let load = self.load.entry(place).or_default();
             *load = (load.0 + 1, load.1 + bytes.len() as u64);
         }
-        let has_entries = matches!(&envelope.said, frame::Said::Raft(message) if message.has_entries());
+        let has_entries = matches!(&envelope.message, frame::Message::Raft(message) if message.has_entries());
         if has_entries && self.now < self.thin_until {
             return;
         }
@@ -483,7 +483,7 @@
     fn carry_out(&mut self, process: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Say { to, said } => self.send(process, &to, said),
+                Output::Send { to, message } => self.send(process, &to, message),
                 Output::Call(wanted) => {
                     let client::Call { task, number, token, key, send_by, until, .. } = wanted;
                     let task = task[1..].parse().unwrap_or(0);
@@ -499,7 +499,7 @@
                     self.tell(|| format!("{}/{incarnation}: {what}", name(place)));
                 }
                 Output::Left => self.later(Duration::ZERO, Event::End { process }),
-                Output::Settled { .. } | Output::Shown { .. } | Output::Part { .. } => {}
+                Output::Settled { .. } | Output::StateReport { .. } | Output::Part { .. } => {}
             }
         }
         self.look_at(process);
@@ -531,7 +531,7 @@
             let leases = voter.fleet().leases();
             let granted: Vec<(u64, (String, Holder))> =
                 leases.map(|(lease, held)| (held.token, (lease.to_string(), held.holder.clone()))).collect();
-            let leads = voter.leads();
+            let leads = voter.is_leader();
             for (token, whose) in granted {
                 match self.tokens.get(&token) {
                     Some(known) if *known != whose => {
@@ -821,7 +821,7 @@
     fn leader(&self) -> Option<usize> {
         self.last_leader.filter(|process| {
             let Process { alive, member, .. } = &self.processes[*process];
-            *alive && member.voter().is_some_and(Voter::leads)
+            *alive && member.voter().is_some_and(Voter::is_leader)
         })
     }
 
@@ -896,13 +896,13 @@
         }
         match event {
             Event::Wake { process } => {
-                self.step(process, Input::Woke);
+                self.step(process, Input::Tick);
                 let after = tick(self.terms()).div_f64(self.processes[process].rate);
                 self.later(after, Event::Wake { process });
             }
             Event::Deliver { to, bytes } => {
-                if let Ok(Envelope { from, said, .. }) = frame::decode(&bytes, FLEET) {
-                    self.step(to, Input::Heard { from, said });
+                if let Ok(Envelope { from, message, .. }) = frame::decode(&bytes, FLEET) {
+                    self.step(to, Input::Received { from, message });
                 }
             }
             Event::Send { process, call, looked } => {
@@ -910,7 +910,7 @@
                 if self.clock(process) > call.send_by {
                     let (task, number) = (task_name(call.task), call.number);
                     let came = CallOutcome::Failed("too late to be sent".into());
-                    return self.step(process, Input::Called { task, number, came });
+                    return self.step(process, Input::CallEnded { task, number, outcome: came });
                 }
                 // What is left of the longest way.
                 let left = (looked + self.sketch.way.div_f64(1.2)).saturating_sub(self.now);
@@ -929,7 +929,7 @@
                 }
                 let came = if turned_away { CallOutcome::OldToken } else { self.came_of(&call) };
                 let (task, number) = (task_name(call.task), call.number);
-                self.step(process, Input::Called { task, number, came });
+                self.step(process, Input::CallEnded { task, number, outcome: came });
             }
             Event::Thaw { process } => {
                 self.processes[process].frozen = false;
@@ -1026,9 +1026,9 @@
                     "{} has disk {:016x}, {}term {}, sees {:x?}, last acts {:?}",
                     name(*place),
                     voter.disk(),
-                    if voter.leads() { "leads, " } else { "" },
+                    if voter.is_leader() { "leads, " } else { "" },
                     voter.term(),
-                    voter.seats().disks,
+                    voter.voter_slots().disks,
                     self.last_act
                 );
                 self.tell(|| line);
@@ -1074,10 +1074,10 @@
         let named: BTreeSet<String> = (0..self.sketch.voters).map(name).collect();
         let voting = |process: &Process| {
             let Some(voter) = process.member.voter() else { return false };
-            let seats = voter.seats();
+            let seats = voter.voter_slots();
             let members: BTreeSet<String> =
                 seats.voters().iter().filter_map(|disk| seats.member_of(*disk)).map(String::from).collect();
-            voter.leads() && members == named && seats.voters().len() == named.len()
+            voter.is_leader() && members == named && seats.voters().len() == named.len()
         };
         acted && self.processes.iter().any(|process| process.alive && voting(process))
     }
--- a/crates/member/src/driver.rs
+++ b/crates/member/src/driver.rs
@@ -4,8 +4,8 @@
 //! Each member dials the voters; a voter answers over the connection on which it was asked, so that those that do not vote need no
 //! listener. What cannot be sent at once is dropped: all that members say is said again.
 
-use crate::frame::{self, Envelope, MAX_FRAME, Said, Shown, encode};
-use crate::member::{Disk, Input, Member, Output, Setup, To, tick};
+use crate::frame::{self, Envelope, MAX_FRAME_BYTES, Message, StateReport, encode};
+use crate::member::{Disk, Input, Member, Output, Recipient, Setup, tick};
 use crate::store::StoreError;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -33,36 +33,36 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
 /// Messages that have come and wait for the member.
-const INBOX: usize = 1024;
+const INBOX_MESSAGES: usize = 1024;
 /// Messages that wait to be written to one connection; more are dropped.
-const OUTBOX: usize = 256;
+const OUTBOX_MESSAGES: usize = 256;
 /// Until a connection stands.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Between two attempts to connect.
-const CONNECT_EVERY: Duration = Duration::from_millis(100);
-/// On a connection over which nothing else goes a member says so often that it is here: well within [`IDLE`].
-const HERE_EVERY: Duration = Duration::from_secs(30);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// On a connection over which nothing else goes a member says so often that it is here: well within [`IDLE_TIMEOUT`].
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(30);
 /// Who connects has so long for a first message.
-const FIRST_WITHIN: Duration = Duration::from_secs(2);
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A connection on which nothing came for so long is closed.
-const IDLE: Duration = Duration::from_secs(120);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// A message that nobody reads is given up with its connection.
-const WRITE_WITHIN: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest frame of one that has not shown that it is a voter: what others say is short.
-const SHORT_FRAME: usize = 64 * 1024;
+const SHORT_FRAME_BYTES: usize = 64 * 1024;
 /// Operators' questions that wait.
-const MOST_TICKETS: usize = 64;
+const MAX_STATE_QUERIES: usize = 64;
 /// Entries of operators and of the nodo that wait: half of what a member has room for ([`jaspershunt_fleet::client::MAX_PROPOSALS`]),
 /// so that its own find some.
-const MOST_PROPOSED: usize = 512;
+const MAX_PROPOSALS: usize = 512;
 /// The voter's disk, in the folder.
-const VOTER: &str = "voter.redb";
+const VOTER_FILE: &str = "voter.redb";
 /// How often this member was started.
-const STARTS: &str = "starts";
+const STARTS_FILE: &str = "starts";
 
 /// Where a member stands.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct DriverConfig {
     /// Where others connect, if this member votes.
     pub listen: Option<SocketAddr>,
     /// Where the voters are.
@@ -86,7 +86,7 @@
     /// `None` if nobody knows.
     pub outcome: Option<Outcome>,
     /// It was said more than once: where this outcome is a refusal, another copy may be agreed yet.
-    pub again: bool,
+    pub sent_again: bool,
 }
 
 /// What operators and the nodo want.
@@ -102,7 +102,7 @@
     /// Show the agreed state.
     Show {
         /// Told it.
-        answer: oneshot::Sender<Box<Shown>>,
+        answer: oneshot::Sender<Box<StateReport>>,
     },
     /// Give up what is held, and end.
     Leave,
@@ -130,7 +130,7 @@
 /// The folder cannot be read or written.
 pub fn incarnation(folder: &Path) -> io::Result<u64> {
     std::fs::create_dir_all(folder)?;
-    let (path, fresh) = (folder.join(STARTS), folder.join("starts.new"));
+    let (path, fresh) = (folder.join(STARTS_FILE), folder.join("starts.new"));
     let starts: u64 = match std::fs::read_to_string(&path) {
         Ok(text) => text.trim().parse().map_err(|_| {
             io::Error::new(io::ErrorKind::InvalidData, format!("{} holds no number", path.display()))
@@ -153,7 +153,7 @@
     fn open(&mut self) -> Result<Box<dyn StorageBackend>, StoreError> {
         let open = || {
             std::fs::create_dir_all(&self.0)?;
-            let path = self.0.join(VOTER);
+            let path = self.0.join(VOTER_FILE);
             let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
             // So that the file itself is still there after a loss of power.
             File::open(&self.0)?.sync_all()?;
@@ -168,7 +168,7 @@
     }
 
     fn set_aside(&mut self) -> Result<(), StoreError> {
-        let (from, to) = (self.0.join(VOTER), self.0.join("voter.older.redb"));
+        let (from, to) = (self.0.join(VOTER_FILE), self.0.join("voter.older.redb"));
         std::fs::rename(from, to).map_err(|e| StoreError::Disk(e.to_string()))
     }
 }
@@ -183,17 +183,17 @@
     /// Those over which others came: the last one over which each start said something.
     holders: RefCell<HashMap<Holder, Outbox>>,
     inbox: mpsc::Sender<Input>,
-    complaints: Complaints,
+    connection_log: ConnectionLog,
 }
 
 /// One line a second at most about connections that were closed.
-struct Complaints {
+struct ConnectionLog {
     last: RefCell<(Option<Instant>, u64)>,
     log: Rc<dyn Fn(String, bool)>,
 }
 
-impl Complaints {
-    fn tell(&self, what: impl FnOnce() -> String) {
+impl ConnectionLog {
+    fn warn(&self, what: impl FnOnce() -> String) {
         let mut last = self.last.borrow_mut();
         let now = Instant::now();
         if last.0.is_some_and(|at| now - at < Duration::from_secs(1)) {
@@ -208,11 +208,11 @@
 }
 
 impl Links {
-    fn send(&self, to: &To, bytes: Bytes) {
+    fn send(&self, to: &Recipient, bytes: Bytes) {
         let holders = self.holders.borrow();
         let outbox = match to {
-            To::Voter(name) => self.voters.get(name),
-            To::Holder(holder) => holders.get(holder).or_else(|| self.voters.get(&holder.member)),
+            Recipient::Voter(name) => self.voters.get(name),
+            Recipient::Holder(holder) => holders.get(holder).or_else(|| self.voters.get(&holder.member)),
         };
         // What does not fit is said again.
         let _ = outbox.map(|outbox| outbox.try_send(bytes));
@@ -220,18 +220,18 @@
 
     /// Takes in a frame; who spoke, or why the connection is closed.
     async fn take(&self, bytes: &[u8]) -> Result<Holder, String> {
-        let Envelope { from, said, .. } = frame::decode(bytes, &self.fleet).map_err(|e| e.to_string())?;
+        let Envelope { from, message, .. } = frame::decode(bytes, &self.fleet).map_err(|e| e.to_string())?;
         // A full inbox holds up this connection alone.
         self.inbox
-            .send(Input::Heard { from: from.clone(), said })
+            .send(Input::Received { from: from.clone(), message })
             .await
             .map_err(|_| "this member has ended".to_string())?;
         Ok(from)
     }
 }
 
-fn codec(longest: usize) -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(longest).new_codec()
+fn codec(max_bytes: usize) -> LengthDelimitedCodec {
+    LengthDelimitedCodec::builder().max_frame_length(max_bytes).new_codec()
 }
 
 /// Keeps a connection to a voter.
@@ -240,13 +240,13 @@
     voter: String,
     address: SocketAddr,
     mut outbox: mpsc::Receiver<Bytes>,
-    here: Bytes,
+    keep_alive: Bytes,
 ) {
     loop {
-        let stream = match timeout(CONNECT_WITHIN, TcpStream::connect(address)).await {
+        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             _ => {
-                sleep(CONNECT_EVERY).await;
+                sleep(CONNECT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -254,45 +254,45 @@
         while outbox.try_recv().is_ok() {}
         let _ = stream.set_nodelay(true);
         let (read, write_half) = stream.into_split();
-        let mut reader = FramedRead::new(read, codec(MAX_FRAME));
-        let writer = FramedWrite::new(write_half, codec(MAX_FRAME));
+        let mut reader = FramedRead::new(read, codec(MAX_FRAME_BYTES));
+        let writer = FramedWrite::new(write_half, codec(MAX_FRAME_BYTES));
         let reading = async {
             while let Some(Ok(bytes)) = reader.next().await {
                 if let Err(why) = links.take(&bytes).await {
-                    links.complaints.tell(|| format!("the link to {address} is closed: {why}"));
+                    links.connection_log.warn(|| format!("the link to {address} is closed: {why}"));
                     return;
                 }
             }
         };
         // The queue outlives the connection.
-        let mut writing = std::pin::pin!(pump(writer, &mut outbox, Some(&here)));
+        let mut writing = std::pin::pin!(write_frames(writer, &mut outbox, Some(&keep_alive)));
         tokio::select! {
             () = reading => {}
             () = &mut writing => {}
         }
         // A full inbox has more to say than this.
-        let _ = links.inbox.try_send(Input::LostSight { voter: voter.clone() });
-        sleep(CONNECT_EVERY).await;
+        let _ = links.inbox.try_send(Input::ConnectionLost { voter: voter.clone() });
+        sleep(CONNECT_RETRY_DELAY).await;
     }
 }
 
-async fn pump(
+async fn write_frames(
     mut writer: FramedWrite<tokio::net::tcp::OwnedWriteHalf, LengthDelimitedCodec>,
     outbox: &mut mpsc::Receiver<Bytes>,
-    here: Option<&Bytes>,
+    keep_alive: Option<&Bytes>,
 ) {
-    let mut next = here.cloned();
+    let mut next = keep_alive.cloned();
     loop {
         let bytes = match next.take() {
             Some(bytes) => bytes,
-            None => match (timeout(HERE_EVERY, outbox.recv()).await, here) {
+            None => match (timeout(KEEP_ALIVE_INTERVAL, outbox.recv()).await, keep_alive) {
                 (Ok(Some(bytes)), _) => bytes,
                 (Ok(None), _) => return,
-                (Err(_), Some(here)) => here.clone(),
+                (Err(_), Some(keep_alive)) => keep_alive.clone(),
                 (Err(_), None) => continue,
             },
         };
-        if !matches!(timeout(WRITE_WITHIN, writer.send(bytes)).await, Ok(Ok(()))) {
+        if !matches!(timeout(WRITE_TIMEOUT, writer.send(bytes)).await, Ok(Ok(()))) {
             return;
         }
     }
@@ -300,84 +300,92 @@
 
 /// The connections of others.
 #[derive(Default)]
-struct Guests {
-    here: RefCell<BTreeMap<u64, (Rc<Notify>, bool)>>,
+struct InboundConnections {
+    open: RefCell<BTreeMap<u64, (Rc<Notify>, bool)>>,
 }
 
 /// Takes connections of others.
-async fn accept(links: Rc<Links>, listener: TcpListener, most: usize) {
-    let guests = Rc::new(Guests::default());
+async fn accept(links: Rc<Links>, listener: TcpListener, max_connections: usize) {
+    let inbound = Rc::new(InboundConnections::default());
     for number in 0u64.. {
         let Ok((stream, peer)) = listener.accept().await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        if guests.here.borrow().len() >= most {
+        if inbound.open.borrow().len() >= max_connections {
             // Guards against connections that say nothing: the oldest of them makes room, and nobody who has spoken does.
-            let silent = guests
-                .here
+            let silent = inbound
+                .open
                 .borrow()
                 .iter()
-                .find(|(_, (_, spoke))| !spoke)
-                .map(|(n, (go, _))| (*n, go.clone()));
+                .find(|(_, (_, has_sent))| !has_sent)
+                .map(|(n, (close, _))| (*n, close.clone()));
             match silent {
-                Some((silent, go)) => {
-                    go.notify_one();
-                    guests.here.borrow_mut().remove(&silent);
-                    links.complaints.tell(|| "a connection that said nothing makes room".to_string());
+                Some((silent, close)) => {
+                    close.notify_one();
+                    inbound.open.borrow_mut().remove(&silent);
+                    links.connection_log.warn(|| "a connection that said nothing makes room".to_string());
                 }
                 None => {
-                    links.complaints.tell(|| format!("{most} members are connected; {peer} is turned away"));
+                    links
+                        .connection_log
+                        .warn(|| format!("{max_connections} members are connected; {peer} is turned away"));
                     continue;
                 }
             }
         }
-        let go = Rc::new(Notify::new());
-        guests.here.borrow_mut().insert(number, (go.clone(), false));
-        let (links, guests) = (links.clone(), guests.clone());
+        let close = Rc::new(Notify::new());
+        inbound.open.borrow_mut().insert(number, (close.clone(), false));
+        let (links, inbound) = (links.clone(), inbound.clone());
         spawn_local(async move {
             tokio::select! {
-                why = attend(&links, &guests, number, stream) => {
+                why = serve_connection(&links, &inbound, number, stream) => {
                     if let Err(why) = why {
-                        links.complaints.tell(|| format!("the link of {peer} is closed: {why}"));
+                        links.connection_log.warn(|| format!("the link of {peer} is closed: {why}"));
                     }
                 }
-                () = go.notified() => {}
+                () = close.notified() => {}
             }
-            guests.here.borrow_mut().remove(&number);
+            inbound.open.borrow_mut().remove(&number);
         });
     }
 }
 
 /// One connection of another.
-async fn attend(links: &Links, guests: &Guests, number: u64, stream: TcpStream) -> Result<(), String> {
+async fn serve_connection(
+    links: &Links,
+    inbound: &InboundConnections,
+    number: u64,
+    stream: TcpStream,
+) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
     let (read, write_half) = stream.into_split();
-    let mut reader = FramedRead::new(read, codec(SHORT_FRAME));
-    let (out, mut outbox) = mpsc::channel(OUTBOX);
-    let mut writing = std::pin::pin!(pump(FramedWrite::new(write_half, codec(MAX_FRAME)), &mut outbox, None));
-    let mut within = FIRST_WITHIN;
-    let mut spoke: Option<Holder> = None;
+    let mut reader = FramedRead::new(read, codec(SHORT_FRAME_BYTES));
+    let (out, mut outbox) = mpsc::channel(OUTBOX_MESSAGES);
+    let mut writing =
+        std::pin::pin!(write_frames(FramedWrite::new(write_half, codec(MAX_FRAME_BYTES)), &mut outbox, None));
+    let mut read_timeout = FIRST_MESSAGE_TIMEOUT;
+    let mut peer_holder: Option<Holder> = None;
     let reading = async {
         loop {
-            let next = timeout(within, reader.next()).await;
+            let next = timeout(read_timeout, reader.next()).await;
             let bytes = match next {
-                Err(_) => return Err(format!("it said nothing for {within:?}")),
+                Err(_) => return Err(format!("it said nothing for {read_timeout:?}")),
                 Ok(None) => return Ok(()),
                 Ok(Some(Err(e))) => return Err(e.to_string()),
                 Ok(Some(Ok(bytes))) => bytes,
             };
             let from = links.take(&bytes).await?;
-            if spoke.as_ref() != Some(&from) {
+            if peer_holder.as_ref() != Some(&from) {
                 if links.voters.contains_key(&from.member) {
-                    reader.decoder_mut().set_max_frame_length(MAX_FRAME);
+                    reader.decoder_mut().set_max_frame_length(MAX_FRAME_BYTES);
                 }
-                if let Some((_, said)) = guests.here.borrow_mut().get_mut(&number) {
-                    *said = true;
+                if let Some((_, has_sent)) = inbound.open.borrow_mut().get_mut(&number) {
+                    *has_sent = true;
                 }
-                within = IDLE;
+                read_timeout = IDLE_TIMEOUT;
                 links.holders.borrow_mut().insert(from.clone(), out.clone());
-                spoke = Some(from);
+                peer_holder = Some(from);
             }
         }
     };
@@ -385,7 +393,7 @@
         ended = reading => ended,
         () = &mut writing => Ok(()),
     };
-    if let Some(holder) = spoke {
+    if let Some(holder) = peer_holder {
         let mut holders = links.holders.borrow_mut();
         // It may have come again over another connection.
         if holders.get(&holder).is_some_and(|other| other.same_channel(&out)) {
@@ -402,106 +410,107 @@
 /// The address cannot be had.
 pub async fn run<C: Future<Output = CallOutcome> + 'static>(
     setup: Setup,
-    place: Place,
+    config: DriverConfig,
     mut orders: mpsc::Receiver<Order>,
     call: impl Fn(Holder, Call) -> C + 'static,
     log: Rc<dyn Fn(String, bool)>,
 ) -> io::Result<()> {
     let me = setup.me.clone();
-    let (inbox, mut heard) = mpsc::channel(INBOX);
+    let (inbox, mut heard) = mpsc::channel(INBOX_MESSAGES);
     let mut dials = Vec::new();
-    let others = place.voters.iter().filter(|(name, _)| **name != me.member);
+    let others = config.voters.iter().filter(|(name, _)| **name != me.member);
     let voters = others.map(|(name, address)| {
-        let (out, outbox) = mpsc::channel(OUTBOX);
+        let (out, outbox) = mpsc::channel(OUTBOX_MESSAGES);
         dials.push((name.clone(), *address, outbox));
         (name.clone(), out)
     });
-    let complaints = Complaints { last: RefCell::new((None, 0)), log: log.clone() };
+    let connection_log = ConnectionLog { last: RefCell::new((None, 0)), log: log.clone() };
     let links = Rc::new(Links {
         fleet: setup.fleet.clone(),
         voters: voters.collect(),
         holders: RefCell::default(),
         inbox,
-        complaints,
+        connection_log,
     });
-    let here = Envelope { fleet: setup.fleet.clone(), from: me.clone(), said: Said::Here };
-    let here: Bytes = encode(&here).into();
+    let keep_alive = Envelope { fleet: setup.fleet.clone(), from: me.clone(), message: Message::KeepAlive };
+    let keep_alive: Bytes = encode(&keep_alive).into();
     let mut tasks = tokio::task::JoinSet::new();
     for (voter, address, outbox) in dials {
-        tasks.spawn_local(dial(links.clone(), voter, address, outbox, here.clone()));
+        tasks.spawn_local(dial(links.clone(), voter, address, outbox, keep_alive.clone()));
     }
-    let votes = place.voters.contains_key(&me.member);
-    if votes && let Some(listen) = place.listen {
+    let votes = config.voters.contains_key(&me.member);
+    if votes && let Some(listen) = config.listen {
         let listener = TcpListener::bind(listen)
             .await
             .map_err(|e| io::Error::new(e.kind(), format!("fleet.listen: cannot listen on {listen}: {e}")))?;
-        tasks.spawn_local(accept(links.clone(), listener, place.links));
+        tasks.spawn_local(accept(links.clone(), listener, config.links));
     }
-    let disk = votes.then(|| Box::new(Folder(place.folder.clone())) as Box<dyn Disk>);
-    let mut ticks = interval(tick(setup.terms));
+    let disk = votes.then(|| Box::new(Folder(config.folder.clone())) as Box<dyn Disk>);
+    let mut ticks = interval(tick(setup.timing));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let fleet = setup.fleet.clone();
     let mut member = Member::new(setup, disk, Box::new(random), now());
-    let (came_in, mut came) = mpsc::channel(INBOX);
-    let mut settles: HashMap<u64, oneshot::Sender<Settled>> = HashMap::new();
-    let mut shows: HashMap<u64, oneshot::Sender<Box<Shown>>> = HashMap::new();
+    let (ended_calls, mut call_ends) = mpsc::channel(INBOX_MESSAGES);
+    let mut proposals: HashMap<u64, oneshot::Sender<Settled>> = HashMap::new();
+    let mut state_queries: HashMap<u64, oneshot::Sender<Box<StateReport>>> = HashMap::new();
     let mut ticket = 0;
     loop {
         let input = tokio::select! {
-            _ = ticks.tick() => Input::Woke,
+            _ = ticks.tick() => Input::Tick,
             Some(heard) = heard.recv() => heard,
-            Some(came) = came.recv() => came,
+            Some(ended) = call_ends.recv() => ended,
             Some(order) = orders.recv() => {
                 ticket += 1;
-                settles.retain(|_, answer| !answer.is_closed());
-                shows.retain(|_, answer| !answer.is_closed());
+                proposals.retain(|_, answer| !answer.is_closed());
+                state_queries.retain(|_, answer| !answer.is_closed());
                 match order {
                     Order::Leave => Input::Leave,
                     // Who finds no room hears at once that its question was dropped.
-                    Order::Propose { .. } if settles.len() >= MOST_PROPOSED => continue,
-                    Order::Show { .. } if shows.len() >= MOST_TICKETS => continue,
+                    Order::Propose { .. } if proposals.len() >= MAX_PROPOSALS => continue,
+                    Order::Show { .. } if state_queries.len() >= MAX_STATE_QUERIES => continue,
                     Order::Propose { entry, answer } => {
-                        settles.insert(ticket, answer);
+                        proposals.insert(ticket, answer);
                         Input::Propose { ticket, entry }
                     }
                     Order::Show { answer } => {
-                        shows.insert(ticket, answer);
-                        Input::Show { ticket }
+                        state_queries.insert(ticket, answer);
+                        Input::QueryState { ticket }
                     }
                 }
             }
         };
         let outputs = member.step(now(), unix(), input);
-        if let (Some(heard), Some(at)) = (&place.heard, member.client().last_answer_at()) {
+        if let (Some(heard), Some(at)) = (&config.heard, member.client().last_answer_at()) {
             heard.store(u64::try_from(at.as_millis()).unwrap_or(u64::MAX), Ordering::Relaxed);
         }
         for output in outputs {
             match output {
-                Output::Say { to, said } => {
-                    let envelope = Envelope { fleet: fleet.clone(), from: me.clone(), said };
+                Output::Send { to, message } => {
+                    let envelope = Envelope { fleet: fleet.clone(), from: me.clone(), message };
                     links.send(&to, encode(&envelope).into());
                 }
                 Output::Call(wanted) => {
                     let (task, number, until) = (wanted.task.clone(), wanted.number, wanted.until);
                     let made = call(me.clone(), wanted);
-                    let back = came_in.clone();
+                    let back = ended_calls.clone();
                     spawn_local(async move {
                         let left = until.saturating_sub(now());
-                        let came = timeout(left, made).await;
-                        let came = came.unwrap_or_else(|_| CallOutcome::Failed("it took too long".into()));
-                        let _ = back.send(Input::Called { task, number, came }).await;
+                        let outcome = timeout(left, made).await;
+                        let outcome =
+                            outcome.unwrap_or_else(|_| CallOutcome::Failed("it took too long".into()));
+                        let _ = back.send(Input::CallEnded { task, number, outcome }).await;
                     });
                 }
                 // An error means that the caller has gone.
-                Output::Settled { ticket, outcome, again } => {
-                    let settled = Settled { outcome, again };
-                    let _ = settles.remove(&ticket).map(|answer| answer.send(settled));
+                Output::Settled { ticket, outcome, sent_again } => {
+                    let settled = Settled { outcome, sent_again };
+                    let _ = proposals.remove(&ticket).map(|answer| answer.send(settled));
                 }
-                Output::Shown { ticket, shown } => {
-                    let _ = shows.remove(&ticket).map(|answer| answer.send(shown));
+                Output::StateReport { ticket, report } => {
+                    let _ = state_queries.remove(&ticket).map(|answer| answer.send(report));
                 }
                 Output::Part { name, epoch, bytes } => {
-                    if let Some(newest) = &place.newest {
+                    if let Some(newest) = &config.newest {
                         newest.send_modify(|newest| drop(newest.insert(name, (epoch, bytes.into()))));
                     }
                 }
--- a/crates/member/src/frame.rs
+++ b/crates/member/src/frame.rs
@@ -11,7 +11,7 @@
 /// The version of this protocol. Another one is told by name, and nothing else of it is read.
 pub const VERSION: u16 = 1;
 /// The longest frame. The largest is a snapshot of the agreed state, whose bounds come to less: 8 MB, and what its parts have.
-pub const MAX_FRAME: usize = 64 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
 /// Who speaks, and what.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -21,22 +21,22 @@
     /// Who speaks, with the incarnation.
     pub from: Holder,
     /// What is said.
-    pub said: Said,
+    pub message: Message,
 }
 
 /// What is said.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Said {
+pub enum Message {
     /// A member is here: said first on each connection, and now and then where nothing else is.
-    Here,
+    KeepAlive,
     /// A voter says which start of its disk it is, and asks to be welcomed.
-    Life(VoterIncarnation),
+    Incarnation(VoterIncarnation),
     /// That start is written down; or its disk is older than what it once promised.
-    Welcome {
+    IncarnationVerdict {
         /// The disk of the one that says so.
         by: u64,
         /// The start.
-        life: u64,
+        incarnation: u64,
         /// What was drawn for it.
         nonce: u64,
         /// Whether it is welcome.
@@ -45,11 +45,11 @@
     /// Agreement among voters.
     Raft(RaftMessage),
     /// A member asks whether its leases go on.
-    Ask {
+    RenewalRequest {
         /// Which question.
         number: u64,
         /// What it would hold, where that has to be said.
-        wants: Option<Vec<String>>,
+        wanted: Option<Vec<String>>,
         /// The disk with which it would vote, or votes.
         disk: Option<u64>,
         /// What its clock on the wall shows, in Unix seconds.
@@ -79,32 +79,32 @@
         outcome: Option<Outcome>,
     },
     /// A member would see the agreed state.
-    Show {
+    QueryState {
         /// Which question.
         id: u64,
     },
     /// The agreed state, as far as this voter has it.
-    Shown {
+    StateReport {
         /// Which question.
         id: u64,
         /// What is shown.
-        shown: Shown,
+        report: StateReport,
     },
     /// A member says which epochs of the agreed state's parts it knows. Said with each question, where there are parts.
-    Knows {
+    KnownEpochs {
         /// The parts, each with the epoch.
         epochs: Vec<(String, u64)>,
     },
     /// The one that leads says what parts show this start, as far as that is new.
-    Parts {
+    PartViews {
         /// What they show.
-        sights: Vec<PartView>,
+        views: Vec<PartView>,
     },
 }
 
 /// The agreed state as one voter has it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct StateReport {
     /// The voter.
     pub by: String,
     /// Who leads, as far as it knows.
@@ -116,7 +116,7 @@
     /// How many entries it has applied.
     pub applied: u64,
     /// The disks that take part: member, whether it votes, number.
-    pub seats: Vec<(String, bool, u64)>,
+    pub voter_slots: Vec<(String, bool, u64)>,
     /// Milliseconds since each member was heard, where this voter leads.
     pub heard_ms: Vec<(String, u64)>,
     /// The agreed state ([`jaspershunt_fleet::Fleet::save`]).
@@ -134,7 +134,7 @@
     /// The disk that says it.
     pub from: u64,
     /// Which start of that disk.
-    pub life: u64,
+    pub incarnation: u64,
     /// In which term.
     pub term: u64,
     log_term: u64,
@@ -170,29 +170,29 @@
     /// The term of the entry there.
     pub term: u64,
     /// Who takes part there.
-    pub seats: Conf,
+    pub membership: Membership,
     /// The state.
     pub data: Vec<u8>,
 }
 
 /// Who takes part in agreement, as the library has it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Conf {
+pub struct Membership {
     /// Those that vote.
     pub voters: Vec<u64>,
     /// Those that learn.
     pub learners: Vec<u64>,
 }
 
-impl From<&eraftpb::ConfState> for Conf {
-    fn from(conf: &eraftpb::ConfState) -> Conf {
-        Conf { voters: conf.voters.clone(), learners: conf.learners.clone() }
+impl From<&eraftpb::ConfState> for Membership {
+    fn from(membership: &eraftpb::ConfState) -> Membership {
+        Membership { voters: membership.voters.clone(), learners: membership.learners.clone() }
     }
 }
 
-impl From<&Conf> for eraftpb::ConfState {
-    fn from(conf: &Conf) -> eraftpb::ConfState {
-        eraftpb::ConfState::from((conf.voters.clone(), conf.learners.clone()))
+impl From<&Membership> for eraftpb::ConfState {
+    fn from(membership: &Membership) -> eraftpb::ConfState {
+        eraftpb::ConfState::from((membership.voters.clone(), membership.learners.clone()))
     }
 }
 
@@ -225,8 +225,8 @@
 impl From<&eraftpb::Snapshot> for Snapshot {
     fn from(snapshot: &eraftpb::Snapshot) -> Snapshot {
         let at = snapshot.get_metadata();
-        let seats = at.get_conf_state().into();
-        Snapshot { index: at.index, term: at.term, seats, data: snapshot.data.to_vec() }
+        let membership = at.get_conf_state().into();
+        Snapshot { index: at.index, term: at.term, membership, data: snapshot.data.to_vec() }
     }
 }
 
@@ -236,14 +236,14 @@
         into.data = snapshot.data.clone().into();
         let at = into.mut_metadata();
         (at.index, at.term) = (snapshot.index, snapshot.term);
-        at.set_conf_state((&snapshot.seats).into());
+        at.set_conf_state((&snapshot.membership).into());
         into
     }
 }
 
 /// The kinds of messages that one voter says to another, by their numbers. Others are a process's own, or not used here: some of
 /// those the library takes for granted what nobody has checked.
-const KINDS: [eraftpb::MessageType; 9] = {
+const MESSAGE_KINDS: [eraftpb::MessageType; 9] = {
     use eraftpb::MessageType::*;
     [
         MsgAppend,
@@ -260,14 +260,14 @@
 
 impl RaftMessage {
     /// A message on its way out; `None` for one that is for no other voter.
-    pub fn new(message: &eraftpb::Message, life: u64) -> Option<RaftMessage> {
-        let kind = KINDS.iter().position(|kind| *kind == message.msg_type)?;
+    pub fn new(message: &eraftpb::Message, incarnation: u64) -> Option<RaftMessage> {
+        let kind = MESSAGE_KINDS.iter().position(|kind| *kind == message.msg_type)?;
         let has_snapshot = message.msg_type == eraftpb::MessageType::MsgSnapshot;
         Some(RaftMessage {
             kind: kind as u8,
             to: message.to,
             from: message.from,
-            life,
+            incarnation,
             term: message.term,
             log_term: message.log_term,
             index: message.index,
@@ -286,7 +286,7 @@
     /// The library's form; `None` if the kind is none.
     pub fn into_raft(self) -> Option<eraftpb::Message> {
         let mut into = eraftpb::Message::default();
-        into.set_msg_type(*KINDS.get(usize::from(self.kind))?);
+        into.set_msg_type(*MESSAGE_KINDS.get(usize::from(self.kind))?);
         (into.to, into.from, into.term) = (self.to, self.from, self.term);
         (into.log_term, into.index) = (self.log_term, self.index);
         into.entries = self.entries.into_iter().map(eraftpb::Entry::from).collect::<Vec<_>>().into();
@@ -303,8 +303,8 @@
 
     /// Up to where a follower that is told this must have written already: more than its disk has means that the disk is older than
     /// what it once promised.
-    pub fn has_promised(&self) -> u64 {
-        match KINDS.get(usize::from(self.kind)) {
+    pub fn min_log_index(&self) -> u64 {
+        match MESSAGE_KINDS.get(usize::from(self.kind)) {
             Some(eraftpb::MessageType::MsgHeartbeat) => self.commit,
             _ => 0,
         }
@@ -316,29 +316,29 @@
     }
 
     /// Up to where the one that says this has written, if it says so.
-    pub fn has_written(&self) -> Option<u64> {
-        let kind = KINDS.get(usize::from(self.kind))?;
+    pub fn persisted_index(&self) -> Option<u64> {
+        let kind = MESSAGE_KINDS.get(usize::from(self.kind))?;
         (*kind == eraftpb::MessageType::MsgAppendResponse && !self.reject).then_some(self.index)
     }
 }
 
 /// Why bytes are no message to this member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum DecodeError {
     /// Another version.
     Version(u16),
     /// Another fleet.
     Fleet(String),
     /// No message at all.
-    Garbled,
+    Malformed,
 }
 
-impl std::fmt::Display for Wrong {
+impl std::fmt::Display for DecodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Wrong::Version(version) => write!(f, "it speaks version {version}, this program {VERSION}"),
-            Wrong::Fleet(name) => write!(f, "it belongs to the fleet {name:?}"),
-            Wrong::Garbled => f.write_str("it says what no member says"),
+            DecodeError::Version(version) => write!(f, "it speaks version {version}, this program {VERSION}"),
+            DecodeError::Fleet(name) => write!(f, "it belongs to the fleet {name:?}"),
+            DecodeError::Malformed => f.write_str("it says what no member says"),
         }
     }
 }
@@ -353,55 +353,55 @@
 ///
 /// # Errors
 /// They are none.
-pub fn decode(bytes: &[u8], fleet: &str) -> Result<Envelope, Wrong> {
-    let (version, rest) = postcard::take_from_bytes::<u16>(bytes).map_err(|_| Wrong::Garbled)?;
+pub fn decode(bytes: &[u8], fleet: &str) -> Result<Envelope, DecodeError> {
+    let (version, rest) = postcard::take_from_bytes::<u16>(bytes).map_err(|_| DecodeError::Malformed)?;
     if version != VERSION {
-        return Err(Wrong::Version(version));
+        return Err(DecodeError::Version(version));
     }
-    let (named, _) = postcard::take_from_bytes::<&str>(rest).map_err(|_| Wrong::Garbled)?;
+    let (named, _) = postcard::take_from_bytes::<&str>(rest).map_err(|_| DecodeError::Malformed)?;
     if named != fleet {
-        return Err(Wrong::Fleet(named.chars().take(64).collect()));
+        return Err(DecodeError::Fleet(named.chars().take(64).collect()));
     }
-    let (envelope, rest) = postcard::take_from_bytes(rest).map_err(|_| Wrong::Garbled)?;
-    if rest.is_empty() { Ok(envelope) } else { Err(Wrong::Garbled) }
+    let (envelope, rest) = postcard::take_from_bytes(rest).map_err(|_| DecodeError::Malformed)?;
+    if rest.is_empty() { Ok(envelope) } else { Err(DecodeError::Malformed) }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn envelope(said: Said) -> Envelope {
-        Envelope { fleet: "cordoba".into(), from: Holder::new("n1", 3), said }
+    fn envelope(message: Message) -> Envelope {
+        Envelope { fleet: "cordoba".into(), from: Holder::new("n1", 3), message }
     }
 
     #[test]
     fn what_is_said_comes_back_and_other_fleets_and_versions_are_named() {
-        let said = envelope(Said::Ask {
+        let message = envelope(Message::RenewalRequest {
             number: 5,
-            wants: Some(vec!["task/x".into()]),
+            wanted: Some(vec!["task/x".into()]),
             disk: Some(9),
             unix: 7,
             answered: 4,
         });
-        let bytes = encode(&said);
-        assert_eq!(decode(&bytes, "cordoba"), Ok(said));
-        assert_eq!(decode(&bytes, "salta"), Err(Wrong::Fleet("cordoba".into())));
+        let bytes = encode(&message);
+        assert_eq!(decode(&bytes, "cordoba"), Ok(message));
+        assert_eq!(decode(&bytes, "salta"), Err(DecodeError::Fleet("cordoba".into())));
         let mut other = bytes.clone();
         other[0] = 2;
-        assert_eq!(decode(&other, "cordoba"), Err(Wrong::Version(2)));
+        assert_eq!(decode(&other, "cordoba"), Err(DecodeError::Version(2)));
         for cut in 0..bytes.len() {
             assert!(decode(&bytes[..cut], "cordoba").is_err(), "{cut}");
         }
         let mut longer = bytes;
         longer.push(0);
-        assert_eq!(decode(&longer, "cordoba"), Err(Wrong::Garbled));
+        assert_eq!(decode(&longer, "cordoba"), Err(DecodeError::Malformed));
         // A length of what follows that is far beyond it.
-        assert_eq!(decode(&[1, 0xff, 0xff, 0xff, 0xff, 0x0f], "cordoba"), Err(Wrong::Garbled));
+        assert_eq!(decode(&[1, 0xff, 0xff, 0xff, 0xff, 0x0f], "cordoba"), Err(DecodeError::Malformed));
     }
 
     #[test]
     fn messages_of_the_library_come_back_as_they_were() {
-        for kind in KINDS {
+        for kind in MESSAGE_KINDS {
             let mut message = eraftpb::Message::default();
             message.set_msg_type(kind);
             (message.to, message.from, message.term, message.index) = (1, 2, 3, 4);
@@ -413,12 +413,12 @@
             (entry.term, entry.index, entry.data, entry.context) = (3, 5, vec![7].into(), vec![8, 9].into());
             message.entries = vec![entry].into();
             if kind == eraftpb::MessageType::MsgSnapshot {
-                let seats = Conf { voters: vec![1, 2], learners: vec![3] };
-                message.set_snapshot((&Snapshot { index: 4, term: 3, seats, data: vec![4, 5] }).into());
+                let membership = Membership { voters: vec![1, 2], learners: vec![3] };
+                message.set_snapshot((&Snapshot { index: 4, term: 3, membership, data: vec![4, 5] }).into());
             }
-            let said = RaftMessage::new(&message, 8).unwrap();
-            let bytes = encode(&envelope(Said::Raft(said)));
-            let Said::Raft(came) = decode(&bytes, "cordoba").unwrap().said else { panic!("{kind:?}") };
+            let sent = RaftMessage::new(&message, 8).unwrap();
+            let bytes = encode(&envelope(Message::Raft(sent)));
+            let Message::Raft(came) = decode(&bytes, "cordoba").unwrap().message else { panic!("{kind:?}") };
             assert_eq!(came.into_raft().unwrap(), message, "{kind:?}");
         }
         // A process's own affairs are said to nobody, and taken from nobody.
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -14,4 +14,4 @@
 pub mod store;
 pub mod voter;
 
-pub use member::{Input, Member, Output, Setup, To};
+pub use member::{Input, Member, Output, Recipient, Setup};
--- a/crates/member/src/log.rs
+++ b/crates/member/src/log.rs
@@ -1,6 +1,6 @@
 //! The log of a voter in memory, as the library for agreement reads it. What is here was written to disk first ([`crate::store`]).
 
-use crate::frame::{Conf, Snapshot};
+use crate::frame::{Membership, Snapshot};
 use raft::eraftpb::{ConfState, Entry, HardState};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use std::cell::Cell;
@@ -12,7 +12,7 @@
     /// The term, the vote and how far is agreed.
     pub hard: HardState,
     /// Who takes part at the snapshot: entries behind it change that again as they are applied anew.
-    pub conf: Conf,
+    pub membership: Membership,
     /// The state at the beginning of the entries.
     pub snapshot: Snapshot,
     /// The state further on, for one that is too far behind or takes part only since.
@@ -24,8 +24,8 @@
 impl Log {
     /// A log as it was found.
     pub fn new(hard: HardState, snapshot: Snapshot, entries: Vec<Entry>) -> Log {
-        let (conf, entries) = (snapshot.seats.clone(), entries.into());
-        Log { hard, conf, snapshot, entries, ..Log::default() }
+        let (membership, entries) = (snapshot.membership.clone(), entries.into());
+        Log { hard, membership, snapshot, entries, ..Log::default() }
     }
 
     fn first(&self) -> u64 {
@@ -71,7 +71,7 @@
         self.fresh = None;
         self.hard.commit = self.hard.commit.max(snapshot.index);
         self.hard.term = self.hard.term.max(snapshot.term);
-        (self.conf, self.snapshot) = (snapshot.seats.clone(), snapshot);
+        (self.membership, self.snapshot) = (snapshot.membership.clone(), snapshot);
     }
 
     /// Lets go of what a snapshot covers.
@@ -79,7 +79,7 @@
         let gone = snapshot.index.saturating_sub(self.snapshot.index) as usize;
         self.entries.drain(..gone.min(self.entries.len()));
         self.fresh = None;
-        (self.conf, self.snapshot) = (snapshot.seats.clone(), snapshot);
+        (self.membership, self.snapshot) = (snapshot.membership.clone(), snapshot);
     }
 
     fn at(&self, index: u64) -> Option<&Entry> {
@@ -89,7 +89,7 @@
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        Ok(RaftState::new(self.hard.clone(), ConfState::from(&self.conf)))
+        Ok(RaftState::new(self.hard.clone(), ConfState::from(&self.membership)))
     }
 
     fn entries(
@@ -132,7 +132,7 @@
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<raft::eraftpb::Snapshot> {
         // One that takes part only since a snapshot was taken would throw that away: it is not named in it.
         let serves = |snapshot: &&Snapshot| {
-            let Conf { voters, learners } = &snapshot.seats;
+            let Membership { voters, learners } = &snapshot.membership;
             snapshot.index >= request_index && (voters.contains(&to) || learners.contains(&to))
         };
         match self.fresh.iter().chain([&self.snapshot]).find(serves) {
@@ -155,7 +155,7 @@
         entry
     }
 
-    fn terms(log: &Log) -> Vec<u64> {
+    fn entry_terms(log: &Log) -> Vec<u64> {
         let all = log.entries(log.first(), log.last() + 1, None, GetEntriesContext::empty(false)).unwrap();
         all.iter().map(|entry| entry.term).collect()
     }
@@ -165,13 +165,13 @@
         let mut log = Log::default();
         log.append(&[entry(1, 1), entry(1, 2), entry(1, 3)]);
         log.append(&[entry(2, 2), entry(2, 3), entry(2, 4)]);
-        assert_eq!((terms(&log), log.position()), (vec![1, 2, 2, 2], (2, 4)));
+        assert_eq!((entry_terms(&log), log.position()), (vec![1, 2, 2, 2], (2, 4)));
         log.trim(Snapshot { index: 3, term: 2, ..Snapshot::default() });
-        assert_eq!((terms(&log), log.position(), log.term(3)), (vec![2], (2, 4), Ok(2)));
+        assert_eq!((entry_terms(&log), log.position(), log.term(3)), (vec![2], (2, 4), Ok(2)));
         assert_eq!(log.term(2), Err(Error::Store(StorageError::Compacted)));
         assert_eq!(log.term(5), Err(Error::Store(StorageError::Unavailable)));
         log.install(Snapshot { index: 9, term: 4, ..Snapshot::default() });
-        assert_eq!((terms(&log), log.position(), log.hard.commit), (vec![], (4, 9), 9));
+        assert_eq!((entry_terms(&log), log.position(), log.hard.commit), (vec![], (4, 9), 9));
         log.append(&[entry(4, 10)]);
         assert_eq!(log.position(), (4, 10));
     }
@@ -179,12 +179,12 @@
     /// One that takes part only since the last snapshot gets one that names it.
     #[test]
     fn a_snapshot_is_for_those_that_it_names() {
-        let seats = |learners: &[u64]| Conf { voters: vec![1], learners: learners.to_vec() };
-        let first = Snapshot { index: 1, term: 1, seats: seats(&[]), data: vec![1] };
+        let membership = |learners: &[u64]| Membership { voters: vec![1], learners: learners.to_vec() };
+        let first = Snapshot { index: 1, term: 1, membership: membership(&[]), data: vec![1] };
         let mut log = Log::new(HardState::default(), first, Vec::new());
         assert_eq!(log.snapshot(0, 1).unwrap().get_metadata().index, 1);
         assert!(log.snapshot(0, 2).is_err() && log.wants_fresh() && !log.wants_fresh());
-        log.fresh = Some(Snapshot { index: 5, term: 1, seats: seats(&[2]), data: vec![2] });
+        log.fresh = Some(Snapshot { index: 5, term: 1, membership: membership(&[2]), data: vec![2] });
         assert_eq!(log.snapshot(0, 2).unwrap().get_metadata().index, 5);
         assert!(log.snapshot(6, 2).is_err());
     }
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -1,9 +1,9 @@
 //! A whole member: its side of the fleet, and the voter on its disk if it is one. No socket, thread, clock or random source: `now`,
 //! messages and what came of calls go in, messages and calls come out. The disk is reached through [`Disk`].
 
-use crate::frame::{Said, Shown};
+use crate::frame::{Message, StateReport};
 use crate::store::StoreError;
-use crate::voter::{Fault, Place, Voter};
+use crate::voter::{Fault, Voter, VoterSetup};
 use jaspershunt_fleet::client::{Action, Call, Client, Event};
 use jaspershunt_fleet::parts::{MAX_PARTS, Part, PartView, ReplicatedState};
 use jaspershunt_fleet::tasks::{CallOutcome, TaskSpec};
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 /// A disk that cannot be opened is tried again so often.
-const OPEN_EVERY: Duration = Duration::from_secs(1);
+const OPEN_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Messages to itself that a member carries on with in one go; more means that something is wrong with this program.
-const MOST_IN_A_ROW: usize = 100_000;
+const MAX_SELF_MESSAGES: usize = 100_000;
 
 /// A voter's disk.
 pub trait Disk {
@@ -42,19 +42,19 @@
     /// The members that are to vote.
     pub voters: Vec<String>,
     /// The terms of leases, the same for all.
-    pub terms: LeaseTiming,
+    pub timing: LeaseTiming,
     /// The tasks of this member.
     pub tasks: Vec<TaskSpec>,
     /// Makes the parts of the agreed state, each of them empty. The same for all voters: one that does not know a part that the
     /// others have takes no part in it. See [`no_parts`].
     pub parts: fn() -> Vec<Box<dyn Part>>,
     /// What the one that leads proposes for parts of its own: each a part's name and an entry of it. It is asked every few ticks, once
-    /// what it said before is agreed, and two that lead may say the same: a part takes a repeat for one. See [`no_lead`].
-    pub lead: Lead,
+    /// what it said before is agreed, and two that lead may say the same: a part takes a repeat for one. See [`no_part_proposals`].
+    pub part_proposals: PartProposals,
 }
 
-/// See [`Setup::lead`]; the first is the time by the wall clock, in Unix milliseconds.
-pub type Lead = fn(u64, &ReplicatedState) -> Vec<(String, Vec<u8>)>;
+/// See [`Setup::part_proposals`]; the first is the time by the wall clock, in Unix milliseconds.
+pub type PartProposals = fn(u64, &ReplicatedState) -> Vec<(String, Vec<u8>)>;
 
 /// No parts: nothing is said or saved of any.
 pub fn no_parts() -> Vec<Box<dyn Part>> {
@@ -62,18 +62,18 @@
 }
 
 /// Nothing is proposed for parts.
-pub fn no_lead(_: u64, _: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
+pub fn no_part_proposals(_: u64, _: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
     Vec::new()
 }
 
 /// The time of a tick of all members of a fleet: a hundredth of a lease's, within bounds that a machine can keep.
-pub fn tick(terms: LeaseTiming) -> Duration {
-    (terms.ttl / 100).clamp(Duration::from_millis(10), Duration::from_millis(100))
+pub fn tick(timing: LeaseTiming) -> Duration {
+    (timing.ttl / 100).clamp(Duration::from_millis(10), Duration::from_millis(100))
 }
 
 /// To whom something is said.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum Recipient {
     /// A voter, whichever start of it is there.
     Voter(String),
     /// A start that has said something, over the link on which it did.
@@ -84,27 +84,27 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// Time has passed.
-    Woke,
+    Tick,
     /// A member says something.
-    Heard {
+    Received {
         /// Who.
         from: Holder,
         /// What.
-        said: Said,
+        message: Message,
     },
     /// The connection to a voter broke.
-    LostSight {
+    ConnectionLost {
         /// Its name.
         voter: String,
     },
     /// What came of a call for a task.
-    Called {
+    CallEnded {
         /// The task.
         task: String,
         /// Which call.
         number: u64,
         /// What came of it.
-        came: CallOutcome,
+        outcome: CallOutcome,
     },
     /// An operator has an entry.
     Propose {
@@ -114,8 +114,8 @@
         entry: Entry,
     },
     /// An operator would see the agreed state.
-    Show {
-        /// Comes back with [`Output::Shown`].
+    QueryState {
+        /// Comes back with [`Output::StateReport`].
         ticket: u64,
     },
     /// This start is about to end.
@@ -126,11 +126,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Say this.
-    Say {
+    Send {
         /// To whom.
-        to: To,
+        to: Recipient,
         /// What.
-        said: Said,
+        message: Message,
     },
     /// Call for a task.
     Call(Call),
@@ -141,14 +141,14 @@
         /// What came of it.
         outcome: Option<Outcome>,
         /// It was said more than once: where this outcome is a refusal, another copy may be agreed yet.
-        again: bool,
+        sent_again: bool,
     },
     /// The agreed state.
-    Shown {
+    StateReport {
         /// For whom.
         ticket: u64,
         /// What is shown.
-        shown: Box<Shown>,
+        report: Box<StateReport>,
     },
     /// A part of the agreed state shows this start something new. Epochs of a part only grow.
     Part {
@@ -176,7 +176,7 @@
     /// Operators' entries, by the client's number.
     tickets: Vec<(u64, u64)>,
     /// Why the disk could not be opened, as it was logged.
-    trouble: String,
+    open_error: String,
     has_left: bool,
     /// The newest epoch of each part that was shown; `None` where there are no parts.
     epochs: Option<BTreeMap<String, u64>>,
@@ -190,12 +190,12 @@
         random: Box<dyn FnMut() -> u64>,
         now: Duration,
     ) -> Member {
-        let Setup { me, voters, terms, tasks, .. } = setup.clone();
-        let client = Client::new(me, terms, voters, tasks);
-        let (tickets, trouble) = (Vec::new(), String::new());
+        let Setup { me, voters, timing, tasks, .. } = setup.clone();
+        let client = Client::new(me, timing, voters, tasks);
+        let (tickets, open_error) = (Vec::new(), String::new());
         let epochs = (!(setup.parts)().is_empty()).then(BTreeMap::new);
         let (voter, open_at, has_left) = (None, now, false);
-        Member { setup, client, voter, disk, open_at, random, tickets, trouble, has_left, epochs }
+        Member { setup, client, voter, disk, open_at, random, tickets, open_error, has_left, epochs }
     }
 
     /// Its side of the fleet.
@@ -221,34 +221,39 @@
     /// Takes in one thing; what is to be done comes out, in order. `unix` is the time by the wall clock, since 1970.
     pub fn step(&mut self, now: Duration, unix: Duration, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
-        let mut own = VecDeque::new();
+        let mut to_self = VecDeque::new();
         match input {
-            Input::Woke => {
+            Input::Tick => {
                 self.open(now, &mut outputs);
-                let said = self.voter.as_mut().map(|voter| voter.tick(now, unix));
-                self.voter_said(said, &mut own, &mut outputs);
+                let result = self.voter.as_mut().map(|voter| voter.tick(now, unix));
+                self.on_voter_result(result, &mut to_self, &mut outputs);
             }
-            Input::Heard { from, said } => self.hear(now, from, said, &mut own, &mut outputs),
-            Input::LostSight { voter } => self.client.on_connection_lost(now, &voter),
-            Input::Called { task, number, came } => self.client.call_ended(now, &task, number, came),
+            Input::Received { from, message } => self.receive(now, from, message, &mut to_self, &mut outputs),
+            Input::ConnectionLost { voter } => self.client.on_connection_lost(now, &voter),
+            Input::CallEnded { task, number, outcome } => self.client.call_ended(now, &task, number, outcome),
             Input::Propose { ticket, entry } => match self.client.propose(now, entry, true) {
                 Some(id) => self.tickets.push((id, ticket)),
-                None => outputs.push(Output::Settled { ticket, outcome: None, again: false }),
+                None => outputs.push(Output::Settled { ticket, outcome: None, sent_again: false }),
             },
-            Input::Show { ticket } => {
+            Input::QueryState { ticket } => {
                 let me = self.setup.me.member.clone();
                 let asks = if self.voter.is_some() { Some(me.as_str()) } else { self.client.current_voter() };
                 if let Some(asks) = asks.map(str::to_string) {
-                    self.send(To::Voter(asks), Said::Show { id: ticket }, &mut own, &mut outputs);
+                    self.send(
+                        Recipient::Voter(asks),
+                        Message::QueryState { id: ticket },
+                        &mut to_self,
+                        &mut outputs,
+                    );
                 }
             }
             Input::Leave => self.client.leave(now),
         }
         let actions = self.client.step(now, i64::try_from(unix.as_secs()).unwrap_or(i64::MAX));
-        self.take_up(actions, &mut own, &mut outputs);
-        for _ in 0..MOST_IN_A_ROW {
-            let Some(said) = own.pop_front() else { break };
-            self.hear(now, self.setup.me.clone(), said, &mut own, &mut outputs);
+        self.apply_actions(actions, &mut to_self, &mut outputs);
+        for _ in 0..MAX_SELF_MESSAGES {
+            let Some(message) = to_self.pop_front() else { break };
+            self.receive(now, self.setup.me.clone(), message, &mut to_self, &mut outputs);
         }
         if self.client.has_left() && !std::mem::replace(&mut self.has_left, true) {
             outputs.push(Output::Left);
@@ -261,61 +266,63 @@
         if self.voter.is_some() || now < self.open_at {
             return;
         }
-        self.open_at = now + OPEN_EVERY;
-        let place = Place {
+        self.open_at = now + OPEN_RETRY_DELAY;
+        let voter_setup = VoterSetup {
             fleet: self.setup.fleet.clone(),
-            named: self.setup.voters.clone(),
-            terms: self.setup.terms,
-            tick: tick(self.setup.terms),
+            configured_voters: self.setup.voters.clone(),
+            timing: self.setup.timing,
+            tick: tick(self.setup.timing),
             parts: self.setup.parts,
-            lead: self.setup.lead,
+            part_proposals: self.setup.part_proposals,
         };
         let random = [(self.random)(), (self.random)()];
-        let opened =
-            disk.open().and_then(|backend| Voter::open(backend, place, self.setup.me.clone(), random, now));
+        let opened = disk
+            .open()
+            .and_then(|backend| Voter::open(backend, voter_setup, self.setup.me.clone(), random, now));
         match opened {
             Ok(voter) => {
                 outputs.push(Output::Log(format!("the voter's disk {:016x} is open", voter.disk()), false));
                 self.voter = Some(voter);
-                self.trouble.clear();
+                self.open_error.clear();
             }
             Err(e) => {
-                let mut trouble = e.to_string();
-                if matches!(e, StoreError::Behind(_)) {
+                let mut open_error = e.to_string();
+                if matches!(e, StoreError::PartOutdated(_)) {
                     // A new disk learns all of it from the others.
                     let aside = disk.set_aside();
                     let aside = aside
                         .map_or_else(|e| format!("cannot be put aside: {e}"), |()| "is put aside".into());
-                    trouble = format!("{trouble}; it {aside}");
+                    open_error = format!("{open_error}; it {aside}");
                 }
-                if trouble != self.trouble {
-                    outputs.push(Output::Log(format!("the voter's disk cannot be opened: {trouble}"), true));
-                    self.trouble = trouble;
+                if open_error != self.open_error {
+                    outputs
+                        .push(Output::Log(format!("the voter's disk cannot be opened: {open_error}"), true));
+                    self.open_error = open_error;
                 }
             }
         }
     }
 
-    fn hear(
+    fn receive(
         &mut self,
         now: Duration,
         from: Holder,
-        said: Said,
-        own: &mut VecDeque<Said>,
+        message: Message,
+        to_self: &mut VecDeque<Message>,
         outputs: &mut Vec<Output>,
     ) {
-        match said {
-            Said::Answer(answer) => self.client.on_answer(now, &from.member, &answer),
-            Said::NotLeader { leader } => {
+        match message {
+            Message::Answer(answer) => self.client.on_answer(now, &from.member, &answer),
+            Message::NotLeader { leader } => {
                 self.client.on_not_leader(now, &from.member, leader.as_deref());
             }
-            Said::Proposed { id, outcome } => {
+            Message::Proposed { id, outcome } => {
                 let actions = self.client.on_outcome(now, id, outcome);
-                self.take_up(actions, own, outputs);
+                self.apply_actions(actions, to_self, outputs);
             }
-            Said::Parts { sights } if self.setup.voters.contains(&from.member) => {
+            Message::PartViews { views } if self.setup.voters.contains(&from.member) => {
                 let Some(epochs) = &mut self.epochs else { return };
-                for PartView { name, epoch, bytes } in sights {
+                for PartView { name, epoch, bytes } in views {
                     let room = epochs.len() < MAX_PARTS || epochs.contains_key(&name);
                     // Guards against one that led and does not know that it does not any more.
                     if room && epochs.get(&name).is_none_or(|known| *known < epoch) {
@@ -324,25 +331,27 @@
                     }
                 }
             }
-            Said::Shown { id, shown } => {
-                outputs.push(Output::Shown { ticket: id, shown: Box::new(shown) });
+            Message::StateReport { id, report } => {
+                outputs.push(Output::StateReport { ticket: id, report: Box::new(report) });
             }
-            said => {
-                let said = self.voter.as_mut().map(|voter| voter.hear(now, &from, said));
-                self.voter_said(said, own, outputs);
+            message => {
+                let result = self.voter.as_mut().map(|voter| voter.receive(now, &from, message));
+                self.on_voter_result(result, to_self, outputs);
             }
         }
     }
 
-    fn voter_said(
+    fn on_voter_result(
         &mut self,
-        said: Option<Result<Vec<(To, Said)>, Fault>>,
-        own: &mut VecDeque<Said>,
+        result: Option<Result<Vec<(Recipient, Message)>, Fault>>,
+        to_self: &mut VecDeque<Message>,
         outputs: &mut Vec<Output>,
     ) {
-        match said {
+        match result {
             None => {}
-            Some(Ok(all)) => all.into_iter().for_each(|(to, said)| self.send(to, said, own, outputs)),
+            Some(Ok(all)) => {
+                all.into_iter().for_each(|(to, message)| self.send(to, message, to_self, outputs))
+            }
             Some(Err(fault)) => {
                 // Whatever it has not said yet is never said.
                 self.voter = None;
@@ -351,7 +360,7 @@
                         let what = format!("the voter says nothing more until its disk is open again: {e}");
                         outputs.push(Output::Log(what, true));
                     }
-                    Fault::Old(why) => {
+                    Fault::RolledBack(why) => {
                         let aside = self.disk.as_mut().map(|disk| disk.set_aside());
                         let what = match aside {
                             Some(Err(e)) => format!("and cannot be put aside: {e}"),
@@ -366,43 +375,59 @@
         }
     }
 
-    fn send(&self, to: To, said: Said, own: &mut VecDeque<Said>, outputs: &mut Vec<Output>) {
+    fn send(
+        &self,
+        to: Recipient,
+        message: Message,
+        to_self: &mut VecDeque<Message>,
+        outputs: &mut Vec<Output>,
+    ) {
         let me = &self.setup.me;
         let is_own = match &to {
-            To::Voter(name) => *name == me.member,
-            To::Holder(holder) => holder == me,
+            Recipient::Voter(name) => *name == me.member,
+            Recipient::Holder(holder) => holder == me,
         };
         if is_own {
-            own.push_back(said);
+            to_self.push_back(message);
         } else {
-            outputs.push(Output::Say { to, said });
+            outputs.push(Output::Send { to, message });
         }
     }
 
-    fn take_up(&mut self, actions: Vec<Action>, own: &mut VecDeque<Said>, outputs: &mut Vec<Output>) {
+    fn apply_actions(
+        &mut self,
+        actions: Vec<Action>,
+        to_self: &mut VecDeque<Message>,
+        outputs: &mut Vec<Output>,
+    ) {
         for action in actions {
             match action {
                 Action::Renew { to, number, wanted, unix, answered } => {
                     let disk = self.voter.as_ref().map(Voter::disk);
                     if let Some(epochs) = &self.epochs {
                         let epochs = epochs.clone().into_iter().collect();
-                        self.send(To::Voter(to.clone()), Said::Knows { epochs }, own, outputs);
+                        self.send(
+                            Recipient::Voter(to.clone()),
+                            Message::KnownEpochs { epochs },
+                            to_self,
+                            outputs,
+                        );
                     }
                     self.send(
-                        To::Voter(to),
-                        Said::Ask { number, wants: wanted, disk, unix, answered },
-                        own,
+                        Recipient::Voter(to),
+                        Message::RenewalRequest { number, wanted, disk, unix, answered },
+                        to_self,
                         outputs,
                     );
                 }
                 Action::Propose { to, id, entry } => {
-                    self.send(To::Voter(to), Said::Propose { id, entry }, own, outputs);
+                    self.send(Recipient::Voter(to), Message::Propose { id, entry }, to_self, outputs);
                 }
                 Action::Call(call) => outputs.push(Output::Call(call)),
                 Action::Settled { id, outcome, sent_again } => {
-                    if let Some(place) = self.tickets.iter().position(|(other, _)| *other == id) {
-                        let (_, ticket) = self.tickets.swap_remove(place);
-                        outputs.push(Output::Settled { ticket, outcome, again: sent_again });
+                    if let Some(index) = self.tickets.iter().position(|(other, _)| *other == id) {
+                        let (_, ticket) = self.tickets.swap_remove(index);
+                        outputs.push(Output::Settled { ticket, outcome, sent_again });
                     }
                 }
                 Action::Report(Event::Acquired { lease, token }) => {
--- a/crates/member/src/member/parts_tests.rs
+++ b/crates/member/src/member/parts_tests.rs
@@ -1,6 +1,6 @@
 //! Members with parts, without sockets: what one says reaches the other at once, or never.
 
-use super::tests::{Memory, Shared, TERMS, founded_for, setup};
+use super::tests::{Memory, Shared, TIMING, founded_for, setup};
 use super::*;
 use jaspershunt_fleet::Fleet;
 use std::any::Any;
@@ -58,21 +58,21 @@
 }
 
 fn board(member: &Member) -> &Board {
-    board_of(member.voter().unwrap().agreed())
+    board_of(member.voter().unwrap().state())
 }
 
-fn board_of(agreed: &ReplicatedState) -> &Board {
-    agreed.part("board").unwrap().as_any().downcast_ref().unwrap()
+fn board_of(state: &ReplicatedState) -> &Board {
+    state.part("board").unwrap().as_any().downcast_ref().unwrap()
 }
 
 /// Says who was last seen to be missing, once for each; and more than is taken in one go.
-fn tells_of_two(unix_ms: u64, agreed: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
-    let board = board_of(agreed);
+fn proposals_when_one_is_missing(unix_ms: u64, state: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
+    let board = board_of(state);
     if board.members.len() != 3 || board.entries.len() > 1 {
         return Vec::new();
     }
     let entry = ("board".to_string(), unix_ms.to_le_bytes().to_vec());
-    vec![entry; 10 * crate::voter::MAX_LEAD_PROPOSALS]
+    vec![entry; 10 * crate::voter::MAX_PART_PROPOSALS]
 }
 
 #[derive(Default)]
@@ -85,7 +85,7 @@
     now: Duration,
     starts: u64,
     /// What parts showed each, and what became of entries.
-    shown: BTreeMap<String, Vec<(u64, Vec<u8>)>>,
+    views: BTreeMap<String, Vec<(u64, Vec<u8>)>>,
     settled: Vec<Option<Outcome>>,
     logged: Vec<String>,
 }
@@ -96,14 +96,14 @@
     fn new(names: &[&str]) -> Net {
         let mut net = Net::default();
         net.disks.insert("n1".into(), founded_for("n1"));
-        names.iter().for_each(|name| net.start(name, boards, no_lead));
+        names.iter().for_each(|name| net.start(name, boards, no_part_proposals));
         net
     }
 
-    fn start(&mut self, name: &str, parts: fn() -> Vec<Box<dyn Part>>, lead: Lead) {
+    fn start(&mut self, name: &str, parts: fn() -> Vec<Box<dyn Part>>, part_proposals: PartProposals) {
         self.starts += 1;
         let voters = VOTERS.map(String::from).to_vec();
-        let setup = Setup { voters, tasks: Vec::new(), parts, lead, ..setup(name, self.starts) };
+        let setup = Setup { voters, tasks: Vec::new(), parts, part_proposals, ..setup(name, self.starts) };
         let mut count = 1000 * self.starts;
         let random = Box::new(move || {
             count += 1;
@@ -123,17 +123,17 @@
             let hour = if self.ahead.as_ref() == Some(&name) { 3600 } else { 0 };
             for output in member.step(self.now, Duration::from_secs(1000 + hour) + self.now, input) {
                 match output {
-                    Output::Say { to, said } => {
+                    Output::Send { to, message } => {
                         let to = match to {
-                            To::Voter(name) => name,
-                            To::Holder(holder) => holder.member,
+                            Recipient::Voter(name) => name,
+                            Recipient::Holder(holder) => holder.member,
                         };
                         if !self.cut.contains(&to) && !self.cut.contains(&name) {
-                            inputs.push_back((to, Input::Heard { from: me.clone(), said }));
+                            inputs.push_back((to, Input::Received { from: me.clone(), message }));
                         }
                     }
                     Output::Part { epoch, bytes, .. } => {
-                        self.shown.entry(name.clone()).or_default().push((epoch, bytes));
+                        self.views.entry(name.clone()).or_default().push((epoch, bytes));
                     }
                     Output::Settled { outcome, .. } => self.settled.push(outcome),
                     Output::Log(what, _) => self.logged.push(what),
@@ -146,9 +146,9 @@
     fn play(&mut self, length: Duration) {
         let end = self.now + length;
         while self.now < end {
-            self.now += tick(TERMS);
+            self.now += tick(TIMING);
             let names: Vec<String> = self.members.keys().cloned().collect();
-            names.iter().for_each(|name| self.step(name, Input::Woke));
+            names.iter().for_each(|name| self.step(name, Input::Tick));
         }
     }
 
@@ -161,16 +161,16 @@
     }
 
     fn leader(&self) -> Option<&str> {
-        let leads = |member: &Member| member.voter().is_some_and(Voter::leads);
-        self.members.iter().find(|(_, member)| leads(member)).map(|(name, _)| name.as_str())
+        let is_leader = |member: &Member| member.voter().is_some_and(Voter::is_leader);
+        self.members.iter().find(|(_, member)| is_leader(member)).map(|(name, _)| name.as_str())
     }
 
     fn last_shown(&self, name: &str) -> Option<&(u64, Vec<u8>)> {
-        self.shown.get(name)?.last()
+        self.views.get(name)?.last()
     }
 }
 
-const LEASE: Duration = TERMS.ttl;
+const LEASE: Duration = TIMING.ttl;
 
 /// An entry of one that does not vote is seen by all, through the loss of the one that leads, and no epoch goes back.
 #[test]
@@ -190,7 +190,7 @@
     net.propose("n4", b"newest");
     net.cut.remove("n5");
     net.play(LEASE);
-    assert_eq!(net.shown["n5"], [(1, b"one".to_vec()), (5, b"newest".to_vec())]);
+    assert_eq!(net.views["n5"], [(1, b"one".to_vec()), (5, b"newest".to_vec())]);
     // The one that leads is lost; another goes on.
     let leader = net.leader().unwrap().to_string();
     net.members.remove(&leader);
@@ -198,13 +198,13 @@
     let next = net.leader().unwrap().to_string();
     assert_ne!(next, leader);
     assert_eq!(net.propose("n5", b"after"), Some(Outcome::Part(vec![6])));
-    for (name, shown) in &net.shown {
-        assert!(shown.is_sorted_by(|one, other| one.0 < other.0), "{name}: {shown:?}");
-        assert!(*name == leader || shown.last().unwrap().0 == 6, "{name}: {shown:?}");
+    for (name, views) in &net.views {
+        assert!(views.is_sorted_by(|one, other| one.0 < other.0), "{name}: {views:?}");
+        assert!(*name == leader || views.last().unwrap().0 == 6, "{name}: {views:?}");
     }
     // What an earlier leader still says is passed over.
-    let sights = vec![PartView { name: "board".into(), epoch: 3, bytes: b"more".to_vec() }];
-    net.step("n4", Input::Heard { from: Holder::new(&leader, 1), said: Said::Parts { sights } });
+    let views = vec![PartView { name: "board".into(), epoch: 3, bytes: b"more".to_vec() }];
+    net.step("n4", Input::Received { from: Holder::new(&leader, 1), message: Message::PartViews { views } });
     assert_eq!(net.last_shown("n4").unwrap().0, 6);
 }
 
@@ -214,7 +214,7 @@
     let mut net = Net::new(&["n1"]);
     net.play(3 * LEASE);
     assert_eq!(net.propose("n1", b"one"), Some(Outcome::Part(vec![1])));
-    net.start("n2", boards, no_lead);
+    net.start("n2", boards, no_part_proposals);
     net.play(5 * LEASE);
     assert_eq!(board(&net.members["n2"]), board(&net.members["n1"]));
     assert_eq!(board(&net.members["n2"]).entries, [b"one"]);
@@ -223,9 +223,9 @@
     net.members.remove("n2");
     let (_, found) =
         crate::store::Store::open(Box::new(net.disks["n1"].clone()), "cordoba", "n1", [1, 2]).unwrap();
-    let kept = crate::voter::Agreed::load(&found.snapshot.data, boards()).unwrap();
+    let kept = crate::voter::VoterState::load(&found.snapshot.data, boards()).unwrap();
     assert_eq!(board_of(kept.state()).entries, [b"one"]);
-    net.start("n1", boards, no_lead);
+    net.start("n1", boards, no_part_proposals);
     net.play(Duration::from_millis(50));
     assert_eq!(board(&net.members["n1"]).entries, [b"one"]);
 }
@@ -236,7 +236,7 @@
 fn a_voter_that_did_not_know_a_part_learns_it_anew() {
     let mut net = Net::new(&["n1", "n4"]);
     for name in ["n2", "n3"] {
-        net.start(name, no_parts, no_lead);
+        net.start(name, no_parts, no_part_proposals);
     }
     net.play(5 * LEASE);
     assert_eq!(net.leader(), Some("n1"));
@@ -246,7 +246,7 @@
     assert!(matches!(net.leader(), Some("n2" | "n3")));
     assert_eq!(net.propose("n4", b"two"), Some(Outcome::Refused(jaspershunt_fleet::Refusal::NotFound)));
     for name in ["n1", "n2", "n3"] {
-        net.start(name, boards, no_lead);
+        net.start(name, boards, no_part_proposals);
         net.play(5 * LEASE);
     }
     assert!(net.leader().is_some(), "{:?}", net.logged);
@@ -262,7 +262,7 @@
 fn a_lost_member_has_gone_after_a_leases_time_and_parts_are_led() {
     let mut net = Net::new(&[]);
     for name in ["n1", "n2", "n3", "n4"] {
-        net.start(name, boards, tells_of_two);
+        net.start(name, boards, proposals_when_one_is_missing);
     }
     net.play(5 * LEASE);
     assert_eq!(net.propose("n4", b"one"), Some(Outcome::Part(vec![1])));
@@ -271,7 +271,7 @@
     net.ahead = net.leader().map(String::from);
     let lost = net.now;
     while board(&net.members["n1"]).entries.len() == 1 {
-        net.play(tick(TERMS));
+        net.play(tick(TIMING));
         assert!(net.now - lost < 2 * LEASE, "{:?}", board(&net.members["n1"]));
     }
     // Its last question was up to a quarter of a lease's time before.
@@ -279,7 +279,7 @@
     assert!((0.75..1.2).contains(&took), "{took}");
     net.play(LEASE);
     let entries = &board(&net.members["n2"]).entries;
-    assert_eq!(entries.len(), 1 + crate::voter::MAX_LEAD_PROPOSALS);
+    assert_eq!(entries.len(), 1 + crate::voter::MAX_PART_PROPOSALS);
     let told = u64::from_le_bytes(entries[1][..].try_into().unwrap());
     let told = Duration::from_millis(told) - Duration::from_secs(1000);
     // By the fleet's time, not its own.
@@ -292,16 +292,16 @@
     let names: Vec<String> = (1..=20).map(|n| format!("n{n}")).collect();
     let mut net = Net::new(&names.iter().map(String::as_str).collect::<Vec<_>>());
     net.play(5 * LEASE);
-    let most = crate::voter::MAX_SAID / jaspershunt_fleet::parts::MAX_VIEW_BYTES;
+    let most = crate::voter::MAX_VIEW_BYTES_PER_TICK / jaspershunt_fleet::parts::MAX_VIEW_BYTES;
     let entry = Entry::Part { part: "board".into(), bytes: WIDE.to_vec() };
     net.step("n20", Input::Propose { ticket: 1, entry });
     let mut ticks = Vec::new();
     let mut before = 0;
     for _ in 0..10 {
-        net.play(tick(TERMS));
-        let shown = net.shown.len();
-        ticks.push(shown - before);
-        before = shown;
+        net.play(tick(TIMING));
+        let reached = net.views.len();
+        ticks.push(reached - before);
+        before = reached;
     }
     assert!(ticks.iter().all(|told| *told <= most), "{ticks:?}");
     assert!(ticks.contains(&most) && before == names.len(), "{ticks:?}");
@@ -311,11 +311,11 @@
 #[test]
 fn a_member_counts_so_many_parts() {
     let mut net = Net::new(&["n4"]);
-    let sight = |n| PartView { name: format!("p{n}"), epoch: 1, bytes: Vec::new() };
-    let sights: Vec<PartView> = (0..2 * MAX_PARTS).map(sight).collect();
-    let said = Said::Parts { sights };
-    net.step("n4", Input::Heard { from: Holder::new("n5", 1), said: said.clone() });
-    assert!(net.shown.is_empty(), "only voters say so");
-    net.step("n4", Input::Heard { from: Holder::new("n1", 1), said });
-    assert_eq!(net.shown["n4"].len(), MAX_PARTS);
+    let view = |n| PartView { name: format!("p{n}"), epoch: 1, bytes: Vec::new() };
+    let views: Vec<PartView> = (0..2 * MAX_PARTS).map(view).collect();
+    let message = Message::PartViews { views };
+    net.step("n4", Input::Received { from: Holder::new("n5", 1), message: message.clone() });
+    assert!(net.views.is_empty(), "only voters say so");
+    net.step("n4", Input::Received { from: Holder::new("n1", 1), message });
+    assert_eq!(net.views["n4"].len(), MAX_PARTS);
 }
--- a/crates/member/src/member/tests.rs
+++ b/crates/member/src/member/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::store::Store;
-use crate::voter::Agreed as Founded;
+use crate::voter::VoterState;
 use jaspershunt_fleet::holder::Grade;
 use jaspershunt_fleet::schedule::{Missed, Schedule};
 use redb::backends::InMemoryBackend;
@@ -53,7 +53,7 @@
     }
 }
 
-pub const TERMS: LeaseTiming = LeaseTiming { ttl: Duration::from_secs(1), drift_permille: 50 };
+pub const TIMING: LeaseTiming = LeaseTiming { ttl: Duration::from_secs(1), drift_permille: 50 };
 
 pub fn setup(name: &str, incarnation: u64) -> Setup {
     let task = TaskSpec {
@@ -70,10 +70,10 @@
         fleet: "cordoba".into(),
         me: Holder::new(name, incarnation),
         voters: vec!["n1".into()],
-        terms: TERMS,
+        timing: TIMING,
         tasks: vec![task],
         parts: no_parts,
-        lead: no_lead,
+        part_proposals: no_part_proposals,
     }
 }
 
@@ -85,7 +85,7 @@
     let disk = Shared::default();
     let (mut store, found) = Store::open(Box::new(disk.clone()), "cordoba", name, [5, 6]).unwrap();
     assert!(found.is_new);
-    store.found(5, Founded::founded(5, name).save()).unwrap();
+    store.found(5, VoterState::founded(5, name).save()).unwrap();
     disk
 }
 
@@ -105,14 +105,14 @@
     let mut all = Vec::new();
     let mut now = from;
     while now < from + length {
-        now += tick(TERMS);
+        now += tick(TIMING);
         let unix = Duration::from_secs(1000) + now;
-        let mut outputs = member.step(now, unix, Input::Woke);
+        let mut outputs = member.step(now, unix, Input::Tick);
         while let Some(output) = outputs.pop() {
             if let Output::Call(Call { task, number, .. }) = &output {
                 let came = CallOutcome::Done(b"done".to_vec());
                 let (task, number) = (task.clone(), *number);
-                outputs.extend(member.step(now, unix, Input::Called { task, number, came }));
+                outputs.extend(member.step(now, unix, Input::CallEnded { task, number, outcome: came }));
             }
             all.push(output);
         }
@@ -130,7 +130,7 @@
     let came = play(&mut first, Duration::ZERO, Duration::from_secs(12));
     assert_eq!(calls(&came), 2, "at 1005 and 1010: {came:?}");
     let voter = first.voter().unwrap();
-    assert!(voter.leads() && voter.fleet().task("cierre").unwrap().last_due == Some(1010));
+    assert!(voter.is_leader() && voter.fleet().task("cierre").unwrap().last_due == Some(1010));
     let tokens = voter.fleet().last_token();
     drop(first);
     let (mut second, _) = member(disk, 2);
@@ -151,17 +151,17 @@
     let (mut alone, _) = member(founded(), 1);
     play(&mut alone, Duration::ZERO, Duration::from_secs(2));
     let now = Duration::from_secs(2);
-    let shown = alone.step(now, Duration::from_secs(1002), Input::Show { ticket: 7 });
-    let Some(Output::Shown { ticket: 7, shown }) =
-        shown.iter().find(|output| matches!(output, Output::Shown { .. }))
+    let report = alone.step(now, Duration::from_secs(1002), Input::QueryState { ticket: 7 });
+    let Some(Output::StateReport { ticket: 7, report }) =
+        report.iter().find(|output| matches!(output, Output::StateReport { .. }))
     else {
-        panic!("{shown:?}")
+        panic!("{report:?}")
     };
-    assert_eq!((shown.leader.as_deref(), shown.age_ms, shown.seats.len()), (Some("n1"), Some(0), 1));
+    assert_eq!((report.leader.as_deref(), report.age_ms, report.voter_slots.len()), (Some("n1"), Some(0), 1));
     let entry = Entry::Pause { task: "cierre".into(), paused: true };
     let settled = alone.step(now, Duration::from_secs(1002), Input::Propose { ticket: 8, entry });
     assert!(
-        settled.contains(&Output::Settled { ticket: 8, outcome: Some(Outcome::Done), again: false }),
+        settled.contains(&Output::Settled { ticket: 8, outcome: Some(Outcome::Done), sent_again: false }),
         "{settled:?}"
     );
 }
@@ -188,10 +188,10 @@
     let mut beat = raft::eraftpb::Message::default();
     beat.set_msg_type(raft::eraftpb::MessageType::MsgHeartbeat);
     (beat.to, beat.from, beat.term, beat.commit) = (5, 9, 1, 400);
-    let said = Said::Raft(crate::frame::RaftMessage::new(&beat, 1).unwrap());
+    let message = Message::Raft(crate::frame::RaftMessage::new(&beat, 1).unwrap());
     let from = Holder::new("n2", 1);
     let outputs =
-        alone.step(Duration::from_millis(60), Duration::from_secs(1000), Input::Heard { from, said });
+        alone.step(Duration::from_millis(60), Duration::from_secs(1000), Input::Received { from, message });
     assert!(outputs.iter().any(|output| matches!(output, Output::Log(what, true) if what.contains("older"))));
     assert_eq!(*aside.borrow(), 1);
     play(&mut alone, Duration::from_secs(2), Duration::from_secs(1));
--- a/crates/member/src/store.rs
+++ b/crates/member/src/store.rs
@@ -4,7 +4,7 @@
 //! What [`Store::write`] returned for is durable, all of it or nothing. After an error the store writes nothing more: what is on disk
 //! is not known until it is opened anew.
 
-use crate::frame::{Conf, LogEntry, Snapshot};
+use crate::frame::{LogEntry, Membership, Snapshot};
 use jaspershunt_fleet::disk_rollback::KnownIncarnation;
 use jaspershunt_fleet::mutants::{Mutant, is_active};
 use raft::eraftpb::{Entry, HardState};
@@ -15,16 +15,16 @@
 use std::fmt;
 
 /// Bytes of memory that the database may take for pages that it has read or is about to write.
-const CACHE: usize = 2 * 1024 * 1024;
+const CACHE_BYTES: usize = 2 * 1024 * 1024;
 /// The form of what is written. A later one is refused by name.
-const FORM: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const IDENTITY: &str = "identity";
 const HARD: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
-const LIVES: &str = "lives";
+const INCARNATIONS: &str = "lives";
 
 /// Why a store cannot be used.
 #[derive(Debug)]
@@ -34,16 +34,16 @@
     /// Another process has it open.
     InUse,
     /// It belongs to another member, or another fleet.
-    Other {
+    WrongOwner {
         /// To which fleet.
         fleet: String,
         /// To which member.
         member: String,
     },
     /// A later program has written it.
-    Form(u32),
+    FormatVersion(u32),
     /// Entries of this part of the agreed state went by while the program did not know it.
-    Behind(String),
+    PartOutdated(String),
 }
 
 impl fmt::Display for StoreError {
@@ -51,11 +51,13 @@
         match self {
             StoreError::Disk(what) => write!(f, "the disk fails: {what}"),
             StoreError::InUse => f.write_str("another process has it open"),
-            StoreError::Other { fleet, member } => {
+            StoreError::WrongOwner { fleet, member } => {
                 write!(f, "it belongs to the member {member:?} of the fleet {fleet:?}")
             }
-            StoreError::Behind(part) => write!(f, "what it has of {part:?} is not what is agreed"),
-            StoreError::Form(form) => write!(f, "it has form {form}, this program knows {FORM}"),
+            StoreError::PartOutdated(part) => write!(f, "what it has of {part:?} is not what is agreed"),
+            StoreError::FormatVersion(format_version) => {
+                write!(f, "it has form {format_version}, this program knows {FORMAT_VERSION}")
+            }
         }
     }
 }
@@ -69,7 +71,7 @@
 /// Whose it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    form: u32,
+    format_version: u32,
     /// The fleet's name.
     pub fleet: String,
     /// The member's.
@@ -77,14 +79,14 @@
     /// The number of this disk, drawn when it was founded.
     pub disk: u64,
     /// Which start this is.
-    pub life: u64,
+    pub incarnation: u64,
     /// Drawn for this start.
     pub nonce: u64,
 }
 
 /// What was found.
 #[derive(Debug)]
-pub struct Found {
+pub struct StoredState {
     /// Whose it is, with this start's life.
     pub identity: Identity,
     /// The term, the vote and how far is agreed.
@@ -94,7 +96,7 @@
     /// The log behind it.
     pub entries: Vec<Entry>,
     /// What is known of the lives of other disks.
-    pub lives: BTreeMap<u64, KnownIncarnation>,
+    pub incarnations: BTreeMap<u64, KnownIncarnation>,
     /// There was nothing there: the disk is founded now.
     pub is_new: bool,
 }
@@ -109,7 +111,7 @@
     /// The log begins anew at this, and what it covers is let go; with `true` all of the log goes.
     pub snapshot: Option<(Snapshot, bool)>,
     /// What is known of the lives of other disks.
-    pub lives: Option<BTreeMap<u64, KnownIncarnation>>,
+    pub incarnations: Option<BTreeMap<u64, KnownIncarnation>>,
 }
 
 /// A store that is open.
@@ -121,9 +123,9 @@
 
 /// Any backend.
 #[derive(Debug)]
-struct Boxed(Box<dyn StorageBackend>);
+struct BoxedBackend(Box<dyn StorageBackend>);
 
-impl StorageBackend for Boxed {
+impl StorageBackend for BoxedBackend {
     fn len(&self) -> Result<u64, std::io::Error> {
         self.0.len()
     }
@@ -169,8 +171,9 @@
         fleet: &str,
         member: &str,
         random: [u64; 2],
-    ) -> Result<(Store, Found), StoreError> {
-        let database = Database::builder().set_cache_size(CACHE).create_with_backend(Boxed(backend));
+    ) -> Result<(Store, StoredState), StoreError> {
+        let database =
+            Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(BoxedBackend(backend));
         let database = database.map_err(|e| match e {
             redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse,
             e => disk(e),
@@ -183,28 +186,28 @@
             let is_new = identity.is_none();
             let [number, nonce] = random;
             let mut identity = identity.unwrap_or_else(|| Identity {
-                form: FORM,
+                format_version: FORMAT_VERSION,
                 fleet: fleet.to_string(),
                 member: member.to_string(),
                 // No voter has the number 0.
                 disk: number.max(1),
-                life: 0,
+                incarnation: 0,
                 nonce: 0,
             });
-            if identity.form != FORM {
-                return Err(StoreError::Form(identity.form));
+            if identity.format_version != FORMAT_VERSION {
+                return Err(StoreError::FormatVersion(identity.format_version));
             }
             if identity.fleet != fleet || identity.member != member {
-                return Err(StoreError::Other { fleet: identity.fleet, member: identity.member });
+                return Err(StoreError::WrongOwner { fleet: identity.fleet, member: identity.member });
             }
             // Guards against two starts on one disk that are taken for each other: written before anything is said.
-            (identity.life, identity.nonce) = (identity.life + 1, nonce);
+            (identity.incarnation, identity.nonce) = (identity.incarnation + 1, nonce);
             meta.insert(IDENTITY, bytes(&identity).as_slice()).map_err(disk)?;
             let (term, vote, commit): (u64, u64, u64) = read(&meta, HARD)?.unwrap_or_default();
             let mut hard = HardState::default();
             (hard.term, hard.vote, hard.commit) = (term, vote, commit);
             let snapshot: Snapshot = read(&meta, SNAPSHOT)?.unwrap_or_default();
-            let lives = read(&meta, LIVES)?.unwrap_or_default();
+            let incarnations = read(&meta, INCARNATIONS)?.unwrap_or_default();
             let mut entries = Vec::new();
             for entry in log.iter().map_err(disk)? {
                 let (index, entry) = entry.map_err(disk)?;
@@ -217,7 +220,7 @@
             }
             // What is agreed is written now and then only, and never beyond what is here.
             hard.commit = hard.commit.max(snapshot.index).min(snapshot.index + entries.len() as u64);
-            Found { identity, hard, snapshot, entries, lives, is_new }
+            StoredState { identity, hard, snapshot, entries, incarnations, is_new }
         };
         write.commit().map_err(disk)?;
         let last = found.snapshot.index + found.entries.len() as u64;
@@ -229,8 +232,8 @@
     /// # Errors
     /// It cannot be written.
     pub fn found(&mut self, disk: u64, state: Vec<u8>) -> Result<(), StoreError> {
-        let seats = Conf { voters: vec![disk], learners: Vec::new() };
-        let snapshot = Snapshot { index: 1, term: 1, seats, data: state };
+        let membership = Membership { voters: vec![disk], learners: Vec::new() };
+        let snapshot = Snapshot { index: 1, term: 1, membership, data: state };
         let mut hard = HardState::default();
         (hard.term, hard.commit) = (1, 1);
         self.write(&Batch { hard: Some(hard), snapshot: Some((snapshot, true)), ..Batch::default() })
@@ -284,8 +287,8 @@
                     last = entry.index;
                 }
             }
-            if let Some(lives) = &batch.lives {
-                meta.insert(LIVES, bytes(lives).as_slice()).map_err(disk)?;
+            if let Some(incarnations) = &batch.incarnations {
+                meta.insert(INCARNATIONS, bytes(incarnations).as_slice()).map_err(disk)?;
             }
         }
         write.commit().map_err(disk)?;
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -4,7 +4,7 @@
 use jaspershunt_member::driver::{Folder, random};
 use jaspershunt_member::member::Disk;
 use jaspershunt_member::store::Store;
-use jaspershunt_member::voter::Agreed;
+use jaspershunt_member::voter::VoterState;
 use serde_json::Value;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -135,7 +135,7 @@
         );
     }
     let disk = found.identity.disk;
-    store.found(disk, Agreed::founded(disk, member).save()).map_err(|e| e.to_string())?;
+    store.found(disk, VoterState::founded(disk, member).save()).map_err(|e| e.to_string())?;
     Ok(disk)
 }
 
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -18,9 +18,9 @@
 use jaspershunt_fleet::tasks::{CallOutcome, TaskSpec};
 use jaspershunt_fleet::{Entry, Fleet, Holder, LeaseTiming, Outcome};
 use jaspershunt_member::Setup;
-use jaspershunt_member::driver::{self, Newest, Order, Place, Settled, now};
-use jaspershunt_member::frame::Shown;
-use jaspershunt_member::member::{Lead, no_lead, no_parts};
+use jaspershunt_member::driver::{self, DriverConfig, Newest, Order, Settled, now};
+use jaspershunt_member::frame::StateReport;
+use jaspershunt_member::member::{PartProposals, no_part_proposals, no_parts};
 use jaspershunt_operator as operator;
 use jaspershunt_operator::File;
 use jaspershunt_work::{End, MemberView, QueryResult, Work};
@@ -145,9 +145,9 @@
 }
 
 /// What this member proposes for parts while it leads.
-fn lead(file: &File, trial: operator::Trial) -> Lead {
+fn lead(file: &File, trial: operator::Trial) -> PartProposals {
     match trial {
-        _ if !has_parts(file) => no_lead,
+        _ if !has_parts(file) => no_part_proposals,
         operator::Trial::None => jaspershunt_agreed::leader_entries,
         operator::Trial::Tenth => jaspershunt_agreed::leader_entries_with_trial::<100>,
         operator::Trial::Quarter => jaspershunt_agreed::leader_entries_with_trial::<250>,
@@ -279,7 +279,7 @@
     let (newest, seen) = has_parts.then(|| watch::channel(Newest::new())).unzip();
     let (reads, table) = routes::tables(file, seen.clone()).unzip();
     let heard = table.as_ref().map(|table: &routes::Tables| table.heard.clone());
-    let place = Place { listen, voters, folder, links: fleet.links, newest, heard };
+    let place = DriverConfig { listen, voters, folder, links: fleet.links, newest, heard };
     let targets: BTreeMap<String, (SocketAddr, String)> =
         file.task.iter().map(|(name, task)| (name.clone(), (task.address, task.path.clone()))).collect();
     let (orders, from_nodo) = mpsc::channel(ORDERS);
@@ -295,10 +295,10 @@
             fleet: fleet_name,
             me: me.clone(),
             voters: place.voters.keys().cloned().collect(),
-            terms,
+            timing: terms,
             tasks,
             parts: if has_parts { jaspershunt_agreed::parts } else { no_parts },
-            lead,
+            part_proposals: lead,
         };
         let targets = Rc::new(targets);
         let call = move |holder: Holder, call: Call| {
@@ -386,7 +386,7 @@
         Ok(Err(_)) | Err(_) => return Came::NotSent,
     }
     match timeout_at(until, outcome).await {
-        Ok(Ok(Settled { outcome: Some(Outcome::Part(bytes)), again })) => {
+        Ok(Ok(Settled { outcome: Some(Outcome::Part(bytes)), sent_again: again })) => {
             match jaspershunt_work::Outcome::from_bytes(&bytes) {
                 Some(jaspershunt_work::Outcome::Refused(why)) if again => Came::Unsure(why),
                 Some(outcome) => Came::Agreed(outcome),
@@ -394,7 +394,7 @@
             }
         }
         // Those that lead know nothing of work.
-        Ok(Ok(Settled { outcome: Some(Outcome::Refused(_)), again: false })) => Came::NotSent,
+        Ok(Ok(Settled { outcome: Some(Outcome::Refused(_)), sent_again: false })) => Came::NotSent,
         _ => Came::Nobody,
     }
 }
@@ -467,10 +467,10 @@
 }
 
 /// The agreed state for operators.
-fn show(shown: &Shown) -> Value {
+fn show(shown: &StateReport) -> Value {
     let fleet = Fleet::load(&shown.fleet).unwrap_or_default();
     let heard: BTreeMap<&str, u64> = shown.heard_ms.iter().map(|(name, ms)| (name.as_str(), *ms)).collect();
-    let seat = |name: &str| shown.seats.iter().find(|(member, ..)| member == name);
+    let seat = |name: &str| shown.voter_slots.iter().find(|(member, ..)| member == name);
     let members: Vec<Value> = (fleet.members())
         .map(|(name, incarnation)| {
             let votes = seat(name).map(|(_, votes, _)| if *votes { "votes" } else { "learns" });
@@ -496,7 +496,7 @@
                 "last_due": task.last_due, "run": run, "result": result})
         })
         .collect();
-    let seats: Vec<Value> = (shown.seats.iter())
+    let seats: Vec<Value> = (shown.voter_slots.iter())
         .map(
             |(member, votes, disk)| json!({"member": member, "votes": votes, "disk": format!("{disk:016x}")}),
         )
--- a/crates/node/src/fleet/routes.rs
+++ b/crates/node/src/fleet/routes.rs
@@ -11,7 +11,7 @@
 use jaspershunt_fleet::parts::ReplicatedState;
 use jaspershunt_fleet::{Entry as OfFleet, Fleet, Outcome as OfAgreed};
 use jaspershunt_member::driver::{Newest, Order, Settled, now};
-use jaspershunt_member::frame::Shown;
+use jaspershunt_member::frame::StateReport;
 use jaspershunt_operator::{CutOff, File};
 use jaspershunt_routes::overlay::without_address;
 use jaspershunt_routes::part::{MemberView, NAME, TrialStatus};
@@ -438,13 +438,13 @@
 }
 
 /// The agreed state as a voter has it.
-async fn shown(way: &Way) -> Option<Box<Shown>> {
+async fn shown(way: &Way) -> Option<Box<StateReport>> {
     let (answer, shown) = oneshot::channel();
     way.orders.try_send(Order::Show { answer }).ok()?;
     timeout(ANSWER_WITHIN, shown).await.ok()?.ok()
 }
 
-fn agreed_of(shown: &Shown) -> Option<Routes> {
+fn agreed_of(shown: &StateReport) -> Option<Routes> {
     let agreed =
         ReplicatedState::load_parts(Fleet::default(), &shown.parts, jaspershunt_agreed::parts()).ok()?;
     jaspershunt_agreed::routes(&agreed).cloned()
@@ -586,7 +586,7 @@
 }
 
 /// The table as it is agreed.
-fn fleet(shown: &Shown, routes: &Routes) -> Value {
+fn fleet(shown: &StateReport, routes: &Routes) -> Value {
     let open = routes.open().map(|(key, edit)| {
         let outcome = routes.outcome_of(key);
         json!({"edit": name(key), "digest": format!("{:016x}", key.digest), "base": edit.base, "reason": edit.reason,
