--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -295,7 +295,7 @@
         let opened = Store::open(disk.open(), FLEET, &self.seats[0].name, [77, 1]);
         let (mut store, found) = opened.expect("an empty disk can be opened");
         let state = VoterState::founded(found.identity.disk, &self.seats[0].name).save();
-        store.found(found.identity.disk, state).expect("a disk that works is written");
+        store.bootstrap(found.identity.disk, state).expect("a disk that works is written");
     }
 
     fn spec(&self, task: usize) -> TaskSpec {
--- a/crates/member/src/driver.rs
+++ b/crates/member/src/driver.rs
@@ -1,8 +1,9 @@
-//! The member on real sockets, a real disk and a real clock. It belongs on a thread of its own: the disk is waited for, and a nodo
-//! that is crowded to its limits takes no turn from it.
+//! Runs a member on real sockets, a real disk and a real clock. It belongs on a thread of its own, because
+//! disk writes block and an overloaded nodo must not delay it.
 //!
-//! Each member dials the voters; a voter answers over the connection on which it was asked, so that those that do not vote need no
-//! listener. What cannot be sent at once is dropped: all that members say is said again.
+//! Each member connects to the voters. A voter answers over the connection on which a request came, so
+//! members without a vote need no listener. A message that cannot be sent at once is dropped, since every
+//! message is repeated by its sender.
 
 use crate::frame::{self, Envelope, MAX_FRAME_BYTES, Message, StateReport, encode};
 use crate::member::{Disk, Input, Member, Output, Recipient, Setup, tick};
@@ -32,83 +33,85 @@
 use tokio::time::{Instant, interval, sleep, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Messages that have come and wait for the member.
+/// Received messages that are queued for the member.
 const INBOX_MESSAGES: usize = 1024;
-/// Messages that wait to be written to one connection; more are dropped.
+/// Messages that are queued for one connection; more are dropped.
 const OUTBOX_MESSAGES: usize = 256;
-/// Until a connection stands.
+/// Time limit for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two attempts to connect.
+/// Delay between two connection attempts.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// On a connection over which nothing else goes a member says so often that it is here: well within [`IDLE_TIMEOUT`].
+/// Interval of keep-alive messages on an idle connection, well within [`IDLE_TIMEOUT`].
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(30);
-/// Who connects has so long for a first message.
+/// Time limit for the first message on an incoming connection.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection on which nothing came for so long is closed.
+/// An incoming connection on which nothing arrives for this time is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// A message that nobody reads is given up with its connection.
+/// Time limit for writing a message, after which the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest frame of one that has not shown that it is a voter: what others say is short.
+/// Maximum frame size on a connection whose peer has not identified itself as a voter; other members only
+/// send short messages.
 const SHORT_FRAME_BYTES: usize = 64 * 1024;
-/// Operators' questions that wait.
+/// Maximum pending state queries of operators.
 const MAX_STATE_QUERIES: usize = 64;
-/// Entries of operators and of the nodo that wait: half of what a member has room for ([`jaspershunt_fleet::client::MAX_PROPOSALS`]),
-/// so that its own find some.
+/// Maximum pending proposals of operators and of the nodo: half of what a member accepts
+/// ([`jaspershunt_fleet::client::MAX_PROPOSALS`]), to leave room for the member's own.
 const MAX_PROPOSALS: usize = 512;
-/// The voter's disk, in the folder.
+/// The file of the voter's disk, in the member's folder.
 const VOTER_FILE: &str = "voter.redb";
-/// How often this member was started.
+/// The file that counts the starts of this member.
 const STARTS_FILE: &str = "starts";
 
-/// Where a member stands.
+/// Addresses, files and channels of a member.
 #[derive(Clone, Debug)]
 pub struct DriverConfig {
-    /// Where others connect, if this member votes.
+    /// The address on which a voter listens.
     pub listen: Option<SocketAddr>,
-    /// Where the voters are.
+    /// The addresses of the voters.
     pub voters: BTreeMap<String, SocketAddr>,
-    /// What lasts of it: how often it was started, and the voter's disk.
+    /// The folder with the start counter and the voter's disk.
     pub folder: PathBuf,
-    /// Connections of others at once.
+    /// Maximum incoming connections.
     pub links: usize,
-    /// Who is to hear what parts of the agreed state show this start.
+    /// Receives the parts' views for this incarnation.
     pub newest: Option<watch::Sender<Newest>>,
-    /// Where it is kept when the one that leads last answered this start, in milliseconds of [`now`]; 0: never.
+    /// Set to the time of the leader's last answer to this incarnation, in milliseconds of [`now`]; 0 if
+    /// there was none.
     pub heard: Option<Arc<AtomicU64>>,
 }
 
-/// What each part of the agreed state shows this start, with its epoch: the newest alone.
+/// The latest view of each part for this incarnation, with its epoch.
 pub type Newest = BTreeMap<String, (u64, Arc<[u8]>)>;
 
-/// What came of an entry.
+/// The outcome of a proposal.
 #[derive(Debug)]
 pub struct Settled {
-    /// `None` if nobody knows.
+    /// `None` if the outcome is unknown.
     pub outcome: Option<Outcome>,
-    /// It was said more than once: where this outcome is a refusal, another copy may be agreed yet.
+    /// The proposal was sent more than once: after a refusal, another copy may still be committed.
     pub sent_again: bool,
 }
 
-/// What operators and the nodo want.
+/// Commands of operators and of the nodo.
 #[derive(Debug)]
 pub enum Order {
-    /// Have an entry agreed.
+    /// Propose an entry.
     Propose {
         /// The entry.
         entry: Entry,
-        /// Told what came of it.
+        /// Receives the outcome.
         answer: oneshot::Sender<Settled>,
     },
-    /// Show the agreed state.
+    /// Query the replicated state.
     Show {
-        /// Told it.
+        /// Receives the state.
         answer: oneshot::Sender<Box<StateReport>>,
     },
-    /// Give up what is held, and end.
+    /// Release all leases, and end.
     Leave,
 }
 
-/// A monotone clock that goes on while the machine sleeps.
+/// A monotonic clock that also counts the time during which the machine is suspended.
 pub fn now() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -119,12 +122,13 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Drawn by the system.
+/// A random number, seeded by the operating system.
 pub fn random() -> u64 {
     RandomState::new().hash_one(0u8)
 }
 
-/// The incarnation of this start: grows with each one, and two that were given the same count by a folder put back differ.
+/// The number of a new incarnation. It grows with each start, and its random half differs if a restored
+/// folder repeats a count.
 ///
 /// # Errors
 /// The folder cannot be read or written.
@@ -133,7 +137,10 @@
     let (path, fresh) = (folder.join(STARTS_FILE), folder.join("starts.new"));
     let starts: u64 = match std::fs::read_to_string(&path) {
         Ok(text) => text.trim().parse().map_err(|_| {
-            io::Error::new(io::ErrorKind::InvalidData, format!("{} holds no number", path.display()))
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                format!("{} does not contain a number", path.display()),
+            )
         })?,
         Err(e) if e.kind() == io::ErrorKind::NotFound => 0,
         Err(e) => return Err(e),
@@ -146,7 +153,7 @@
     Ok(starts << 32 | random() >> 32)
 }
 
-/// The voter's disk: a file in the folder.
+/// The voter's disk: a file in this folder.
 pub struct Folder(pub PathBuf);
 
 impl Disk for Folder {
@@ -155,7 +162,7 @@
             std::fs::create_dir_all(&self.0)?;
             let path = self.0.join(VOTER_FILE);
             let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
-            // So that the file itself is still there after a loss of power.
+            // Syncs the folder, so that the file's directory entry survives a power loss.
             File::open(&self.0)?.sync_all()?;
             Ok::<File, io::Error>(file)
         };
@@ -175,18 +182,18 @@
 
 type Outbox = mpsc::Sender<Bytes>;
 
-/// The ways to others.
+/// The connections to other members.
 struct Links {
     fleet: String,
-    /// Those that were dialled, by voter.
+    /// Outgoing connections, by voter.
     voters: BTreeMap<String, Outbox>,
-    /// Those over which others came: the last one over which each start said something.
+    /// Incoming connections: the last one on which each incarnation sent a message.
     holders: RefCell<HashMap<Holder, Outbox>>,
     inbox: mpsc::Sender<Input>,
     connection_log: ConnectionLog,
 }
 
-/// One line a second at most about connections that were closed.
+/// Logs closed connections, at most one line a second.
 struct ConnectionLog {
     last: RefCell<(Option<Instant>, u64)>,
     log: Rc<dyn Fn(String, bool)>,
@@ -214,18 +221,18 @@
             Recipient::Voter(name) => self.voters.get(name),
             Recipient::Holder(holder) => holders.get(holder).or_else(|| self.voters.get(&holder.member)),
         };
-        // What does not fit is said again.
+        // A message that does not fit is dropped; its sender repeats it.
         let _ = outbox.map(|outbox| outbox.try_send(bytes));
     }
 
-    /// Takes in a frame; who spoke, or why the connection is closed.
+    /// Handles a frame; returns the sender, or why the connection must be closed.
     async fn take(&self, bytes: &[u8]) -> Result<Holder, String> {
         let Envelope { from, message, .. } = frame::decode(bytes, &self.fleet).map_err(|e| e.to_string())?;
-        // A full inbox holds up this connection alone.
+        // A full inbox blocks only this connection.
         self.inbox
             .send(Input::Received { from: from.clone(), message })
             .await
-            .map_err(|_| "this member has ended".to_string())?;
+            .map_err(|_| "this member has stopped".to_string())?;
         Ok(from)
     }
 }
@@ -234,7 +241,7 @@
     LengthDelimitedCodec::builder().max_frame_length(max_bytes).new_codec()
 }
 
-/// Keeps a connection to a voter.
+/// Connects to a voter, and reconnects whenever the connection is lost.
 async fn dial(
     links: Rc<Links>,
     voter: String,
@@ -250,7 +257,7 @@
                 continue;
             }
         };
-        // What waited for the connection is old by now.
+        // Messages that were queued while there was no connection are outdated.
         while outbox.try_recv().is_ok() {}
         let _ = stream.set_nodelay(true);
         let (read, write_half) = stream.into_split();
@@ -270,7 +277,7 @@
             () = reading => {}
             () = &mut writing => {}
         }
-        // A full inbox has more to say than this.
+        // If the inbox is full, this event is dropped.
         let _ = links.inbox.try_send(Input::ConnectionLost { voter: voter.clone() });
         sleep(CONNECT_RETRY_DELAY).await;
     }
@@ -298,13 +305,13 @@
     }
 }
 
-/// The connections of others.
+/// The incoming connections, with whether a message has arrived on each.
 #[derive(Default)]
 struct InboundConnections {
     open: RefCell<BTreeMap<u64, (Rc<Notify>, bool)>>,
 }
 
-/// Takes connections of others.
+/// Accepts incoming connections.
 async fn accept(links: Rc<Links>, listener: TcpListener, max_connections: usize) {
     let inbound = Rc::new(InboundConnections::default());
     for number in 0u64.. {
@@ -313,7 +320,8 @@
             continue;
         };
         if inbound.open.borrow().len() >= max_connections {
-            // Guards against connections that say nothing: the oldest of them makes room, and nobody who has spoken does.
+            // Guards against connections that send nothing: the oldest of them is closed; one on which a
+            // message arrived never is.
             let silent = inbound
                 .open
                 .borrow()
@@ -324,12 +332,14 @@
                 Some((silent, close)) => {
                     close.notify_one();
                     inbound.open.borrow_mut().remove(&silent);
-                    links.connection_log.warn(|| "a connection that said nothing makes room".to_string());
+                    links
+                        .connection_log
+                        .warn(|| "a connection without a message makes room for a new one".to_string());
                 }
                 None => {
                     links
                         .connection_log
-                        .warn(|| format!("{max_connections} members are connected; {peer} is turned away"));
+                        .warn(|| format!("{max_connections} members are connected; refused {peer}"));
                     continue;
                 }
             }
@@ -341,7 +351,7 @@
             tokio::select! {
                 why = serve_connection(&links, &inbound, number, stream) => {
                     if let Err(why) = why {
-                        links.connection_log.warn(|| format!("the link of {peer} is closed: {why}"));
+                        links.connection_log.warn(|| format!("the link from {peer} is closed: {why}"));
                     }
                 }
                 () = close.notified() => {}
@@ -351,7 +361,7 @@
     }
 }
 
-/// One connection of another.
+/// Serves one incoming connection.
 async fn serve_connection(
     links: &Links,
     inbound: &InboundConnections,
@@ -370,7 +380,7 @@
         loop {
             let next = timeout(read_timeout, reader.next()).await;
             let bytes = match next {
-                Err(_) => return Err(format!("it said nothing for {read_timeout:?}")),
+                Err(_) => return Err(format!("no message for {read_timeout:?}")),
                 Ok(None) => return Ok(()),
                 Ok(Some(Err(e))) => return Err(e.to_string()),
                 Ok(Some(Ok(bytes))) => bytes,
@@ -395,7 +405,7 @@
     };
     if let Some(holder) = peer_holder {
         let mut holders = links.holders.borrow_mut();
-        // It may have come again over another connection.
+        // The peer may have reconnected meanwhile.
         if holders.get(&holder).is_some_and(|other| other.same_channel(&out)) {
             holders.remove(&holder);
         }
@@ -403,11 +413,11 @@
     ended
 }
 
-/// Runs a member until it is told to leave and has left, or for ever. Needs a local set. `call` makes the calls of tasks for this start, `log` writes
-/// a line, with `true` where operators should look.
+/// Runs a member until it has left, which [`Order::Leave`] requests. Needs a local set. `call` performs the
+/// calls of tasks for this incarnation; `log` writes a line, with `true` for a warning.
 ///
 /// # Errors
-/// The address cannot be had.
+/// The address cannot be bound.
 pub async fn run<C: Future<Output = CallOutcome> + 'static>(
     setup: Setup,
     config: DriverConfig,
@@ -465,7 +475,8 @@
                 state_queries.retain(|_, answer| !answer.is_closed());
                 match order {
                     Order::Leave => Input::Leave,
-                    // Who finds no room hears at once that its question was dropped.
+                    // Dropping the order closes its answer channel, which tells the caller at once that it
+                    // was refused.
                     Order::Propose { .. } if proposals.len() >= MAX_PROPOSALS => continue,
                     Order::Show { .. } if state_queries.len() >= MAX_STATE_QUERIES => continue,
                     Order::Propose { entry, answer } => {
@@ -496,8 +507,7 @@
                     spawn_local(async move {
                         let left = until.saturating_sub(now());
                         let outcome = timeout(left, made).await;
-                        let outcome =
-                            outcome.unwrap_or_else(|_| CallOutcome::Failed("it took too long".into()));
+                        let outcome = outcome.unwrap_or_else(|_| CallOutcome::Failed("timed out".into()));
                         let _ = back.send(Input::CallEnded { task, number, outcome }).await;
                     });
                 }
--- a/crates/member/src/frame.rs
+++ b/crates/member/src/frame.rs
@@ -1,5 +1,5 @@
-//! What members say to each other, as bytes: the version first, then the fleet's name, who speaks, and what is said, in postcard. The
-//! frame round it, with its length, is a library's ([`crate::driver`]). Nothing here waits or reads.
+//! Messages between members and their encoding: protocol version, fleet name, sender and message, in
+//! postcard. The length-delimited frame around it is added by a library ([`crate::driver`]). Does no I/O.
 
 use jaspershunt_fleet::client::RenewalAnswer;
 use jaspershunt_fleet::disk_rollback::{RolledBack, VoterIncarnation};
@@ -8,134 +8,135 @@
 use raft::eraftpb;
 use serde::{Deserialize, Serialize};
 
-/// The version of this protocol. Another one is told by name, and nothing else of it is read.
+/// The protocol version. Of a message of another version nothing but the version is read.
 pub const VERSION: u16 = 1;
-/// The longest frame. The largest is a snapshot of the agreed state, whose bounds come to less: 8 MB, and what its parts have.
+/// Maximum size of a frame. The largest message is a snapshot of the replicated state, which is bounded by
+/// less: 8 MB and its parts.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// Who speaks, and what.
+/// A message with its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The fleet's name.
     pub fleet: String,
-    /// Who speaks, with the incarnation.
+    /// The sender and its incarnation.
     pub from: Holder,
-    /// What is said.
+    /// The message.
     pub message: Message,
 }
 
-/// What is said.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A member is here: said first on each connection, and now and then where nothing else is.
+    /// Keep-alive: the first message of each connection, repeated while nothing else is sent.
     KeepAlive,
-    /// A voter says which start of its disk it is, and asks to be welcomed.
+    /// A voter announces the incarnation of its disk and asks the others to record it.
     Incarnation(VoterIncarnation),
-    /// That start is written down; or its disk is older than what it once promised.
+    /// The incarnation is recorded, or the disk was rolled back.
     IncarnationVerdict {
-        /// The disk of the one that says so.
+        /// The disk of the voter that answers.
         by: u64,
-        /// The start.
+        /// The incarnation that was announced.
         incarnation: u64,
-        /// What was drawn for it.
+        /// The random number of that incarnation.
         nonce: u64,
-        /// Whether it is welcome.
+        /// Whether the incarnation is accepted.
         verdict: Result<(), RolledBack>,
     },
-    /// Agreement among voters.
+    /// A message of Raft.
     Raft(RaftMessage),
-    /// A member asks whether its leases go on.
+    /// A member asks the leader to renew its leases.
     RenewalRequest {
-        /// Which question.
+        /// The request's number.
         number: u64,
-        /// What it would hold, where that has to be said.
+        /// The leases that the member wants, when they have changed.
         wanted: Option<Vec<String>>,
-        /// The disk with which it would vote, or votes.
+        /// The disk with which it votes or is to vote.
         disk: Option<u64>,
-        /// What its clock on the wall shows, in Unix seconds.
+        /// The sender's wall clock, in Unix seconds.
         unix: i64,
-        /// The last question whose answer it has had.
+        /// The last request whose answer was received.
         answered: u64,
     },
-    /// The one that leads answers.
+    /// The leader's answer to a renewal request.
     Answer(RenewalAnswer),
-    /// This voter does not lead.
+    /// This voter is not the leader.
     NotLeader {
-        /// Who does, if that is known.
+        /// The leader, if known.
         leader: Option<String>,
     },
-    /// A member has an entry to be agreed.
+    /// A member proposes an entry.
     Propose {
-        /// Which.
+        /// The proposal's id.
         id: u64,
         /// The entry.
         entry: Entry,
     },
-    /// What came of it; `None` if that is not known.
+    /// The outcome of a proposal; `None` if it is unknown.
     Proposed {
-        /// Which.
+        /// The proposal's id.
         id: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: Option<Outcome>,
     },
-    /// A member would see the agreed state.
+    /// A member queries the replicated state.
     QueryState {
-        /// Which question.
+        /// The query's id.
         id: u64,
     },
-    /// The agreed state, as far as this voter has it.
+    /// The replicated state as this voter has applied it.
     StateReport {
-        /// Which question.
+        /// The query's id.
         id: u64,
-        /// What is shown.
+        /// The state.
         report: StateReport,
     },
-    /// A member says which epochs of the agreed state's parts it knows. Said with each question, where there are parts.
+    /// The epochs of the parts' views that a member has. Sent with each renewal request if there are parts.
     KnownEpochs {
-        /// The parts, each with the epoch.
+        /// The parts and the epochs of their views.
         epochs: Vec<(String, u64)>,
     },
-    /// The one that leads says what parts show this start, as far as that is new.
+    /// The leader sends the views of parts that are new to this incarnation.
     PartViews {
-        /// What they show.
+        /// The views.
         views: Vec<PartView>,
     },
 }
 
-/// The agreed state as one voter has it.
+/// The replicated state as one voter has applied it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateReport {
     /// The voter.
     pub by: String,
-    /// Who leads, as far as it knows.
+    /// The leader, as far as this voter knows.
     pub leader: Option<String>,
-    /// Milliseconds since it heard of the one that leads; 0 at that one itself.
+    /// Milliseconds since a message of the leader arrived; 0 at the leader itself.
     pub age_ms: Option<u64>,
     /// The term.
     pub term: u64,
-    /// How many entries it has applied.
+    /// The index of the last applied entry.
     pub applied: u64,
-    /// The disks that take part: member, whether it votes, number.
+    /// The disks with a voter slot: member, whether it votes, disk id.
     pub voter_slots: Vec<(String, bool, u64)>,
-    /// Milliseconds since each member was heard, where this voter leads.
+    /// Milliseconds since each member was last heard; empty unless this voter leads.
     pub heard_ms: Vec<(String, u64)>,
-    /// The agreed state ([`jaspershunt_fleet::Fleet::save`]).
+    /// The serialized state ([`jaspershunt_fleet::Fleet::save`]).
     pub fleet: Vec<u8>,
-    /// Its parts ([`jaspershunt_fleet::parts::ReplicatedState::save_parts`]).
+    /// The serialized parts ([`jaspershunt_fleet::parts::ReplicatedState::save_parts`]).
     pub parts: Vec<u8>,
 }
 
-/// A message of the library for agreement. Its own form of bytes is never read from the wire.
+/// A message of the `raft` library, re-encoded: the library's own encoding is never read from the wire.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RaftMessage {
     kind: u8,
-    /// The disk that it is for.
+    /// The recipient's disk.
     pub to: u64,
-    /// The disk that says it.
+    /// The sender's disk.
     pub from: u64,
-    /// Which start of that disk.
+    /// The incarnation of the sender's disk.
     pub incarnation: u64,
-    /// In which term.
+    /// The sender's term.
     pub term: u64,
     log_term: u64,
     index: u64,
@@ -156,31 +157,31 @@
     kind: u8,
     /// The term in which it was proposed.
     pub term: u64,
-    /// Its place.
+    /// Its index.
     pub index: u64,
     data: Vec<u8>,
     context: Vec<u8>,
 }
 
-/// The agreed state at some place of the log.
+/// The replicated state at an index of the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The place.
+    /// The index.
     pub index: u64,
-    /// The term of the entry there.
+    /// The term of the entry at that index.
     pub term: u64,
-    /// Who takes part there.
+    /// The membership at that index.
     pub membership: Membership,
-    /// The state.
+    /// The serialized state.
     pub data: Vec<u8>,
 }
 
-/// Who takes part in agreement, as the library has it.
+/// The Raft membership, by disk.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Those that vote.
+    /// Voting disks.
     pub voters: Vec<u64>,
-    /// Those that learn.
+    /// Learners.
     pub learners: Vec<u64>,
 }
 
@@ -241,8 +242,8 @@
     }
 }
 
-/// The kinds of messages that one voter says to another, by their numbers. Others are a process's own, or not used here: some of
-/// those the library takes for granted what nobody has checked.
+/// The message types that voters exchange, by their number on the wire. All others are local to a process or
+/// unused: some of them the library would trust without validation.
 const MESSAGE_KINDS: [eraftpb::MessageType; 9] = {
     use eraftpb::MessageType::*;
     [
@@ -259,7 +260,7 @@
 };
 
 impl RaftMessage {
-    /// A message on its way out; `None` for one that is for no other voter.
+    /// Converts an outgoing message; `None` if its type is not sent to other voters.
     pub fn new(message: &eraftpb::Message, incarnation: u64) -> Option<RaftMessage> {
         let kind = MESSAGE_KINDS.iter().position(|kind| *kind == message.msg_type)?;
         let has_snapshot = message.msg_type == eraftpb::MessageType::MsgSnapshot;
@@ -283,7 +284,7 @@
         })
     }
 
-    /// The library's form; `None` if the kind is none.
+    /// Converts to the library's message; `None` if the type number is invalid.
     pub fn into_raft(self) -> Option<eraftpb::Message> {
         let mut into = eraftpb::Message::default();
         into.set_msg_type(*MESSAGE_KINDS.get(usize::from(self.kind))?);
@@ -301,8 +302,8 @@
         Some(into)
     }
 
-    /// Up to where a follower that is told this must have written already: more than its disk has means that the disk is older than
-    /// what it once promised.
+    /// The lowest log index that the recipient must have written. A recipient whose log is shorter has a disk
+    /// that was rolled back.
     pub fn min_log_index(&self) -> u64 {
         match MESSAGE_KINDS.get(usize::from(self.kind)) {
             Some(eraftpb::MessageType::MsgHeartbeat) => self.commit,
@@ -310,49 +311,51 @@
         }
     }
 
-    /// Whether it brings entries of the log.
+    /// Whether the message contains log entries.
     pub fn has_entries(&self) -> bool {
         !self.entries.is_empty()
     }
 
-    /// Up to where the one that says this has written, if it says so.
+    /// The index up to which the sender has written its log, if the message reports one.
     pub fn persisted_index(&self) -> Option<u64> {
         let kind = MESSAGE_KINDS.get(usize::from(self.kind))?;
         (*kind == eraftpb::MessageType::MsgAppendResponse && !self.reject).then_some(self.index)
     }
 }
 
-/// Why bytes are no message to this member.
+/// Why bytes are not a message to this member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Another version.
+    /// Another protocol version.
     Version(u16),
     /// Another fleet.
     Fleet(String),
-    /// No message at all.
+    /// Not a valid message.
     Malformed,
 }
 
 impl std::fmt::Display for DecodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            DecodeError::Version(version) => write!(f, "it speaks version {version}, this program {VERSION}"),
+            DecodeError::Version(version) => {
+                write!(f, "its protocol version is {version}, this program supports {VERSION}")
+            }
             DecodeError::Fleet(name) => write!(f, "it belongs to the fleet {name:?}"),
-            DecodeError::Malformed => f.write_str("it says what no member says"),
+            DecodeError::Malformed => f.write_str("malformed message"),
         }
     }
 }
 
-/// The message as bytes.
+/// Serializes a message.
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
-    // Writing into memory fails for nothing that a message holds.
+    // Serializing a message into memory does not fail.
     postcard::to_stdvec(&(VERSION, envelope)).unwrap_or_default()
 }
 
-/// The message of these bytes, to a member of this fleet.
+/// Parses a message that is addressed to a member of this fleet.
 ///
 /// # Errors
-/// They are none.
+/// The bytes are not such a message.
 pub fn decode(bytes: &[u8], fleet: &str) -> Result<Envelope, DecodeError> {
     let (version, rest) = postcard::take_from_bytes::<u16>(bytes).map_err(|_| DecodeError::Malformed)?;
     if version != VERSION {
@@ -375,7 +378,7 @@
     }
 
     #[test]
-    fn what_is_said_comes_back_and_other_fleets_and_versions_are_named() {
+    fn messages_round_trip_and_other_fleets_and_versions_are_named() {
         let message = envelope(Message::RenewalRequest {
             number: 5,
             wanted: Some(vec!["task/x".into()]),
@@ -395,12 +398,12 @@
         let mut longer = bytes;
         longer.push(0);
         assert_eq!(decode(&longer, "cordoba"), Err(DecodeError::Malformed));
-        // A length of what follows that is far beyond it.
+        // A length prefix that is far beyond the end of the input.
         assert_eq!(decode(&[1, 0xff, 0xff, 0xff, 0xff, 0x0f], "cordoba"), Err(DecodeError::Malformed));
     }
 
     #[test]
-    fn messages_of_the_library_come_back_as_they_were() {
+    fn raft_messages_round_trip() {
         for kind in MESSAGE_KINDS {
             let mut message = eraftpb::Message::default();
             message.set_msg_type(kind);
@@ -418,10 +421,12 @@
             }
             let sent = RaftMessage::new(&message, 8).unwrap();
             let bytes = encode(&envelope(Message::Raft(sent)));
-            let Message::Raft(came) = decode(&bytes, "cordoba").unwrap().message else { panic!("{kind:?}") };
-            assert_eq!(came.into_raft().unwrap(), message, "{kind:?}");
+            let Message::Raft(received) = decode(&bytes, "cordoba").unwrap().message else {
+                panic!("{kind:?}")
+            };
+            assert_eq!(received.into_raft().unwrap(), message, "{kind:?}");
         }
-        // A process's own affairs are said to nobody, and taken from nobody.
+        // Messages local to a process are neither sent nor accepted.
         let mut own = eraftpb::Message::default();
         own.set_msg_type(eraftpb::MessageType::MsgHup);
         assert_eq!(RaftMessage::new(&own, 8), None);
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,11 +1,12 @@
-//! A member of the fleet: what [`jaspershunt_fleet`] decides, with agreement, a disk and links round it. It knows no nodo.
+//! A member of the fleet: the decisions of [`jaspershunt_fleet`] with Raft, a disk and network links. It does not
+//! depend on the nodo.
 //!
-//! - [`frame`]: what members say to each other, as bytes.
-//! - [`store`]: what a voter has promised, on disk; [`log`]: the same in memory, as the library for agreement reads it.
-//! - [`voter`]: one voter: agreement by `raft`, the agreed state, and the one that leads.
-//! - [`member`]: a whole member, voter or not, without I/O but for its disk: `now` and messages in, messages and calls out. The
-//!   simulation runs it as production does.
-//! - [`driver`]: the member on real sockets, a real disk and a real clock, on a thread of its own.
+//! - [`frame`]: messages between members and their encoding.
+//! - [`store`]: a voter's durable state; [`log`]: its log in memory, as the `raft` library reads it.
+//! - [`voter`]: a voter: Raft, the replicated state, and the leader.
+//! - [`member`]: a whole member, with or without a voter. Its only I/O is on its disk: time and messages are
+//!   passed in, messages and calls are returned. The simulation runs the same code as production.
+//! - [`driver`]: runs a member on real sockets, a real disk and a real clock, on a thread of its own.
 
 pub mod driver;
 pub mod frame;
--- a/crates/member/src/log.rs
+++ b/crates/member/src/log.rs
@@ -1,4 +1,5 @@
-//! The log of a voter in memory, as the library for agreement reads it. What is here was written to disk first ([`crate::store`]).
+//! A voter's log in memory, as the `raft` library reads it. Everything in it has been written to disk
+//! ([`crate::store`]).
 
 use crate::frame::{Membership, Snapshot};
 use raft::eraftpb::{ConfState, Entry, HardState};
@@ -6,23 +7,23 @@
 use std::cell::Cell;
 use std::collections::VecDeque;
 
-/// Entries behind the last snapshot, with that.
+/// The last snapshot and the entries after it.
 #[derive(Debug, Default)]
 pub struct Log {
-    /// The term, the vote and how far is agreed.
+    /// The term, the vote and the commit index.
     pub hard: HardState,
-    /// Who takes part at the snapshot: entries behind it change that again as they are applied anew.
+    /// The membership as of the snapshot; entries after it change it again when they are applied.
     pub membership: Membership,
-    /// The state at the beginning of the entries.
+    /// The state before the first entry.
     pub snapshot: Snapshot,
-    /// The state further on, for one that is too far behind or takes part only since.
+    /// A newer snapshot, for a voter that is too far behind or joined after the last one.
     pub fresh: Option<Snapshot>,
     wants_fresh: Cell<bool>,
     entries: VecDeque<Entry>,
 }
 
 impl Log {
-    /// A log as it was found.
+    /// Builds the log from the state on disk.
     pub fn new(hard: HardState, snapshot: Snapshot, entries: Vec<Entry>) -> Log {
         let (membership, entries) = (snapshot.membership.clone(), entries.into());
         Log { hard, membership, snapshot, entries, ..Log::default() }
@@ -32,32 +33,32 @@
         self.snapshot.index + 1
     }
 
-    /// The place of the last entry.
+    /// The index of the last entry.
     pub fn last(&self) -> u64 {
         self.snapshot.index + self.entries.len() as u64
     }
 
-    /// The term and the place of the last entry.
+    /// The term and the index of the last entry.
     pub fn position(&self) -> (u64, u64) {
         (self.entries.back().map_or(self.snapshot.term, |entry| entry.term), self.last())
     }
 
-    /// Entries that are kept.
+    /// The number of entries in memory.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// None are.
+    /// Whether there are no entries in memory.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether a fresh snapshot was asked for since the last call.
+    /// Whether a newer snapshot was requested since the last call.
     pub fn wants_fresh(&self) -> bool {
         self.wants_fresh.take()
     }
 
-    /// Takes in entries; those from the first of them on make way.
+    /// Appends entries, replacing those from the index of the first one on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let keep = first.index.saturating_sub(self.first());
@@ -65,7 +66,7 @@
         self.entries.extend(entries.iter().cloned());
     }
 
-    /// Begins anew at a snapshot.
+    /// Replaces the log by a snapshot.
     pub fn install(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.fresh = None;
@@ -74,7 +75,7 @@
         (self.membership, self.snapshot) = (snapshot.membership.clone(), snapshot);
     }
 
-    /// Lets go of what a snapshot covers.
+    /// Discards the entries that a snapshot covers.
     pub fn trim(&mut self, snapshot: Snapshot) {
         let gone = snapshot.index.saturating_sub(self.snapshot.index) as usize;
         self.entries.drain(..gone.min(self.entries.len()));
@@ -130,7 +131,7 @@
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<raft::eraftpb::Snapshot> {
-        // One that takes part only since a snapshot was taken would throw that away: it is not named in it.
+        // A voter that joined after the snapshot is not in its membership and would discard it.
         let serves = |snapshot: &&Snapshot| {
             let Membership { voters, learners } = &snapshot.membership;
             snapshot.index >= request_index && (voters.contains(&to) || learners.contains(&to))
@@ -161,7 +162,7 @@
     }
 
     #[test]
-    fn entries_make_way_for_those_of_a_later_term_and_are_let_go_behind_a_snapshot() {
+    fn entries_are_replaced_by_those_of_a_later_term_and_discarded_after_a_snapshot() {
         let mut log = Log::default();
         log.append(&[entry(1, 1), entry(1, 2), entry(1, 3)]);
         log.append(&[entry(2, 2), entry(2, 3), entry(2, 4)]);
@@ -176,9 +177,9 @@
         assert_eq!(log.position(), (4, 10));
     }
 
-    /// One that takes part only since the last snapshot gets one that names it.
+    /// A voter that joined after the last snapshot gets one whose membership includes it.
     #[test]
-    fn a_snapshot_is_for_those_that_it_names() {
+    fn a_snapshot_is_sent_only_to_its_membership() {
         let membership = |learners: &[u64]| Membership { voters: vec![1], learners: learners.to_vec() };
         let first = Snapshot { index: 1, term: 1, membership: membership(&[]), data: vec![1] };
         let mut log = Log::new(HardState::default(), first, Vec::new());
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -1,5 +1,6 @@
-//! A whole member: its side of the fleet, and the voter on its disk if it is one. No socket, thread, clock or random source: `now`,
-//! messages and what came of calls go in, messages and calls come out. The disk is reached through [`Disk`].
+//! A member: its client side of the fleet, and its voter if it has a disk. It has no socket, thread, clock or
+//! random source: time, messages and outcomes of calls are passed in; messages and calls are returned. The
+//! disk is reached through [`Disk`].
 
 use crate::frame::{Message, StateReport};
 use crate::store::StoreError;
@@ -12,156 +13,158 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A disk that cannot be opened is tried again so often.
+/// Delay until a disk that could not be opened is tried again.
 const OPEN_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Messages to itself that a member carries on with in one go; more means that something is wrong with this program.
+/// Messages to itself that a member handles in one step; more indicate an endless loop.
 const MAX_SELF_MESSAGES: usize = 100_000;
 
 /// A voter's disk.
 pub trait Disk {
-    /// Opens it; where nothing is there it is new.
+    /// Opens the disk, creating an empty one if there is none.
     ///
     /// # Errors
     /// It cannot be opened.
     fn open(&mut self) -> Result<Box<dyn StorageBackend>, StoreError>;
 
-    /// Puts aside what is there, so that the next one is new.
+    /// Moves the current content aside, so that the next one opened is empty.
     ///
     /// # Errors
-    /// It cannot be.
+    /// It cannot be moved.
     fn set_aside(&mut self) -> Result<(), StoreError>;
 }
 
-/// What a member is told at its start.
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The fleet's name.
     pub fleet: String,
-    /// This start.
+    /// This incarnation.
     pub me: Holder,
     /// The members that are to vote.
     pub voters: Vec<String>,
-    /// The terms of leases, the same for all.
+    /// How long leases last; the same for all members.
     pub timing: LeaseTiming,
     /// The tasks of this member.
     pub tasks: Vec<TaskSpec>,
-    /// Makes the parts of the agreed state, each of them empty. The same for all voters: one that does not know a part that the
-    /// others have takes no part in it. See [`no_parts`].
+    /// Creates the empty parts of the replicated state. Must be the same for all voters: a voter that does
+    /// not know a part ignores its entries. See [`no_parts`].
     pub parts: fn() -> Vec<Box<dyn Part>>,
-    /// What the one that leads proposes for parts of its own: each a part's name and an entry of it. It is asked every few ticks, once
-    /// what it said before is agreed, and two that lead may say the same: a part takes a repeat for one. See [`no_part_proposals`].
+    /// What the leader proposes for parts on its own: pairs of a part's name and an entry for it. Called
+    /// every few ticks, once the earlier proposals are applied. Two leaders may propose the same, so a part
+    /// must treat a repeated entry as one. See [`no_part_proposals`].
     pub part_proposals: PartProposals,
 }
 
-/// See [`Setup::part_proposals`]; the first is the time by the wall clock, in Unix milliseconds.
+/// See [`Setup::part_proposals`]; the first argument is the wall-clock time in Unix milliseconds.
 pub type PartProposals = fn(u64, &ReplicatedState) -> Vec<(String, Vec<u8>)>;
 
-/// No parts: nothing is said or saved of any.
+/// No parts.
 pub fn no_parts() -> Vec<Box<dyn Part>> {
     Vec::new()
 }
 
-/// Nothing is proposed for parts.
+/// Proposes nothing for parts.
 pub fn no_part_proposals(_: u64, _: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
     Vec::new()
 }
 
-/// The time of a tick of all members of a fleet: a hundredth of a lease's, within bounds that a machine can keep.
+/// The tick of all members of a fleet: a hundredth of a lease's duration, within bounds that a machine can
+/// keep.
 pub fn tick(timing: LeaseTiming) -> Duration {
     (timing.ttl / 100).clamp(Duration::from_millis(10), Duration::from_millis(100))
 }
 
-/// To whom something is said.
+/// The recipient of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Recipient {
-    /// A voter, whichever start of it is there.
+    /// A voter, in whichever incarnation.
     Voter(String),
-    /// A start that has said something, over the link on which it did.
+    /// An incarnation that has sent a message, over the connection on which it did.
     Holder(Holder),
 }
 
-/// What reaches a member.
+/// Input of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A member says something.
+    /// A message arrived.
     Received {
-        /// Who.
+        /// The sender.
         from: Holder,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// The connection to a voter broke.
+    /// The connection to a voter was lost.
     ConnectionLost {
-        /// Its name.
+        /// The voter's name.
         voter: String,
     },
-    /// What came of a call for a task.
+    /// The call of a task ended.
     CallEnded {
         /// The task.
         task: String,
-        /// Which call.
+        /// The call's number.
         number: u64,
-        /// What came of it.
+        /// Its outcome.
         outcome: CallOutcome,
     },
-    /// An operator has an entry.
+    /// An operator proposes an entry.
     Propose {
-        /// Comes back with [`Output::Settled`].
+        /// Returned in [`Output::Settled`].
         ticket: u64,
         /// The entry.
         entry: Entry,
     },
-    /// An operator would see the agreed state.
+    /// An operator queries the replicated state.
     QueryState {
-        /// Comes back with [`Output::StateReport`].
+        /// Returned in [`Output::StateReport`].
         ticket: u64,
     },
-    /// This start is about to end.
+    /// This incarnation is about to end.
     Leave,
 }
 
-/// What a member wants done.
+/// Output of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Say this.
+    /// Send a message.
     Send {
-        /// To whom.
+        /// The recipient.
         to: Recipient,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Call for a task.
+    /// Make a call for a task.
     Call(Call),
-    /// What came of an operator's entry; `None` if nobody knows.
+    /// The outcome of an operator's proposal; `None` if it is unknown.
     Settled {
-        /// Whose.
+        /// The ticket of the proposal.
         ticket: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: Option<Outcome>,
-        /// It was said more than once: where this outcome is a refusal, another copy may be agreed yet.
+        /// The proposal was sent more than once: after a refusal, another copy may still be committed.
         sent_again: bool,
     },
-    /// The agreed state.
+    /// The answer to a query of the replicated state.
     StateReport {
-        /// For whom.
+        /// The ticket of the query.
         ticket: u64,
-        /// What is shown.
+        /// The state.
         report: Box<StateReport>,
     },
-    /// A part of the agreed state shows this start something new. Epochs of a part only grow.
+    /// A new view of a part for this incarnation. Epochs of a part only grow.
     Part {
         /// The part.
         name: String,
-        /// Of what it shows.
+        /// The epoch of the view.
         epoch: u64,
-        /// What it shows, as the part has it.
+        /// The view, in the part's own encoding.
         bytes: Vec<u8>,
     },
-    /// To be logged; `true` where operators should look.
+    /// A log line; `true` for a warning.
     Log(String, bool),
-    /// It has left, as far as that can be known.
+    /// The member has left, as far as it can know.
     Left,
 }
 
@@ -173,17 +176,17 @@
     disk: Option<Box<dyn Disk>>,
     open_at: Duration,
     random: Box<dyn FnMut() -> u64>,
-    /// Operators' entries, by the client's number.
+    /// Operators' proposals: the client's id and the ticket.
     tickets: Vec<(u64, u64)>,
-    /// Why the disk could not be opened, as it was logged.
+    /// The last logged error of opening the disk.
     open_error: String,
     has_left: bool,
-    /// The newest epoch of each part that was shown; `None` where there are no parts.
+    /// The newest epoch of each part's view; `None` if there are no parts.
     epochs: Option<BTreeMap<String, u64>>,
 }
 
 impl Member {
-    /// A start of a member that votes if it has a disk.
+    /// Creates an incarnation of a member; it votes if it has a disk.
     pub fn new(
         setup: Setup,
         disk: Option<Box<dyn Disk>>,
@@ -198,27 +201,27 @@
         Member { setup, client, voter, disk, open_at, random, tickets, open_error, has_left, epochs }
     }
 
-    /// Its side of the fleet.
+    /// The client side of the fleet.
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Its voter, while that is there.
+    /// The voter, while its disk is open.
     pub fn voter(&self) -> Option<&Voter> {
         self.voter.as_ref()
     }
 
-    /// Its voter, while that is there.
+    /// The voter, while its disk is open.
     pub fn voter_mut(&mut self) -> Option<&mut Voter> {
         self.voter.as_mut()
     }
 
-    /// This start.
+    /// This incarnation.
     pub fn me(&self) -> &Holder {
         &self.setup.me
     }
 
-    /// Takes in one thing; what is to be done comes out, in order. `unix` is the time by the wall clock, since 1970.
+    /// Handles an input and returns the outputs in order. `unix` is the wall-clock time since 1970.
     pub fn step(&mut self, now: Duration, unix: Duration, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         let mut to_self = VecDeque::new();
@@ -288,10 +291,12 @@
             Err(e) => {
                 let mut open_error = e.to_string();
                 if matches!(e, StoreError::PartOutdated(_)) {
-                    // A new disk learns all of it from the others.
+                    // An empty disk gets the whole state from the other voters.
                     let aside = disk.set_aside();
-                    let aside = aside
-                        .map_or_else(|e| format!("cannot be put aside: {e}"), |()| "is put aside".into());
+                    let aside = aside.map_or_else(
+                        |e| format!("cannot be moved aside: {e}"),
+                        |()| "was moved aside".into(),
+                    );
                     open_error = format!("{open_error}; it {aside}");
                 }
                 if open_error != self.open_error {
@@ -324,7 +329,7 @@
                 let Some(epochs) = &mut self.epochs else { return };
                 for PartView { name, epoch, bytes } in views {
                     let room = epochs.len() < MAX_PARTS || epochs.contains_key(&name);
-                    // Guards against one that led and does not know that it does not any more.
+                    // Guards against views of a former leader that has not yet learned of its successor.
                     if room && epochs.get(&name).is_none_or(|known| *known < epoch) {
                         epochs.insert(name.clone(), epoch);
                         outputs.push(Output::Part { name, epoch, bytes });
@@ -353,21 +358,20 @@
                 all.into_iter().for_each(|(to, message)| self.send(to, message, to_self, outputs))
             }
             Some(Err(fault)) => {
-                // Whatever it has not said yet is never said.
+                // Messages that it has not sent yet are dropped.
                 self.voter = None;
                 match fault {
                     Fault::Disk(e) => {
-                        let what = format!("the voter says nothing more until its disk is open again: {e}");
+                        let what = format!("the voter is stopped until its disk can be opened again: {e}");
                         outputs.push(Output::Log(what, true));
                     }
                     Fault::RolledBack(why) => {
                         let aside = self.disk.as_mut().map(|disk| disk.set_aside());
                         let what = match aside {
-                            Some(Err(e)) => format!("and cannot be put aside: {e}"),
-                            _ => "it is put aside, and this voter begins anew with an empty one".into(),
+                            Some(Err(e)) => format!("it cannot be moved aside: {e}"),
+                            _ => "it was moved aside, and this voter restarts with an empty disk".into(),
                         };
-                        let what =
-                            format!("the voter's disk is older than what it once promised ({why}): {what}");
+                        let what = format!("the voter's disk is older than its promises ({why}): {what}");
                         outputs.push(Output::Log(what, true));
                     }
                 }
@@ -438,8 +442,8 @@
                         .push(Output::Log(format!("does not hold {lease} any more, token {token}"), false));
                 }
                 Action::Report(Event::Superseded) => {
-                    let what = "a later start of this member is in the fleet, or its folder is an older copy: \
-                                this one holds nothing until that one has gone";
+                    let what = "a later incarnation of this member is in the fleet, or this folder is an older copy: \
+                                this one holds no lease until that one has ended";
                     outputs.push(Output::Log(what.to_string(), true));
                 }
             }
--- a/crates/member/src/member/parts_tests.rs
+++ b/crates/member/src/member/parts_tests.rs
@@ -1,15 +1,15 @@
-//! Members with parts, without sockets: what one says reaches the other at once, or never.
+//! Members with parts, without sockets: a message arrives at once or never.
 
-use super::tests::{Memory, Shared, TIMING, founded_for, setup};
+use super::tests::{Memory, Shared, TIMING, bootstrapped_for, setup};
 use super::*;
 use jaspershunt_fleet::Fleet;
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What shows everyone [`jaspershunt_fleet::parts::MAX_VIEW_BYTES`] bytes.
+/// An entry that makes the view [`jaspershunt_fleet::parts::MAX_VIEW_BYTES`] long.
 const WIDE: &[u8] = b"wide";
 
-/// Keeps its entries and the members as it heard of them; shows everyone the last entry.
+/// Records its entries and the members; its view is the last entry, for every member.
 #[derive(Debug, Default, PartialEq)]
 struct Board {
     entries: Vec<Vec<u8>>,
@@ -65,7 +65,7 @@
     state.part("board").unwrap().as_any().downcast_ref().unwrap()
 }
 
-/// Says who was last seen to be missing, once for each; and more than is taken in one go.
+/// Proposes entries once a member is missing, and more of them than the leader takes at once.
 fn proposals_when_one_is_missing(unix_ms: u64, state: &ReplicatedState) -> Vec<(String, Vec<u8>)> {
     let board = board_of(state);
     if board.members.len() != 3 || board.entries.len() > 1 {
@@ -80,11 +80,11 @@
     members: BTreeMap<String, Member>,
     disks: BTreeMap<String, Shared>,
     cut: BTreeSet<String>,
-    /// Whose clock on the wall is an hour ahead.
+    /// The member whose wall clock is an hour ahead.
     ahead: Option<String>,
     now: Duration,
     starts: u64,
-    /// What parts showed each, and what became of entries.
+    /// The views that each member got, the outcomes of proposals and the log lines.
     views: BTreeMap<String, Vec<(u64, Vec<u8>)>>,
     settled: Vec<Option<Outcome>>,
     logged: Vec<String>,
@@ -95,7 +95,7 @@
 impl Net {
     fn new(names: &[&str]) -> Net {
         let mut net = Net::default();
-        net.disks.insert("n1".into(), founded_for("n1"));
+        net.disks.insert("n1".into(), bootstrapped_for("n1"));
         names.iter().for_each(|name| net.start(name, boards, no_part_proposals));
         net
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    fn play(&mut self, length: Duration) {
+    fn run(&mut self, length: Duration) {
         let end = self.now + length;
         while self.now < end {
             self.now += tick(TIMING);
@@ -156,7 +156,7 @@
         self.settled.clear();
         let entry = Entry::Part { part: "board".into(), bytes: bytes.to_vec() };
         self.step(name, Input::Propose { ticket: 1, entry });
-        self.play(Duration::from_millis(100));
+        self.run(Duration::from_millis(100));
         self.settled.pop().flatten()
     }
 
@@ -165,36 +165,37 @@
         self.members.iter().find(|(_, member)| is_leader(member)).map(|(name, _)| name.as_str())
     }
 
-    fn last_shown(&self, name: &str) -> Option<&(u64, Vec<u8>)> {
+    fn last_view(&self, name: &str) -> Option<&(u64, Vec<u8>)> {
         self.views.get(name)?.last()
     }
 }
 
 const LEASE: Duration = TIMING.ttl;
 
-/// An entry of one that does not vote is seen by all, through the loss of the one that leads, and no epoch goes back.
+/// The view of an entry that a non-voter proposed reaches all members, also after the loss of the leader, and
+/// no epoch decreases.
 #[test]
-fn what_a_part_shows_reaches_all_and_never_goes_back() {
+fn views_reach_all_members_and_epochs_never_decrease() {
     let mut net = Net::new(&["n1", "n2", "n3", "n4", "n5"]);
-    net.play(5 * LEASE);
+    net.run(5 * LEASE);
     let outcome = net.propose("n4", b"one");
     assert_eq!(outcome, Some(Outcome::Part(vec![1])));
     for name in ["n1", "n2", "n3", "n4", "n5"] {
-        assert_eq!(net.last_shown(name), Some(&(1, b"one".to_vec())), "{name}");
+        assert_eq!(net.last_view(name), Some(&(1, b"one".to_vec())), "{name}");
     }
-    // One that is away hears the newest alone, once it is back, and is still a member to whom it is shown.
+    // A member that was cut off only gets the newest view after it is back, and was not removed.
     net.cut.insert("n5".into());
     for _ in 0..3 {
         net.propose("n4", b"more");
     }
     net.propose("n4", b"newest");
     net.cut.remove("n5");
-    net.play(LEASE);
+    net.run(LEASE);
     assert_eq!(net.views["n5"], [(1, b"one".to_vec()), (5, b"newest".to_vec())]);
-    // The one that leads is lost; another goes on.
+    // The leader is lost, and another one takes over.
     let leader = net.leader().unwrap().to_string();
     net.members.remove(&leader);
-    net.play(3 * LEASE);
+    net.run(3 * LEASE);
     let next = net.leader().unwrap().to_string();
     assert_ne!(next, leader);
     assert_eq!(net.propose("n5", b"after"), Some(Outcome::Part(vec![6])));
@@ -202,23 +203,23 @@
         assert!(views.is_sorted_by(|one, other| one.0 < other.0), "{name}: {views:?}");
         assert!(*name == leader || views.last().unwrap().0 == 6, "{name}: {views:?}");
     }
-    // What an earlier leader still says is passed over.
+    // Views that a former leader still sends are ignored.
     let views = vec![PartView { name: "board".into(), epoch: 3, bytes: b"more".to_vec() }];
     net.step("n4", Input::Received { from: Holder::new(&leader, 1), message: Message::PartViews { views } });
-    assert_eq!(net.last_shown("n4").unwrap().0, 6);
+    assert_eq!(net.last_view("n4").unwrap().0, 6);
 }
 
-/// A voter that comes with an empty disk, and one that starts again, have the parts from a snapshot.
+/// A new voter with an empty disk and a restarted voter get the parts from a snapshot.
 #[test]
 fn a_snapshot_carries_parts() {
     let mut net = Net::new(&["n1"]);
-    net.play(3 * LEASE);
+    net.run(3 * LEASE);
     assert_eq!(net.propose("n1", b"one"), Some(Outcome::Part(vec![1])));
     net.start("n2", boards, no_part_proposals);
-    net.play(5 * LEASE);
+    net.run(5 * LEASE);
     assert_eq!(board(&net.members["n2"]), board(&net.members["n1"]));
     assert_eq!(board(&net.members["n2"]).entries, [b"one"]);
-    // The seats changed, so the snapshot on the disk is behind that entry.
+    // The voter slots changed, so the snapshot on the disk covers that entry.
     net.members.remove("n1");
     net.members.remove("n2");
     let (_, found) =
@@ -226,28 +227,28 @@
     let kept = crate::voter::VoterState::load(&found.snapshot.data, boards()).unwrap();
     assert_eq!(board_of(kept.state()).entries, [b"one"]);
     net.start("n1", boards, no_part_proposals);
-    net.play(Duration::from_millis(50));
+    net.run(Duration::from_millis(50));
     assert_eq!(board(&net.members["n1"]).entries, [b"one"]);
 }
 
-/// A voter that did not know a part while its entries went by gives its disk up and learns from the others; one that leads without
-/// knowing it lets none into the log.
+/// A voter that did not know a part while its entries were applied gives up its disk and gets the state from
+/// the others; a leader that does not know the part refuses its entries.
 #[test]
-fn a_voter_that_did_not_know_a_part_learns_it_anew() {
+fn a_voter_that_did_not_know_a_part_discards_its_disk() {
     let mut net = Net::new(&["n1", "n4"]);
     for name in ["n2", "n3"] {
         net.start(name, no_parts, no_part_proposals);
     }
-    net.play(5 * LEASE);
+    net.run(5 * LEASE);
     assert_eq!(net.leader(), Some("n1"));
     assert_eq!(net.propose("n4", b"one"), Some(Outcome::Part(vec![1])));
     net.members.remove("n1");
-    net.play(3 * LEASE);
+    net.run(3 * LEASE);
     assert!(matches!(net.leader(), Some("n2" | "n3")));
     assert_eq!(net.propose("n4", b"two"), Some(Outcome::Refused(jaspershunt_fleet::Refusal::NotFound)));
     for name in ["n1", "n2", "n3"] {
         net.start(name, boards, no_part_proposals);
-        net.play(5 * LEASE);
+        net.run(5 * LEASE);
     }
     assert!(net.leader().is_some(), "{:?}", net.logged);
     assert_eq!(net.propose("n4", b"two"), Some(Outcome::Part(vec![2])));
@@ -256,66 +257,67 @@
     }
 }
 
-/// One that is lost has gone after little more than a lease's time where parts show it something, and what parts want then is
-/// proposed by the one that leads, within its bound.
+/// With parts, a lost member is removed after little more than a lease's duration. The leader then proposes
+/// what the parts need, within its bound.
 #[test]
-fn a_lost_member_has_gone_after_a_leases_time_and_parts_are_led() {
+fn a_lost_member_is_removed_after_a_lease_and_the_leader_proposes_for_parts() {
     let mut net = Net::new(&[]);
     for name in ["n1", "n2", "n3", "n4"] {
         net.start(name, boards, proposals_when_one_is_missing);
     }
-    net.play(5 * LEASE);
+    net.run(5 * LEASE);
     assert_eq!(net.propose("n4", b"one"), Some(Outcome::Part(vec![1])));
     assert_eq!(board(&net.members["n1"]).members.len(), 4);
     net.members.remove("n4");
     net.ahead = net.leader().map(String::from);
     let lost = net.now;
     while board(&net.members["n1"]).entries.len() == 1 {
-        net.play(tick(TIMING));
+        net.run(tick(TIMING));
         assert!(net.now - lost < 2 * LEASE, "{:?}", board(&net.members["n1"]));
     }
-    // Its last question was up to a quarter of a lease's time before.
+    // Its last renewal request was sent up to a quarter of a lease's duration earlier.
     let took = (net.now - lost).as_secs_f64() / LEASE.as_secs_f64();
     assert!((0.75..1.2).contains(&took), "{took}");
-    net.play(LEASE);
+    net.run(LEASE);
     let entries = &board(&net.members["n2"]).entries;
     assert_eq!(entries.len(), 1 + crate::voter::MAX_PART_PROPOSALS);
-    let told = u64::from_le_bytes(entries[1][..].try_into().unwrap());
-    let told = Duration::from_millis(told) - Duration::from_secs(1000);
-    // By the fleet's time, not its own.
-    assert!(lost < told && told < net.now + Duration::from_secs(1), "{told:?}");
+    let proposed_at = u64::from_le_bytes(entries[1][..].try_into().unwrap());
+    let proposed_at = Duration::from_millis(proposed_at) - Duration::from_secs(1000);
+    // By the fleet's time, not the leader's own clock.
+    assert!(lost < proposed_at && proposed_at < net.now + Duration::from_secs(1), "{proposed_at:?}");
 }
 
-/// In one tick so much is said and no more; whoever waits is first in the next, and nobody waits for ever.
+/// The bytes of views sent in one tick are bounded; members left out come first in the next tick, so none
+/// starves.
 #[test]
-fn what_is_shown_in_one_tick_is_bounded_and_all_have_their_turn() {
+fn view_bytes_per_tick_are_bounded_and_no_member_starves() {
     let names: Vec<String> = (1..=20).map(|n| format!("n{n}")).collect();
     let mut net = Net::new(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    net.play(5 * LEASE);
-    let most = crate::voter::MAX_VIEW_BYTES_PER_TICK / jaspershunt_fleet::parts::MAX_VIEW_BYTES;
+    net.run(5 * LEASE);
+    let max_views = crate::voter::MAX_VIEW_BYTES_PER_TICK / jaspershunt_fleet::parts::MAX_VIEW_BYTES;
     let entry = Entry::Part { part: "board".into(), bytes: WIDE.to_vec() };
     net.step("n20", Input::Propose { ticket: 1, entry });
     let mut ticks = Vec::new();
     let mut before = 0;
     for _ in 0..10 {
-        net.play(tick(TIMING));
+        net.run(tick(TIMING));
         let reached = net.views.len();
         ticks.push(reached - before);
         before = reached;
     }
-    assert!(ticks.iter().all(|told| *told <= most), "{ticks:?}");
-    assert!(ticks.contains(&most) && before == names.len(), "{ticks:?}");
+    assert!(ticks.iter().all(|sent| *sent <= max_views), "{ticks:?}");
+    assert!(ticks.contains(&max_views) && before == names.len(), "{ticks:?}");
 }
 
-/// However many parts another names, a member keeps count of so many.
+/// A member tracks at most [`MAX_PARTS`] parts, however many a peer names.
 #[test]
-fn a_member_counts_so_many_parts() {
+fn a_member_tracks_a_bounded_number_of_parts() {
     let mut net = Net::new(&["n4"]);
     let view = |n| PartView { name: format!("p{n}"), epoch: 1, bytes: Vec::new() };
     let views: Vec<PartView> = (0..2 * MAX_PARTS).map(view).collect();
     let message = Message::PartViews { views };
     net.step("n4", Input::Received { from: Holder::new("n5", 1), message: message.clone() });
-    assert!(net.views.is_empty(), "only voters say so");
+    assert!(net.views.is_empty(), "only voters send views");
     net.step("n4", Input::Received { from: Holder::new("n1", 1), message });
     assert_eq!(net.views["n4"].len(), MAX_PARTS);
 }
--- a/crates/member/src/member/tests.rs
+++ b/crates/member/src/member/tests.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-/// A disk in memory that several openings share.
+/// An in-memory disk that several openings share.
 #[derive(Debug, Clone, Default)]
 pub struct Shared(Arc<Mutex<Vec<u8>>>);
 
@@ -77,15 +77,15 @@
     }
 }
 
-fn founded() -> Shared {
-    founded_for("n1")
+fn bootstrapped() -> Shared {
+    bootstrapped_for("n1")
 }
 
-pub fn founded_for(name: &str) -> Shared {
+pub fn bootstrapped_for(name: &str) -> Shared {
     let disk = Shared::default();
     let (mut store, found) = Store::open(Box::new(disk.clone()), "cordoba", name, [5, 6]).unwrap();
     assert!(found.is_new);
-    store.found(5, VoterState::founded(5, name).save()).unwrap();
+    store.bootstrap(5, VoterState::founded(5, name).save()).unwrap();
     disk
 }
 
@@ -100,8 +100,8 @@
     (Member::new(setup("n1", incarnation), Some(Box::new(disk)), random, Duration::ZERO), aside)
 }
 
-/// Plays a member alone; calls are answered at once.
-fn play(member: &mut Member, from: Duration, length: Duration) -> Vec<Output> {
+/// Runs a member alone; calls succeed at once.
+fn run(member: &mut Member, from: Duration, length: Duration) -> Vec<Output> {
     let mut all = Vec::new();
     let mut now = from;
     while now < from + length {
@@ -120,36 +120,36 @@
     all
 }
 
-/// A fleet of one: it leads, runs its task, and goes on where it was after a restart.
+/// A fleet of one member elects itself, runs its task, and continues after a restart.
 #[test]
 fn a_fleet_of_one_runs_its_tasks_over_restarts() {
-    let disk = founded();
+    let disk = bootstrapped();
     let (mut first, _) = member(disk.clone(), 1);
     let calls =
         |outputs: &[Output]| outputs.iter().filter(|output| matches!(output, Output::Call(_))).count();
-    let came = play(&mut first, Duration::ZERO, Duration::from_secs(12));
+    let came = run(&mut first, Duration::ZERO, Duration::from_secs(12));
     assert_eq!(calls(&came), 2, "at 1005 and 1010: {came:?}");
     let voter = first.voter().unwrap();
     assert!(voter.is_leader() && voter.fleet().task("cierre").unwrap().last_due == Some(1010));
     let tokens = voter.fleet().last_token();
     drop(first);
     let (mut second, _) = member(disk, 2);
-    let came = play(&mut second, Duration::from_secs(12), Duration::from_secs(6));
+    let came = run(&mut second, Duration::from_secs(12), Duration::from_secs(6));
     assert_eq!(calls(&came), 1, "at 1015: {came:?}");
     assert!(second.voter().unwrap().fleet().last_token() > tokens);
-    // One that leaves says when it has.
+    // A member reports when it has left.
     let now = Duration::from_secs(19);
     second.step(now, Duration::from_secs(1019), Input::Leave);
-    let left = play(&mut second, now, Duration::from_millis(200));
+    let left = run(&mut second, now, Duration::from_millis(200));
     assert!(left.contains(&Output::Left), "{left:?}");
     assert_eq!(second.voter().unwrap().fleet().leases().count(), 0);
 }
 
-/// An operator's question and entry come back with their tickets.
+/// The answers to an operator's query and proposal carry their tickets.
 #[test]
-fn operators_are_answered() {
-    let (mut alone, _) = member(founded(), 1);
-    play(&mut alone, Duration::ZERO, Duration::from_secs(2));
+fn operators_queries_and_proposals_are_answered() {
+    let (mut alone, _) = member(bootstrapped(), 1);
+    run(&mut alone, Duration::ZERO, Duration::from_secs(2));
     let now = Duration::from_secs(2);
     let report = alone.step(now, Duration::from_secs(1002), Input::QueryState { ticket: 7 });
     let Some(Output::StateReport { ticket: 7, report }) =
@@ -166,10 +166,10 @@
     );
 }
 
-/// A folder of another member or another fleet is refused by name.
+/// The disk of another member or another fleet is refused with an error that names the owner.
 #[test]
-fn a_disk_of_another_is_refused() {
-    let disk = founded();
+fn a_disk_of_another_owner_is_refused() {
+    let disk = bootstrapped();
     let other = Store::open(Box::new(disk.clone()), "salta", "n1", [1, 2]);
     assert!(other.is_err_and(|e| e.to_string().contains("the fleet \"cordoba\"")));
     let other = Store::open(Box::new(disk), "cordoba", "n2", [1, 2]);
@@ -180,11 +180,12 @@
     assert!(Store::open(Box::new(noise), "cordoba", "n1", [1, 2]).is_err());
 }
 
-/// What a follower is told shows that its disk was put back: it never votes with it again.
+/// A heartbeat with a commit index beyond the own log shows that the disk was rolled back: it is never used
+/// again.
 #[test]
-fn a_disk_that_is_told_of_more_than_it_has_is_put_aside() {
-    let (mut alone, aside) = member(founded(), 1);
-    play(&mut alone, Duration::ZERO, Duration::from_millis(50));
+fn a_rolled_back_disk_is_moved_aside() {
+    let (mut alone, aside) = member(bootstrapped(), 1);
+    run(&mut alone, Duration::ZERO, Duration::from_millis(50));
     let mut beat = raft::eraftpb::Message::default();
     beat.set_msg_type(raft::eraftpb::MessageType::MsgHeartbeat);
     (beat.to, beat.from, beat.term, beat.commit) = (5, 9, 1, 400);
@@ -194,6 +195,6 @@
         alone.step(Duration::from_millis(60), Duration::from_secs(1000), Input::Received { from, message });
     assert!(outputs.iter().any(|output| matches!(output, Output::Log(what, true) if what.contains("older"))));
     assert_eq!(*aside.borrow(), 1);
-    play(&mut alone, Duration::from_secs(2), Duration::from_secs(1));
+    run(&mut alone, Duration::from_secs(2), Duration::from_secs(1));
     assert_ne!(alone.voter().unwrap().disk(), 5);
 }
--- a/crates/member/src/store.rs
+++ b/crates/member/src/store.rs
@@ -1,8 +1,9 @@
-//! What a voter has promised, on disk: the number of its disk, its life, its vote, its log and a snapshot of the agreed state. A
-//! database of `redb` over a [`StorageBackend`], which is a file, or a simulated disk that forgets, tears and fails.
+//! A voter's durable state: its identity, its vote, its log and a snapshot of the replicated state, in a
+//! `redb` database over a [`StorageBackend`]. The backend is a file, or a simulated disk that loses, tears
+//! and fails writes.
 //!
-//! What [`Store::write`] returned for is durable, all of it or nothing. After an error the store writes nothing more: what is on disk
-//! is not known until it is opened anew.
+//! [`Store::write`] is atomic, and durable once it returns. After an error the store writes nothing more:
+//! what is on disk is unknown until it is opened again.
 
 use crate::frame::{LogEntry, Membership, Snapshot};
 use jaspershunt_fleet::disk_rollback::KnownIncarnation;
@@ -14,9 +15,9 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Bytes of memory that the database may take for pages that it has read or is about to write.
+/// Memory for the database's page cache.
 const CACHE_BYTES: usize = 2 * 1024 * 1024;
-/// The form of what is written. A later one is refused by name.
+/// The version of the stored format. Other versions are refused with an error that names them.
 const FORMAT_VERSION: u32 = 1;
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
@@ -29,34 +30,34 @@
 /// Why a store cannot be used.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The disk, or what is on it.
+    /// The disk, or the data on it, is faulty.
     Disk(String),
     /// Another process has it open.
     InUse,
-    /// It belongs to another member, or another fleet.
+    /// It belongs to another member or another fleet.
     WrongOwner {
-        /// To which fleet.
+        /// The fleet of the owner.
         fleet: String,
-        /// To which member.
+        /// The member that owns it.
         member: String,
     },
-    /// A later program has written it.
+    /// It has another format version.
     FormatVersion(u32),
-    /// Entries of this part of the agreed state went by while the program did not know it.
+    /// Entries of this part of the replicated state were applied while the program did not know the part.
     PartOutdated(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::Disk(what) => write!(f, "the disk fails: {what}"),
+            StoreError::Disk(what) => write!(f, "disk error: {what}"),
             StoreError::InUse => f.write_str("another process has it open"),
             StoreError::WrongOwner { fleet, member } => {
                 write!(f, "it belongs to the member {member:?} of the fleet {fleet:?}")
             }
-            StoreError::PartOutdated(part) => write!(f, "what it has of {part:?} is not what is agreed"),
+            StoreError::PartOutdated(part) => write!(f, "its state of the part {part:?} is outdated"),
             StoreError::FormatVersion(format_version) => {
-                write!(f, "it has form {format_version}, this program knows {FORMAT_VERSION}")
+                write!(f, "its format version is {format_version}, this program supports {FORMAT_VERSION}")
             }
         }
     }
@@ -68,60 +69,60 @@
     StoreError::Disk(e.to_string())
 }
 
-/// Whose it is.
+/// Who owns a disk, and which incarnation uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     format_version: u32,
     /// The fleet's name.
     pub fleet: String,
-    /// The member's.
+    /// The member's name.
     pub member: String,
-    /// The number of this disk, drawn when it was founded.
+    /// The disk's id, drawn at random when it was created.
     pub disk: u64,
-    /// Which start this is.
+    /// How often the disk was opened.
     pub incarnation: u64,
-    /// Drawn for this start.
+    /// Random number of this incarnation.
     pub nonce: u64,
 }
 
-/// What was found.
+/// The state that was read from the disk.
 #[derive(Debug)]
 pub struct StoredState {
-    /// Whose it is, with this start's life.
+    /// The identity, with the new incarnation.
     pub identity: Identity,
-    /// The term, the vote and how far is agreed.
+    /// The term, the vote and the commit index.
     pub hard: HardState,
-    /// The state at the beginning of the log.
+    /// The state before the first entry of the log.
     pub snapshot: Snapshot,
-    /// The log behind it.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// What is known of the lives of other disks.
+    /// What is known of other disks' incarnations.
     pub incarnations: BTreeMap<u64, KnownIncarnation>,
-    /// There was nothing there: the disk is founded now.
+    /// Whether the disk was empty and has been initialized.
     pub is_new: bool,
 }
 
-/// What is to be written in one go.
+/// Changes that are written in one transaction.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    /// The term, the vote and how far is agreed.
+    /// The term, the vote and the commit index.
     pub hard: Option<HardState>,
-    /// Entries; those from the first of them on make way.
+    /// Entries to append; stored entries from the index of the first one on are deleted.
     pub entries: Vec<Entry>,
-    /// The log begins anew at this, and what it covers is let go; with `true` all of the log goes.
+    /// A new snapshot; the entries that it covers are deleted, or with `true` the whole log.
     pub snapshot: Option<(Snapshot, bool)>,
-    /// What is known of the lives of other disks.
+    /// What is known of other disks' incarnations.
     pub incarnations: Option<BTreeMap<u64, KnownIncarnation>>,
 }
 
-/// A store that is open.
+/// An open store.
 pub struct Store {
     database: Database,
     failed: bool,
     last: u64,
 }
 
-/// Any backend.
+/// Adapts a boxed backend to the generic interface of `redb`.
 #[derive(Debug)]
 struct BoxedBackend(Box<dyn StorageBackend>);
 
@@ -148,7 +149,7 @@
 }
 
 fn bytes(value: &impl Serialize) -> Vec<u8> {
-    // Writing into memory fails for nothing that is kept here.
+    // Serializing these types into memory does not fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
@@ -161,11 +162,11 @@
 }
 
 impl Store {
-    /// Opens a store, or founds it where there is nothing, and writes down that it was started once more. `random` is drawn anew for
-    /// each start.
+    /// Opens a store, initializes it if it is empty, and records a new incarnation. `random` must be drawn
+    /// anew for each incarnation.
     ///
     /// # Errors
-    /// It cannot be used.
+    /// The disk cannot be used.
     pub fn open(
         backend: Box<dyn StorageBackend>,
         fleet: &str,
@@ -189,7 +190,7 @@
                 format_version: FORMAT_VERSION,
                 fleet: fleet.to_string(),
                 member: member.to_string(),
-                // No voter has the number 0.
+                // 0 is not a valid id in `raft`.
                 disk: number.max(1),
                 incarnation: 0,
                 nonce: 0,
@@ -200,7 +201,8 @@
             if identity.fleet != fleet || identity.member != member {
                 return Err(StoreError::WrongOwner { fleet: identity.fleet, member: identity.member });
             }
-            // Guards against two starts on one disk that are taken for each other: written before anything is said.
+            // Written before any message is sent, so that two incarnations of one disk are never mistaken for
+            // each other.
             (identity.incarnation, identity.nonce) = (identity.incarnation + 1, nonce);
             meta.insert(IDENTITY, bytes(&identity).as_slice()).map_err(disk)?;
             let (term, vote, commit): (u64, u64, u64) = read(&meta, HARD)?.unwrap_or_default();
@@ -214,11 +216,11 @@
                 let entry: LogEntry = postcard::from_bytes(entry.value())
                     .map_err(|e| disk(format!("entry {}: {e}", index.value())))?;
                 if entry.index != snapshot.index + 1 + entries.len() as u64 {
-                    return Err(disk(format!("entry {} is out of its place", index.value())));
+                    return Err(disk(format!("entry {} is not at the expected index", index.value())));
                 }
                 entries.push(Entry::from(entry));
             }
-            // What is agreed is written now and then only, and never beyond what is here.
+            // The commit index is not written on every change, and must not exceed the stored log.
             hard.commit = hard.commit.max(snapshot.index).min(snapshot.index + entries.len() as u64);
             StoredState { identity, hard, snapshot, entries, incarnations, is_new }
         };
@@ -227,11 +229,11 @@
         Ok((Store { database, failed: false, last }, found))
     }
 
-    /// Makes a new store the first voter of a new fleet, alone so far.
+    /// Makes an empty store the only voter of a new fleet.
     ///
     /// # Errors
-    /// It cannot be written.
-    pub fn found(&mut self, disk: u64, state: Vec<u8>) -> Result<(), StoreError> {
+    /// The disk cannot be written.
+    pub fn bootstrap(&mut self, disk: u64, state: Vec<u8>) -> Result<(), StoreError> {
         let membership = Membership { voters: vec![disk], learners: Vec::new() };
         let snapshot = Snapshot { index: 1, term: 1, membership, data: state };
         let mut hard = HardState::default();
@@ -239,21 +241,21 @@
         self.write(&Batch { hard: Some(hard), snapshot: Some((snapshot, true)), ..Batch::default() })
     }
 
-    /// Whether it writes nothing more.
+    /// Whether a write has failed, after which nothing more is written.
     pub fn has_failed(&self) -> bool {
         self.failed
     }
 
-    /// Writes all of it, durably, or nothing.
+    /// Writes the batch atomically and durably.
     ///
     /// # Errors
     /// The disk fails. From then on nothing is written.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         if self.failed {
-            return Err(disk("it failed before"));
+            return Err(disk("an earlier write failed"));
         }
         let written = self.try_write(batch);
-        // Guards against a disk that has failed once and says 'written' the next time: nobody knows what it has.
+        // Guards against a disk that fails once and reports success the next time: its content is unknown.
         self.failed = written.is_err();
         written
     }
--- a/crates/member/src/voter.rs
+++ b/crates/member/src/voter.rs
@@ -1,7 +1,7 @@
-//! One voter: agreement by the library `raft`, what is agreed, and, where this one leads, the leader's rules.
+//! A voter: Raft by the `raft` library, the replicated state, and the leader's rules while this voter leads.
 //!
-//! Nothing leaves this process that rests on a promise which is not on disk yet. A disk that fails, or turns out to be older than what
-//! it once promised, ends the voter ([`Fault`]); the member opens a new one.
+//! No message leaves this process before the state it depends on is on disk. A disk that fails or was rolled
+//! back ends the voter ([`Fault`]); the member then opens a new one.
 
 use crate::frame::{Membership, Message, RaftMessage, Snapshot, StateReport};
 use crate::log::Log;
@@ -26,46 +26,47 @@
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
-/// Ticks without a word from the one that leads until the first voter of the file asks for votes; each further one waits
-/// [`ELECTION_STEP_TICKS`] longer, so that no two ask at once. The library would draw this; so it is the same in every run.
+/// Ticks without a leader until the first configured voter starts an election. Each further voter waits
+/// [`ELECTION_STEP_TICKS`] longer, so that no two start at once. The library's random timeout is overridden
+/// to make every run deterministic.
 const ELECTION_TICKS: usize = 10;
 /// See [`ELECTION_TICKS`].
 const ELECTION_STEP_TICKS: usize = 3;
-/// Ticks between two words of the one that leads.
+/// Ticks between two heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Entries behind a snapshot until the next one.
+/// Log entries after which a new snapshot is taken.
 const MAX_LOG_ENTRIES: usize = 1024;
-/// Bytes of entries in one message, as far as one entry is not more.
+/// Bytes of entries in one message, unless a single entry is larger.
 const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
-/// Bytes of entries that are proposed and not agreed.
+/// Bytes of proposed entries that are not yet committed.
 const MAX_UNCOMMITTED_BYTES: u64 = 8 * 1024 * 1024;
-/// Messages to a voter that has not answered.
+/// Messages in flight to a voter that has not answered.
 const MAX_IN_FLIGHT_MESSAGES: usize = 64;
-/// Entries of members that wait to be agreed here.
+/// Members' proposals that are not yet committed.
 const MAX_PROPOSALS: usize = 4096;
-/// Ticks until a question to a majority is asked again.
+/// Ticks after which an unanswered confirmation of leadership is requested again.
 const CONFIRMATION_TIMEOUT_TICKS: u64 = 20;
-/// Ticks between two words about this voter's life while it is not admitted, and after.
+/// Ticks between two announcements of this voter's incarnation until it is admitted.
 const ANNOUNCE_TICKS: u64 = 3;
-/// See [`ANNOUNCE_TICKS`].
+/// Ticks between two such announcements after it is admitted.
 const ADMITTED_ANNOUNCE_TICKS: u64 = 100;
-/// Ticks until a snapshot that was sent and not acknowledged counts as lost.
+/// Ticks after which an unacknowledged snapshot counts as lost.
 const SNAPSHOT_TIMEOUT_TICKS: u64 = 50;
-/// A voter that is so many entries behind has caught up.
+/// A voter that is at most this many entries behind has caught up.
 const CAUGHT_UP_ENTRIES: u64 = 64;
-/// Ticks between two looks of the one that leads at what parts are in need of: a twentieth of a lease's time.
+/// Ticks between the leader's two checks of what parts need: a twentieth of a lease's duration.
 const PART_PROPOSAL_TICKS: u64 = 5;
-/// Entries of parts that the one that leads proposes of its own in one go; the rest comes once these are agreed.
+/// Entries for parts that the leader proposes at once; the rest follows once these are applied.
 pub const MAX_PART_PROPOSALS: usize = 64;
-/// Bytes of parts that the one that leads says in one tick; whoever is behind then comes first in the next.
+/// Bytes of part views that the leader sends in one tick; the remaining members come first in the next tick.
 pub const MAX_VIEW_BYTES_PER_TICK: usize = 2 * 1024 * 1024;
 
 /// Why a voter has ended.
 #[derive(Debug)]
 pub enum Fault {
-    /// Its disk failed: what is on it is not known until it is opened anew.
+    /// Its disk failed: what is on it is unknown until it is opened again.
     Disk(StoreError),
-    /// Its disk is older than what it once promised: it must not vote with it again.
+    /// Its disk was rolled back: it must not vote with it again.
     RolledBack(RolledBack),
 }
 
@@ -75,14 +76,14 @@
     }
 }
 
-/// All that is agreed.
+/// The replicated state with its voter slots.
 #[derive(Debug, Default)]
 pub struct VoterState {
     state: parts::ReplicatedState,
     voter_slots: VoterSlots,
 }
 
-/// What of it every program knows: the first bytes of what is saved. Parts follow, where there are any.
+/// The part of the serialized state that every program version knows. Parts follow it, if there are any.
 #[derive(Serialize, Deserialize)]
 struct FleetState {
     fleet: Fleet,
@@ -90,15 +91,15 @@
 }
 
 impl VoterState {
-    /// What a fleet begins with: one voter.
+    /// The initial state of a fleet, with one voter.
     pub fn founded(disk: u64, member: &str) -> VoterState {
         let slot = VoterSlot { member: member.to_string(), votes: true };
         VoterState { voter_slots: VoterSlots { disks: [(disk, slot)].into() }, ..VoterState::default() }
     }
 
-    /// As bytes, the same for the same state.
+    /// Serializes the state deterministically.
     pub fn save(&self) -> Vec<u8> {
-        // Writing into memory fails for nothing that is kept here.
+        // Serializing these types into memory does not fail.
         let mut bytes = postcard::to_stdvec(&(&self.state.fleet, &self.voter_slots)).unwrap_or_default();
         bytes.extend(self.state.save_parts());
         bytes
@@ -109,63 +110,63 @@
         &self.state
     }
 
-    /// The state that was saved, with these parts, which are empty until then.
+    /// Restores the state. `parts` are empty and are filled from it.
     ///
     /// # Errors
-    /// It cannot be read, or is not what is agreed.
+    /// The bytes are malformed, or a part in them is outdated.
     pub fn load(bytes: &[u8], parts: Vec<Box<dyn Part>>) -> Result<VoterState, StoreError> {
         if bytes.is_empty() {
             return Ok(VoterState { state: parts::ReplicatedState::new(parts), ..VoterState::default() });
         }
-        let spoilt = || StoreError::Disk("the agreed state cannot be read".to_string());
-        let (core, rest): (FleetState, _) = postcard::take_from_bytes(bytes).map_err(|_| spoilt())?;
-        // By the one way in which states are loaded.
-        let fleet = Fleet::load(&core.fleet.save()).ok_or_else(spoilt)?;
+        let malformed = || StoreError::Disk("the replicated state is malformed".to_string());
+        let (core, rest): (FleetState, _) = postcard::take_from_bytes(bytes).map_err(|_| malformed())?;
+        // `Fleet::load` also validates the state.
+        let fleet = Fleet::load(&core.fleet.save()).ok_or_else(malformed)?;
         let state = parts::ReplicatedState::load_parts(fleet, rest, parts).map_err(|why| match why {
-            LoadError::Corrupt => spoilt(),
+            LoadError::Corrupt => malformed(),
             LoadError::Outdated(part) => StoreError::PartOutdated(part),
         })?;
         Ok(VoterState { state, voter_slots: core.voter_slots })
     }
 }
 
-/// What a voter is told at its start.
+/// The configuration of a voter.
 #[derive(Clone, Debug)]
 pub struct VoterSetup {
     /// The fleet's name.
     pub fleet: String,
     /// The members that are to vote, in the order of the file.
     pub configured_voters: Vec<String>,
-    /// The terms of leases.
+    /// How long leases last.
     pub timing: LeaseTiming,
-    /// The time of a tick.
+    /// The duration of a tick.
     pub tick: Duration,
-    /// The parts of the agreed state, each of them empty.
+    /// Creates the empty parts of the replicated state.
     pub parts: fn() -> Vec<Box<dyn Part>>,
-    /// What the one that leads proposes for parts: see [`crate::Setup`].
+    /// What the leader proposes for parts: see [`crate::Setup`].
     pub part_proposals: crate::member::PartProposals,
 }
 
-/// What this voter keeps while it leads.
+/// The state of a leader.
 struct Leadership {
     leader: Leader,
     lease_queue: LeaseQueue,
     clocks: MemberClocks,
-    /// The disk that each member was heard with last.
+    /// The disk that each member last reported, and when.
     disks: BTreeMap<String, (u64, Duration)>,
-    /// The question to a majority that is under way, and since which tick.
+    /// The pending confirmation of leadership, and the tick at which it was requested.
     pending_read: Option<(u64, u64)>,
-    /// A majority has said that this one leads, once so much is applied.
+    /// Leadership is confirmed once this index is applied.
     read_index: Option<u64>,
-    /// Disks to which a snapshot is on its way, since which tick.
+    /// Disks to which a snapshot is being sent, and since which tick.
     snapshots: BTreeMap<u64, u64>,
-    /// The epochs of parts that each start knows, or was said.
+    /// The epochs of the views that each incarnation has or was sent.
     known_epochs: BTreeMap<Holder, BTreeMap<String, u64>>,
-    /// Some start may not know the newest of them.
+    /// Whether an incarnation may lack the newest views.
     views_pending: bool,
-    /// The start after which the next one is told.
+    /// The last incarnation that was sent views; the next tick continues after it.
     last_view_recipient: Option<Holder>,
-    /// The place of the last entry that was proposed for parts.
+    /// The index of the last entry that was proposed for parts.
     last_part_index: u64,
 }
 
@@ -182,17 +183,17 @@
     incarnations: VoterIncarnations,
     admission: Admission,
     leadership: Option<Leadership>,
-    /// Whose entries are on their way, by the number that goes with each.
+    /// Who made each pending proposal, and under which id.
     proposals: BTreeMap<u64, (Holder, u64)>,
     last_number: u64,
     ticks: u64,
     next_tick: Duration,
     leader_heard_at: Option<Duration>,
-    /// Who takes part has changed, and is not on disk yet.
+    /// The membership has changed and is not on disk yet.
     membership_changed: bool,
-    /// The members of disks that spoke: one that learns knows no seats yet, and has to answer.
+    /// The members of disks that sent a message: a learner without voter slots yet has to answer them.
     disk_members: BTreeMap<u64, String>,
-    /// What was applied, for those who compare voters.
+    /// Index, term and digest of what was applied, for tests that compare voters.
     trace: Option<Vec<(u64, u64, u64)>>,
     outbox: Vec<(Recipient, Message)>,
 }
@@ -262,42 +263,42 @@
         })
     }
 
-    /// The number of its disk.
+    /// The id of its disk.
     pub fn disk(&self) -> u64 {
         self.identity.disk
     }
 
-    /// What it has applied.
+    /// The fleet's state as applied here.
     pub fn fleet(&self) -> &Fleet {
         &self.state.state.fleet
     }
 
-    /// The same with its parts.
+    /// The replicated state as applied here, with its parts.
     pub fn state(&self) -> &parts::ReplicatedState {
         &self.state.state
     }
 
-    /// Who takes part, as far as it has applied.
+    /// The voter slots as applied here.
     pub fn voter_slots(&self) -> &VoterSlots {
         &self.state.voter_slots
     }
 
-    /// Whether it leads, for all that it knows.
+    /// Whether this voter is the leader, as far as it knows.
     pub fn is_leader(&self) -> bool {
         self.leadership.is_some()
     }
 
-    /// The term.
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// From now on keeps what it applies: place, term, and a print of the entry.
+    /// Starts to record what is applied: index, term and digest of each entry.
     pub fn keep_trace(&mut self) {
         self.trace.get_or_insert_default();
     }
 
-    /// What was applied since the last call.
+    /// Returns what was applied since the last call.
     pub fn take_trace(&mut self) -> Vec<(u64, u64, u64)> {
         self.trace.as_mut().map(std::mem::take).unwrap_or_default()
     }
@@ -324,18 +325,19 @@
         )
     }
 
-    /// The member that leads, as far as is known here.
+    /// The member that leads, as far as this voter knows.
     pub fn leader(&self) -> Option<&str> {
         self.state.voter_slots.member_of(self.node.raft.leader_id)
     }
 
-    /// Time has passed. `unix` is the time by the wall clock, since 1970.
+    /// Advances time. `unix` is the wall-clock time since 1970.
     ///
     /// # Errors
     /// The voter has ended.
     pub fn tick(&mut self, now: Duration, unix: Duration) -> Result<Vec<(Recipient, Message)>, Fault> {
         if now >= self.next_tick {
-            // After a pause of this process the time is not made up for: it would ask for votes before it has read what came.
+            // Ticks missed during a pause of this process are skipped: otherwise the voter would start an
+            // election before it has read the queued messages.
             self.next_tick = (self.next_tick + self.setup.tick).max(now);
             self.ticks += 1;
             self.announce_incarnation();
@@ -361,7 +363,7 @@
         }
     }
 
-    /// A member says something.
+    /// Handles a message of a member.
     ///
     /// # Errors
     /// The voter has ended.
@@ -421,11 +423,11 @@
     }
 
     fn receive_raft(&mut self, now: Duration, sender: &Holder, message: RaftMessage) -> Result<(), Fault> {
-        // Guards against a vote by a voter that may have forgotten one: see `disk_rollback`.
+        // Guards against a vote by a voter that may have forgotten an earlier one: see `disk_rollback`.
         if message.to != self.identity.disk || !self.is_admitted() {
             return Ok(());
         }
-        // The one that leads knows that this disk had it once.
+        // The leader only sends a commit index that this disk has acknowledged.
         if message.min_log_index() > self.node.store().last() {
             return Err(Fault::RolledBack(RolledBack::LongerLog));
         }
@@ -445,7 +447,7 @@
         {
             self.incarnations.record_position(from, incarnation, (term, index));
         }
-        // An error means that it is from one that takes no part any more.
+        // An error means that the sender is no longer in the membership.
         let _ = self.node.step(message);
         if from == self.node.raft.leader_id {
             self.leader_heard_at = Some(now);
@@ -471,7 +473,7 @@
         if let Some(disk) = disk {
             leadership.disks.insert(from.member.clone(), (disk, now));
         }
-        // One that finds no room asks again.
+        // If the queue is full, the member repeats the request.
         let _ = leadership.leader.request_renewal(now, RenewalRequest { holder: from.clone(), number });
     }
 
@@ -480,7 +482,7 @@
             let leader = self.leader().filter(|name| *name != self.me.member).map(str::to_string);
             return self.outbox.push((Recipient::Holder(from.clone()), Message::NotLeader { leader }));
         }
-        // Guards against entries in the log that this voter passes over and another takes in.
+        // Guards against log entries that this voter ignores and other voters apply.
         if !self.state.state.knows_part_of(entry) {
             let outcome = Some(Outcome::Refused(Refusal::NotFound));
             return self.outbox.push((Recipient::Holder(from.clone()), Message::Proposed { id, outcome }));
@@ -493,7 +495,7 @@
     }
 
     fn propose(&mut self, number: u64, entry: &Entry) -> bool {
-        // Writing into memory fails for nothing that an entry holds.
+        // Serializing an entry into memory does not fail.
         let data = postcard::to_stdvec(entry).unwrap_or_default();
         let context = postcard::to_stdvec(&(self.identity.nonce, number)).unwrap_or_default();
         self.node.propose(context, data).is_ok()
@@ -530,9 +532,9 @@
         }
     }
 
-    // The one that leads.
+    // The leader.
 
-    /// Leads on, now that time has passed.
+    /// Runs the leader's periodic work.
     fn tick_leader(&mut self, now: Duration) {
         let Some(leadership) = &mut self.leadership else { return };
         let state = &self.state.state;
@@ -548,7 +550,8 @@
         if let Some(leadership) = &mut self.leadership
             && !all
         {
-            // Guards against a lease whose end was said and not taken, and is not said again: all times begin anew.
+            // A lease's expiry that could not be proposed would not be proposed again, so all of the leader's
+            // timers are reset.
             leadership.leader = Leader::new(now, self.setup.timing);
             leadership.pending_read = None;
         }
@@ -563,21 +566,21 @@
         }
     }
 
-    /// Proposes what parts are in need of.
+    /// Proposes what parts need.
     fn propose_for_parts(&mut self, now: Duration, unix: Duration) {
         let Some(leadership) = &self.leadership else { return };
-        // Guards against saying the same again and again while a majority is slow.
+        // Guards against repeating the same proposals while a majority is slow.
         let is_waiting = leadership.last_part_index > self.applied.1;
         if self.state.state.parts.is_empty() || is_waiting || !self.ticks.is_multiple_of(PART_PROPOSAL_TICKS)
         {
             return;
         }
-        // Guards against one clock that jumped, and would end all work as over.
+        // Guards against a single clock that jumped and would make all work appear overdue.
         let majority = self.setup.configured_voters.len() / 2 + 1;
         let Some(unix_ms) = leadership.clocks.unix_ms(now, unix, majority) else { return };
         let proposals = (self.setup.part_proposals)(unix_ms, &self.state.state);
         for (part, bytes) in proposals.into_iter().take(MAX_PART_PROPOSALS) {
-            // What finds no room is wanted again.
+            // A proposal that is rejected is requested again later.
             self.propose(0, &Entry::Part { part, bytes });
         }
         if let Some(leadership) = &mut self.leadership {
@@ -585,8 +588,8 @@
         }
     }
 
-    /// Says to each start what parts show it and it does not know yet. What is lost on the way is said again once that start says
-    /// what it knows.
+    /// Sends each incarnation the views of parts that it does not have yet. A lost view is sent again once
+    /// the incarnation reports the epochs that it has.
     fn send_part_views(&mut self) {
         let state = &self.state.state;
         let Some(leadership) = &mut self.leadership else { return };
@@ -606,7 +609,7 @@
             if views.is_empty() {
                 continue;
             }
-            // There may be more for this one.
+            // More views may be left for this incarnation.
             leadership.views_pending = true;
             sent_bytes += views.iter().map(|view| view.bytes.len()).sum::<usize>();
             known_epochs.extend(views.iter().map(|view| (view.name.clone(), view.epoch)));
@@ -618,7 +621,8 @@
         }
     }
 
-    /// Guards against a snapshot that was lost on the way: the library sends nothing more to that disk until it hears of it.
+    /// Reports lost snapshots: the library sends nothing more to a disk until it learns what became of the
+    /// snapshot.
     fn expire_snapshots(&mut self) {
         let Some(leadership) = &mut self.leadership else { return };
         let under_way: Vec<u64> = (self.node.raft.prs().iter())
@@ -655,12 +659,13 @@
         };
         if let Some(change) = self.state.voter_slots.next_change(self.identity.disk, &observed) {
             let context = postcard::to_stdvec(&change).unwrap_or_default();
-            // An error means that it does not lead any more.
+            // An error means that this voter no longer leads.
             let _ = self.node.propose_conf_change(context, conf_change(&change));
         }
     }
 
-    /// Has a majority say that this one leads, if a question waits for it; and answers those that waited.
+    /// Requests confirmation of leadership by a majority if a renewal needs it, and answers renewals that are
+    /// confirmed.
     fn confirm_leadership(&mut self, now: Duration) {
         let Some(leadership) = &mut self.leadership else { return };
         if leadership.leader.begin_confirmation() {
@@ -689,9 +694,9 @@
         }
     }
 
-    // Agreement.
+    // Raft.
 
-    /// Carries out all that the library asks for.
+    /// Carries out everything that the library requests.
     fn process_ready(&mut self, now: Duration) -> Result<(), Fault> {
         loop {
             self.confirm_leadership(now);
@@ -726,7 +731,7 @@
                     (snapshot.membership.clone(), (snapshot.term, snapshot.index));
                 batch.snapshot = Some((snapshot, true));
             }
-            // How far is agreed need not be on disk: it is learned again.
+            // The commit index need not be on disk: it is learned again.
             batch.hard = ready.hs().filter(|_| ready.must_sync()).cloned();
             if batch.hard.is_some() || batch.snapshot.is_some() || !batch.entries.is_empty() {
                 self.store.write(&batch)?;
@@ -739,7 +744,7 @@
             if let Some(hard) = ready.hs() {
                 log.hard = hard.clone();
             }
-            // From here on all that was promised is on disk.
+            // Everything that these messages promise is now on disk.
             self.send_raft(ready.take_persisted_messages());
             let committed = ready.take_committed_entries();
             self.apply(now, committed)?;
@@ -768,7 +773,7 @@
 
     fn step_down(&mut self) {
         if self.leadership.take().is_some() {
-            // Nobody here hears any more what becomes of them.
+            // This voter no longer learns the outcome of pending proposals.
             let numbers: Vec<u64> = self.proposals.keys().copied().collect();
             numbers.into_iter().for_each(|number| self.finish_proposal(number, None));
         }
@@ -787,7 +792,7 @@
             self.applied = (entry.term, entry.index);
             let is_leader = self.node.raft.state == StateRole::Leader && entry.term == self.node.raft.term;
             if is_leader && self.leadership.is_none() {
-                // The first entry of its own term: all that was agreed before is applied.
+                // The first entry of its own term is applied, and with it everything committed earlier.
                 self.leadership = Some(Leadership {
                     leader: Leader::new(now, self.setup.timing),
                     lease_queue: LeaseQueue::default(),
@@ -806,7 +811,7 @@
         Ok(())
     }
 
-    /// What cannot be read is the same for every voter, and changes nothing.
+    /// An entry that cannot be parsed is ignored by every voter alike.
     fn apply_entry(&mut self, entry: &eraftpb::Entry) {
         let Ok(committed) = postcard::from_bytes::<Entry>(&entry.data) else { return };
         let outcome = self.state.state.apply(&committed);
@@ -823,18 +828,19 @@
     fn apply_membership_change(&mut self, entry: &eraftpb::Entry) {
         let Ok(change) = postcard::from_bytes::<VoterSlotChange>(&entry.context) else { return };
         self.state.voter_slots.apply(&change);
-        // A change that the library does not take is taken by no voter.
+        // A change that the library rejects is rejected by every voter alike.
         if let Ok(membership) = self.node.apply_conf_change(&conf_change(&change)) {
             self.membership = (&membership).into();
             self.membership_changed = true;
         }
     }
 
-    /// Takes a snapshot and lets go of what it covers, once that is much.
+    /// Takes a snapshot and truncates the log if it is long or the membership has changed.
     fn trim(&mut self) -> Result<(), Fault> {
         let (term, index) = self.applied;
-        // Guards against a voter that starts again and takes itself for one of those that took part before: alone, perhaps. What it
-        // does from here on rests on who takes part now, so that has to be on disk before any of it leaves.
+        // Guards against a voter that restarts with an outdated membership, perhaps with itself as the only
+        // voter. Later messages depend on the current membership, so it has to be on disk before any of them
+        // is sent.
         let changed = std::mem::take(&mut self.membership_changed) && !is_active(Mutant::SeatsNotWritten);
         let full = self.node.store().len() >= MAX_LOG_ENTRIES && index > self.node.store().snapshot.index;
         if !changed && !full {
@@ -849,7 +855,7 @@
     }
 }
 
-/// The change as the library has it.
+/// Converts a change to the library's type.
 fn conf_change(change: &VoterSlotChange) -> eraftpb::ConfChange {
     use eraftpb::ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
     let mut into = eraftpb::ConfChange::default();
@@ -861,7 +867,7 @@
     into
 }
 
-/// A print of an entry, to compare what voters have applied: FNV-1a.
+/// An FNV-1a digest of an entry, to compare what voters have applied.
 fn digest(entry: &eraftpb::Entry) -> u64 {
     let bytes = entry.data.iter().chain(entry.context.iter());
     bytes
--- a/crates/member/src/voter/tests.rs
+++ b/crates/member/src/voter/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use redb::backends::InMemoryBackend;
 
-/// An entry that cannot be read counts as applied: what waits for it is not held up.
+/// An entry that cannot be parsed counts as applied, so that it does not block later ones.
 #[test]
-fn an_entry_that_cannot_be_read_is_passed_over() {
+fn an_unparsable_entry_is_skipped() {
     let setup = VoterSetup {
         fleet: "cordoba".into(),
         configured_voters: vec!["n1".into()],
@@ -14,9 +14,9 @@
     };
     let me = Holder::new("n1", 1);
     let mut voter = Voter::open(Box::new(InMemoryBackend::new()), setup, me, [5, 6], Duration::ZERO).unwrap();
-    // As founding would have it, without a second opening.
+    // The state that `Store::bootstrap` writes, without opening the disk a second time.
     let state = VoterState::founded(5, "n1");
-    voter.store.found(5, state.save()).unwrap();
+    voter.store.bootstrap(5, state.save()).unwrap();
     let membership = Membership { voters: vec![5], learners: Vec::new() };
     let snapshot = Snapshot { index: 1, term: 1, membership: membership.clone(), data: state.save() };
     let mut hard = eraftpb::HardState::default();
@@ -35,7 +35,7 @@
     while !voter.is_leader() {
         now += Duration::from_millis(10);
         voter.tick(now, now).unwrap();
-        assert!(now < Duration::from_secs(5), "it does not lead");
+        assert!(now < Duration::from_secs(5), "it does not become leader");
     }
     let (before, state) = (voter.applied.1, voter.fleet().clone());
     voter.node.propose(vec![1], vec![0xff; 3]).unwrap();
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -135,7 +135,7 @@
         );
     }
     let disk = found.identity.disk;
-    store.found(disk, VoterState::founded(disk, member).save()).map_err(|e| e.to_string())?;
+    store.bootstrap(disk, VoterState::founded(disk, member).save()).map_err(|e| e.to_string())?;
     Ok(disk)
 }
 
