--- a/crates/histories/src/effects/tests.rs
+++ b/crates/histories/src/effects/tests.rs
@@ -1,87 +1,87 @@
 use super::*;
 use crate::format::Who;
-use crate::planted::{YES, answered, done, fine, offer, record, wrong};
+use crate::test_histories::{DONE, answered, assert_accepted, assert_rejected, done, offer, record};
 
 fn effect(begin: u64, token: u64, came: Came) -> Record {
     let op = Op::Effect { key: "k".into(), fence: None, token, who: Who::new("n1", 1) };
     record("resource", begin, begin + 1, op, came)
 }
 
-/// An act of a task, each run by a key of its own.
+/// An effect of a task; each run has its own key.
 fn act(key: &str, begin: u64, end: u64, token: u64, came: Came) -> Record {
     let op = Op::Effect { key: key.into(), fence: Some("task".into()), token, who: Who::new("n1", 1) };
     record("resource", begin, end, op, came)
 }
 
 #[test]
-fn good_histories_are_fine_however_strange() {
-    fine(
+fn valid_histories_are_accepted() {
+    assert_accepted(
         check,
         vec![
-            ("once", vec![offer(1, 2, YES), effect(3, 1, YES), answered(4, 5, done("r"), Some(1))]),
+            ("once", vec![offer(1, 2, DONE), effect(3, 1, DONE), answered(4, 5, done("r"), Some(1))]),
             (
-                "nobody can tell, and it is there",
-                vec![offer(1, 2, YES), effect(3, 1, YES), answered(4, 5, WorkEnd::Unknown, None)],
+                "unknown outcome, with an effect",
+                vec![offer(1, 2, DONE), effect(3, 1, DONE), answered(4, 5, WorkEnd::Unknown, None)],
             ),
             (
-                "nobody can tell, and it is not there",
-                vec![offer(1, 2, YES), answered(4, 5, WorkEnd::Unknown, None)],
+                "unknown outcome, without an effect",
+                vec![offer(1, 2, DONE), answered(4, 5, WorkEnd::Unknown, None)],
             ),
             (
-                "the old one wakes late and is turned away",
+                "the effect of a paused former owner is rejected",
                 vec![
-                    offer(1, 2, YES),
-                    effect(3, 2, YES),
+                    offer(1, 2, DONE),
+                    effect(3, 2, DONE),
                     effect(30, 1, Came::Failed),
                     answered(4, 5, done("r"), Some(2)),
                 ],
             ),
             (
-                "the resource died within the first, and the second is there",
-                vec![offer(1, 2, YES), effect(3, 1, Came::Unknown), effect(9, 2, YES)],
+                "the resource failed during the first effect, and the second happened",
+                vec![offer(1, 2, DONE), effect(3, 1, Came::Unknown), effect(9, 2, DONE)],
             ),
             (
                 "the first try never ran, the second did",
-                vec![offer(1, 2, YES), answered(3, 4, WorkEnd::NeverRan, Some(1)), effect(9, 2, YES)],
+                vec![offer(1, 2, DONE), answered(3, 4, WorkEnd::NeverRan, Some(1)), effect(9, 2, DONE)],
             ),
             (
                 "a lower token that acts while the higher one does",
-                vec![act("a", 1, 9, 2, YES), act("b", 5, 12, 1, YES)],
+                vec![act("a", 1, 9, 2, DONE), act("b", 5, 12, 1, DONE)],
             ),
             (
-                "refused once, and done by an offer that nobody heard of again",
-                vec![offer(1, 2, Came::Unknown), offer(3, 4, Came::Failed), effect(9, 1, YES)],
+                "refused once, and done by an offer whose answer was lost",
+                vec![offer(1, 2, Came::Unknown), offer(3, 4, Came::Failed), effect(9, 1, DONE)],
             ),
         ],
     );
 }
 
 #[test]
-fn bad_histories_are_found() {
-    wrong(
+fn violations_are_found() {
+    assert_rejected(
         check,
         vec![
-            ("there 2 times", true, vec![offer(1, 2, YES), effect(3, 1, YES), effect(9, 2, YES)]),
+            ("happened 2 times", true, vec![offer(1, 2, DONE), effect(3, 1, DONE), effect(9, 2, DONE)]),
             (
                 "token 1 acts after 2",
                 true,
-                vec![act("a", 1, 2, 1, YES), act("b", 3, 4, 2, YES), act("c", 5, 6, 1, YES)],
+                vec![act("a", 1, 2, 1, DONE), act("b", 3, 4, 2, DONE), act("c", 5, 6, 1, DONE)],
             ),
             (
-                "told never to have run",
+                "reported never to have run",
                 true,
-                vec![offer(1, 2, YES), effect(3, 1, YES), answered(4, 5, WorkEnd::NeverRan, Some(1))],
+                vec![offer(1, 2, DONE), effect(3, 1, DONE), answered(4, 5, WorkEnd::NeverRan, Some(1))],
             ),
             (
-                "told never to have run",
+                "reported never to have run",
                 true,
-                vec![offer(1, 2, YES), answered(4, 5, WorkEnd::NeverRan, None), effect(9, 2, YES)],
+                vec![offer(1, 2, DONE), answered(4, 5, WorkEnd::NeverRan, None), effect(9, 2, DONE)],
             ),
-            ("were refused", false, vec![offer(1, 2, Came::Failed), effect(3, 1, YES)]),
+            ("were refused", false, vec![offer(1, 2, Came::Failed), effect(3, 1, DONE)]),
             (
-                "not there",
+                "did not happen",
                 false,
-                vec![offer(1, 2, YES), effect(3, 1, Came::Failed), answered(4, 5, done("r"), None)],
+                vec![offer(1, 2, DONE), effect(3, 1, Came::Failed), answered(4, 5, done("r"), None)],
             ),
         ],
     );
--- a/crates/histories/src/epochs.rs
+++ b/crates/histories/src/epochs.rs
@@ -1,14 +1,15 @@
-//! Steering tables: their epochs never go back within one start of a process, and an epoch says one thing everywhere.
+//! Steering tables: epochs never decrease within an incarnation, and an epoch has the same content
+//! everywhere.
 
 #[cfg(test)]
 mod tests;
 
 use crate::format::{Op, Record, Table, Told};
-use crate::table::{monotone, one_content};
+use crate::table::{check_content, check_monotonic};
 use crate::verdict::{Figures, Findings, History, Verdict};
 use std::collections::BTreeSet;
 
-/// Checks all steering tables that were seen.
+/// Checks all recorded steering tables.
 pub fn check(history: &History) -> Verdict {
     let (mut figures, mut seen): (_, Vec<(&Record, &Table)>) = (Figures::default(), Vec::new());
     for record in &history.records {
@@ -19,7 +20,7 @@
     }
     figures.keys = seen.iter().map(|(record, _)| &record.who).collect::<BTreeSet<_>>().len() as u64;
     let mut findings = Findings::new(history);
-    one_content("steering", &seen, &mut findings);
-    monotone("steering", &seen, &mut findings);
+    check_content("steering", &seen, &mut findings);
+    check_monotonic("steering", &seen, &mut findings);
     findings.verdict(figures)
 }
--- a/crates/histories/src/folder.rs
+++ b/crates/histories/src/folder.rs
@@ -1,4 +1,4 @@
-//! All checkers over all histories of a folder.
+//! Runs all checkers on the histories of a folder.
 
 #[cfg(test)]
 mod tests;
@@ -11,36 +11,37 @@
 use std::io::{self, BufReader};
 use std::path::{Path, PathBuf};
 
-/// Most files of a folder that are read: a file for each start of each process of the longest test.
+/// Maximum files that are read: one for each incarnation of each process of the longest test.
 pub const MAX_FILES: usize = 4096;
 
-/// Most records that are taken in, some gigabyte; what is more is cut.
+/// Maximum records that are read, about a gigabyte; the rest is cut.
 pub const MAX_RECORDS: usize = 2_000_000;
 
-/// What is known of the files themselves.
+/// Statistics of the files.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Files {
-    /// How many there are.
+    /// The number of files.
     pub all: usize,
-    /// Those whose last line is torn, as their process was killed.
+    /// Files whose last line is torn because their process was killed.
     pub torn: usize,
-    /// Operations in them.
+    /// Operations in the files.
     pub records: usize,
     /// Operations without an end.
     pub open: usize,
 }
 
-/// What all checkers say.
+/// The results of all checkers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// Of what.
+    /// The files that were read.
     pub files: Files,
-    /// Each property with its verdict.
+    /// The properties and their verdicts.
     pub verdicts: Vec<(&'static str, Verdict)>,
 }
 
 impl Report {
-    /// Whether every property was found to hold. One without a record holds, so a test looks at the figures too.
+    /// Whether every property was found to hold. A property without records holds too, so tests also check
+    /// the figures.
     pub fn is_fine(&self) -> bool {
         self.verdicts.iter().all(|(_, verdict)| verdict.is_fine())
     }
@@ -49,7 +50,7 @@
 /// Reads all `*.history` files of a folder and checks them together.
 ///
 /// # Errors
-/// The folder or a file cannot be read. A file that makes no sense is no error: the history is cut short.
+/// The folder or a file cannot be read. An invalid file is not an error: the history counts as cut short.
 pub fn check_folder(folder: &Path) -> io::Result<Report> {
     let (history, files) = read_all(folder)?;
     Ok(Report { files, verdicts: check(&history) })
@@ -63,7 +64,7 @@
     read_folder(folder, MAX_FILES, MAX_RECORDS)
 }
 
-/// What each checker says of a history.
+/// Runs each checker on a history.
 pub fn check(history: &History) -> Vec<(&'static str, Verdict)> {
     vec![
         ("registers", register::check(history)),
@@ -74,7 +75,7 @@
     ]
 }
 
-fn read_folder(folder: &Path, most_files: usize, most: usize) -> io::Result<(History, Files)> {
+fn read_folder(folder: &Path, max_files: usize, max_records: usize) -> io::Result<(History, Files)> {
     let mut paths: Vec<PathBuf> =
         std::fs::read_dir(folder)?.map(|entry| Ok(entry?.path())).collect::<io::Result<_>>()?;
     paths.retain(|path| path.extension().is_some_and(|end| end == "history"));
@@ -89,8 +90,8 @@
     }
     for path in &paths {
         let name = path.file_name().unwrap_or_default().to_string_lossy();
-        if writers.len() == most_files || history.records.len() >= most {
-            cut(format!("{name} and what follows is too much"));
+        if writers.len() == max_files || history.records.len() >= max_records {
+            cut(format!("{name} and later files exceed the limit"));
             break;
         }
         let file = read(BufReader::new(File::open(path)?))?;
@@ -98,9 +99,10 @@
         if let Some(why) = file.cut {
             cut(format!("{name}: {why}"));
         }
-        // Guards against a copy, by which every effect would be there twice, and a second start under the same number.
+        // Guards against a copied file, which would repeat every effect, and against two incarnations with
+        // the same number.
         if file.who.is_some_and(|who| !writers.insert(who)) {
-            cut(format!("{name}: another file is of the same start"));
+            cut(format!("{name}: another file is of the same incarnation"));
             continue;
         }
         history.records.extend(file.records);
--- a/crates/histories/src/folder/tests.rs
+++ b/crates/histories/src/folder/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 use crate::format::{Came, FILE_BYTES, Op, Told, Who, Writer};
-use crate::planted::table;
+use crate::test_histories::table;
 use std::io::Write;
 
-/// A nodo that saw a steering table, a client that wrote and read, a resource with one effect, a process killed as it began.
+/// Writes histories of a nodo with a steering table, a client that wrote and read, a resource with one
+/// effect, and a process killed at its start.
 fn plant(folder: &Path, most: u64) {
     let mut client = Writer::create(folder, &Who::new("client", 1), FILE_BYTES).unwrap();
     let write = client.begin(10, Op::Write { key: "x".into(), value: "1".into() }).unwrap();
@@ -12,7 +13,7 @@
     let mut nodo = Writer::create(folder, &Who::new("n1", 3), most).unwrap();
     let read = nodo.begin(30, Op::Read { key: "x".into() }).unwrap();
     nodo.end(read, 31, Came::Ok(Told::Value(Some("2".into())))).unwrap();
-    let Came::Ok(steering) = table(1, "a", &[]) else { panic!("a table is told") };
+    let Came::Ok(steering) = table(1, "a", &[]) else { panic!("this is a table") };
     nodo.note(32, Op::SeenSteering, steering).unwrap();
     let mut resource = Writer::create(folder, &Who::new("resource", 1), FILE_BYTES).unwrap();
     let effect = Op::Effect { key: "k".into(), fence: None, token: 1, who: Who::new("n1", 3) };
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_shown_with_its_records() {
+fn a_violation_is_shown_with_its_records() {
     let report = report(|folder| {
         let mut late = Writer::create(folder, &Who::new("client", 2), FILE_BYTES).unwrap();
         let read = late.begin(50, Op::Read { key: "x".into() }).unwrap();
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn what_is_missing_is_cut_short_in_every_property() {
+fn a_damaged_or_copied_file_cuts_every_property_short() {
     let damage = |folder: &Path| {
         let mut file = File::options().append(true).open(folder.join("n1-3.history")).unwrap();
         file.write_all(b"what is this\n").unwrap();
@@ -62,10 +63,10 @@
     let copy = |folder: &Path| {
         std::fs::copy(folder.join("resource-1.history"), folder.join("copy.history")).unwrap();
     };
-    for (report, why) in [(report(damage), "line 5 is damaged"), (report(copy), "of the same start")] {
+    for (report, why) in [(report(damage), "line 5 is damaged"), (report(copy), "of the same incarnation")] {
         let cut =
             |verdict: &Verdict| matches!(verdict, Verdict::CutShort { why: said } if said.contains(why));
-        // Registers too: a write may be missing.
+        // The registers too, because a write may be missing.
         assert!(report.verdicts.iter().all(|(_, verdict)| cut(verdict)), "{report}");
     }
     let full = tempfile::tempdir().unwrap();
--- a/crates/histories/src/format.rs
+++ b/crates/histories/src/format.rs
@@ -1,8 +1,9 @@
-//! The one format of all histories: a file for each start of a process, a line of JSON for each record.
+//! The format of histories: one file for each incarnation of a process, one line of JSON for each record.
 //!
-//! The first line says who writes. An operation is a `begin` line, written before anything is asked, and an `end` line, written once the
-//! answer is known. A `begin` without its `end` is unknown: it may have happened or not, at any time after it began. Times are
-//! nanoseconds of the one clock that all processes of a machine share (`CLOCK_MONOTONIC`); whoever writes passes them in.
+//! The first line identifies the writer. An operation is a `begin` line, written before the request is sent,
+//! and an `end` line, written once the answer is known. The outcome of a `begin` without an `end` is unknown:
+//! the operation may have happened at any time after it began, or not at all. Times are nanoseconds of the
+//! clock that all processes of a machine share (`CLOCK_MONOTONIC`); the caller passes them in.
 
 mod reader;
 #[cfg(test)]
@@ -10,7 +11,7 @@
 mod writer;
 
 pub use reader::{Cut, File, read};
-pub use writer::{NotWritten, Ticket, Writer};
+pub use writer::{Ticket, WriteError, Writer};
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -20,29 +21,30 @@
 /// The format and its version, in the first line of each file.
 pub const FORMAT: &str = "jaspershunt-history/1";
 
-/// Longest line in bytes. A table that names 4,000 edits fits; what is longer is not written, and its operation stays unknown.
-pub const MAX_LINE: usize = 256 * 1024;
+/// Maximum bytes of a line. A table that names 4,000 edits fits; a longer line is not written, and its
+/// operation stays unknown.
+pub const MAX_LINE_BYTES: usize = 256 * 1024;
 
-/// Longest value in bytes that is written down as it is. A longer one stands by its length and print.
-pub const MAX_VALUE: usize = 512;
+/// Maximum bytes of a value that is recorded literally. A longer one is recorded as its length and digest.
+pub const MAX_VALUE_BYTES: usize = 512;
 
-/// Bytes of a file, unless its writer is told otherwise: some 100,000 operations.
+/// Default maximum size of a file: some 100,000 operations.
 pub const FILE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Most bytes that are read of one file.
+/// Maximum bytes that are read of one file.
 pub const MAX_FILE_BYTES: u64 = 256 * 1024 * 1024;
 
-/// One start of a process or of a client.
+/// One incarnation of a process or of a client.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Who {
-    /// The name that all its starts share.
+    /// The name that all incarnations of the process share.
     pub process: String,
-    /// Which of its starts.
+    /// The number of the incarnation.
     pub incarnation: u64,
 }
 
 impl Who {
-    /// This start of this process.
+    /// Identifies an incarnation of a process.
     pub fn new(process: &str, incarnation: u64) -> Who {
         Who { process: process.to_owned(), incarnation }
     }
@@ -54,16 +56,17 @@
     }
 }
 
-/// Bytes, as they are written down: two are the same only if the bytes are.
+/// Recorded bytes. Two values are equal only if the bytes are.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Value(String);
 
 impl Value {
-    /// Text stands as it is, other bytes as `#` and their digits, long ones as `#long`, length and a print of 128 bits.
+    /// Records text literally, other bytes as `#` and hexadecimal digits, and long values as `#long`, length
+    /// and 128-bit digest.
     pub fn of(bytes: impl AsRef<[u8]>) -> Value {
         let bytes = bytes.as_ref();
-        if bytes.len() > MAX_VALUE {
+        if bytes.len() > MAX_VALUE_BYTES {
             let mut hasher = SipHasher13::new_with_keys(0, 0);
             hasher.write(bytes);
             return Value(format!("#long:{}:{:032x}", bytes.len(), hasher.finish128().as_u128()));
@@ -92,93 +95,96 @@
     }
 }
 
-/// What was asked.
+/// An operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Op {
-    /// Read of a register. Told: [`Told::Value`].
+    /// Read of a register. Answer: [`Told::Value`].
     Read {
-        /// Of which register.
+        /// The register.
         key: String,
     },
     /// Write of a register.
     Write {
-        /// Of which register.
+        /// The register.
         key: String,
-        /// What it is to hold.
+        /// The new value.
         value: Value,
     },
-    /// Write of a register that holds what is expected. Told: [`Told::Swapped`].
+    /// Conditional write of a register. Answer: [`Told::Swapped`].
     CompareAndSet {
-        /// Of which register.
+        /// The register.
         key: String,
-        /// What it is expected to hold.
+        /// The expected value.
         old: Option<Value>,
-        /// What it is to hold.
+        /// The new value.
         new: Value,
     },
-    /// An edit of the agreed table. Told when it is taken: [`Told::Revision`]. One that is in conflict ends unknown, as it may be taken
-    /// at any later time; one that was refused or withdrawn has failed.
+    /// An edit of the replicated table. Answer if it was committed: [`Told::Revision`]. An edit in conflict
+    /// ends unknown, because it may be committed at any later time; a refused or withdrawn one has failed.
     Edit {
-        /// Of which table.
+        /// The table.
         table: String,
-        /// Its name, given to no other edit.
+        /// The id of the edit, unique within the history.
         edit: String,
     },
-    /// The table as the fleet has it at some time between begin and end. Told: [`Told::Table`].
+    /// Read of the table as committed at some time between begin and end. Answer: [`Told::Table`].
     ReadTable {
-        /// Of which table.
+        /// The table.
         table: String,
     },
-    /// The table as this process goes by it, however old. Told: [`Told::Table`].
+    /// The table that this process currently uses, however old. Answer: [`Told::Table`].
     SeenTable {
-        /// Of which table.
+        /// The table.
         table: String,
     },
-    /// Work is offered. It has ended well once it is accepted, and may then be told its outcome; it has failed if it was refused.
+    /// Work is offered. The operation succeeds once the work is accepted, and may then include its outcome;
+    /// it fails if the work was refused.
     Offer {
-        /// Of which work; work that takes up a key again after its window needs another name here.
+        /// The key of the work. Work that reuses a key after its window needs another key here.
         key: String,
-        /// When it has an outcome at the latest, by the clock of the history.
+        /// The time by which it must have an outcome, by the clock of the history.
         due: u64,
-        /// Whether a run that is done leaves an effect at the resource that records.
+        /// Whether a completed run leaves an effect at the recording resource.
         leaves_effect: bool,
     },
     /// A run of work has begun.
     Begun {
-        /// Of which work.
+        /// The key of the work.
         key: String,
-        /// Under which token.
+        /// The token of the run.
         token: u64,
     },
-    /// What became of work was settled. Told: [`Told::Work`].
+    /// The outcome of work was settled. Answer: [`Told::Work`].
     Outcome {
-        /// Of which work.
+        /// The key of the work.
         key: String,
     },
-    /// Somebody asks what became of work. Told: [`Told::Work`].
+    /// A client asks for the outcome of work. Answer: [`Told::Work`].
     Answered {
-        /// Of which work.
+        /// The key of the work.
         key: String,
     },
-    /// The resource itself does it. Failed, it turned it away; unknown, it may have done so. Not to be written as a note.
+    /// The resource applies an effect itself. Failed: it rejected the request; unknown: it may have applied
+    /// it. Must not be written as a note.
     Effect {
-        /// By which key.
+        /// The key of the effect.
         key: String,
-        /// Among which tokens this one is counted; `None`: those of the key.
+        /// The group within which tokens are compared; `None`: the key.
         fence: Option<String>,
-        /// Under which token.
+        /// The token of the run.
         token: u64,
-        /// Who asked for it.
+        /// Who requested it.
         who: Who,
     },
-    /// The steering table by which this process goes. Told: [`Told::Table`], with its epoch for a revision.
+    /// The steering table that this process currently uses. Answer: [`Told::Table`], with its epoch as the
+    /// revision.
     SeenSteering,
 }
 
 impl Op {
-    /// Whether an answer of this kind fits.
-    fn takes(&self, told: &Told) -> bool {
+    /// Whether this kind of answer fits the operation.
+    fn accepts(&self, told: &Told) -> bool {
         match self {
             Op::Read { .. } => matches!(told, Told::Value(_)),
             Op::CompareAndSet { .. } => matches!(told, Told::Swapped(_)),
@@ -191,7 +197,7 @@
     }
 }
 
-/// What became of work.
+/// The outcome of work.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkEnd {
@@ -201,74 +207,74 @@
     Failed,
     /// It never ran, so there is no effect.
     NeverRan,
-    /// Nobody can tell: the effect is there once or not at all.
+    /// The outcome is not known: there is one effect or none.
     Unknown,
 }
 
-/// A table as it was told.
+/// A table as it was answered.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Table {
     /// Its revision or epoch.
     pub revision: u64,
-    /// What it says, all of it.
+    /// Its whole content.
     pub content: Value,
-    /// All edits that it came from; none for a steering table.
+    /// All edits that it includes; none for a steering table.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub edits: Vec<String>,
 }
 
-/// What was told with an operation that ended well.
+/// The answer to an operation that succeeded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Told {
-    /// That it was done.
+    /// It was done.
     Nothing,
-    /// What the register holds.
+    /// The value of the register.
     Value(Option<Value>),
-    /// Whether the register held what was expected, and so was written.
+    /// Whether the register had the expected value and was written.
     Swapped(bool),
-    /// The revision from which on the edit counts.
+    /// The revision that the edit created.
     Revision(u64),
     /// A table.
     Table(Table),
-    /// What became of work.
+    /// The outcome of work.
     Work {
         /// The outcome.
         end: WorkEnd,
-        /// The token of the run of which that is said, where it is known.
+        /// The token of the run that the outcome is about, if known.
         token: Option<u64>,
     },
 }
 
-/// What came back.
+/// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Came {
-    /// It happened, between begin and end.
+    /// It happened between begin and end.
     Ok(Told),
     /// It did not happen and never will.
     Failed,
-    /// It may have happened or not, or happen later.
+    /// It may have happened, may happen later, or neither.
     Unknown,
 }
 
-/// An operation as a whole.
+/// A whole operation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Who asked.
+    /// Who requested it.
     pub who: Who,
-    /// What was asked.
+    /// The operation.
     pub op: Op,
     /// When it began, in nanoseconds.
     pub begin: u64,
-    /// When the answer was there, or the asker gave up; `None`: neither was written down.
+    /// When the answer arrived or the client gave up; `None` if neither was recorded.
     pub end: Option<u64>,
-    /// What came back.
+    /// The result.
     pub came: Came,
 }
 
 impl Record {
-    /// What was told, if it ended well.
+    /// The answer, if the operation succeeded.
     pub fn told(&self) -> Option<&Told> {
         match &self.came {
             Came::Ok(told) => Some(told),
@@ -276,17 +282,17 @@
         }
     }
 
-    /// The time from which on it happens no more: that of its end, or never if the end is unknown.
-    pub fn last(&self) -> u64 {
+    /// The time after which it cannot happen: its end, or never if the result is unknown.
+    pub fn latest_end(&self) -> u64 {
         match self.came {
             Came::Unknown => u64::MAX,
             Came::Ok(_) | Came::Failed => self.end.unwrap_or(u64::MAX),
         }
     }
 
-    /// Whether this was over before that began.
-    pub fn before(&self, that: &Record) -> bool {
-        self.last() < that.begin
+    /// Whether this operation was over before the other one began.
+    pub fn ended_before(&self, other: &Record) -> bool {
+        self.latest_end() < other.begin
     }
 }
 
@@ -308,14 +314,14 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Line {
-    /// The first one.
+    /// The first line.
     Head { format: String, who: Who },
-    /// Something is about to be asked.
+    /// A request is about to be sent.
     Begin { id: u64, at: u64, op: Op },
-    /// And this came back.
+    /// The result of an operation.
     End { id: u64, at: u64, came: Came },
-    /// Something was seen, in a moment.
+    /// An observation at one moment.
     Note { at: u64, op: Op, told: Told },
-    /// The file is full: what came after is not in it.
+    /// The file is full: later records are missing.
     Full { at: u64 },
 }
--- a/crates/histories/src/format/tests.rs
+++ b/crates/histories/src/format/tests.rs
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn records_round_trip() {
     let file = read(&sample()[..]).unwrap();
     assert_eq!((file.who.as_ref(), file.torn, &file.cut), (Some(&who()), false, &None));
     assert_eq!(ends(&file), [Some(20), None, Some(30)]);
     assert_eq!((&file.records[1].op, &file.records[1].came), (&write("2"), &Came::Unknown));
-    assert_eq!(file.records[1].last(), u64::MAX);
+    assert_eq!(file.records[1].latest_end(), u64::MAX);
 }
 
 #[test]
-fn a_kill_at_any_byte_leaves_a_history_that_says_no_more_than_what_was() {
+fn a_file_truncated_at_any_byte_contains_only_true_records() {
     let (bytes, all) = (sample(), read(&sample()[..]).unwrap());
     for cut in 0..bytes.len() {
         let file = read(&bytes[..cut]).unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_full_file_says_so_and_keeps_to_its_bound() {
+fn a_full_file_is_marked_and_within_its_limit() {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes, &who(), 1000).unwrap();
     for at in 0..100 {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_damage_and_not_a_torn_end() {
+fn invalid_lines_are_damage_and_not_a_torn_end() {
     let head = r#"{"head":{"format":"jaspershunt-history/1","who":{"process":"n1","incarnation":7}}}"#;
     let begin = r#"{"begin":{"id":1,"at":5,"op":{"read":{"key":"x"}}}}"#;
     for (lines, line) in [
@@ -86,25 +86,25 @@
             file.cut
         );
     }
-    let long = format!("{head}\n{}", "x".repeat(MAX_LINE + 1));
+    let long = format!("{head}\n{}", "x".repeat(MAX_LINE_BYTES + 1));
     assert!(matches!(read(long.as_bytes()).unwrap().cut, Some(Cut::Damaged { line: 2, .. })));
     let bytes = sample();
     assert_eq!(read_at_most(&bytes[..], bytes.len() as u64).unwrap().cut, None);
-    assert_eq!(read_at_most(&bytes[..], bytes.len() as u64 - 1).unwrap().cut, Some(Cut::TooMuch));
+    assert_eq!(read_at_most(&bytes[..], bytes.len() as u64 - 1).unwrap().cut, Some(Cut::TooLarge));
 }
 
 #[test]
-fn what_does_not_fit_is_not_written() {
+fn mismatched_answers_are_not_written() {
     let mut writer = Writer::new(Vec::new(), &who(), FILE_BYTES).unwrap();
     let ticket = writer.begin(1, write("1")).unwrap();
-    assert!(matches!(writer.end(ticket, 2, Came::Ok(Told::Swapped(true))), Err(NotWritten::Unfit)));
+    assert!(matches!(writer.end(ticket, 2, Came::Ok(Told::Swapped(true))), Err(WriteError::Mismatch)));
     let effect = Op::Effect { key: "k".into(), fence: None, token: 1, who: who() };
-    assert!(matches!(writer.note(3, effect, Told::Nothing), Err(NotWritten::Unfit)));
-    let key = "x".repeat(MAX_LINE);
-    assert!(matches!(writer.begin(4, Op::Read { key }), Err(NotWritten::TooLong)));
+    assert!(matches!(writer.note(3, effect, Told::Nothing), Err(WriteError::Mismatch)));
+    let key = "x".repeat(MAX_LINE_BYTES);
+    assert!(matches!(writer.begin(4, Op::Read { key }), Err(WriteError::TooLong)));
 }
 
-/// Fails while the disk is full.
+/// A writer that fails while the disk is full.
 struct Disk<'a>(&'a Cell<bool>);
 
 impl Write for Disk<'_> {
@@ -118,33 +118,34 @@
 }
 
 #[test]
-fn nothing_is_written_after_a_line_that_may_be_half_there() {
+fn nothing_is_written_after_a_line_that_may_be_torn() {
     let full = Cell::new(false);
     let mut writer = Writer::new(Disk(&full), &who(), FILE_BYTES).unwrap();
     full.set(true);
-    assert!(matches!(writer.begin(1, write("1")), Err(NotWritten::Io(_))));
+    assert!(matches!(writer.begin(1, write("1")), Err(WriteError::Io(_))));
     full.set(false);
-    assert!(matches!(writer.begin(2, write("2")), Err(NotWritten::Broken)));
+    assert!(matches!(writer.begin(2, write("2")), Err(WriteError::Broken)));
 }
 
 #[test]
-fn a_start_has_one_file() {
+fn an_incarnation_has_one_file() {
     let folder = tempfile::tempdir().unwrap();
     assert!(Writer::create(folder.path(), &who(), FILE_BYTES).is_ok());
-    assert!(matches!(Writer::create(folder.path(), &who(), FILE_BYTES), Err(NotWritten::Io(_))));
+    assert!(matches!(Writer::create(folder.path(), &who(), FILE_BYTES), Err(WriteError::Io(_))));
     assert!(Writer::create(folder.path(), &Who::new("n1", 8), FILE_BYTES).is_ok());
 }
 
 #[test]
-fn values_are_the_same_only_if_their_bytes_are() {
-    let (long, other) = (vec![b'a'; MAX_VALUE + 1], [vec![b'a'; MAX_VALUE], vec![b'b']].concat());
+fn values_are_equal_only_if_their_bytes_are() {
+    let (long, other) = (vec![b'a'; MAX_VALUE_BYTES + 1], [vec![b'a'; MAX_VALUE_BYTES], vec![b'b']].concat());
     let all: [&[u8]; 8] = [b"", b"a", b"#61", b"#", b"\n", b"\xff", &long, &other];
     let values: std::collections::BTreeSet<Value> = all.iter().map(Value::of).collect();
     assert_eq!(values.len(), all.len(), "{values:?}");
     assert_eq!(Value::of(b"plain").to_string(), "plain");
 }
 
-/// Not a test but the process of the next one: writes without end, and says how far it is once that is written.
+/// The process of the next test: writes until it is killed, and prints each record's number once it is
+/// written.
 #[test]
 #[ignore = "the process that the next test kills"]
 fn writes_until_it_is_killed() {
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn what_was_written_outlives_a_process_that_is_killed() {
+fn written_records_survive_a_kill_of_the_process() {
     let folder = tempfile::tempdir().unwrap();
     let mut process = std::process::Command::new(std::env::current_exe().unwrap())
         .args(["--ignored", "--exact", "--nocapture", "format::tests::writes_until_it_is_killed"])
@@ -167,13 +168,13 @@
         .stderr(std::process::Stdio::piped())
         .spawn()
         .unwrap();
-    let mut said = io::BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
-    let enough = said.by_ref().find(|line| line == "500");
+    let mut printed = io::BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let enough = printed.by_ref().find(|line| line == "500");
     process.kill().unwrap();
     process.wait().unwrap();
-    assert!(enough.is_some(), "it did not get so far");
-    // What was said before the kill is all read, to the last line.
-    let last: usize = said.filter_map(|line| line.parse().ok()).last().unwrap_or(500);
+    assert!(enough.is_some(), "it did not write 500 records");
+    // Every record that was printed before the kill is read back.
+    let last: usize = printed.filter_map(|line| line.parse().ok()).last().unwrap_or(500);
     let file =
         read(io::BufReader::new(std::fs::File::open(folder.path().join("n1-7.history")).unwrap())).unwrap();
     assert_eq!(file.cut, None);
--- a/crates/histories/src/format/writer.rs
+++ b/crates/histories/src/format/writer.rs
@@ -1,84 +1,86 @@
-//! Writing a history while a process runs: each line is handed to the system before the process goes on, so that a kill takes away at
-//! most the line that is being written.
+//! Writes a history while a process runs. Each line is passed to the operating system before the process
+//! continues, so a kill loses at most the line that is being written.
 
-use super::{Came, Line, MAX_LINE, Op, Told, Who};
+use super::{Came, Line, MAX_LINE_BYTES, Op, Told, Who};
 use std::fmt;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Bytes kept for the line that says that the file is full.
+/// Bytes reserved for the line that marks the file as full.
 const FULL_BYTES: u64 = 64;
 
 /// Why a record is not in the history.
 #[derive(Debug)]
-pub enum NotWritten {
-    /// The file cannot be written. The process has to stop, as what it does from now on is not told, and nobody would know.
+pub enum WriteError {
+    /// The file cannot be written. The process has to stop, because its further operations would go
+    /// unrecorded and unnoticed.
     Io(io::Error),
-    /// A file could not be written earlier; there may be half a line in it.
+    /// An earlier write failed; the file may end in a torn line.
     Broken,
-    /// The line is longer than [`MAX_LINE`].
+    /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
-    /// An answer that is none to this operation, or a note of an effect, which could be lost with its line.
-    Unfit,
+    /// The answer does not fit the operation, or an effect was to be written as a note, which could be lost
+    /// with its line.
+    Mismatch,
 }
 
-impl fmt::Display for NotWritten {
+impl fmt::Display for WriteError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NotWritten::Io(error) => write!(f, "the history cannot be written: {error}"),
-            NotWritten::Broken => write!(f, "the history could not be written earlier"),
-            NotWritten::TooLong => write!(f, "the record is longer than {MAX_LINE} bytes"),
-            NotWritten::Unfit => write!(f, "the answer is none to this operation"),
+            WriteError::Io(error) => write!(f, "the history cannot be written: {error}"),
+            WriteError::Broken => write!(f, "an earlier write of the history failed"),
+            WriteError::TooLong => write!(f, "the record is longer than {MAX_LINE_BYTES} bytes"),
+            WriteError::Mismatch => write!(f, "the answer does not fit the operation"),
         }
     }
 }
 
-impl std::error::Error for NotWritten {}
+impl std::error::Error for WriteError {}
 
-impl From<io::Error> for NotWritten {
-    fn from(error: io::Error) -> NotWritten {
-        NotWritten::Io(error)
+impl From<io::Error> for WriteError {
+    fn from(error: io::Error) -> WriteError {
+        WriteError::Io(error)
     }
 }
 
-/// An operation whose begin is written and whose end is not. Dropped, it stays unknown.
+/// An operation whose `begin` is written and whose `end` is not. If dropped, the operation stays unknown.
 #[derive(Debug)]
 pub struct Ticket {
-    /// `None`: the file was full.
+    /// `None` if the file was full.
     id: Option<u64>,
     op: Op,
 }
 
-/// Writes the history of one start of one process.
+/// Writes the history of one incarnation of a process.
 #[derive(Debug)]
 pub struct Writer<W: Write> {
     to: W,
     written: u64,
-    most: u64,
+    max_bytes: u64,
     next: u64,
     full: bool,
     broken: bool,
 }
 
 impl Writer<File> {
-    /// A new file of its own for this start, `PROCESS-INCARNATION.history`.
+    /// Creates the file of this incarnation, `PROCESS-INCARNATION.history`.
     ///
     /// # Errors
-    /// The file cannot be written, or there is one: a start has one history.
-    pub fn create(folder: &Path, who: &Who, most: u64) -> Result<Writer<File>, NotWritten> {
+    /// The file cannot be written or already exists: an incarnation has one history.
+    pub fn create(folder: &Path, who: &Who, max_bytes: u64) -> Result<Writer<File>, WriteError> {
         let name = format!("{}-{}.history", who.process.replace(['/', '\0'], "_"), who.incarnation);
-        Writer::new(OpenOptions::new().write(true).create_new(true).open(folder.join(name))?, who, most)
+        Writer::new(OpenOptions::new().write(true).create_new(true).open(folder.join(name))?, who, max_bytes)
     }
 }
 
 impl<W: Write> Writer<W> {
-    /// A history of at most so many bytes.
+    /// Starts a history of limited size.
     ///
     /// # Errors
     /// It cannot be written.
-    pub fn new(to: W, who: &Who, most: u64) -> Result<Writer<W>, NotWritten> {
-        let mut writer = Writer { to, written: 0, most, next: 1, full: false, broken: false };
+    pub fn new(to: W, who: &Who, max_bytes: u64) -> Result<Writer<W>, WriteError> {
+        let mut writer = Writer { to, written: 0, max_bytes, next: 1, full: false, broken: false };
         writer.line(0, &Line::Head { format: super::FORMAT.to_owned(), who: who.clone() })?;
         Ok(writer)
     }
@@ -88,28 +90,28 @@
         self.full
     }
 
-    /// Something is about to be asked. Only once this has returned may it be.
+    /// Records that a request is about to be sent. It must not be sent before this has returned.
     ///
     /// # Errors
-    /// It is not written.
-    pub fn begin(&mut self, at: u64, op: Op) -> Result<Ticket, NotWritten> {
+    /// The record is not written.
+    pub fn begin(&mut self, at: u64, op: Op) -> Result<Ticket, WriteError> {
         let id = self.next;
         self.next += 1;
         let line = Line::Begin { id, at, op };
         let written = self.line(at, &line)?;
-        let Line::Begin { op, .. } = line else { return Err(NotWritten::Unfit) };
+        let Line::Begin { op, .. } = line else { return Err(WriteError::Mismatch) };
         Ok(Ticket { id: written.then_some(id), op })
     }
 
-    /// This came back.
+    /// Records the result of an operation.
     ///
     /// # Errors
-    /// It is not written, and the operation stays unknown.
-    pub fn end(&mut self, ticket: Ticket, at: u64, came: Came) -> Result<(), NotWritten> {
+    /// The record is not written, and the operation stays unknown.
+    pub fn end(&mut self, ticket: Ticket, at: u64, came: Came) -> Result<(), WriteError> {
         if let Came::Ok(told) = &came
-            && !ticket.op.takes(told)
+            && !ticket.op.accepts(told)
         {
-            return Err(NotWritten::Unfit);
+            return Err(WriteError::Mismatch);
         }
         if let Some(id) = ticket.id {
             self.line(at, &Line::End { id, at, came })?;
@@ -117,47 +119,48 @@
         Ok(())
     }
 
-    /// Something was seen, or is certain, at this moment.
+    /// Records an observation at this moment.
     ///
     /// # Errors
-    /// It is not written.
-    pub fn note(&mut self, at: u64, op: Op, told: Told) -> Result<(), NotWritten> {
-        // Guards against an effect that is there and nowhere written down, because its process was killed within the line.
-        if matches!(op, Op::Effect { .. }) || !op.takes(&told) {
-            return Err(NotWritten::Unfit);
+    /// The record is not written.
+    pub fn note(&mut self, at: u64, op: Op, told: Told) -> Result<(), WriteError> {
+        // Guards against an effect that happened and is not recorded because its process was killed while
+        // writing the line.
+        if matches!(op, Op::Effect { .. }) || !op.accepts(&told) {
+            return Err(WriteError::Mismatch);
         }
         self.line(at, &Line::Note { at, op, told })?;
         Ok(())
     }
 
-    /// Something that was to be written is lost: what came after is not in it, and the file says so.
+    /// Marks the history as incomplete: a record was lost, and later ones are missing.
     ///
     /// # Errors
-    /// It is not written.
-    pub fn cut(&mut self, at: u64) -> Result<(), NotWritten> {
+    /// The mark is not written.
+    pub fn cut(&mut self, at: u64) -> Result<(), WriteError> {
         if self.broken {
-            return Err(NotWritten::Broken);
+            return Err(WriteError::Broken);
         }
         if !self.full {
             self.full = true;
-            self.write(&bytes_of(&Line::Full { at })?)?;
+            self.write(&to_line(&Line::Full { at })?)?;
         }
         Ok(())
     }
 
-    /// Hands a line over as a whole; whether there was room.
-    fn line(&mut self, at: u64, line: &Line) -> Result<bool, NotWritten> {
+    /// Writes a whole line; returns whether there was room.
+    fn line(&mut self, at: u64, line: &Line) -> Result<bool, WriteError> {
         if self.broken {
-            return Err(NotWritten::Broken);
+            return Err(WriteError::Broken);
         }
         if self.full {
             return Ok(false);
         }
-        let bytes = bytes_of(line)?;
-        if bytes.len() > MAX_LINE {
-            return Err(NotWritten::TooLong);
+        let bytes = to_line(line)?;
+        if bytes.len() > MAX_LINE_BYTES {
+            return Err(WriteError::TooLong);
         }
-        let fits = self.written + bytes.len() as u64 + FULL_BYTES <= self.most;
+        let fits = self.written + bytes.len() as u64 + FULL_BYTES <= self.max_bytes;
         if fits {
             self.write(&bytes)?;
         } else {
@@ -166,7 +169,7 @@
         Ok(fits)
     }
 
-    fn write(&mut self, bytes: &[u8]) -> Result<(), NotWritten> {
+    fn write(&mut self, bytes: &[u8]) -> Result<(), WriteError> {
         if let Err(error) = self.to.write_all(bytes).and_then(|()| self.to.flush()) {
             self.broken = true;
             return Err(error.into());
@@ -176,7 +179,7 @@
     }
 }
 
-fn bytes_of(line: &Line) -> io::Result<Vec<u8>> {
+fn to_line(line: &Line) -> io::Result<Vec<u8>> {
     let mut bytes = serde_json::to_vec(line)?;
     bytes.push(b'\n');
     Ok(bytes)
--- a/crates/histories/src/register/search.rs
+++ b/crates/histories/src/register/search.rs
@@ -1,4 +1,4 @@
-//! The search for an order in which one register's operations can have happened.
+//! Searches an order in which the operations of one register can have happened.
 
 use std::collections::BTreeSet;
 
@@ -12,17 +12,17 @@
 }
 
 impl Kind {
-    /// What the register holds after it, if it can happen when the register holds that.
-    fn after(&self, holds: u32) -> Option<u32> {
+    /// The register's value after the operation, if it can happen at this value.
+    fn apply(&self, current: u32) -> Option<u32> {
         match *self {
-            Kind::Read(value) => (holds == value).then_some(holds),
+            Kind::Read(value) => (current == value).then_some(current),
             Kind::Write(value) => Some(value),
-            Kind::Swap { old, new } => (holds == old).then_some(new),
-            Kind::NoSwap { old } => (holds != old).then_some(holds),
+            Kind::Swap { old, new } => (current == old).then_some(new),
+            Kind::NoSwap { old } => (current != old).then_some(current),
         }
     }
 
-    pub(super) fn writes(&self) -> bool {
+    pub(super) fn is_write(&self) -> bool {
         matches!(self, Kind::Write(_) | Kind::Swap { .. })
     }
 }
@@ -33,102 +33,104 @@
     pub kind: Kind,
     pub begin: u64,
     pub end: u64,
-    /// Its place among the records.
+    /// Its index among the records.
     pub record: usize,
 }
 
-/// What came of a search.
+/// The result of a search.
 #[derive(Debug, PartialEq)]
-pub(super) enum Searched {
-    /// There is such an order.
-    Found,
-    /// There is none; where most operations had found a place, this record wrote last.
-    None { held: Option<usize> },
-    /// Nobody knows.
-    GivenUp,
+pub(super) enum SearchResult {
+    /// There is a valid order.
+    Linearizable,
+    /// There is no valid order; `last_write` is the record that wrote last in the longest partial order.
+    None { last_write: Option<usize> },
+    /// The limit of steps was reached.
+    StepLimit,
 }
 
-/// What has happened so far.
+/// A search state: which events have happened.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Default)]
-struct Node {
-    /// All certain events before this place have happened,
+struct State {
+    /// All certain events before this index have happened,
     next: usize,
-    /// and these behind it,
-    ahead: Vec<usize>,
-    /// and these that may never happen.
-    used: Vec<usize>,
-    holds: u32,
+    /// and also these certain events after it,
+    done_later: Vec<usize>,
+    /// and these events that may never happen.
+    done_optional: Vec<usize>,
+    value: u32,
 }
 
-/// Looks for an order of events, which are sorted by their begin; says how many steps it took.
-pub(super) fn search(events: &[Event], most: u64) -> (Searched, u64) {
-    let (certain, perhaps): (Vec<&Event>, Vec<&Event>) =
+/// Searches an order of events that are sorted by their begin; also returns the number of steps.
+pub(super) fn search(events: &[Event], max_steps: u64) -> (SearchResult, u64) {
+    let (certain, optional): (Vec<&Event>, Vec<&Event>) =
         events.iter().partition(|event| event.end < u64::MAX);
-    // Those that may never happen, and notice what the register holds if they do.
+    // Events that may never happen, and that observe the register's value if they do.
     let swaps: Vec<usize> =
-        (0..perhaps.len()).filter(|at| matches!(perhaps[*at].kind, Kind::Swap { .. })).collect();
-    // A node with the event that led to it, and the last of them that wrote.
-    let mut stack = vec![(Node::default(), None)];
-    let mut seen = BTreeSet::new();
-    let (mut steps, mut best, mut held) = (0, 0, None);
-    while let Some((node, wrote)) = stack.pop() {
-        if node.next == certain.len() {
-            return (Searched::Found, steps);
+        (0..optional.len()).filter(|at| matches!(optional[*at].kind, Kind::Swap { .. })).collect();
+    // A state, with the record of the last write that led to it.
+    let mut stack = vec![(State::default(), None)];
+    let mut visited = BTreeSet::new();
+    let (mut steps, mut longest, mut last_write) = (0, 0, None);
+    while let Some((state, last_writer)) = stack.pop() {
+        if state.next == certain.len() {
+            return (SearchResult::Linearizable, steps);
         }
-        if !seen.insert(node.clone()) {
+        if !visited.insert(state.clone()) {
             continue;
         }
-        if steps == most {
-            return (Searched::GivenUp, steps);
+        if steps == max_steps {
+            return (SearchResult::StepLimit, steps);
         }
         steps += 1;
-        if node.next + node.ahead.len() >= best {
-            (best, held) = (node.next + node.ahead.len(), wrote);
+        if state.next + state.done_later.len() >= longest {
+            (longest, last_write) = (state.next + state.done_later.len(), last_writer);
         }
-        let (candidates, horizon) = candidates(&certain, &node);
-        let fits = |at: &&usize| certain[**at].kind.after(node.holds).is_some();
-        // Guards against going through all orders of reads: one that fits can stand here in any order that there is.
-        if let Some(at) = candidates.iter().filter(fits).find(|at| !certain[**at].kind.writes()) {
-            stack.push((happened(&certain, &node, *at, node.holds), wrote));
+        let (candidates, horizon) = candidates(&certain, &state);
+        let fits = |at: &&usize| certain[**at].kind.apply(state.value).is_some();
+        // Guards against searching all orders of reads: a read that fits can come next in any valid order.
+        if let Some(at) = candidates.iter().filter(fits).find(|at| !certain[**at].kind.is_write()) {
+            stack.push((after_event(&certain, &state, *at, state.value), last_writer));
             continue;
         }
-        for (at, event) in perhaps.iter().enumerate().take_while(|(_, event)| event.begin <= horizon) {
-            let Some(holds) = event.kind.after(node.holds).filter(|_| !node.used.contains(&at)) else {
+        for (at, event) in optional.iter().enumerate().take_while(|(_, event)| event.begin <= horizon) {
+            let Some(value) = event.kind.apply(state.value).filter(|_| !state.done_optional.contains(&at))
+            else {
                 continue;
             };
-            // Guards against going through all subsets of what is unknown: one that is written over at once might as well not happen.
+            // Guards against searching all subsets of unknown events: a write that is overwritten unobserved
+            // need not happen.
             let others = swaps.iter().filter(|other| {
-                **other != at && !node.used.contains(other) && perhaps[**other].begin <= horizon
+                **other != at && !state.done_optional.contains(other) && optional[**other].begin <= horizon
             });
-            let next = candidates.iter().map(|at| certain[*at]).chain(others.map(|other| perhaps[*other]));
-            let noticed =
-                |that: &Event| !matches!(that.kind, Kind::Write(_)) && that.kind.after(holds).is_some();
-            if !next.into_iter().any(noticed) {
+            let next = candidates.iter().map(|at| certain[*at]).chain(others.map(|other| optional[*other]));
+            let observes =
+                |that: &Event| !matches!(that.kind, Kind::Write(_)) && that.kind.apply(value).is_some();
+            if !next.into_iter().any(observes) {
                 continue;
             }
-            let mut child = Node { holds, ..node.clone() };
-            child.used.insert(child.used.partition_point(|used| *used < at), at);
+            let mut child = State { value, ..state.clone() };
+            child.done_optional.insert(child.done_optional.partition_point(|done| *done < at), at);
             stack.push((child, Some(event.record)));
         }
-        // The one that ends first is tried first.
+        // The event that ends first is tried first.
         let mut writes: Vec<usize> = candidates.iter().filter(fits).copied().collect();
         writes.sort_by_key(|at| std::cmp::Reverse(certain[*at].end));
         for at in writes {
-            let Some(holds) = certain[at].kind.after(node.holds) else { continue };
-            stack.push((happened(&certain, &node, at, holds), Some(certain[at].record)));
+            let Some(value) = certain[at].kind.apply(state.value) else { continue };
+            stack.push((after_event(&certain, &state, at, value), Some(certain[at].record)));
         }
     }
-    (Searched::None { held }, steps)
+    (SearchResult::None { last_write }, steps)
 }
 
-/// The certain events that can be next: those that begin before any other has to be over; and until when that is.
-fn candidates(certain: &[&Event], node: &Node) -> (Vec<usize>, u64) {
+/// The certain events that can come next, which begin before any other one ends; and the earliest such end.
+fn candidates(certain: &[&Event], state: &State) -> (Vec<usize>, u64) {
     let (mut found, mut horizon) = (Vec::new(), u64::MAX);
-    for (at, event) in certain.iter().enumerate().skip(node.next) {
+    for (at, event) in certain.iter().enumerate().skip(state.next) {
         if event.begin > horizon {
             break;
         }
-        if node.ahead.binary_search(&at).is_err() {
+        if state.done_later.binary_search(&at).is_err() {
             horizon = horizon.min(event.end);
             found.push(at);
         }
@@ -136,12 +138,12 @@
     (found, horizon)
 }
 
-/// The node after this certain event.
-fn happened(certain: &[&Event], node: &Node, at: usize, holds: u32) -> Node {
-    let mut child = Node { holds, ..node.clone() };
-    child.ahead.insert(child.ahead.partition_point(|ahead| *ahead < at), at);
-    while child.next < certain.len() && child.ahead.first() == Some(&child.next) {
-        child.ahead.remove(0);
+/// The state after this certain event.
+fn after_event(certain: &[&Event], state: &State, at: usize, value: u32) -> State {
+    let mut child = State { value, ..state.clone() };
+    child.done_later.insert(child.done_later.partition_point(|done_later| *done_later < at), at);
+    while child.next < certain.len() && child.done_later.first() == Some(&child.next) {
+        child.done_later.remove(0);
         child.next += 1;
     }
     child
--- a/crates/histories/src/register/tests.rs
+++ b/crates/histories/src/register/tests.rs
@@ -30,7 +30,7 @@
     check(&History::whole(records))
 }
 
-/// Whether it is wrong, and if so, how many records show it.
+/// The number of records that show a violation, which there must be.
 fn shown(records: Vec<Record>) -> usize {
     match verdict(records) {
         Verdict::Wrong { first, .. } => first.records.len(),
@@ -39,15 +39,15 @@
 }
 
 #[test]
-fn good_histories_are_fine_however_strange() {
+fn valid_histories_are_accepted() {
     for (name, records) in [
         ("empty", vec![read(1, 2, None)]),
         (
-            "one after the other",
+            "sequential operations",
             vec![write(1, 2, "a"), read(3, 4, Some("a")), write(5, 6, "b"), read(7, 8, Some("b"))],
         ),
         (
-            "a read within a write may see either",
+            "a read during a write may return either value",
             vec![write(1, 9, "a"), read(2, 3, None), read(4, 5, Some("a"))],
         ),
         ("ends and begins at the same time", vec![write(1, 5, "a"), read(5, 6, None)]),
@@ -65,11 +65,11 @@
             vec![with(write(1, 2, "never"), Came::Unknown), read(3, 4, None)],
         ),
         (
-            "an unknown one noticed only by a comparison that fails",
+            "an unknown write observed only by a failed conditional write",
             vec![write(1, 2, "a"), with(write(3, 4, "b"), Came::Unknown), swap(5, 6, Some("a"), "c", false)],
         ),
         (
-            "two unknown comparisons, one after the other",
+            "two unknown conditional writes in sequence",
             vec![
                 with(swap(1, 2, Some("b"), "c", true), Came::Unknown),
                 with(swap(3, 4, None, "b", true), Came::Unknown),
@@ -77,7 +77,7 @@
                 read(7, 8, Some("c")),
             ],
         ),
-        ("what failed is not there", vec![with(write(1, 2, "no"), Came::Failed), read(3, 4, None)]),
+        ("a failed write has no effect", vec![with(write(1, 2, "no"), Came::Failed), read(3, 4, None)]),
     ] {
         let verdict = verdict(records);
         assert!(verdict.is_fine(), "{name}: {verdict}");
@@ -85,35 +85,35 @@
 }
 
 #[test]
-fn bad_histories_are_found() {
-    // A lost write; the write that hid it and the read that does not see it.
+fn violations_are_found() {
+    // A lost write: the write and the read that does not observe it.
     assert_eq!(
         shown(vec![write(1, 2, "a"), read(3, 4, None), read(5, 6, Some("a")), read(7, 8, Some("a"))]),
         2
     );
-    // Time runs back between two reads within one write.
+    // A later read during a write returns the older value.
     assert_eq!(shown(vec![write(1, 9, "a"), read(2, 3, Some("a")), read(4, 5, None)]), 3);
-    // A value that nobody wrote, among others.
+    // A value that was never written.
     assert_eq!(shown(vec![write(1, 2, "a"), read(3, 4, Some("z")), write(5, 6, "b")]), 1);
-    // Two take the same step.
+    // Two conditional writes succeed from the same value.
     assert_eq!(shown(vec![swap(1, 5, None, "a", true), swap(2, 6, None, "b", true)]), 2);
-    // An unknown write is seen, and then not any more.
+    // An unknown write is observed, and then no longer.
     let late = with(write(1, 2, "late"), Came::Unknown);
     assert_eq!(shown(vec![write(0, 0, "a"), late, read(3, 4, Some("late")), read(5, 6, Some("a"))]), 4);
-    // A write that was refused is there all the same.
+    // A write that failed is observed.
     assert_eq!(shown(vec![with(write(1, 2, "no"), Came::Failed), read(3, 4, Some("no"))]), 1);
-    // A comparison fails, and what it expects is there.
+    // A conditional write fails although the register has the expected value.
     assert_eq!(shown(vec![write(1, 2, "a"), swap(3, 4, Some("a"), "c", false)]), 2);
     // An unknown write happens twice, or before it began.
     let late = with(write(1, 2, "late"), Came::Unknown);
     assert_eq!(shown(vec![late, read(3, 4, Some("late")), write(5, 6, "b"), read(7, 8, Some("late"))]), 4);
     assert_eq!(shown(vec![read(1, 2, Some("u")), with(write(3, 4, "u"), Came::Unknown)]), 1);
-    // A read sees what is written only later.
+    // A read returns a value that is written only later.
     assert_eq!(shown(vec![read(1, 2, Some("a")), write(3, 4, "a")]), 1);
 }
 
 #[test]
-fn keys_are_looked_at_one_by_one() {
+fn keys_are_checked_separately() {
     let mut other = write(1, 2, "a");
     other.op = Op::Write { key: "y".into(), value: "a".into() };
     assert!(verdict(vec![other.clone(), read(3, 4, None)]).is_fine());
@@ -121,8 +121,8 @@
 }
 
 #[test]
-fn what_is_too_long_is_not_fine_and_what_is_cut_is_not_wrong() {
-    // Twelve writes at once, and a read that none of their orders allows.
+fn the_step_limit_is_not_a_pass_and_a_cut_history_is_not_a_violation() {
+    // Twelve concurrent writes, and a read that none of their orders allows.
     let mut records: Vec<Record> = (0..12).map(|at| write(at, 100, &at.to_string())).collect();
     records.extend([read(101, 102, Some("1")), read(103, 104, Some("2"))]);
     let most = 1000;
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_long_history_with_many_unknown_ones_takes_few_steps() {
+fn a_long_history_with_many_unknown_operations_takes_few_steps() {
     let mut records = Vec::new();
     for at in 0..2000 {
         let (time, value) = (at * 10, at.to_string());
@@ -153,12 +153,12 @@
         Verdict::Fine(figures) => assert!(figures.steps < 10_000, "{figures:?}"),
         other => panic!("{other}"),
     }
-    // And the last read is stale, which a hundred unknown writes do not explain.
+    // The last read is stale, which a hundred unknown writes do not explain.
     records.push(read(30_000, 30_001, Some("1998")));
     assert_eq!(shown(records), 3);
 }
 
-/// The same register for the other tester.
+/// A register for the reference checker.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model(Option<Value>);
 
@@ -184,14 +184,15 @@
     }
 }
 
-/// What `stateright` says: each operation has a thread of its own, as only begin and end bind.
-fn second_opinion(records: &[Record]) -> bool {
+/// The result of the `stateright` checker. Each operation has its own thread, so that only begin and end
+/// order them.
+fn reference_check(records: &[Record]) -> bool {
     let mut tester = LinearizabilityTester::new(Model::default());
     let mut moments: Vec<(u64, bool, usize)> = Vec::new();
     for (at, record) in records.iter().enumerate().filter(|(_, record)| record.came != Came::Failed) {
         moments.push((record.begin, false, at));
         if record.told().is_some() {
-            moments.push((record.last(), true, at));
+            moments.push((record.latest_end(), true, at));
         }
     }
     moments.sort_unstable();
@@ -204,7 +205,8 @@
     tester.is_consistent()
 }
 
-/// Operations of a true run: each happens at its moment, and begins and ends about it; some are not heard of, late or never done.
+/// Operations of a valid run. Each happens at one moment between its begin and its end; some end unknown,
+/// happen late or never.
 fn run() -> impl Strategy<Value = Vec<Record>> {
     let one = (0..3u8, 0..3u8, 0..3u8, 1..12u64, 1..12u64, 0..8u8);
     proptest::collection::vec(one, 1..7).prop_map(|steps| {
@@ -219,7 +221,7 @@
             };
             let told = if luck == 1 { Told::Nothing } else { model.invoke(&op) };
             let came = if luck < 2 { Came::Unknown } else { Came::Ok(told) };
-            // Never at the same time as another: the other tester knows no such thing.
+            // Times are unique, because the reference checker has no equal times.
             let (begin, end) = ((moment - early) * 20 + at as u64, (moment + late) * 20 + 10 + at as u64);
             records.push(record(at as u64, begin, end, op, came));
         }
@@ -231,13 +233,13 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn a_true_run_is_fine(records in run()) {
+    fn a_valid_run_is_accepted(records in run()) {
         let verdict = verdict(records);
         prop_assert!(verdict.is_fine(), "{}", verdict);
     }
 
     #[test]
-    fn a_flipped_answer_is_found_where_the_other_tester_finds_it(
+    fn a_changed_answer_is_found_if_the_reference_checker_finds_it(
         mut records in run(), at in any::<prop::sample::Index>(), to in 0..4usize
     ) {
         let at = at.index(records.len());
@@ -249,9 +251,9 @@
             }
         }
         let verdict = verdict(records.clone());
-        prop_assert_eq!(verdict.is_fine(), second_opinion(&records), "{}", verdict);
+        prop_assert_eq!(verdict.is_fine(), reference_check(&records), "{}", verdict);
         if let Verdict::Wrong { first, .. } = verdict {
-            prop_assert!(!second_opinion(&first.records), "what is shown does not show it: {:?}", first);
+            prop_assert!(!reference_check(&first.records), "the shown records are no violation: {:?}", first);
         }
     }
 }
--- a/crates/histories/src/table.rs
+++ b/crates/histories/src/table.rs
@@ -1,9 +1,10 @@
-//! The agreed table of revisions: an edit that was taken is in every later read, and revisions only grow.
+//! The replicated table of revisions: an acknowledged edit is in every later read, and revisions never
+//! decrease.
 //!
-//! No search is needed: an edit counts from a revision on, a read tells one, so that there is only one order that can be. Edits that are
-//! unknown are in no read, or in one and all that are later. A table as a process goes by it may be old, but not another one: what it says
-//! is what that revision says everywhere, and it does not go back within one start of a process. All edits are to be in the history, also
-//! those by which a test begins.
+//! No search is needed: an edit counts from a revision on and a read reports its revision, so only one order
+//! is possible. An unknown edit is in no read, or in one and all later ones. The table that a process uses
+//! may be old, but its content must be that of its revision everywhere, and it never goes back within an
+//! incarnation. The history must contain all edits, including those that set up a test.
 
 #[cfg(test)]
 mod tests;
@@ -12,12 +13,12 @@
 use crate::verdict::{Figures, Findings, History, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All that is known of an edit, which may have been sent more than once.
+/// What is known of an edit, which may have been sent more than once.
 #[derive(Default)]
 struct Edit<'a> {
     tries: Vec<&'a Record>,
-    /// Whom it was first told that it was taken, and from which revision on.
-    taken: Option<(&'a Record, u64)>,
+    /// The first acknowledgement, and the revision it names.
+    acknowledged: Option<(&'a Record, u64)>,
 }
 
 impl Edit<'_> {
@@ -26,9 +27,9 @@
     }
 }
 
-/// One table's records.
+/// The records of one table.
 #[derive(Default)]
-struct Of<'a> {
+struct TableRecords<'a> {
     edits: BTreeMap<&'a str, Edit<'a>>,
     reads: Vec<(&'a Record, &'a Table)>,
     seen: Vec<(&'a Record, &'a Table)>,
@@ -36,7 +37,7 @@
 
 /// Checks all tables of a history.
 pub fn check(history: &History) -> Verdict {
-    let (mut tables, mut figures): (BTreeMap<&str, Of>, _) = (BTreeMap::new(), Figures::default());
+    let (mut tables, mut figures): (BTreeMap<&str, TableRecords>, _) = (BTreeMap::new(), Figures::default());
     for record in &history.records {
         match (&record.op, &record.came) {
             (Op::Edit { table, edit }, _) => {
@@ -55,48 +56,48 @@
     let mut findings = Findings::new(history);
     for (name, of) in &mut tables {
         figures.keys += 1;
-        of.settle(name, &mut findings);
+        of.collect_acknowledgements(name, &mut findings);
         let all: Vec<_> = of.reads.iter().chain(&of.seen).copied().collect();
-        one_content(&format!("table {name}"), &all, &mut findings);
-        of.in_order(name, &mut findings);
-        of.edits_shown(name, &mut findings);
-        monotone(&format!("table {name}"), &of.seen, &mut findings);
+        check_content(&format!("table {name}"), &all, &mut findings);
+        of.check_order(name, &mut findings);
+        of.check_edits(name, &mut findings);
+        check_monotonic(&format!("table {name}"), &of.seen, &mut findings);
     }
     findings.verdict(figures)
 }
 
-impl<'a> Of<'a> {
-    /// What became of each edit.
-    fn settle(&mut self, name: &str, findings: &mut Findings) {
+impl<'a> TableRecords<'a> {
+    /// Finds the acknowledgement of each edit.
+    fn collect_acknowledgements(&mut self, name: &str, findings: &mut Findings) {
         for (id, edit) in &mut self.edits {
             for record in &edit.tries {
                 let Some(Told::Revision(revision)) = record.told() else { continue };
-                match edit.taken {
-                    Some((other, before)) if before != *revision => findings.certain(
-                        format!("table {name}: edit {id} was taken at {before} and at {revision}"),
+                match edit.acknowledged {
+                    Some((other, before)) if before != *revision => findings.report(
+                        format!("table {name}: edit {id} was acknowledged at {before} and at {revision}"),
                         [other, record],
                     ),
-                    Some((other, _)) if other.last() <= record.last() => {}
-                    _ => edit.taken = Some((record, *revision)),
+                    Some((other, _)) if other.latest_end() <= record.latest_end() => {}
+                    _ => edit.acknowledged = Some((record, *revision)),
                 }
             }
         }
     }
 
-    /// What counts from a lower revision on did not begin after something of a higher one was over.
-    fn in_order(&self, name: &str, findings: &mut Findings) {
-        // By revision, its edits before its reads; begin, end, and who shows it.
+    /// Checks that nothing with a lower revision began after something with a higher one was over.
+    fn check_order(&self, name: &str, findings: &mut Findings) {
+        // By revision, with its edits before its reads: begin, end and record.
         let mut order: Vec<((u64, bool), u64, u64, &Record)> = Vec::new();
         for edit in self.edits.values() {
-            if let Some((record, revision)) = edit.taken {
-                order.push(((revision, false), edit.begin(), record.last(), record));
+            if let Some((record, revision)) = edit.acknowledged {
+                order.push(((revision, false), edit.begin(), record.latest_end(), record));
             }
         }
         for (record, told) in &self.reads {
-            order.push(((told.revision, true), record.begin, record.last(), record));
+            order.push(((told.revision, true), record.begin, record.latest_end(), record));
         }
         order.sort_by_key(|(place, begin, ..)| (*place, *begin));
-        // The one that began last among lower ones, and among those at the same place.
+        // What began last among lower revisions, and what began last at the current place in the order.
         let (mut lower, mut same): (Option<Began>, Option<Began>) = (None, None);
         let mut place = None;
         for (at, begin, end, record) in order {
@@ -105,14 +106,14 @@
             }
             same = later(same, Some((begin, record)));
             if let Some((_, other)) = lower.filter(|(began, _)| end < *began) {
-                let what = format!("table {name}: revision {} was told, and a lower one after it", at.0);
-                findings.certain(what, [record, other]);
+                let what = format!("table {name}: revision {} was read, and a lower one after it", at.0);
+                findings.report(what, [record, other]);
             }
         }
     }
 
-    /// Each table told has the edits that it must have and no other.
-    fn edits_shown(&self, name: &str, findings: &mut Findings) {
+    /// Checks that each table has all edits that it must have, and no others.
+    fn check_edits(&self, name: &str, findings: &mut Findings) {
         let seen = self.seen.iter().filter(|(_, told)| !told.edits.is_empty());
         let mut told: Vec<(&Record, &Table)> = self.reads.iter().chain(seen).copied().collect();
         told.sort_by_key(|(record, table)| (table.revision, record.begin));
@@ -121,43 +122,43 @@
             let at = table.revision;
             let shown: BTreeSet<&str> = table.edits.iter().map(String::as_str).collect();
             for (id, edit) in &self.edits {
-                if let Some((taken, _)) = edit.taken.filter(|(_, from)| *from <= at && !shown.contains(id)) {
-                    findings.certain(
+                if let Some((acknowledged, _)) =
+                    edit.acknowledged.filter(|(_, from)| *from <= at && !shown.contains(id))
+                {
+                    findings.report(
                         format!("table {name}: edit {id} is lost at revision {at}"),
-                        [taken, record],
+                        [acknowledged, record],
                     );
                 }
             }
             for id in &shown {
                 let Some(edit) = self.edits.get(id) else {
-                    let what = format!("table {name}: revision {at} has edit {id}, which nobody made");
-                    findings.unless_cut(what, [record]);
+                    let what = format!("table {name}: revision {at} has edit {id}, which was never sent");
+                    findings.report_if_complete(what, [record]);
                     continue;
                 };
-                if let Some((taken, from)) = edit.taken.filter(|(_, from)| *from > at) {
+                if let Some((acknowledged, from)) = edit.acknowledged.filter(|(_, from)| *from > at) {
                     let what =
                         format!("table {name}: revision {at} has edit {id}, which counts from {from} on");
-                    findings.certain(what, [taken, record]);
+                    findings.report(what, [acknowledged, record]);
                 }
-                if edit.begin() > record.last() {
-                    let what = format!("table {name}: revision {at} has edit {id} before it was made");
-                    findings.unless_cut(what, edit.tries.iter().copied().chain([record]));
+                if edit.begin() > record.latest_end() {
+                    let what = format!("table {name}: revision {at} has edit {id} before it was sent");
+                    findings.report_if_complete(what, edit.tries.iter().copied().chain([record]));
                 }
                 if edit.tries.iter().all(|one| one.came == Came::Failed) {
                     let what = format!("table {name}: revision {at} has edit {id}, which was refused");
-                    findings.unless_cut(what, edit.tries.iter().copied().chain([record]));
+                    findings.report_if_complete(what, edit.tries.iter().copied().chain([record]));
                 }
             }
             if let Some((other, lower, had)) = &before {
                 let same = lower.revision == at;
-                // Guards against an edit that is unknown to its author, and is there and then gone.
+                // Guards against an edit whose result is unknown and that appears and then disappears.
                 if let Some(id) = had.iter().find(|id| !shown.contains(*id)) {
-                    findings.certain(
-                        format!("table {name}: edit {id} is gone at revision {at}"),
-                        [other, record],
-                    );
+                    findings
+                        .report(format!("table {name}: edit {id} is gone at revision {at}"), [other, record]);
                 } else if same && had.len() != shown.len() {
-                    findings.certain(
+                    findings.report(
                         format!("table {name}: revision {at} has two sets of edits"),
                         [other, record],
                     );
@@ -168,45 +169,45 @@
     }
 }
 
-/// When something of the table began, and the record that shows it.
+/// A begin time, and its record.
 type Began<'a> = (u64, &'a Record);
 
-/// Of two, the one that began later.
+/// Returns the one that began later.
 fn later<'a>(one: Option<Began<'a>>, two: Option<Began<'a>>) -> Option<Began<'a>> {
     [one, two].into_iter().flatten().max_by_key(|(begin, _)| *begin)
 }
 
-/// A revision says the same to all.
-pub(crate) fn one_content<'a>(of: &str, told: &[(&'a Record, &'a Table)], findings: &mut Findings) {
+/// Checks that a revision has the same content in all records.
+pub(crate) fn check_content<'a>(of: &str, told: &[(&'a Record, &'a Table)], findings: &mut Findings) {
     let mut first: BTreeMap<u64, (&Record, &Table)> = BTreeMap::new();
     for (record, table) in told {
         let (other, same) = first.entry(table.revision).or_insert((record, table));
         if same.content != table.content {
-            findings.certain(format!("{of}: {} says two things", table.revision), [*other, *record]);
+            findings.report(format!("{of}: {} has two contents", table.revision), [*other, *record]);
         }
     }
 }
 
-/// Tables that one start of a process goes by never go back. Two that it saw at the same time are not compared.
-pub(crate) fn monotone(of: &str, seen: &[(&Record, &Table)], findings: &mut Findings) {
+/// Checks that the tables an incarnation uses never go back. Overlapping records are not compared.
+pub(crate) fn check_monotonic(of: &str, seen: &[(&Record, &Table)], findings: &mut Findings) {
     let mut by: BTreeMap<_, Vec<(&Record, &Table)>> = BTreeMap::new();
     for (record, table) in seen {
         by.entry(&record.who).or_default().push((record, table));
     }
     for (who, mut seen) in by {
         seen.sort_by_key(|(record, _)| record.begin);
-        let mut over = seen.clone();
-        over.sort_by_key(|(record, _)| record.last());
-        let (mut over, mut highest) = (over.into_iter().peekable(), None::<(&Record, &Table)>);
+        let mut ended = seen.clone();
+        ended.sort_by_key(|(record, _)| record.latest_end());
+        let (mut ended, mut highest) = (ended.into_iter().peekable(), None::<(&Record, &Table)>);
         for (record, table) in seen {
-            while let Some((before, told)) = over.next_if(|(before, _)| before.before(record)) {
+            while let Some((before, told)) = ended.next_if(|(before, _)| before.ended_before(record)) {
                 if highest.is_none_or(|(_, high)| high.revision < told.revision) {
                     highest = Some((before, told));
                 }
             }
             if let Some((before, high)) = highest.filter(|(_, high)| high.revision > table.revision) {
                 let what = format!("{of}: {who} goes back from {} to {}", high.revision, table.revision);
-                findings.certain(what, [before, record]);
+                findings.report(what, [before, record]);
             }
         }
     }
--- a/crates/histories/src/table/tests.rs
+++ b/crates/histories/src/table/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::planted::{fine, record, table, wrong};
+use crate::test_histories::{assert_accepted, assert_rejected, record, table};
 use proptest::prelude::*;
 
 fn edit(begin: u64, end: u64, id: &str, came: Came) -> Record {
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn good_histories_are_fine_however_strange() {
-    fine(
+fn valid_histories_are_accepted() {
+    assert_accepted(
         check,
         vec![
             (
-                "one after the other",
+                "sequential operations",
                 vec![
                     taken(1, 2, "a", 1),
                     read(3, 4, 1, &["a"]),
@@ -39,15 +39,15 @@
                 ],
             ),
             (
-                "a read within an edit, either way",
+                "a read during an edit, with either result",
                 vec![taken(1, 20, "a", 1), read(2, 3, 0, &[]), read(4, 5, 1, &["a"])],
             ),
             (
-                "two edits in one revision, one of which nobody heard of",
+                "two edits in one revision, one of which was never acknowledged",
                 vec![taken(1, 2, "a", 1), edit(1, 2, "b", Came::Unknown), read(3, 4, 1, &["a", "b"])],
             ),
             (
-                "in conflict, and settled long after",
+                "in conflict, and settled much later",
                 vec![
                     edit(1, 2, "b", Came::Unknown),
                     taken(3, 4, "a", 1),
@@ -65,7 +65,7 @@
                 ],
             ),
             (
-                "a process cut off goes by an old table",
+                "an isolated process uses an old table",
                 vec![taken(1, 2, "a", 1), taken(3, 4, "b", 2), seen(50, 1, &["a"])],
             ),
             ("refused", vec![edit(1, 2, "a", Came::Failed), read(3, 4, 5, &[])]),
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn bad_histories_are_found() {
+fn violations_are_found() {
     let a = || taken(1, 2, "a", 1);
-    wrong(
+    assert_rejected(
         check,
         vec![
             ("edit a is lost at revision 2", true, vec![a(), read(3, 4, 2, &[])]),
             ("a lower one after it", true, vec![a(), read(3, 4, 0, &[])]),
             ("a lower one after it", true, vec![a(), read(3, 4, 2, &["a"]), read(5, 6, 1, &["a"])]),
             ("a lower one after it", true, vec![taken(1, 2, "b", 2), taken(3, 4, "a", 1)]),
-            // Sent twice: it counts once the first is told.
+            // Sent twice: it counts from the first acknowledgement on.
             (
                 "a lower one after it",
                 true,
@@ -95,12 +95,12 @@
                 vec![edit(1, 2, "b", Came::Unknown), read(3, 4, 1, &["b"]), read(5, 6, 2, &[])],
             ),
             ("which was refused", false, vec![edit(1, 2, "b", Came::Failed), read(3, 4, 1, &["b"])]),
-            ("which nobody made", false, vec![a(), read(3, 4, 1, &["a", "z"])]),
-            ("before it was made", false, vec![read(1, 2, 1, &["b"]), edit(5, 6, "b", Came::Unknown)]),
+            ("which was never sent", false, vec![a(), read(3, 4, 1, &["a", "z"])]),
+            ("before it was sent", false, vec![read(1, 2, 1, &["b"]), edit(5, 6, "b", Came::Unknown)]),
             ("counts from 2 on", true, vec![a(), taken(1, 9, "b", 2), read(3, 4, 1, &["a", "b"])]),
-            ("taken at", true, vec![taken(1, 9, "a", 1), taken(1, 9, "a", 2)]),
+            ("acknowledged at", true, vec![taken(1, 9, "a", 1), taken(1, 9, "a", 2)]),
             (
-                "two things",
+                "two contents",
                 true,
                 vec![a(), edit(1, 2, "b", Came::Unknown), read(3, 4, 1, &["a"]), seen(9, 1, &["a", "b"])],
             ),
@@ -113,7 +113,7 @@
     );
 }
 
-/// Whether some order fits, by going through all of them: only edits and reads of one table, at most seven.
+/// Whether some order of at most seven edits and reads of one table is valid, by trying all of them.
 fn by_force(records: &[Record]) -> bool {
     fn go(left: &[&Record], at: u64, edits: &mut Vec<String>) -> bool {
         if left.iter().all(|record| record.came == Came::Unknown) {
@@ -123,12 +123,12 @@
             let record = left[one];
             let rest: Vec<&Record> =
                 left.iter().filter(|other| !std::ptr::eq(**other, record)).copied().collect();
-            if rest.iter().any(|other| other.before(record)) {
+            if rest.iter().any(|other| other.ended_before(record)) {
                 return false;
             }
             match (&record.op, record.told()) {
                 (Op::Edit { edit, .. }, told) => {
-                    // One that nobody heard of is in the next revision that is told.
+                    // An unacknowledged edit is in the next revision that is reported.
                     let to = if let Some(Told::Revision(to)) = told { *to } else { at };
                     edits.push(edit.clone());
                     let fits = to >= at && go(&rest, to, edits);
@@ -147,7 +147,7 @@
     go(&records.iter().collect::<Vec<_>>(), 0, &mut Vec::new())
 }
 
-/// A true run: each edit makes the next revision, at its moment.
+/// A valid run: each edit creates the next revision at one moment.
 fn run() -> impl Strategy<Value = Vec<Record>> {
     proptest::collection::vec((any::<bool>(), 1..12u64, 1..12u64, 0..8u8), 1..7).prop_map(|steps| {
         let (mut revision, mut edits, mut records) = (0, Vec::<String>::new(), Vec::new());
@@ -197,7 +197,8 @@
             _ => {}
         }
         let verdict = check(&History::whole(records.clone()));
-        // The checker knows besides that a revision has one content, and that an edit is in all of its revision.
+        // The checker also requires that a revision has one content, and that an edit is in all reads of its
+        // revision.
         prop_assert!(by_force(&records) || !verdict.is_fine(), "not found");
     }
 }
--- a/crates/histories/src/planted.rs
+++ b/crates/histories/src/test_histories.rs
@@ -1,4 +1,4 @@
-//! Short words for planted histories.
+//! Helpers to build histories for tests.
 
 use crate::format::{Came, Op, Record, Table, Told, Who, WorkEnd};
 use crate::verdict::{History, Verdict};
@@ -25,18 +25,19 @@
     WorkEnd::Done(result.into())
 }
 
-pub(crate) const YES: Came = Came::Ok(Told::Nothing);
+pub(crate) const DONE: Came = Came::Ok(Told::Nothing);
 
-/// These are fine.
-pub(crate) fn fine(check: fn(&History) -> Verdict, histories: Vec<(&str, Vec<Record>)>) {
+/// Asserts that the checker accepts these histories.
+pub(crate) fn assert_accepted(check: fn(&History) -> Verdict, histories: Vec<(&str, Vec<Record>)>) {
     for (name, records) in histories {
         let verdict = check(&History::whole(records));
         assert!(verdict.is_fine(), "{name}: {verdict}");
     }
 }
 
-/// These are not, in one way only, and the finding says so in these words; whether that is so too where records are missing.
-pub(crate) fn wrong(check: fn(&History) -> Verdict, histories: Vec<(&str, bool, Vec<Record>)>) {
+/// Asserts that the checker finds a violation whose text contains these words, and whether it also does so
+/// where records are missing.
+pub(crate) fn assert_rejected(check: fn(&History) -> Verdict, histories: Vec<(&str, bool, Vec<Record>)>) {
     for (words, certain, mut records) in histories {
         for _ in 0..2 {
             let verdict = check(&History::whole(records.clone()));
@@ -46,7 +47,7 @@
             );
             assert!(!check_cut(check, &records).is_fine(), "{words}");
             assert_eq!(check_cut(check, &records).name() == "WRONG", certain, "{words}");
-            // Files are read in any order.
+            // The order of files does not matter.
             records.reverse();
         }
     }
--- a/crates/histories/src/verdict.rs
+++ b/crates/histories/src/verdict.rs
@@ -1,82 +1,82 @@
-//! What a checker says.
+//! The results of checkers.
 
 use crate::format::Record;
 use std::fmt;
 
-/// Most records that are shown with a finding.
+/// Maximum records that are shown with a finding.
 pub const MAX_SHOWN: usize = 8;
 
-/// All that is known of a run of processes: the records of all of them.
+/// The records of all processes of a test run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
     /// The records, in any order.
     pub records: Vec<Record>,
-    /// Why records are missing, if some are.
+    /// Why records are missing, if any are.
     pub cut: Option<String>,
 }
 
 impl History {
-    /// A history in which nothing is missing.
+    /// A history without missing records.
     pub fn whole(records: Vec<Record>) -> History {
         History { records, cut: None }
     }
 
-    /// The last time that is written down.
+    /// The last recorded time.
     pub fn end(&self) -> u64 {
         self.records.iter().map(|record| record.end.unwrap_or(record.begin)).max().unwrap_or(0)
     }
 }
 
-/// What was looked at.
+/// What was checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Registers, tables, keys of work or processes.
+    /// Registers, tables, keys of work, or incarnations.
     pub keys: u64,
-    /// Records that took part.
+    /// Records that were checked.
     pub records: u64,
-    /// Those of them that may have happened or not.
+    /// Those of them whose result is unknown.
     pub unknown: u64,
-    /// Steps of a search, 0 where none is needed.
+    /// Steps of the search, 0 for checkers without one.
     pub steps: u64,
 }
 
 impl Figures {
-    /// One more record took part.
+    /// Counts a record.
     pub(crate) fn count(&mut self, record: &Record) {
         self.records += 1;
         self.unknown += u64::from(record.came == crate::format::Came::Unknown);
     }
 }
 
-/// Something that must not be, with the records that show it.
+/// A violation, with the records that show it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// What is wrong, of which key.
+    /// What is wrong, and with which key.
     pub what: String,
     /// At most [`MAX_SHOWN`] records.
     pub records: Vec<Record>,
 }
 
-/// What a checker says.
+/// The result of a checker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// The history has the property.
     Fine(Figures),
-    /// It does not.
+    /// The history violates the property.
     Wrong {
-        /// What is seen first.
+        /// The first finding.
         first: Finding,
-        /// How many findings there are.
+        /// The number of findings.
         all: u64,
     },
-    /// The search was given up: nothing is known of this key.
+    /// The search reached its limit: nothing is known of this key.
     TooLong {
-        /// Of which key.
+        /// The key.
         key: String,
-        /// After so many steps.
+        /// The number of steps.
         steps: u64,
     },
-    /// Records are missing, and what is there does not show anything wrong by itself.
+    /// Records are missing, and the rest shows no violation by itself.
     CutShort {
         /// Why they are missing.
         why: String,
@@ -84,7 +84,7 @@
 }
 
 impl Verdict {
-    /// Whether the history was found to have the property. Anything else is no yes.
+    /// Whether the history was found to have the property.
     pub fn is_fine(&self) -> bool {
         matches!(self, Verdict::Fine(_))
     }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Gathers what a checker finds.
+/// Collects the findings of a checker.
 pub(crate) struct Findings<'a> {
     cut: Option<&'a str>,
     first: Option<Finding>,
@@ -126,8 +126,8 @@
         Findings { cut: history.cut.as_deref(), first: None, all: 0 }
     }
 
-    /// Wrong whatever else there may have been.
-    pub(crate) fn certain<'r>(&mut self, what: String, records: impl IntoIterator<Item = &'r Record>) {
+    /// Reports a violation that holds whatever records are missing.
+    pub(crate) fn report<'r>(&mut self, what: String, records: impl IntoIterator<Item = &'r Record>) {
         self.all += 1;
         if self.first.is_none() {
             self.first =
@@ -135,10 +135,14 @@
         }
     }
 
-    /// Wrong only if no record is missing.
-    pub(crate) fn unless_cut<'r>(&mut self, what: String, records: impl IntoIterator<Item = &'r Record>) {
+    /// Reports a violation unless records are missing.
+    pub(crate) fn report_if_complete<'r>(
+        &mut self,
+        what: String,
+        records: impl IntoIterator<Item = &'r Record>,
+    ) {
         if self.cut.is_none() {
-            self.certain(what, records);
+            self.report(what, records);
         }
     }
 
--- a/crates/histories/src/work.rs
+++ b/crates/histories/src/work.rs
@@ -1,4 +1,4 @@
-//! Work: what was accepted has one outcome, the same wherever it is told.
+//! Work: accepted work has one outcome, the same in every answer.
 
 #[cfg(test)]
 mod tests;
@@ -7,20 +7,20 @@
 use crate::verdict::{Figures, Findings, History, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An outcome, and the token of the run of which it was told.
+/// A reported outcome, and the token of the run that it is about.
 type Outcome<'a> = (&'a Record, &'a WorkEnd, Option<u64>);
 
-/// One key's records.
+/// The records of one key.
 #[derive(Default)]
-struct Of<'a> {
+struct KeyRecords<'a> {
     offers: Vec<&'a Record>,
-    told: Vec<Outcome<'a>>,
+    reported: Vec<Outcome<'a>>,
     begun: BTreeMap<u64, (&'a Who, &'a Record)>,
 }
 
 /// Checks all work of a history.
 pub fn check(history: &History) -> Verdict {
-    let (mut keys, mut figures): (BTreeMap<&str, Of>, _) = (BTreeMap::new(), Figures::default());
+    let (mut keys, mut figures): (BTreeMap<&str, KeyRecords>, _) = (BTreeMap::new(), Figures::default());
     let mut findings = Findings::new(history);
     for record in &history.records {
         let key = match &record.op {
@@ -33,74 +33,76 @@
             of.offers.push(record);
         }
         if let Some(Told::Work { end, token }) = record.told() {
-            of.told.push((record, end, *token));
+            of.reported.push((record, end, *token));
         }
         if let (Op::Begun { token, .. }, Came::Ok(_)) = (&record.op, &record.came) {
             let (who, other) = of.begun.entry(*token).or_insert((&record.who, record));
             if **who != record.who {
                 let what = format!("work {key}: {who} and {} began it under token {token}", record.who);
-                findings.certain(what, [*other, record]);
+                findings.report(what, [*other, record]);
             }
         }
     }
     let end = history.end();
     for (key, of) in keys {
         figures.keys += 1;
-        of.one_outcome(key, end, &mut findings);
+        of.check_outcome(key, end, &mut findings);
     }
     findings.verdict(figures)
 }
 
-/// Work that was accepted, and of which nobody was ever told an outcome: what a test says of a history whose clients have asked for all
-/// of it at the end, however long it had been due.
+/// Accepted work whose outcome was never reported. For tests whose clients ask for the outcomes of all work
+/// at the end, whether or not it is due.
 pub fn without_outcome(history: &History) -> Vec<String> {
-    let (mut accepted, mut told) = (BTreeSet::new(), BTreeSet::new());
+    let (mut accepted, mut reported) = (BTreeSet::new(), BTreeSet::new());
     for record in &history.records {
         match (&record.op, record.told()) {
             (Op::Offer { key, .. } | Op::Outcome { key } | Op::Answered { key }, Some(Told::Work { .. })) => {
-                told.insert(key);
+                reported.insert(key);
             }
             (Op::Offer { key, .. }, Some(_)) => drop(accepted.insert(key)),
             _ => {}
         }
     }
-    accepted.difference(&told).map(|key| (*key).clone()).collect()
+    accepted.difference(&reported).map(|key| (*key).clone()).collect()
 }
 
-impl Of<'_> {
-    fn one_outcome(&self, key: &str, end: u64, findings: &mut Findings) {
-        // What never ran under one token may be done under another; all else is said of the key as a whole.
+impl KeyRecords<'_> {
+    fn check_outcome(&self, key: &str, end: u64, findings: &mut Findings) {
+        // Work that never ran under one token may be done under another; any other outcome is about the key
+        // as a whole.
         let of_one = |end: &WorkEnd, token: &Option<u64>| *end == WorkEnd::NeverRan && token.is_some();
-        let against = |(_, one, of): &Outcome, (_, other, of_other): &Outcome| {
+        let conflicts = |(_, one, of): &Outcome, (_, other, of_other): &Outcome| {
             one != other && (!of_one(one, of) && !of_one(other, of_other) || of == of_other)
         };
-        let two = self.told.iter().enumerate().find_map(|(n, told)| {
-            self.told[..n].iter().find(|other| against(told, other)).map(|other| (other, told))
+        let two = self.reported.iter().enumerate().find_map(|(n, reported)| {
+            self.reported[..n].iter().find(|other| conflicts(reported, other)).map(|other| (other, reported))
         });
         if let Some(((first, one, _), (second, other, _))) = two {
-            findings.certain(format!("work {key}: two outcomes, {one:?} and {other:?}"), [*first, *second]);
+            findings.report(format!("work {key}: two outcomes, {one:?} and {other:?}"), [*first, *second]);
         }
         let accepted = self.offers.iter().filter(|offer| offer.told().is_some());
         let due = accepted.filter_map(|offer| match &offer.op {
             Op::Offer { due, .. } => Some((*due, *offer)),
             _ => None,
         });
-        // The latest word of when it is due counts.
+        // The latest due time counts.
         if let Some((due, offer)) = due.max_by_key(|(due, _)| *due)
             && due <= end
-            && self.told.is_empty()
+            && self.reported.is_empty()
         {
-            findings.unless_cut(format!("work {key}: accepted, was due, and has no outcome"), [offer]);
+            findings
+                .report_if_complete(format!("work {key}: accepted, overdue, and has no outcome"), [offer]);
         }
-        for (record, outcome, _) in &self.told {
+        for (record, outcome, _) in &self.reported {
             let before: Vec<&Record> =
-                self.offers.iter().copied().filter(|offer| offer.begin <= record.last()).collect();
+                self.offers.iter().copied().filter(|offer| offer.begin <= record.latest_end()).collect();
             if before.is_empty() {
-                findings.unless_cut(format!("work {key}: an outcome of what nobody had offered"), [*record]);
+                findings.report_if_complete(format!("work {key}: an outcome without an offer"), [*record]);
             } else if **outcome != WorkEnd::NeverRan && before.iter().all(|offer| offer.came == Came::Failed)
             {
-                let what = format!("work {key}: refused, and has an outcome all the same");
-                findings.unless_cut(what, before.into_iter().chain([*record]));
+                let what = format!("work {key}: refused, and still has an outcome");
+                findings.report_if_complete(what, before.into_iter().chain([*record]));
             }
         }
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,5 +1,5 @@
-//! A member of the fleet: the decisions of [`jaspershunt_fleet`] with Raft, a disk and network links. It does not
-//! depend on the nodo.
+//! A member of the fleet: the decisions of [`jaspershunt_fleet`] with Raft, a disk and network
+//! links. It does not depend on the nodo.
 //!
 //! - [`frame`]: messages between members and their encoding.
 //! - [`store`]: a voter's durable state; [`log`]: its log in memory, as the `raft` library reads it.
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -442,8 +442,8 @@
                         .push(Output::Log(format!("does not hold {lease} any more, token {token}"), false));
                 }
                 Action::Report(Event::Superseded) => {
-                    let what = "a later incarnation of this member is in the fleet, or this folder is an older copy: \
-                                this one holds no lease until that one has ended";
+                    let what = "a later incarnation of this member is in the fleet, or this folder is an \
+                                older copy: this one holds no lease until that one has ended";
                     outputs.push(Output::Log(what.to_string(), true));
                 }
             }
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -249,7 +249,7 @@
 fn write(mut writer: Writer<File>, lines: &Receiver<Line>, cut: &AtomicBool) {
     let mut open: BTreeMap<u64, Ticket> = BTreeMap::new();
     let mut told = false;
-    let mut say = |what: &str, written: Result<(), format::NotWritten>| {
+    let mut say = |what: &str, written: Result<(), format::WriteError>| {
         if let (Err(e), false) = (written, std::mem::replace(&mut told, true)) {
             log!(ERROR, "history: {what}: {e}; it can't be judged by what it says");
         }
