--- a/crates/member/src/driver.rs
+++ b/crates/member/src/driver.rs
@@ -72,12 +72,12 @@
     /// The folder with the start counter and the voter's disk.
     pub folder: PathBuf,
     /// Maximum incoming connections.
-    pub links: usize,
+    pub max_connections: usize,
     /// Receives the parts' views for this incarnation.
     pub newest: Option<watch::Sender<Newest>>,
     /// Set to the time of the leader's last answer to this incarnation, in milliseconds of [`now`]; 0 if
     /// there was none.
-    pub heard: Option<Arc<AtomicU64>>,
+    pub last_answer_ms: Option<Arc<AtomicU64>>,
 }
 
 /// The latest view of each part for this incarnation, with its epoch.
@@ -426,7 +426,7 @@
     log: Rc<dyn Fn(String, bool)>,
 ) -> io::Result<()> {
     let me = setup.me.clone();
-    let (inbox, mut heard) = mpsc::channel(INBOX_MESSAGES);
+    let (inbox, mut received) = mpsc::channel(INBOX_MESSAGES);
     let mut dials = Vec::new();
     let others = config.voters.iter().filter(|(name, _)| **name != me.member);
     let voters = others.map(|(name, address)| {
@@ -453,7 +453,7 @@
         let listener = TcpListener::bind(listen)
             .await
             .map_err(|e| io::Error::new(e.kind(), format!("fleet.listen: cannot listen on {listen}: {e}")))?;
-        tasks.spawn_local(accept(links.clone(), listener, config.links));
+        tasks.spawn_local(accept(links.clone(), listener, config.max_connections));
     }
     let disk = votes.then(|| Box::new(Folder(config.folder.clone())) as Box<dyn Disk>);
     let mut ticks = interval(tick(setup.timing));
@@ -467,7 +467,7 @@
     loop {
         let input = tokio::select! {
             _ = ticks.tick() => Input::Tick,
-            Some(heard) = heard.recv() => heard,
+            Some(input) = received.recv() => input,
             Some(ended) = call_ends.recv() => ended,
             Some(order) = orders.recv() => {
                 ticket += 1;
@@ -491,8 +491,8 @@
             }
         };
         let outputs = member.step(now(), unix(), input);
-        if let (Some(heard), Some(at)) = (&config.heard, member.client().last_answer_at()) {
-            heard.store(u64::try_from(at.as_millis()).unwrap_or(u64::MAX), Ordering::Relaxed);
+        if let (Some(last_answer_ms), Some(at)) = (&config.last_answer_ms, member.client().last_answer_at()) {
+            last_answer_ms.store(u64::try_from(at.as_millis()).unwrap_or(u64::MAX), Ordering::Relaxed);
         }
         for output in outputs {
             match output {
@@ -507,7 +507,8 @@
                     spawn_local(async move {
                         let left = until.saturating_sub(now());
                         let outcome = timeout(left, made).await;
-                        let outcome = outcome.unwrap_or_else(|_| CallOutcome::Failed("timed out".into()));
+                        let outcome =
+                            outcome.unwrap_or_else(|_| CallOutcome::Failed("it took too long".into()));
                         let _ = back.send(Input::CallEnded { task, number, outcome }).await;
                     });
                 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -279,7 +279,8 @@
     let (newest, seen) = has_parts.then(|| watch::channel(Newest::new())).unzip();
     let (reads, table) = routes::tables(file, seen.clone()).unzip();
     let heard = table.as_ref().map(|table: &routes::Tables| table.heard.clone());
-    let place = DriverConfig { listen, voters, folder, links: fleet.links, newest, heard };
+    let place =
+        DriverConfig { listen, voters, folder, max_connections: fleet.links, newest, last_answer_ms: heard };
     let targets: BTreeMap<String, (SocketAddr, String)> =
         file.task.iter().map(|(name, task)| (name.clone(), (task.address, task.path.clone()))).collect();
     let (orders, from_nodo) = mpsc::channel(ORDERS);
