--- a/crates/histories/src/folder/tests.rs
+++ b/crates/histories/src/folder/tests.rs
@@ -65,7 +65,7 @@
     };
     for (report, why) in [(report(damage), "line 5 is damaged"), (report(copy), "of the same incarnation")] {
         let cut =
-            |verdict: &Verdict| matches!(verdict, Verdict::CutShort { why: said } if said.contains(why));
+            |verdict: &Verdict| matches!(verdict, Verdict::CutShort { why: found } if found.contains(why));
         // The registers too, because a write may be missing.
         assert!(report.verdicts.iter().all(|(_, verdict)| cut(verdict)), "{report}");
     }
--- a/crates/histories/src/table.rs
+++ b/crates/histories/src/table.rs
@@ -43,11 +43,11 @@
             (Op::Edit { table, edit }, _) => {
                 tables.entry(table).or_default().edits.entry(edit).or_default().tries.push(record);
             }
-            (Op::ReadTable { table }, Came::Ok(Told::Table(told))) => {
-                tables.entry(table).or_default().reads.push((record, told));
+            (Op::ReadTable { table }, Came::Ok(Told::Table(answer))) => {
+                tables.entry(table).or_default().reads.push((record, answer));
             }
-            (Op::SeenTable { table }, Came::Ok(Told::Table(told))) => {
-                tables.entry(table).or_default().seen.push((record, told));
+            (Op::SeenTable { table }, Came::Ok(Told::Table(answer))) => {
+                tables.entry(table).or_default().seen.push((record, answer));
             }
             _ => continue,
         }
@@ -93,8 +93,8 @@
                 order.push(((revision, false), edit.begin(), record.latest_end(), record));
             }
         }
-        for (record, told) in &self.reads {
-            order.push(((told.revision, true), record.begin, record.latest_end(), record));
+        for (record, table) in &self.reads {
+            order.push(((table.revision, true), record.begin, record.latest_end(), record));
         }
         order.sort_by_key(|(place, begin, ..)| (*place, *begin));
         // What began last among lower revisions, and what began last at the current place in the order.
@@ -114,11 +114,11 @@
 
     /// Checks that each table has all edits that it must have, and no others.
     fn check_edits(&self, name: &str, findings: &mut Findings) {
-        let seen = self.seen.iter().filter(|(_, told)| !told.edits.is_empty());
-        let mut told: Vec<(&Record, &Table)> = self.reads.iter().chain(seen).copied().collect();
-        told.sort_by_key(|(record, table)| (table.revision, record.begin));
+        let seen = self.seen.iter().filter(|(_, table)| !table.edits.is_empty());
+        let mut tables: Vec<(&Record, &Table)> = self.reads.iter().chain(seen).copied().collect();
+        tables.sort_by_key(|(record, table)| (table.revision, record.begin));
         let mut before: Option<(&Record, &Table, BTreeSet<&str>)> = None;
-        for (record, table) in told {
+        for (record, table) in tables {
             let at = table.revision;
             let shown: BTreeSet<&str> = table.edits.iter().map(String::as_str).collect();
             for (id, edit) in &self.edits {
@@ -178,9 +178,9 @@
 }
 
 /// Checks that a revision has the same content in all records.
-pub(crate) fn check_content<'a>(of: &str, told: &[(&'a Record, &'a Table)], findings: &mut Findings) {
+pub(crate) fn check_content<'a>(of: &str, tables: &[(&'a Record, &'a Table)], findings: &mut Findings) {
     let mut first: BTreeMap<u64, (&Record, &Table)> = BTreeMap::new();
-    for (record, table) in told {
+    for (record, table) in tables {
         let (other, same) = first.entry(table.revision).or_insert((record, table));
         if same.content != table.content {
             findings.report(format!("{of}: {} has two contents", table.revision), [*other, *record]);
@@ -200,9 +200,9 @@
         ended.sort_by_key(|(record, _)| record.latest_end());
         let (mut ended, mut highest) = (ended.into_iter().peekable(), None::<(&Record, &Table)>);
         for (record, table) in seen {
-            while let Some((before, told)) = ended.next_if(|(before, _)| before.ended_before(record)) {
-                if highest.is_none_or(|(_, high)| high.revision < told.revision) {
-                    highest = Some((before, told));
+            while let Some((before, ended_table)) = ended.next_if(|(before, _)| before.ended_before(record)) {
+                if highest.is_none_or(|(_, high)| high.revision < ended_table.revision) {
+                    highest = Some((before, ended_table));
                 }
             }
             if let Some((before, high)) = highest.filter(|(_, high)| high.revision > table.revision) {
--- a/crates/member/src/voter.rs
+++ b/crates/member/src/voter.rs
@@ -521,7 +521,7 @@
             leader: self.leader().map(str::to_string),
             age_ms: match (&self.leadership, self.leader_heard_at) {
                 (Some(_), _) => Some(0),
-                (None, heard) => heard.map(|heard| ms(now.saturating_sub(heard))),
+                (None, last) => last.map(|last| ms(now.saturating_sub(last))),
             },
             term: self.node.raft.term,
             applied: self.applied.1,
