--- a/crates/member/src/driver.rs
+++ b/crates/member/src/driver.rs
@@ -1,11 +1,12 @@
-//! The member on real sockets, a real disk and a real clock. It belongs on a thread of its own: the disk is waited for, and a nodo
-//! that is crowded to its limits takes no turn from it.
+//! Runs a member on real sockets, a real disk and a real clock. It belongs on a thread of its own, because
+//! disk writes block and an overloaded nodo must not delay it.
 //!
-//! Each member dials the voters; a voter answers over the connection on which it was asked, so that those that do not vote need no
-//! listener. What cannot be sent at once is dropped: all that members say is said again.
+//! Each member connects to the voters. A voter answers over the connection on which a request came, so
+//! members without a vote need no listener. A message that cannot be sent at once is dropped, since every
+//! message is repeated by its sender.
 
-use crate::frame::{self, Envelope, MAX_FRAME, Said, Shown, encode};
-use crate::member::{Disk, Input, Member, Output, Setup, To, tick};
+use crate::frame::{self, Envelope, MAX_FRAME_BYTES, Message, StateReport, encode};
+use crate::member::{Disk, Input, Member, Output, Recipient, Setup, tick};
 use crate::store::StoreError;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -32,83 +33,85 @@
 use tokio::time::{Instant, interval, sleep, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Messages that have come and wait for the member.
-const INBOX: usize = 1024;
-/// Messages that wait to be written to one connection; more are dropped.
-const OUTBOX: usize = 256;
-/// Until a connection stands.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
-/// Between two attempts to connect.
-const CONNECT_EVERY: Duration = Duration::from_millis(100);
-/// On a connection over which nothing else goes a member says so often that it is here: well within [`IDLE`].
-const HERE_EVERY: Duration = Duration::from_secs(30);
-/// Who connects has so long for a first message.
-const FIRST_WITHIN: Duration = Duration::from_secs(2);
-/// A connection on which nothing came for so long is closed.
-const IDLE: Duration = Duration::from_secs(120);
-/// A message that nobody reads is given up with its connection.
-const WRITE_WITHIN: Duration = Duration::from_secs(5);
-/// The longest frame of one that has not shown that it is a voter: what others say is short.
-const SHORT_FRAME: usize = 64 * 1024;
-/// Operators' questions that wait.
-const MOST_TICKETS: usize = 64;
-/// Entries of operators and of the nodo that wait: half of what a member has room for ([`jaspershunt_fleet::client::MAX_PROPOSALS`]),
-/// so that its own find some.
-const MOST_PROPOSED: usize = 512;
-/// The voter's disk, in the folder.
-const VOTER: &str = "voter.redb";
-/// How often this member was started.
-const STARTS: &str = "starts";
+/// Received messages that are queued for the member.
+const INBOX_MESSAGES: usize = 1024;
+/// Messages that are queued for one connection; more are dropped.
+const OUTBOX_MESSAGES: usize = 256;
+/// Time limit for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay between two connection attempts.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Interval of keep-alive messages on an idle connection, well within [`IDLE_TIMEOUT`].
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(30);
+/// Time limit for the first message on an incoming connection.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// An incoming connection on which nothing arrives for this time is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Time limit for writing a message, after which the connection is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum frame size on a connection whose peer has not identified itself as a voter; other members only
+/// send short messages.
+const SHORT_FRAME_BYTES: usize = 64 * 1024;
+/// Maximum pending state queries of operators.
+const MAX_STATE_QUERIES: usize = 64;
+/// Maximum pending proposals of operators and of the nodo: half of what a member accepts
+/// ([`jaspershunt_fleet::client::MAX_PROPOSALS`]), to leave room for the member's own.
+const MAX_PROPOSALS: usize = 512;
+/// The file of the voter's disk, in the member's folder.
+const VOTER_FILE: &str = "voter.redb";
+/// The file that counts the starts of this member.
+const STARTS_FILE: &str = "starts";
 
-/// Where a member stands.
+/// Addresses, files and channels of a member.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// Where others connect, if this member votes.
+pub struct DriverConfig {
+    /// The address on which a voter listens.
     pub listen: Option<SocketAddr>,
-    /// Where the voters are.
+    /// The addresses of the voters.
     pub voters: BTreeMap<String, SocketAddr>,
-    /// What lasts of it: how often it was started, and the voter's disk.
+    /// The folder with the start counter and the voter's disk.
     pub folder: PathBuf,
-    /// Connections of others at once.
-    pub links: usize,
-    /// Who is to hear what parts of the agreed state show this start.
+    /// Maximum incoming connections.
+    pub max_connections: usize,
+    /// Receives the parts' views for this incarnation.
     pub newest: Option<watch::Sender<Newest>>,
-    /// Where it is kept when the one that leads last answered this start, in milliseconds of [`now`]; 0: never.
-    pub heard: Option<Arc<AtomicU64>>,
+    /// Set to the time of the leader's last answer to this incarnation, in milliseconds of [`now`]; 0 if
+    /// there was none.
+    pub last_answer_ms: Option<Arc<AtomicU64>>,
 }
 
-/// What each part of the agreed state shows this start, with its epoch: the newest alone.
+/// The latest view of each part for this incarnation, with its epoch.
 pub type Newest = BTreeMap<String, (u64, Arc<[u8]>)>;
 
-/// What came of an entry.
+/// The outcome of a proposal.
 #[derive(Debug)]
 pub struct Settled {
-    /// `None` if nobody knows.
+    /// `None` if the outcome is unknown.
     pub outcome: Option<Outcome>,
-    /// It was said more than once: where this outcome is a refusal, another copy may be agreed yet.
-    pub again: bool,
+    /// The proposal was sent more than once: after a refusal, another copy may still be committed.
+    pub sent_again: bool,
 }
 
-/// What operators and the nodo want.
+/// Commands of operators and of the nodo.
 #[derive(Debug)]
 pub enum Order {
-    /// Have an entry agreed.
+    /// Propose an entry.
     Propose {
         /// The entry.
         entry: Entry,
-        /// Told what came of it.
+        /// Receives the outcome.
         answer: oneshot::Sender<Settled>,
     },
-    /// Show the agreed state.
+    /// Query the replicated state.
     Show {
-        /// Told it.
-        answer: oneshot::Sender<Box<Shown>>,
+        /// Receives the state.
+        answer: oneshot::Sender<Box<StateReport>>,
     },
-    /// Give up what is held, and end.
+    /// Release all leases, and end.
     Leave,
 }
 
-/// A monotone clock that goes on while the machine sleeps.
+/// A monotonic clock that also counts the time during which the machine is suspended.
 pub fn now() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -119,21 +122,25 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Drawn by the system.
+/// A random number, seeded by the operating system.
 pub fn random() -> u64 {
     RandomState::new().hash_one(0u8)
 }
 
-/// The incarnation of this start: grows with each one, and two that were given the same count by a folder put back differ.
+/// The number of a new incarnation. It grows with each start, and its random half differs if a restored
+/// folder repeats a count.
 ///
 /// # Errors
 /// The folder cannot be read or written.
 pub fn incarnation(folder: &Path) -> io::Result<u64> {
     std::fs::create_dir_all(folder)?;
-    let (path, fresh) = (folder.join(STARTS), folder.join("starts.new"));
+    let (path, fresh) = (folder.join(STARTS_FILE), folder.join("starts.new"));
     let starts: u64 = match std::fs::read_to_string(&path) {
         Ok(text) => text.trim().parse().map_err(|_| {
-            io::Error::new(io::ErrorKind::InvalidData, format!("{} holds no number", path.display()))
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                format!("{} does not contain a number", path.display()),
+            )
         })?,
         Err(e) if e.kind() == io::ErrorKind::NotFound => 0,
         Err(e) => return Err(e),
@@ -146,16 +153,16 @@
     Ok(starts << 32 | random() >> 32)
 }
 
-/// The voter's disk: a file in the folder.
+/// The voter's disk: a file in this folder.
 pub struct Folder(pub PathBuf);
 
 impl Disk for Folder {
     fn open(&mut self) -> Result<Box<dyn StorageBackend>, StoreError> {
         let open = || {
             std::fs::create_dir_all(&self.0)?;
-            let path = self.0.join(VOTER);
+            let path = self.0.join(VOTER_FILE);
             let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
-            // So that the file itself is still there after a loss of power.
+            // Syncs the folder, so that the file's directory entry survives a power loss.
             File::open(&self.0)?.sync_all()?;
             Ok::<File, io::Error>(file)
         };
@@ -168,32 +175,32 @@
     }
 
     fn set_aside(&mut self) -> Result<(), StoreError> {
-        let (from, to) = (self.0.join(VOTER), self.0.join("voter.older.redb"));
+        let (from, to) = (self.0.join(VOTER_FILE), self.0.join("voter.older.redb"));
         std::fs::rename(from, to).map_err(|e| StoreError::Disk(e.to_string()))
     }
 }
 
 type Outbox = mpsc::Sender<Bytes>;
 
-/// The ways to others.
+/// The connections to other members.
 struct Links {
     fleet: String,
-    /// Those that were dialled, by voter.
+    /// Outgoing connections, by voter.
     voters: BTreeMap<String, Outbox>,
-    /// Those over which others came: the last one over which each start said something.
+    /// Incoming connections: the last one on which each incarnation sent a message.
     holders: RefCell<HashMap<Holder, Outbox>>,
     inbox: mpsc::Sender<Input>,
-    complaints: Complaints,
+    connection_log: ConnectionLog,
 }
 
-/// One line a second at most about connections that were closed.
-struct Complaints {
+/// Logs closed connections, at most one line a second.
+struct ConnectionLog {
     last: RefCell<(Option<Instant>, u64)>,
     log: Rc<dyn Fn(String, bool)>,
 }
 
-impl Complaints {
-    fn tell(&self, what: impl FnOnce() -> String) {
+impl ConnectionLog {
+    fn warn(&self, what: impl FnOnce() -> String) {
         let mut last = self.last.borrow_mut();
         let now = Instant::now();
         if last.0.is_some_and(|at| now - at < Duration::from_secs(1)) {
@@ -208,176 +215,187 @@
 }
 
 impl Links {
-    fn send(&self, to: &To, bytes: Bytes) {
+    fn send(&self, to: &Recipient, bytes: Bytes) {
         let holders = self.holders.borrow();
         let outbox = match to {
-            To::Voter(name) => self.voters.get(name),
-            To::Holder(holder) => holders.get(holder).or_else(|| self.voters.get(&holder.member)),
+            Recipient::Voter(name) => self.voters.get(name),
+            Recipient::Holder(holder) => holders.get(holder).or_else(|| self.voters.get(&holder.member)),
         };
-        // What does not fit is said again.
+        // A message that does not fit is dropped; its sender repeats it.
         let _ = outbox.map(|outbox| outbox.try_send(bytes));
     }
 
-    /// Takes in a frame; who spoke, or why the connection is closed.
+    /// Handles a frame; returns the sender, or why the connection must be closed.
     async fn take(&self, bytes: &[u8]) -> Result<Holder, String> {
-        let Envelope { from, said, .. } = frame::decode(bytes, &self.fleet).map_err(|e| e.to_string())?;
-        // A full inbox holds up this connection alone.
+        let Envelope { from, message, .. } = frame::decode(bytes, &self.fleet).map_err(|e| e.to_string())?;
+        // A full inbox blocks only this connection.
         self.inbox
-            .send(Input::Heard { from: from.clone(), said })
+            .send(Input::Received { from: from.clone(), message })
             .await
-            .map_err(|_| "this member has ended".to_string())?;
+            .map_err(|_| "this member has stopped".to_string())?;
         Ok(from)
     }
 }
 
-fn codec(longest: usize) -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(longest).new_codec()
+fn codec(max_bytes: usize) -> LengthDelimitedCodec {
+    LengthDelimitedCodec::builder().max_frame_length(max_bytes).new_codec()
 }
 
-/// Keeps a connection to a voter.
+/// Connects to a voter, and reconnects whenever the connection is lost.
 async fn dial(
     links: Rc<Links>,
     voter: String,
     address: SocketAddr,
     mut outbox: mpsc::Receiver<Bytes>,
-    here: Bytes,
+    keep_alive: Bytes,
 ) {
     loop {
-        let stream = match timeout(CONNECT_WITHIN, TcpStream::connect(address)).await {
+        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             _ => {
-                sleep(CONNECT_EVERY).await;
+                sleep(CONNECT_RETRY_DELAY).await;
                 continue;
             }
         };
-        // What waited for the connection is old by now.
+        // Messages that were queued while there was no connection are outdated.
         while outbox.try_recv().is_ok() {}
         let _ = stream.set_nodelay(true);
         let (read, write_half) = stream.into_split();
-        let mut reader = FramedRead::new(read, codec(MAX_FRAME));
-        let writer = FramedWrite::new(write_half, codec(MAX_FRAME));
+        let mut reader = FramedRead::new(read, codec(MAX_FRAME_BYTES));
+        let writer = FramedWrite::new(write_half, codec(MAX_FRAME_BYTES));
         let reading = async {
             while let Some(Ok(bytes)) = reader.next().await {
                 if let Err(why) = links.take(&bytes).await {
-                    links.complaints.tell(|| format!("the link to {address} is closed: {why}"));
+                    links.connection_log.warn(|| format!("the link to {address} is closed: {why}"));
                     return;
                 }
             }
         };
         // The queue outlives the connection.
-        let mut writing = std::pin::pin!(pump(writer, &mut outbox, Some(&here)));
+        let mut writing = std::pin::pin!(write_frames(writer, &mut outbox, Some(&keep_alive)));
         tokio::select! {
             () = reading => {}
             () = &mut writing => {}
         }
-        // A full inbox has more to say than this.
-        let _ = links.inbox.try_send(Input::LostSight { voter: voter.clone() });
-        sleep(CONNECT_EVERY).await;
+        // If the inbox is full, this event is dropped.
+        let _ = links.inbox.try_send(Input::ConnectionLost { voter: voter.clone() });
+        sleep(CONNECT_RETRY_DELAY).await;
     }
 }
 
-async fn pump(
+async fn write_frames(
     mut writer: FramedWrite<tokio::net::tcp::OwnedWriteHalf, LengthDelimitedCodec>,
     outbox: &mut mpsc::Receiver<Bytes>,
-    here: Option<&Bytes>,
+    keep_alive: Option<&Bytes>,
 ) {
-    let mut next = here.cloned();
+    let mut next = keep_alive.cloned();
     loop {
         let bytes = match next.take() {
             Some(bytes) => bytes,
-            None => match (timeout(HERE_EVERY, outbox.recv()).await, here) {
+            None => match (timeout(KEEP_ALIVE_INTERVAL, outbox.recv()).await, keep_alive) {
                 (Ok(Some(bytes)), _) => bytes,
                 (Ok(None), _) => return,
-                (Err(_), Some(here)) => here.clone(),
+                (Err(_), Some(keep_alive)) => keep_alive.clone(),
                 (Err(_), None) => continue,
             },
         };
-        if !matches!(timeout(WRITE_WITHIN, writer.send(bytes)).await, Ok(Ok(()))) {
+        if !matches!(timeout(WRITE_TIMEOUT, writer.send(bytes)).await, Ok(Ok(()))) {
             return;
         }
     }
 }
 
-/// The connections of others.
+/// The incoming connections, with whether a message has arrived on each.
 #[derive(Default)]
-struct Guests {
-    here: RefCell<BTreeMap<u64, (Rc<Notify>, bool)>>,
+struct InboundConnections {
+    open: RefCell<BTreeMap<u64, (Rc<Notify>, bool)>>,
 }
 
-/// Takes connections of others.
-async fn accept(links: Rc<Links>, listener: TcpListener, most: usize) {
-    let guests = Rc::new(Guests::default());
+/// Accepts incoming connections.
+async fn accept(links: Rc<Links>, listener: TcpListener, max_connections: usize) {
+    let inbound = Rc::new(InboundConnections::default());
     for number in 0u64.. {
         let Ok((stream, peer)) = listener.accept().await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        if guests.here.borrow().len() >= most {
-            // Guards against connections that say nothing: the oldest of them makes room, and nobody who has spoken does.
-            let silent = guests
-                .here
+        if inbound.open.borrow().len() >= max_connections {
+            // Guards against connections that send nothing: the oldest of them is closed; one on which a
+            // message arrived never is.
+            let silent = inbound
+                .open
                 .borrow()
                 .iter()
-                .find(|(_, (_, spoke))| !spoke)
-                .map(|(n, (go, _))| (*n, go.clone()));
+                .find(|(_, (_, has_sent))| !has_sent)
+                .map(|(n, (close, _))| (*n, close.clone()));
             match silent {
-                Some((silent, go)) => {
-                    go.notify_one();
-                    guests.here.borrow_mut().remove(&silent);
-                    links.complaints.tell(|| "a connection that said nothing makes room".to_string());
+                Some((silent, close)) => {
+                    close.notify_one();
+                    inbound.open.borrow_mut().remove(&silent);
+                    links
+                        .connection_log
+                        .warn(|| "a connection without a message makes room for a new one".to_string());
                 }
                 None => {
-                    links.complaints.tell(|| format!("{most} members are connected; {peer} is turned away"));
+                    links
+                        .connection_log
+                        .warn(|| format!("{max_connections} members are connected; refused {peer}"));
                     continue;
                 }
             }
         }
-        let go = Rc::new(Notify::new());
-        guests.here.borrow_mut().insert(number, (go.clone(), false));
-        let (links, guests) = (links.clone(), guests.clone());
+        let close = Rc::new(Notify::new());
+        inbound.open.borrow_mut().insert(number, (close.clone(), false));
+        let (links, inbound) = (links.clone(), inbound.clone());
         spawn_local(async move {
             tokio::select! {
-                why = attend(&links, &guests, number, stream) => {
+                why = serve_connection(&links, &inbound, number, stream) => {
                     if let Err(why) = why {
-                        links.complaints.tell(|| format!("the link of {peer} is closed: {why}"));
+                        links.connection_log.warn(|| format!("the link from {peer} is closed: {why}"));
                     }
                 }
-                () = go.notified() => {}
+                () = close.notified() => {}
             }
-            guests.here.borrow_mut().remove(&number);
+            inbound.open.borrow_mut().remove(&number);
         });
     }
 }
 
-/// One connection of another.
-async fn attend(links: &Links, guests: &Guests, number: u64, stream: TcpStream) -> Result<(), String> {
+/// Serves one incoming connection.
+async fn serve_connection(
+    links: &Links,
+    inbound: &InboundConnections,
+    number: u64,
+    stream: TcpStream,
+) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
     let (read, write_half) = stream.into_split();
-    let mut reader = FramedRead::new(read, codec(SHORT_FRAME));
-    let (out, mut outbox) = mpsc::channel(OUTBOX);
-    let mut writing = std::pin::pin!(pump(FramedWrite::new(write_half, codec(MAX_FRAME)), &mut outbox, None));
-    let mut within = FIRST_WITHIN;
-    let mut spoke: Option<Holder> = None;
+    let mut reader = FramedRead::new(read, codec(SHORT_FRAME_BYTES));
+    let (out, mut outbox) = mpsc::channel(OUTBOX_MESSAGES);
+    let mut writing =
+        std::pin::pin!(write_frames(FramedWrite::new(write_half, codec(MAX_FRAME_BYTES)), &mut outbox, None));
+    let mut read_timeout = FIRST_MESSAGE_TIMEOUT;
+    let mut peer_holder: Option<Holder> = None;
     let reading = async {
         loop {
-            let next = timeout(within, reader.next()).await;
+            let next = timeout(read_timeout, reader.next()).await;
             let bytes = match next {
-                Err(_) => return Err(format!("it said nothing for {within:?}")),
+                Err(_) => return Err(format!("no message for {read_timeout:?}")),
                 Ok(None) => return Ok(()),
                 Ok(Some(Err(e))) => return Err(e.to_string()),
                 Ok(Some(Ok(bytes))) => bytes,
             };
             let from = links.take(&bytes).await?;
-            if spoke.as_ref() != Some(&from) {
+            if peer_holder.as_ref() != Some(&from) {
                 if links.voters.contains_key(&from.member) {
-                    reader.decoder_mut().set_max_frame_length(MAX_FRAME);
+                    reader.decoder_mut().set_max_frame_length(MAX_FRAME_BYTES);
                 }
-                if let Some((_, said)) = guests.here.borrow_mut().get_mut(&number) {
-                    *said = true;
+                if let Some((_, has_sent)) = inbound.open.borrow_mut().get_mut(&number) {
+                    *has_sent = true;
                 }
-                within = IDLE;
+                read_timeout = IDLE_TIMEOUT;
                 links.holders.borrow_mut().insert(from.clone(), out.clone());
-                spoke = Some(from);
+                peer_holder = Some(from);
             }
         }
     };
@@ -385,9 +403,9 @@
         ended = reading => ended,
         () = &mut writing => Ok(()),
     };
-    if let Some(holder) = spoke {
+    if let Some(holder) = peer_holder {
         let mut holders = links.holders.borrow_mut();
-        // It may have come again over another connection.
+        // The peer may have reconnected meanwhile.
         if holders.get(&holder).is_some_and(|other| other.same_channel(&out)) {
             holders.remove(&holder);
         }
@@ -395,113 +413,115 @@
     ended
 }
 
-/// Runs a member until it is told to leave and has left, or for ever. Needs a local set. `call` makes the calls of tasks for this start, `log` writes
-/// a line, with `true` where operators should look.
+/// Runs a member until it has left, which [`Order::Leave`] requests. Needs a local set. `call` performs the
+/// calls of tasks for this incarnation; `log` writes a line, with `true` for a warning.
 ///
 /// # Errors
-/// The address cannot be had.
+/// The address cannot be bound.
 pub async fn run<C: Future<Output = CallOutcome> + 'static>(
     setup: Setup,
-    place: Place,
+    config: DriverConfig,
     mut orders: mpsc::Receiver<Order>,
     call: impl Fn(Holder, Call) -> C + 'static,
     log: Rc<dyn Fn(String, bool)>,
 ) -> io::Result<()> {
     let me = setup.me.clone();
-    let (inbox, mut heard) = mpsc::channel(INBOX);
+    let (inbox, mut received) = mpsc::channel(INBOX_MESSAGES);
     let mut dials = Vec::new();
-    let others = place.voters.iter().filter(|(name, _)| **name != me.member);
+    let others = config.voters.iter().filter(|(name, _)| **name != me.member);
     let voters = others.map(|(name, address)| {
-        let (out, outbox) = mpsc::channel(OUTBOX);
+        let (out, outbox) = mpsc::channel(OUTBOX_MESSAGES);
         dials.push((name.clone(), *address, outbox));
         (name.clone(), out)
     });
-    let complaints = Complaints { last: RefCell::new((None, 0)), log: log.clone() };
+    let connection_log = ConnectionLog { last: RefCell::new((None, 0)), log: log.clone() };
     let links = Rc::new(Links {
         fleet: setup.fleet.clone(),
         voters: voters.collect(),
         holders: RefCell::default(),
         inbox,
-        complaints,
+        connection_log,
     });
-    let here = Envelope { fleet: setup.fleet.clone(), from: me.clone(), said: Said::Here };
-    let here: Bytes = encode(&here).into();
+    let keep_alive = Envelope { fleet: setup.fleet.clone(), from: me.clone(), message: Message::KeepAlive };
+    let keep_alive: Bytes = encode(&keep_alive).into();
     let mut tasks = tokio::task::JoinSet::new();
     for (voter, address, outbox) in dials {
-        tasks.spawn_local(dial(links.clone(), voter, address, outbox, here.clone()));
+        tasks.spawn_local(dial(links.clone(), voter, address, outbox, keep_alive.clone()));
     }
-    let votes = place.voters.contains_key(&me.member);
-    if votes && let Some(listen) = place.listen {
+    let votes = config.voters.contains_key(&me.member);
+    if votes && let Some(listen) = config.listen {
         let listener = TcpListener::bind(listen)
             .await
             .map_err(|e| io::Error::new(e.kind(), format!("fleet.listen: cannot listen on {listen}: {e}")))?;
-        tasks.spawn_local(accept(links.clone(), listener, place.links));
+        tasks.spawn_local(accept(links.clone(), listener, config.max_connections));
     }
-    let disk = votes.then(|| Box::new(Folder(place.folder.clone())) as Box<dyn Disk>);
-    let mut ticks = interval(tick(setup.terms));
+    let disk = votes.then(|| Box::new(Folder(config.folder.clone())) as Box<dyn Disk>);
+    let mut ticks = interval(tick(setup.timing));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let fleet = setup.fleet.clone();
     let mut member = Member::new(setup, disk, Box::new(random), now());
-    let (came_in, mut came) = mpsc::channel(INBOX);
-    let mut settles: HashMap<u64, oneshot::Sender<Settled>> = HashMap::new();
-    let mut shows: HashMap<u64, oneshot::Sender<Box<Shown>>> = HashMap::new();
+    let (ended_calls, mut call_ends) = mpsc::channel(INBOX_MESSAGES);
+    let mut proposals: HashMap<u64, oneshot::Sender<Settled>> = HashMap::new();
+    let mut state_queries: HashMap<u64, oneshot::Sender<Box<StateReport>>> = HashMap::new();
     let mut ticket = 0;
     loop {
         let input = tokio::select! {
-            _ = ticks.tick() => Input::Woke,
-            Some(heard) = heard.recv() => heard,
-            Some(came) = came.recv() => came,
+            _ = ticks.tick() => Input::Tick,
+            Some(input) = received.recv() => input,
+            Some(ended) = call_ends.recv() => ended,
             Some(order) = orders.recv() => {
                 ticket += 1;
-                settles.retain(|_, answer| !answer.is_closed());
-                shows.retain(|_, answer| !answer.is_closed());
+                proposals.retain(|_, answer| !answer.is_closed());
+                state_queries.retain(|_, answer| !answer.is_closed());
                 match order {
                     Order::Leave => Input::Leave,
-                    // Who finds no room hears at once that its question was dropped.
-                    Order::Propose { .. } if settles.len() >= MOST_PROPOSED => continue,
-                    Order::Show { .. } if shows.len() >= MOST_TICKETS => continue,
+                    // Dropping the order closes its answer channel, which tells the caller at once that it
+                    // was refused.
+                    Order::Propose { .. } if proposals.len() >= MAX_PROPOSALS => continue,
+                    Order::Show { .. } if state_queries.len() >= MAX_STATE_QUERIES => continue,
                     Order::Propose { entry, answer } => {
-                        settles.insert(ticket, answer);
+                        proposals.insert(ticket, answer);
                         Input::Propose { ticket, entry }
                     }
                     Order::Show { answer } => {
-                        shows.insert(ticket, answer);
-                        Input::Show { ticket }
+                        state_queries.insert(ticket, answer);
+                        Input::QueryState { ticket }
                     }
                 }
             }
         };
         let outputs = member.step(now(), unix(), input);
-        if let (Some(heard), Some(at)) = (&place.heard, member.client().last_answer_at()) {
-            heard.store(u64::try_from(at.as_millis()).unwrap_or(u64::MAX), Ordering::Relaxed);
+        if let (Some(last_answer_ms), Some(at)) = (&config.last_answer_ms, member.client().last_answer_at()) {
+            last_answer_ms.store(u64::try_from(at.as_millis()).unwrap_or(u64::MAX), Ordering::Relaxed);
         }
         for output in outputs {
             match output {
-                Output::Say { to, said } => {
-                    let envelope = Envelope { fleet: fleet.clone(), from: me.clone(), said };
+                Output::Send { to, message } => {
+                    let envelope = Envelope { fleet: fleet.clone(), from: me.clone(), message };
                     links.send(&to, encode(&envelope).into());
                 }
                 Output::Call(wanted) => {
                     let (task, number, until) = (wanted.task.clone(), wanted.number, wanted.until);
                     let made = call(me.clone(), wanted);
-                    let back = came_in.clone();
+                    let back = ended_calls.clone();
                     spawn_local(async move {
                         let left = until.saturating_sub(now());
-                        let came = timeout(left, made).await;
-                        let came = came.unwrap_or_else(|_| CallOutcome::Failed("it took too long".into()));
-                        let _ = back.send(Input::Called { task, number, came }).await;
+                        let outcome = timeout(left, made).await;
+                        let outcome =
+                            outcome.unwrap_or_else(|_| CallOutcome::Failed("it took too long".into()));
+                        let _ = back.send(Input::CallEnded { task, number, outcome }).await;
                     });
                 }
                 // An error means that the caller has gone.
-                Output::Settled { ticket, outcome, again } => {
-                    let settled = Settled { outcome, again };
-                    let _ = settles.remove(&ticket).map(|answer| answer.send(settled));
+                Output::Settled { ticket, outcome, sent_again } => {
+                    let settled = Settled { outcome, sent_again };
+                    let _ = proposals.remove(&ticket).map(|answer| answer.send(settled));
                 }
-                Output::Shown { ticket, shown } => {
-                    let _ = shows.remove(&ticket).map(|answer| answer.send(shown));
+                Output::StateReport { ticket, report } => {
+                    let _ = state_queries.remove(&ticket).map(|answer| answer.send(report));
                 }
                 Output::Part { name, epoch, bytes } => {
-                    if let Some(newest) = &place.newest {
+                    if let Some(newest) = &config.newest {
                         newest.send_modify(|newest| drop(newest.insert(name, (epoch, bytes.into()))));
                     }
                 }
--- a/crates/member/src/store.rs
+++ b/crates/member/src/store.rs
@@ -1,10 +1,11 @@
-//! What a voter has promised, on disk: the number of its disk, its life, its vote, its log and a snapshot of the agreed state. A
-//! database of `redb` over a [`StorageBackend`], which is a file, or a simulated disk that forgets, tears and fails.
+//! A voter's durable state: its identity, its vote, its log and a snapshot of the replicated state, in a
+//! `redb` database over a [`StorageBackend`]. The backend is a file, or a simulated disk that loses, tears
+//! and fails writes.
 //!
-//! What [`Store::write`] returned for is durable, all of it or nothing. After an error the store writes nothing more: what is on disk
-//! is not known until it is opened anew.
+//! [`Store::write`] is atomic, and durable once it returns. After an error the store writes nothing more:
+//! what is on disk is unknown until it is opened again.
 
-use crate::frame::{Conf, LogEntry, Snapshot};
+use crate::frame::{LogEntry, Membership, Snapshot};
 use jaspershunt_fleet::disk_rollback::KnownIncarnation;
 use jaspershunt_fleet::mutants::{Mutant, is_active};
 use raft::eraftpb::{Entry, HardState};
@@ -14,48 +15,50 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Bytes of memory that the database may take for pages that it has read or is about to write.
-const CACHE: usize = 2 * 1024 * 1024;
-/// The form of what is written. A later one is refused by name.
-const FORM: u32 = 1;
+/// Memory for the database's page cache.
+const CACHE_BYTES: usize = 2 * 1024 * 1024;
+/// The version of the stored format. Other versions are refused with an error that names them.
+const FORMAT_VERSION: u32 = 1;
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const IDENTITY: &str = "identity";
 const HARD: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
-const LIVES: &str = "lives";
+const INCARNATIONS: &str = "lives";
 
 /// Why a store cannot be used.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The disk, or what is on it.
+    /// The disk, or the data on it, is faulty.
     Disk(String),
     /// Another process has it open.
     InUse,
-    /// It belongs to another member, or another fleet.
-    Other {
-        /// To which fleet.
+    /// It belongs to another member or another fleet.
+    WrongOwner {
+        /// The fleet of the owner.
         fleet: String,
-        /// To which member.
+        /// The member that owns it.
         member: String,
     },
-    /// A later program has written it.
-    Form(u32),
-    /// Entries of this part of the agreed state went by while the program did not know it.
-    Behind(String),
+    /// It has another format version.
+    FormatVersion(u32),
+    /// Entries of this part of the replicated state were applied while the program did not know the part.
+    PartOutdated(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::Disk(what) => write!(f, "the disk fails: {what}"),
+            StoreError::Disk(what) => write!(f, "disk error: {what}"),
             StoreError::InUse => f.write_str("another process has it open"),
-            StoreError::Other { fleet, member } => {
+            StoreError::WrongOwner { fleet, member } => {
                 write!(f, "it belongs to the member {member:?} of the fleet {fleet:?}")
             }
-            StoreError::Behind(part) => write!(f, "what it has of {part:?} is not what is agreed"),
-            StoreError::Form(form) => write!(f, "it has form {form}, this program knows {FORM}"),
+            StoreError::PartOutdated(part) => write!(f, "its state of the part {part:?} is outdated"),
+            StoreError::FormatVersion(format_version) => {
+                write!(f, "its format version is {format_version}, this program supports {FORMAT_VERSION}")
+            }
         }
     }
 }
@@ -66,64 +69,64 @@
     StoreError::Disk(e.to_string())
 }
 
-/// Whose it is.
+/// Who owns a disk, and which incarnation uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    form: u32,
+    format_version: u32,
     /// The fleet's name.
     pub fleet: String,
-    /// The member's.
+    /// The member's name.
     pub member: String,
-    /// The number of this disk, drawn when it was founded.
+    /// The disk's id, drawn at random when it was created.
     pub disk: u64,
-    /// Which start this is.
-    pub life: u64,
-    /// Drawn for this start.
+    /// How often the disk was opened.
+    pub incarnation: u64,
+    /// Random number of this incarnation.
     pub nonce: u64,
 }
 
-/// What was found.
+/// The state that was read from the disk.
 #[derive(Debug)]
-pub struct Found {
-    /// Whose it is, with this start's life.
+pub struct StoredState {
+    /// The identity, with the new incarnation.
     pub identity: Identity,
-    /// The term, the vote and how far is agreed.
+    /// The term, the vote and the commit index.
     pub hard: HardState,
-    /// The state at the beginning of the log.
+    /// The state before the first entry of the log.
     pub snapshot: Snapshot,
-    /// The log behind it.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// What is known of the lives of other disks.
-    pub lives: BTreeMap<u64, KnownIncarnation>,
-    /// There was nothing there: the disk is founded now.
+    /// What is known of other disks' incarnations.
+    pub incarnations: BTreeMap<u64, KnownIncarnation>,
+    /// Whether the disk was empty and has been initialized.
     pub is_new: bool,
 }
 
-/// What is to be written in one go.
+/// Changes that are written in one transaction.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    /// The term, the vote and how far is agreed.
+    /// The term, the vote and the commit index.
     pub hard: Option<HardState>,
-    /// Entries; those from the first of them on make way.
+    /// Entries to append; stored entries from the index of the first one on are deleted.
     pub entries: Vec<Entry>,
-    /// The log begins anew at this, and what it covers is let go; with `true` all of the log goes.
+    /// A new snapshot; the entries that it covers are deleted, or with `true` the whole log.
     pub snapshot: Option<(Snapshot, bool)>,
-    /// What is known of the lives of other disks.
-    pub lives: Option<BTreeMap<u64, KnownIncarnation>>,
+    /// What is known of other disks' incarnations.
+    pub incarnations: Option<BTreeMap<u64, KnownIncarnation>>,
 }
 
-/// A store that is open.
+/// An open store.
 pub struct Store {
     database: Database,
     failed: bool,
     last: u64,
 }
 
-/// Any backend.
+/// Adapts a boxed backend to the generic interface of `redb`.
 #[derive(Debug)]
-struct Boxed(Box<dyn StorageBackend>);
+struct BoxedBackend(Box<dyn StorageBackend>);
 
-impl StorageBackend for Boxed {
+impl StorageBackend for BoxedBackend {
     fn len(&self) -> Result<u64, std::io::Error> {
         self.0.len()
     }
@@ -146,7 +149,7 @@
 }
 
 fn bytes(value: &impl Serialize) -> Vec<u8> {
-    // Writing into memory fails for nothing that is kept here.
+    // Serializing these types into memory does not fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
@@ -159,18 +162,19 @@
 }
 
 impl Store {
-    /// Opens a store, or founds it where there is nothing, and writes down that it was started once more. `random` is drawn anew for
-    /// each start.
+    /// Opens a store, initializes it if it is empty, and records a new incarnation. `random` must be drawn
+    /// anew for each incarnation.
     ///
     /// # Errors
-    /// It cannot be used.
+    /// The disk cannot be used.
     pub fn open(
         backend: Box<dyn StorageBackend>,
         fleet: &str,
         member: &str,
         random: [u64; 2],
-    ) -> Result<(Store, Found), StoreError> {
-        let database = Database::builder().set_cache_size(CACHE).create_with_backend(Boxed(backend));
+    ) -> Result<(Store, StoredState), StoreError> {
+        let database =
+            Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(BoxedBackend(backend));
         let database = database.map_err(|e| match e {
             redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse,
             e => disk(e),
@@ -183,74 +187,75 @@
             let is_new = identity.is_none();
             let [number, nonce] = random;
             let mut identity = identity.unwrap_or_else(|| Identity {
-                form: FORM,
+                format_version: FORMAT_VERSION,
                 fleet: fleet.to_string(),
                 member: member.to_string(),
-                // No voter has the number 0.
+                // 0 is not a valid id in `raft`.
                 disk: number.max(1),
-                life: 0,
+                incarnation: 0,
                 nonce: 0,
             });
-            if identity.form != FORM {
-                return Err(StoreError::Form(identity.form));
+            if identity.format_version != FORMAT_VERSION {
+                return Err(StoreError::FormatVersion(identity.format_version));
             }
             if identity.fleet != fleet || identity.member != member {
-                return Err(StoreError::Other { fleet: identity.fleet, member: identity.member });
+                return Err(StoreError::WrongOwner { fleet: identity.fleet, member: identity.member });
             }
-            // Guards against two starts on one disk that are taken for each other: written before anything is said.
-            (identity.life, identity.nonce) = (identity.life + 1, nonce);
+            // Written before any message is sent, so that two incarnations of one disk are never mistaken for
+            // each other.
+            (identity.incarnation, identity.nonce) = (identity.incarnation + 1, nonce);
             meta.insert(IDENTITY, bytes(&identity).as_slice()).map_err(disk)?;
             let (term, vote, commit): (u64, u64, u64) = read(&meta, HARD)?.unwrap_or_default();
             let mut hard = HardState::default();
             (hard.term, hard.vote, hard.commit) = (term, vote, commit);
             let snapshot: Snapshot = read(&meta, SNAPSHOT)?.unwrap_or_default();
-            let lives = read(&meta, LIVES)?.unwrap_or_default();
+            let incarnations = read(&meta, INCARNATIONS)?.unwrap_or_default();
             let mut entries = Vec::new();
             for entry in log.iter().map_err(disk)? {
                 let (index, entry) = entry.map_err(disk)?;
                 let entry: LogEntry = postcard::from_bytes(entry.value())
                     .map_err(|e| disk(format!("entry {}: {e}", index.value())))?;
                 if entry.index != snapshot.index + 1 + entries.len() as u64 {
-                    return Err(disk(format!("entry {} is out of its place", index.value())));
+                    return Err(disk(format!("entry {} is not at the expected index", index.value())));
                 }
                 entries.push(Entry::from(entry));
             }
-            // What is agreed is written now and then only, and never beyond what is here.
+            // The commit index is not written on every change, and must not exceed the stored log.
             hard.commit = hard.commit.max(snapshot.index).min(snapshot.index + entries.len() as u64);
-            Found { identity, hard, snapshot, entries, lives, is_new }
+            StoredState { identity, hard, snapshot, entries, incarnations, is_new }
         };
         write.commit().map_err(disk)?;
         let last = found.snapshot.index + found.entries.len() as u64;
         Ok((Store { database, failed: false, last }, found))
     }
 
-    /// Makes a new store the first voter of a new fleet, alone so far.
+    /// Makes an empty store the only voter of a new fleet.
     ///
     /// # Errors
-    /// It cannot be written.
-    pub fn found(&mut self, disk: u64, state: Vec<u8>) -> Result<(), StoreError> {
-        let seats = Conf { voters: vec![disk], learners: Vec::new() };
-        let snapshot = Snapshot { index: 1, term: 1, seats, data: state };
+    /// The disk cannot be written.
+    pub fn bootstrap(&mut self, disk: u64, state: Vec<u8>) -> Result<(), StoreError> {
+        let membership = Membership { voters: vec![disk], learners: Vec::new() };
+        let snapshot = Snapshot { index: 1, term: 1, membership, data: state };
         let mut hard = HardState::default();
         (hard.term, hard.commit) = (1, 1);
         self.write(&Batch { hard: Some(hard), snapshot: Some((snapshot, true)), ..Batch::default() })
     }
 
-    /// Whether it writes nothing more.
+    /// Whether a write has failed, after which nothing more is written.
     pub fn has_failed(&self) -> bool {
         self.failed
     }
 
-    /// Writes all of it, durably, or nothing.
+    /// Writes the batch atomically and durably.
     ///
     /// # Errors
     /// The disk fails. From then on nothing is written.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         if self.failed {
-            return Err(disk("it failed before"));
+            return Err(disk("an earlier write failed"));
         }
         let written = self.try_write(batch);
-        // Guards against a disk that has failed once and says 'written' the next time: nobody knows what it has.
+        // Guards against a disk that fails once and reports success the next time: its content is unknown.
         self.failed = written.is_err();
         written
     }
@@ -284,8 +289,8 @@
                     last = entry.index;
                 }
             }
-            if let Some(lives) = &batch.lives {
-                meta.insert(LIVES, bytes(lives).as_slice()).map_err(disk)?;
+            if let Some(incarnations) = &batch.incarnations {
+                meta.insert(INCARNATIONS, bytes(incarnations).as_slice()).map_err(disk)?;
             }
         }
         write.commit().map_err(disk)?;
