--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -6,7 +6,7 @@
 
 pub mod line;
 
-use crate::config::{CALLERS, Facts};
+use crate::config::{CALLERS, NamedSettings};
 use crate::counts::Counts;
 use crate::steering::Steering;
 use crate::{fleet, log};
@@ -23,13 +23,13 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// A caller has so long for its line. Those that send nothing and stay keep a place for no longer.
-const LINE_WITHIN: Duration = Duration::from_secs(2);
+const LINE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The engine has so long to take a command. It is told within one round; the answer is due within 1 s.
-const TAKEN_WITHIN: Duration = Duration::from_millis(800);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 /// A caller has so long to read its answer, and to close then.
-const READ_WITHIN: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes that are read behind the line, so that the close does not take the answer with it.
-const MAX_BEHIND: usize = 16 * 1024;
+const MAX_LINGER_BYTES: usize = 16 * 1024;
 /// Commands that wait for the engine.
 pub const QUEUE: usize = 16;
 
@@ -53,7 +53,7 @@
     /// Take up settings that were read anew.
     Settings {
         /// The settings and their names.
-        facts: Rc<Facts>,
+        facts: Rc<NamedSettings>,
         /// Told whether they were taken, or why not.
         done: oneshot::Sender<Result<(), String>>,
     },
@@ -61,7 +61,7 @@
 
 /// What operators are shown.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub struct AdminState {
     /// The figures.
     pub counts: RefCell<Counts>,
     /// The interpreter was heard of: requests can run.
@@ -90,7 +90,7 @@
     pub connections: Rc<Cell<usize>>,
 }
 
-impl Desk {
+impl AdminState {
     /// Why this process takes no clients, if so.
     fn closed(&self) -> Option<&'static str> {
         if self.leaves.get() {
@@ -115,7 +115,7 @@
 }
 
 /// Answers operators until nobody can call any more.
-pub async fn serve(listener: TcpListener, desk: Rc<Desk>, orders: mpsc::Sender<Order>) {
+pub async fn serve(listener: TcpListener, desk: Rc<AdminState>, orders: mpsc::Sender<Order>) {
     let callers = Rc::new(Callers::default());
     for number in 0u64.. {
         let stream = match listener.accept().await {
@@ -149,9 +149,9 @@
 }
 
 /// One caller, from its line to its close.
-async fn attend(mut stream: TcpStream, desk: &Desk, orders: &mpsc::Sender<Order>) {
+async fn attend(mut stream: TcpStream, desk: &AdminState, orders: &mpsc::Sender<Order>) {
     let mut input = Vec::with_capacity(MAX_LINE);
-    let call = match timeout(LINE_WITHIN, first_line(&mut stream, &mut input)).await {
+    let call = match timeout(LINE_TIMEOUT, first_line(&mut stream, &mut input)).await {
         Ok(Some(call)) => call,
         // It left without a call.
         Ok(None) => return,
@@ -159,18 +159,18 @@
     };
     let answer = match call {
         Ok(Call::Routes(what)) => routes(what, &mut stream, &mut input, desk).await,
-        Ok(call) => carry_out(call, desk, orders).await,
+        Ok(call) => execute(call, desk, orders).await,
         Err(why) => Answer::No(why.to_string()),
     };
     let written = async {
         stream.write_all(answer.text().as_bytes()).await?;
         stream.shutdown().await
     };
-    if !matches!(timeout(READ_WITHIN, written).await, Ok(Ok(()))) {
+    if !matches!(timeout(ANSWER_TIMEOUT, written).await, Ok(Ok(()))) {
         return;
     }
-    let until = Instant::now() + READ_WITHIN;
-    let mut left = MAX_BEHIND;
+    let until = Instant::now() + ANSWER_TIMEOUT;
+    let mut left = MAX_LINGER_BYTES;
     let mut scratch = [0; 1024];
     while let Ok(Ok(n @ 1..)) = timeout_at(until, stream.read(&mut scratch)).await {
         left = left.saturating_sub(n);
@@ -198,7 +198,7 @@
 }
 
 /// A call on the route table. Where the file names no team there is none, and the call is as unknown as any.
-async fn routes(what: Routes, stream: &mut TcpStream, input: &mut Vec<u8>, desk: &Desk) -> Answer {
+async fn routes(what: Routes, stream: &mut TcpStream, input: &mut Vec<u8>, desk: &AdminState) -> Answer {
     let (office, way) = (desk.routes.borrow().clone(), desk.fleet.borrow().clone());
     let Some(office) = office else { return Answer::No(NoCall::Unknown.to_string()) };
     let bytes = match what {
@@ -219,18 +219,21 @@
         }
         true
     };
-    if !matches!(timeout(LINE_WITHIN, whole).await, Ok(true)) {
+    if !matches!(timeout(LINE_TIMEOUT, whole).await, Ok(true)) {
         return Answer::No("what is said did not come whole in time".to_string());
     }
     office.say(way.as_ref(), &input[..bytes]).await
 }
 
-async fn carry_out(call: Call, desk: &Desk, orders: &mpsc::Sender<Order>) -> Answer {
+async fn execute(call: Call, desk: &AdminState, orders: &mpsc::Sender<Order>) -> Answer {
     match call {
         Call::Ping => {
             // Guards against a process that was frozen and answers before it has seen that another one serves now.
-            let seen =
-                if desk.shared.get() { told(orders, |done| Order::Look { done }).await } else { Ok(()) };
+            let seen = if desk.shared.get() {
+                order_done(orders, |done| Order::Look { done }).await
+            } else {
+                Ok(())
+            };
             match (seen, desk.closed()) {
                 (_, Some(why)) => Answer::No(why.to_string()),
                 (Err(why), None) => Answer::No(why.to_string()),
@@ -258,14 +261,14 @@
 }
 
 async fn order(orders: &mpsc::Sender<Order>, on: bool, remark: &'static str) -> Answer {
-    match told(orders, |done| Order::Lameduck { on, done }).await {
+    match order_done(orders, |done| Order::Lameduck { on, done }).await {
         Ok(()) => Answer::Yes(remark),
         Err(why) => Answer::No(why.to_string()),
     }
 }
 
 /// Has the engine do something, and waits until it has.
-async fn told(
+async fn order_done(
     orders: &mpsc::Sender<Order>,
     order: impl FnOnce(oneshot::Sender<()>) -> Order,
 ) -> Result<(), &'static str> {
@@ -274,7 +277,7 @@
         orders.send(order(done)).await.ok()?;
         taken.await.ok()
     };
-    match timeout(TAKEN_WITHIN, told).await {
+    match timeout(ORDER_TIMEOUT, told).await {
         Ok(Some(())) => Ok(()),
         Ok(None) => Err("the nodo has ended its work"),
         Err(_) => Err("not taken in time; say it again"),
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -24,18 +24,18 @@
 /// The part of the memory limit that kept results and keys may take, that of requests that are read or held, and
 /// that of answers not written yet. The other half is for the program and its read buffers, a record's length for
 /// each connection: 62 MB at 1,024 descriptors.
-const KEPT_PART: usize = 6;
-const REQUESTS_PART: usize = 6;
-const UNWRITTEN_PART: usize = 6;
+const KEPT_DIVISOR: usize = 6;
+const REQUESTS_DIVISOR: usize = 6;
+const UNWRITTEN_DIVISOR: usize = 6;
 /// The part of that for keys and results which replies kept to fall back on may take.
-const OPERATOR_KEPT_PART: usize = 4;
+const OPERATOR_KEPT_DIVISOR: usize = 4;
 /// Descriptors for what is not a balancer's connection: standard streams, the runtime, the listener, the
 /// interpreter, the directory, and the calls to the database.
 pub const OTHER_SOCKETS: usize = 96;
 /// Descriptors set aside for operators that call; one more is their listener.
 pub const CALLERS: usize = 16;
 /// Connections that are left for balancers, whatever else is on.
-const LEAST_CONNECTIONS: usize = 16;
+const MIN_CONNECTIONS: usize = 16;
 /// The most of those that calls to the database take.
 const CALL_SOCKETS: usize = 64;
 
@@ -70,7 +70,7 @@
 
 /// What the module is told, with the names in it. May change while a nodo runs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Facts {
+pub struct NamedSettings {
     /// The settings. Classes and tenants have places in it that names may not lead to any more.
     pub settings: Settings,
     /// The names that lead there.
@@ -214,9 +214,9 @@
         bounds: Bounds {
             connections: sockets - OTHER_SOCKETS - admin_sockets,
             calls: CALL_SOCKETS,
-            kept: memory / KEPT_PART,
-            requests: memory / REQUESTS_PART,
-            unwritten: memory / UNWRITTEN_PART,
+            kept: memory / KEPT_DIVISOR,
+            requests: memory / REQUESTS_DIVISOR,
+            unwritten: memory / UNWRITTEN_DIVISOR,
         },
         seed: seed(object),
         operator: None,
@@ -284,14 +284,14 @@
         }
         wrong.extend(crate::fleet::against(file));
         let sockets = crate::fleet::sockets(file, &self.name);
-        if sockets > 0 && sockets + LEAST_CONNECTIONS > self.bounds.connections {
+        if sockets > 0 && sockets + MIN_CONNECTIONS > self.bounds.connections {
             let left = self.bounds.connections;
             wrong.push(format!(
                 "fleet.links: the fleet takes {sockets} descriptors, and limits.sockets leaves {left} for it and for \
-                 balancers, who need {LEAST_CONNECTIONS}"
+                 balancers, who need {MIN_CONNECTIONS}"
             ));
         }
-        let most = self.bounds.kept / OPERATOR_KEPT_PART;
+        let most = self.bounds.kept / OPERATOR_KEPT_DIVISOR;
         if let Some(capture) = file.capture.as_ref().filter(|capture| capture.ring.0 as usize > most) {
             let ring = capture.ring;
             wrong.push(format!(
@@ -311,7 +311,7 @@
     /// # Errors
     /// The first key that is missing.
     pub fn followed_by(&self, new: &Config) -> Result<(), ConfigError> {
-        match lacks(&self.file, &new.file, "") {
+        match missing_key(&self.file, &new.file, "") {
             Some(key) => Err(new.wrong(format!("{key} is missing, and the file in force has it"))),
             None => Ok(()),
         }
@@ -323,8 +323,8 @@
     }
 
     /// What the module is told.
-    pub fn facts(&self) -> Facts {
-        Facts { settings: self.settings.clone(), names: self.names.clone() }
+    pub fn facts(&self) -> NamedSettings {
+        NamedSettings { settings: self.settings.clone(), names: self.names.clone() }
     }
 
     /// The keys, other than those of the peers and the settings, in which a configuration that was read anew differs from
@@ -343,7 +343,7 @@
 
 /// The way to the first key, by name, that an object has and one that is to take its place lacks. Objects in a list are
 /// all of one kind: each new one needs what all the old ones have.
-fn lacks(old: &JsonValue, new: &JsonValue, path: &str) -> Option<String> {
+fn missing_key(old: &JsonValue, new: &JsonValue, path: &str) -> Option<String> {
     match (old, new) {
         (JsonValue::Object(old), JsonValue::Object(new)) => {
             let mut keys: Vec<_> = old.iter().collect();
@@ -351,7 +351,7 @@
             keys.into_iter().find_map(|(key, value)| {
                 let way = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
                 match new.get(key) {
-                    Some(other) => lacks(value, other, &way),
+                    Some(other) => missing_key(value, other, &way),
                     None => Some(way),
                 }
             })
--- a/crates/node/src/database.rs
+++ b/crates/node/src/database.rs
@@ -17,11 +17,11 @@
 
 /// An idle connection is used again only within this time. The database closes them after 10 s, and a call that
 /// crosses such a close might have run.
-const IDLE: Duration = Duration::from_secs(4);
+const MAX_IDLE_AGE: Duration = Duration::from_secs(4);
 /// So many idle ones are kept; with those that carry a call they stay within the descriptors for calls.
 const MAX_IDLE: usize = 16;
 /// It is used again no sooner than this: bytes that were sent behind a reply would else be taken for the next one.
-const SETTLED: Duration = Duration::from_millis(50);
+const MIN_IDLE_AGE: Duration = Duration::from_millis(50);
 
 /// A call to make.
 #[derive(Debug)]
@@ -73,9 +73,9 @@
 type Pools = Rc<RefCell<BTreeMap<Option<usize>, Rc<RefCell<Pool>>>>>;
 
 /// Gives back the room of a connection when its call is over or dropped.
-struct Busy(Rc<RefCell<Pool>>);
+struct BusyGuard(Rc<RefCell<Pool>>);
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.borrow_mut().busy -= 1;
     }
@@ -156,7 +156,7 @@
             let room = held.most.saturating_sub(held.busy);
             let beyond = held.idle.len().saturating_sub(room);
             held.idle.drain(..beyond);
-            (address, reused, Busy(pool.clone()))
+            (address, reused, BusyGuard(pool.clone()))
         };
         let mut stream = match reused {
             Some(stream) => stream,
@@ -190,9 +190,9 @@
     /// An idle connection that is surely open. Only those that are tried are looked at: each look is a system call.
     fn take(&mut self, address: SocketAddr) -> Option<TcpStream> {
         let now = Instant::now();
-        self.idle.retain(|(since, ..)| now.duration_since(*since) < IDLE);
+        self.idle.retain(|(since, ..)| now.duration_since(*since) < MAX_IDLE_AGE);
         let fits = |(since, at, _): &(Instant, SocketAddr, TcpStream)| {
-            *at == address && now.duration_since(*since) >= SETTLED
+            *at == address && now.duration_since(*since) >= MIN_IDLE_AGE
         };
         while let Some(place) = self.idle.iter().rposition(fits) {
             let (_, _, stream) = self.idle.remove(place);
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 /// Between reports. An entry lapses 3 s after the last one.
-const REPORT_EVERY: Duration = Duration::from_millis(900);
+const REPORT_INTERVAL: Duration = Duration::from_millis(900);
 /// For the answer to one report. One that gets none may have counted all the same, but the next one comes soon, on
 /// another connection.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -21,7 +21,7 @@
 /// directory that is back has to be told.
 const SLOW_REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Between the attempts at a report that did not count.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// What is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
             (address, stream) = (now_at, None);
         }
         let began = Instant::now();
-        let mut next = began + REPORT_EVERY;
+        let mut next = began + REPORT_INTERVAL;
         if let Some(told) = told {
             let sent = tokio::select! {
                 sent = timeout(patience, put(address, name, told, stream.take())) => sent,
@@ -67,7 +67,7 @@
             };
             stream = kept;
             if let Some(e) = &failed {
-                next = Instant::now() + RETRY_AFTER;
+                next = Instant::now() + RETRY_DELAY;
                 if !fails {
                     log!(WARN, "directory: report failed: {e}");
                 }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -4,10 +4,10 @@
 //! out what the module asks for in order. It knows no protocol and never waits on a socket: what it wants done
 //! elsewhere it hands to the tasks of the interpreter, the database, the directory and the connections.
 
-use crate::admin::{Desk, Order};
+use crate::admin::{AdminState, Order};
 use crate::capture::Capture;
 use crate::clock::Clock;
-use crate::config::{Config, Facts};
+use crate::config::{Config, NamedSettings};
 use crate::database;
 use crate::directory::Mode;
 use crate::interpreter::{self, Command};
@@ -100,9 +100,9 @@
     /// How many requests are owed an answer.
     pub owed: watch::Sender<usize>,
     /// What operators are shown.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<AdminState>,
     /// The settings in force, for those who read requests.
-    pub facts: watch::Sender<Rc<Facts>>,
+    pub facts: watch::Sender<Rc<NamedSettings>>,
 }
 
 /// Where the run of a request is.
--- a/crates/node/src/engine/settings.rs
+++ b/crates/node/src/engine/settings.rs
@@ -1,7 +1,7 @@
 //! Settings that are read anew while the nodo runs.
 
 use super::Engine;
-use crate::config::Facts;
+use crate::config::NamedSettings;
 use crate::engine::input::Input;
 use crate::interpreter;
 use jaspershunt::{Event, Gauges};
@@ -11,7 +11,7 @@
 
 impl Engine {
     /// Takes up settings that were read anew. Requests that are open keep what they came with, in its place.
-    pub(super) fn take_up_settings(&mut self, facts: &Facts) -> Result<(), String> {
+    pub(super) fn take_up_settings(&mut self, facts: &NamedSettings) -> Result<(), String> {
         if self.several.is_some() {
             return Err(
                 "settings change with a restart only where the operator's file names dependencies".into()
@@ -35,7 +35,7 @@
         self.ways.desk.counts.borrow_mut().name(names.classes());
         (self.settings, self.names) = (settings.clone(), names.clone());
         self.events.push(Event::Settings(Box::new(self.share())));
-        self.ways.facts.send_replace(Rc::new(Facts { settings, names }));
+        self.ways.facts.send_replace(Rc::new(NamedSettings { settings, names }));
         Ok(())
     }
 
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -454,7 +454,7 @@
             let text = SETTINGS.replacen("\"deadlineS\":4", &format!("\"deadlineS\":{}", 3 + n % 5), 1);
             let (settings, names) = jaspershunt_settings::read(&text, "settings").unwrap();
             let (done, mut taken) = oneshot::channel();
-            rig.engine.obey(Order::Settings { facts: Rc::new(Facts { settings, names }), done });
+            rig.engine.obey(Order::Settings { facts: Rc::new(NamedSettings { settings, names }), done });
             assert_eq!(taken.try_recv(), Ok(Ok(())), "change {n}");
             for command in rig.commands() {
                 if let Some(digit) = command.strip_prefix("apply ") {
--- a/crates/node/src/engine/tests/reload.rs
+++ b/crates/node/src/engine/tests/reload.rs
@@ -18,7 +18,7 @@
 fn reload(rig: &mut Rig, text: &str) {
     let (settings, names) = jaspershunt_settings::read(text, "settings").unwrap();
     let (done, mut taken) = oneshot::channel();
-    rig.engine.obey(Order::Settings { facts: Rc::new(Facts { settings, names }), done });
+    rig.engine.obey(Order::Settings { facts: Rc::new(NamedSettings { settings, names }), done });
     assert_eq!(taken.try_recv(), Ok(Ok(())));
 }
 
--- a/crates/node/src/fastcgi/connection.rs
+++ b/crates/node/src/fastcgi/connection.rs
@@ -1,9 +1,9 @@
 //! A balancer's connection: reads requests, hands them to the engine, and writes the answers in the order in which
 //! they come.
 
-use super::records::{LostFraming, Record, next_record, pairs, put_reply};
-use super::requests::{Budget, MAX_OPEN, MAX_PARAMS, Requests, Room, Step, Whole};
-use crate::config::{Config, Facts};
+use super::records::{FramingError, Record, next_record, pairs, put_reply};
+use super::requests::{Budget, CompleteRequest, MAX_OPEN, MAX_PARAMS, Requests, Reservation, Step};
+use crate::config::{Config, NamedSettings};
 use crate::engine::Idle;
 use crate::engine::input::Input;
 use crate::log;
@@ -27,69 +27,69 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 /// With more answers than this unwritten, nothing more is read: who reads no answers sends no requests.
-const MAX_UNWRITTEN: usize = 64 * 1024;
+const MAX_OUTPUT_BYTES: usize = 64 * 1024;
 /// An answer that cannot be written for so long is given up, and its connection with it.
-const WRITE_STALL: Duration = Duration::from_secs(60);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 /// A new connection has so long to bring a first request that makes sense, and one that did has so long for the rest of
 /// a later one. Nothing is owed to who brings none, but a word or a close within 3 s.
-const WHOLE_WITHIN: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// For so long a connection that brought nothing yet counts as one that will.
-const NEWCOMER: Duration = Duration::from_millis(500);
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(500);
 /// Between attempts to accept a connection where the system has none to give.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 /// Bytes that belong to no open request and are read between two that do.
-const MAX_STRAY: usize = 256 * 1024;
+const MAX_STRAY_BYTES: usize = 256 * 1024;
 /// Before a connection closes on a peer that still sends, so much is read, for so long at most: a close with bytes
 /// unread is a reset, which could take the last answer with it.
-const MAX_LINGER: usize = 1024 * 1024;
+const MAX_LINGER_BYTES: usize = 1024 * 1024;
 const LINGER: Duration = Duration::from_secs(1);
 /// As the nodo leaves it reads on for no longer than what crosses the close can take, by the protocol's page.
-const CROSSING: Duration = Duration::from_millis(50);
+const LEAVING_LINGER: Duration = Duration::from_millis(50);
 /// Read at once. After so many reads with no wait between them the other tasks have their turn.
-const CHUNK: usize = 4 * 1024;
-const READS_A_TURN: u32 = 4;
+const READ_BYTES: usize = 4 * 1024;
+const READS_PER_TURN: u32 = 4;
 /// A record of this length fits any that a request can use; what is read of a longer one takes of the room for requests.
-const FREE_INPUT: usize = MAX_PARAMS + CHUNK;
+const UNCHARGED_INPUT_BYTES: usize = MAX_PARAMS + READ_BYTES;
 /// Reads of what had come to a connection by the time at which nothing more is read of it.
-const LAST_READS: u32 = 16;
-/// Connections beyond [`Front::most`] while the last ones of a closing listener are taken in: a part of the descriptors for
+const MAX_FINAL_READS: u32 = 16;
+/// Connections beyond [`Connections::max_connections`] while the last ones of a closing listener are taken in: a part of the descriptors for
 /// calls, of which fewer and fewer are made then.
 const CLOSING_RESERVE: usize = 16;
 
 /// What all connections share.
-pub struct Front {
+pub struct Connections {
     /// The way to the engine.
     pub engine: mpsc::Sender<Input>,
     /// The settings in force, for the classes and names.
-    pub facts: watch::Receiver<Rc<Facts>>,
+    pub facts: watch::Receiver<Rc<NamedSettings>>,
     /// Bytes of requests, from their reading to their answer.
-    pub held: Budget,
+    pub request_budget: Budget,
     /// Bytes of answers that are not written.
-    pub unwritten: Budget,
+    pub output_budget: Budget,
     /// Connections open at once, at most.
-    pub most: usize,
+    pub max_connections: usize,
     /// How long connections may be idle.
     pub idle: watch::Receiver<Idle>,
     /// Connections open.
     pub open: Rc<Cell<usize>>,
     /// Descriptors that the other process of an upgrade holds of those for connections.
-    other: Cell<usize>,
+    other_process_descriptors: Cell<usize>,
     /// What is known of each of them from outside, by the order in which they came.
-    slots: RefCell<BTreeMap<u64, Rc<Slot>>>,
+    connections: RefCell<BTreeMap<u64, Rc<ConnectionStatus>>>,
     /// Told of each connection that ends, or that was asked to and cannot.
     pub ended: Notify,
     /// Cuts the lines on what peers do wrong to one a second.
-    faults: RefCell<Limiter>,
+    fault_limiter: RefCell<Limiter>,
     /// The last request id that was given out; ids are never used twice.
     pub last_id: Cell<u64>,
     /// The way to a later start, to which quiet connections go.
-    heir: RefCell<Option<mpsc::Sender<Out>>>,
+    successor: RefCell<Option<mpsc::Sender<Out>>>,
     /// Who is told what is seen of clients' delays, where the operator's file wants it.
     pub samples: Option<Samples>,
 }
 
 /// A connection as the others see it.
-struct Slot {
+struct ConnectionStatus {
     /// It brought a request that makes sense.
     used: Cell<bool>,
     /// It could be closed: no answer is owed on it, and no request that may still become whole is half read.
@@ -100,12 +100,12 @@
     evict: Notify,
     last_traffic: Cell<Instant>,
     /// It was asked to make room.
-    asked: Cell<bool>,
-    ask: Notify,
+    asked_to_close: Cell<bool>,
+    close_request: Notify,
 }
 
 /// Accepts connections until `stop`, and takes in those that the machine has accepted by then.
-pub async fn accept(listener: Rc<TcpListener>, front: Rc<Front>, stop: impl Future<Output = ()>) {
+pub async fn accept(listener: Rc<TcpListener>, front: Rc<Connections>, stop: impl Future<Output = ()>) {
     let mut stop = std::pin::pin!(stop);
     let mut idle = front.idle.clone();
     loop {
@@ -117,9 +117,9 @@
             }
         }
         // Descriptors are left for everything else: the rest waits until a connection has ended.
-        if front.open.get() + front.other.get() >= front.most {
+        if front.open.get() + front.other_process_descriptors.get() >= front.max_connections {
             let ended = front.ended.notified();
-            front.make_room();
+            front.ask_one_to_close();
             tokio::select! {
                 () = ended => continue,
                 () = &mut stop => break,
@@ -128,7 +128,7 @@
         tokio::select! {
             biased;
             accepted = listener.accept() => match accepted {
-                Ok((stream, peer)) => start(stream, peer, &front, Came::default()),
+                Ok((stream, peer)) => start(stream, peer, &front, PassedState::default()),
                 Err(e) => {
                     log!(WARN, "cannot accept a connection: {e}");
                     tokio::time::sleep(ACCEPT_RETRY).await;
@@ -144,18 +144,19 @@
 /// Takes in the connections that the system has accepted for a listener that is about to close: a request on one of them
 /// counts as received, so none may be left behind. Descriptors are left for everything else here too, so that what is beyond
 /// them waits until a connection has ended; the caller bounds that wait.
-async fn take_in_backlog(listener: &TcpListener, front: &Rc<Front>) {
+async fn take_in_backlog(listener: &TcpListener, front: &Rc<Connections>) {
     loop {
-        if front.open.get() + front.other.get() >= front.most + CLOSING_RESERVE {
+        if front.open.get() + front.other_process_descriptors.get() >= front.max_connections + CLOSING_RESERVE
+        {
             let ended = front.ended.notified();
-            front.make_room();
+            front.ask_one_to_close();
             ended.await;
             continue;
         }
         // The runtime looks at its sockets before it takes this up again.
         tokio::task::yield_now().await;
         match timeout_at(Instant::now(), listener.accept()).await {
-            Ok(Ok((stream, peer))) => start(stream, peer, front, Came::default()),
+            Ok(Ok((stream, peer))) => start(stream, peer, front, PassedState::default()),
             Ok(Err(e)) => {
                 log!(WARN, "cannot accept a connection: {e}");
                 tokio::time::sleep(ACCEPT_RETRY).await;
@@ -167,7 +168,7 @@
 
 /// What is known of a connection that was served elsewhere before; of a new one, nothing.
 #[derive(Debug, Default)]
-pub struct Came {
+pub struct PassedState {
     /// Bytes that were read of it and belong to no whole record.
     pub input: Vec<u8>,
     /// It brought a request that makes sense.
@@ -176,95 +177,97 @@
     pub waited: Option<Duration>,
 }
 
-fn start(stream: TcpStream, peer: SocketAddr, front: &Rc<Front>, came: Came) {
+fn start(stream: TcpStream, peer: SocketAddr, front: &Rc<Connections>, passed: PassedState) {
     let front = front.clone();
     front.open.set(front.open.get() + 1);
-    let place = front.slots.borrow().last_key_value().map_or(0, |(place, _)| place + 1);
-    let slot = Rc::new(Slot {
-        used: Cell::new(came.used),
+    let index = front.connections.borrow().last_key_value().map_or(0, |(index, _)| index + 1);
+    let status = Rc::new(ConnectionStatus {
+        used: Cell::new(passed.used),
         quiet: Cell::new(true),
         stalled_since: Cell::new(None),
         evict: Notify::new(),
         last_traffic: Cell::new(Instant::now()),
-        asked: Cell::new(false),
-        ask: Notify::new(),
+        asked_to_close: Cell::new(false),
+        close_request: Notify::new(),
     });
-    front.slots.borrow_mut().insert(place, slot.clone());
+    front.connections.borrow_mut().insert(index, status.clone());
     tokio::task::spawn_local(async move {
         // Guards against answers that the system holds back until earlier ones are acknowledged.
         let _ = stream.set_nodelay(true);
-        Connection::new(stream, peer, front.clone(), slot, came).serve().await;
-        front.slots.borrow_mut().remove(&place);
+        Connection::new(stream, peer, front.clone(), status, passed).serve().await;
+        front.connections.borrow_mut().remove(&index);
         front.open.set(front.open.get() - 1);
         front.ended.notify_waiters();
     });
 }
 
-impl Front {
+impl Connections {
     /// No connection is open yet.
     pub fn new(
         config: &Config,
         engine: mpsc::Sender<Input>,
         idle: watch::Receiver<Idle>,
-        facts: watch::Receiver<Rc<Facts>>,
+        facts: watch::Receiver<Rc<NamedSettings>>,
         open: Rc<Cell<usize>>,
-    ) -> Front {
-        Front {
+    ) -> Connections {
+        Connections {
             engine,
             facts,
-            held: Budget::new(config.bounds.requests),
-            unwritten: Budget::new(config.bounds.unwritten),
-            most: config.bounds.connections,
+            request_budget: Budget::new(config.bounds.requests),
+            output_budget: Budget::new(config.bounds.unwritten),
+            max_connections: config.bounds.connections,
             idle,
             open,
-            other: Cell::new(0),
-            slots: RefCell::default(),
+            other_process_descriptors: Cell::new(0),
+            connections: RefCell::default(),
             ended: Notify::new(),
-            faults: RefCell::new(Limiter::new(1)),
+            fault_limiter: RefCell::new(Limiter::new(1)),
             last_id: Cell::new(0),
-            heir: RefCell::default(),
+            successor: RefCell::default(),
             samples: None,
         }
     }
 
     /// From now on quiet connections go there, once [`Idle::passing`] says so; or nowhere.
-    pub fn hand_to(&self, heir: Option<mpsc::Sender<Out>>) {
-        *self.heir.borrow_mut() = heir;
+    pub fn set_successor(&self, successor: Option<mpsc::Sender<Out>>) {
+        *self.successor.borrow_mut() = successor;
     }
 
     /// Takes leave of a later start, once all that was said to it has left this process, or it is time.
-    pub async fn farewell(&self, until: Instant) {
-        let Some(heir) = self.heir.borrow().clone() else { return };
+    pub async fn send_farewell(&self, until: Instant) {
+        let Some(successor) = self.successor.borrow().clone() else { return };
         let (left, gone) = oneshot::channel();
         let out = Out { message: Message::Farewell, beside: None, left: Some(left) };
-        if heir.try_send(out).is_ok() {
+        if successor.try_send(out).is_ok() {
             let _ = timeout_at(until, gone).await;
         }
     }
 
     /// So many of the descriptors for connections are the other process's.
-    pub fn leave_to_other(&self, descriptors: usize) {
-        self.other.set(descriptors);
+    pub fn reserve_for_other_process(&self, descriptors: usize) {
+        self.other_process_descriptors.set(descriptors);
         self.ended.notify_waiters();
     }
 
     /// Serves a connection that another process had, with what that had read of it.
-    pub fn take_over(self: &Rc<Front>, stream: TcpStream, peer: SocketAddr, came: Came) {
-        start(stream, peer, self, came);
+    pub fn adopt(self: &Rc<Connections>, stream: TcpStream, peer: SocketAddr, passed: PassedState) {
+        start(stream, peer, self, passed);
     }
 
     /// Asks the connection that is of least use to end: one that never brought a request that makes sense, else one that
     /// has been idle, and of these the one that has been so for longest. None on which an answer is owed.
-    fn make_room(&self) {
-        let slots = self.slots.borrow();
-        let quiet = slots.values().filter(|slot| slot.quiet.get() && !slot.asked.get());
+    fn ask_one_to_close(&self) {
+        let connections = self.connections.borrow();
+        let quiet = connections.values().filter(|status| status.quiet.get() && !status.asked_to_close.get());
         // A newcomer's request may still be on its way.
-        let useless = |slot: &Slot| !slot.used.get() && slot.last_traffic.get().elapsed() > NEWCOMER;
-        if let Some(slot) =
-            quiet.min_by_key(|slot| (!useless(slot), !slot.used.get(), slot.last_traffic.get()))
+        let unused = |status: &ConnectionStatus| {
+            !status.used.get() && status.last_traffic.get().elapsed() > NEW_CONNECTION_GRACE
+        };
+        if let Some(status) =
+            quiet.min_by_key(|status| (!unused(status), !status.used.get(), status.last_traffic.get()))
         {
-            slot.asked.set(true);
-            slot.ask.notify_one();
+            status.asked_to_close.set(true);
+            status.close_request.notify_one();
         }
     }
 
@@ -272,24 +275,24 @@
     /// peer has read nothing for longest is asked to end. Fails if that is this one.
     ///
     /// Guards against peers that read nothing and take the room of those that do: each of these is owed its answers.
-    fn book_unwritten(&self, more: usize, slot: &Rc<Slot>) -> bool {
-        if self.unwritten.take(more) {
+    fn reserve_output(&self, more: usize, status: &Rc<ConnectionStatus>) -> bool {
+        if self.output_budget.take(more) {
             return true;
         }
-        let slots = self.slots.borrow();
-        let stalled = slots.values().filter(|slot| slot.stalled_since.get().is_some());
-        let Some(longest) = stalled.min_by_key(|slot| slot.stalled_since.get()) else { return false };
-        if Rc::ptr_eq(longest, slot) {
+        let connections = self.connections.borrow();
+        let stalled = connections.values().filter(|status| status.stalled_since.get().is_some());
+        let Some(longest) = stalled.min_by_key(|status| status.stalled_since.get()) else { return false };
+        if Rc::ptr_eq(longest, status) {
             return false;
         }
         longest.evict.notify_one();
-        self.unwritten.take_beyond(more);
+        self.output_budget.take_beyond(more);
         true
     }
 
     /// Tells the operator what a peer did wrong, now and then: there can be very many.
-    fn fault(&self, peer: SocketAddr, what: &dyn std::fmt::Display) {
-        if let Some(more) = self.faults.borrow_mut().admit_now() {
+    fn log_peer_fault(&self, peer: SocketAddr, what: &dyn std::fmt::Display) {
+        if let Some(more) = self.fault_limiter.borrow_mut().admit_now() {
             log!(WARN, "fault of a peer, {peer}: {what} (and {more} of others since the last line)");
         }
     }
@@ -304,11 +307,11 @@
     /// It makes room for another one, and at once: many may wait for that.
     Replaced,
     /// It goes to a later start.
-    Passed,
+    PassedOn,
     /// The peer has gone without waiting for its answers.
     Gone,
     /// The peer broke the protocol or a bound, as the text says.
-    Fault(&'static str),
+    PeerFault(&'static str),
 }
 
 impl From<io::Error> for End {
@@ -320,26 +323,26 @@
 struct Connection {
     stream: TcpStream,
     peer: SocketAddr,
-    front: Rc<Front>,
+    front: Rc<Connections>,
     requests: Requests,
     /// What the engine knows the whole requests by.
     ids: BTreeMap<u16, RequestId>,
     replies: mpsc::Receiver<(u16, Reply)>,
     reply_to: mpsc::Sender<(u16, Reply)>,
-    slot: Rc<Slot>,
+    status: Rc<ConnectionStatus>,
     input: Vec<u8>,
     output: Vec<u8>,
     /// Room for what of `input` is longer than a record that is of use.
-    input_room: Room,
-    /// Bytes of `output` that are booked.
-    booked: usize,
+    input_room: Reservation,
+    /// Bytes of `output` that are reserved.
+    reserved: usize,
     read_closed: bool,
     /// To be closed once all is answered and written; nothing more is read.
     closing: bool,
     /// That is so though the peer may be sending much: it is read on for longer, so that the answers arrive.
-    cut_off: bool,
+    drain_input: bool,
     /// Since when a first request that makes sense, or the rest of a later one, is waited for.
-    waits_since: Option<Instant>,
+    waiting_since: Option<Instant>,
     /// Bytes read that belong to no open request, since the last whole one.
     stray: usize,
     last_write: Instant,
@@ -349,11 +352,17 @@
 }
 
 impl Connection {
-    fn new(stream: TcpStream, peer: SocketAddr, front: Rc<Front>, slot: Rc<Slot>, came: Came) -> Connection {
+    fn new(
+        stream: TcpStream,
+        peer: SocketAddr,
+        front: Rc<Connections>,
+        status: Rc<ConnectionStatus>,
+        passed: PassedState,
+    ) -> Connection {
         // Room for a reply to every request that may be open: handing one over never waits.
         let (reply_to, replies) = mpsc::channel(MAX_OPEN);
-        let requests = Requests::new(front.held.clone());
-        let input_room = Room::new(front.held.clone());
+        let requests = Requests::new(front.request_budget.clone());
+        let input_room = Reservation::new(front.request_budget.clone());
         let now = Instant::now();
         Connection {
             stream,
@@ -363,18 +372,18 @@
             ids: BTreeMap::new(),
             replies,
             reply_to,
-            slot,
-            input: came.input,
+            status,
+            input: passed.input,
             input_room,
             output: Vec::new(),
-            booked: 0,
+            reserved: 0,
             read_closed: false,
             closing: false,
-            cut_off: false,
+            drain_input: false,
             // A peer that brings nothing has no more time for having been passed on; nor has it less, as a clock may begin
             // after that of its wait.
-            waits_since: (!came.used || came.waited.is_some())
-                .then(|| now.checked_sub(came.waited.unwrap_or_default()).unwrap_or(now)),
+            waiting_since: (!passed.used || passed.waited.is_some())
+                .then(|| now.checked_sub(passed.waited.unwrap_or_default()).unwrap_or(now)),
             stray: 0,
             last_write: now,
             clients: BTreeMap::new(),
@@ -386,14 +395,14 @@
         let end = match self.converse().await {
             Ok(end) | Err(end) => end,
         };
-        if let End::Passed = end {
-            return self.pass().await;
+        if let End::PassedOn = end {
+            return self.pass_on().await;
         }
-        if let End::Fault(what) = end {
-            self.front.fault(self.peer, &what);
+        if let End::PeerFault(what) = end {
+            self.front.log_peer_fault(self.peer, &what);
         }
         // What is left of its time, it cannot make room for another one.
-        self.slot.quiet.set(false);
+        self.status.quiet.set(false);
         match end {
             End::Gone | End::Replaced => {}
             _ if self.read_closed => {}
@@ -409,29 +418,29 @@
                 let _ = self.front.engine.send(Input::Gone { id }).await;
             }
         }
-        self.front.unwritten.give(self.booked);
+        self.front.output_budget.give(self.reserved);
     }
 
     /// Hands the connection to a later start, with what was read of it; if that cannot be, it is served on here.
-    async fn pass(self) {
-        let Connection { stream, peer, front, input, slot, waits_since, .. } = self;
-        let heir = front.heir.borrow().clone();
-        let (used, waited) = (slot.used.get(), waits_since.map(|since| since.elapsed()));
+    async fn pass_on(self) {
+        let Connection { stream, peer, front, input, status, waiting_since, .. } = self;
+        let successor = front.successor.borrow().clone();
+        let (used, waited) = (status.used.get(), waiting_since.map(|since| since.elapsed()));
         let waited_ms = waited.map(|waited| waited.as_millis() as u64);
         let Ok(stream) = stream.into_std() else { return };
         let Ok(beside) = stream.try_clone() else { return };
         let (left, passed) = oneshot::channel();
         let message = Message::Connection { input: input.clone(), used, waited_ms };
         let out = Out { message, beside: Some(beside.into()), left: Some(left) };
-        let sent = match &heir {
-            Some(heir) => heir.send(out).await.is_ok(),
+        let sent = match &successor {
+            Some(successor) => successor.send(out).await.is_ok(),
             None => false,
         };
         if sent && passed.await.is_ok() {
             return;
         }
         if let Ok(stream) = TcpStream::from_std(stream) {
-            start(stream, peer, &front, Came { input, used, waited });
+            start(stream, peer, &front, PassedState { input, used, waited });
         }
     }
 
@@ -446,7 +455,7 @@
             // Guards against a reset as the program ends: what has come is answered, and the peer sees where the answers end. What
             // it sends behind that crosses the close, and is not run.
             if idle.borrow().hang_up && !self.closing {
-                self.read_what_came().await?;
+                self.read_available().await?;
                 self.close_unfinished();
                 self.write()?;
             }
@@ -456,22 +465,23 @@
             if no_more && !owed {
                 return Ok(End::Finished);
             }
-            let half_read = self.slot.used.get() && self.partial();
-            self.slot.quiet.set(!(owed || half_read));
+            let half_read = self.status.used.get() && self.has_partial_request();
+            self.status.quiet.set(!(owed || half_read));
             let (passing, last_call) = (idle.borrow().passing, idle.borrow().last_call);
             // Nothing is open, and what was read goes along: no request meets a closed connection.
             if passing && !owed && self.requests.is_empty() && !self.read_closed && !self.closing {
-                return Ok(End::Passed);
+                return Ok(End::PassedOn);
             }
-            let waits = last_call && passing && owed && !self.partial();
-            let may_read = !self.read_closed && !self.closing && !waits && self.output.len() < MAX_UNWRITTEN;
+            let waits = last_call && passing && owed && !self.has_partial_request();
+            let may_read =
+                !self.read_closed && !self.closing && !waits && self.output.len() < MAX_OUTPUT_BYTES;
             if idle.borrow().standing && self.may_close() {
                 return Ok(End::Idle);
             }
             if may_read {
-                self.input.reserve(CHUNK);
+                self.input.reserve(READ_BYTES);
             }
-            let give_up = self.waits_since.filter(|_| !owed).map(|since| since + WHOLE_WITHIN);
+            let give_up = self.waiting_since.filter(|_| !owed).map(|since| since + REQUEST_TIMEOUT);
             let (mut reader, writer) = self.stream.split();
             tokio::select! {
                 biased;
@@ -486,13 +496,13 @@
                         // The end of the peer's sending is no abort: what was read is answered.
                         self.read_closed = true;
                     } else {
-                        self.slot.last_traffic.set(Instant::now());
+                        self.status.last_traffic.set(Instant::now());
                         self.take_in().await?;
-                        if !self.input_room.set(self.input.len().saturating_sub(FREE_INPUT)) && !self.closing {
-                            self.lost("there is no room for the rest of a long record");
+                        if !self.input_room.set(self.input.len().saturating_sub(UNCHARGED_INPUT_BYTES)) && !self.closing {
+                            self.stop_reading("there is no room for the rest of a long record");
                             self.close_unfinished();
                         }
-                        self.give_way(&mut reads).await;
+                        self.yield_if_due(&mut reads).await;
                     }
                 }
                 ready = writer.writable(), if !self.output.is_empty() => ready?,
@@ -501,69 +511,69 @@
                     if idle.borrow().standing {
                         continue;
                     }
-                    let lapsed = changed.is_err() || self.slot.last_traffic.get().elapsed() >= limit;
+                    let lapsed = changed.is_err() || self.status.last_traffic.get().elapsed() >= limit;
                     if lapsed && self.may_close() {
                         return Ok(End::Idle);
                     }
                 }
-                () = self.slot.ask.notified() => {
+                () = self.status.close_request.notified() => {
                     // Guards against a first request that has come whole and is not read yet.
-                    let useless = !self.slot.used.get() && silent(&self.stream);
-                    if !owed && (useless || self.may_close()) {
+                    let unused = !self.status.used.get() && silent(&self.stream);
+                    if !owed && (unused || self.may_close()) {
                         self.close_unfinished();
                         self.write()?;
                         return Ok(End::Replaced);
                     }
-                    self.slot.asked.set(false);
+                    self.status.asked_to_close.set(false);
                     self.front.ended.notify_waiters();
                 }
-                () = self.slot.evict.notified() => {
-                    return Err(End::Fault("too many answers are unread"));
+                () = self.status.evict.notified() => {
+                    return Err(End::PeerFault("too many answers are unread"));
                 }
                 () = sleep_until(give_up.unwrap_or(self.last_write)), if give_up.is_some() => {
                     // Guards against the rest of a request that has come in this moment and is not read yet.
-                    self.read_what_came().await?;
+                    self.read_available().await?;
                     if self.is_late() {
-                        self.front.fault(self.peer, &"it brings no whole request in time");
-                        if !self.partial() {
+                        self.front.log_peer_fault(self.peer, &"it brings no whole request in time");
+                        if !self.has_partial_request() {
                             return Ok(End::Idle);
                         }
                         self.close_unfinished();
                     }
                 }
-                () = sleep_until(self.last_write + WRITE_STALL), if !self.output.is_empty() => {
-                    return Err(End::Fault("its answers are not read"));
+                () = sleep_until(self.last_write + WRITE_TIMEOUT), if !self.output.is_empty() => {
+                    return Err(End::PeerFault("its answers are not read"));
                 }
             }
             self.write()?;
-            self.note_wait();
+            self.update_waiting_since();
         }
     }
 
     /// Whether a request, or the rest of one, has been waited for too long. One that is owed an answer was whole in time.
     fn is_late(&self) -> bool {
-        let waits = self.waits_since.is_some_and(|since| since.elapsed() >= WHOLE_WITHIN);
+        let waits = self.waiting_since.is_some_and(|since| since.elapsed() >= REQUEST_TIMEOUT);
         waits && !self.closing && !self.read_closed && self.requests.unanswered().next().is_none()
     }
 
     /// Notes since when a request is waited for that is not whole, or a first one that makes sense.
-    fn note_wait(&mut self) {
-        if self.slot.used.get() && !self.partial() {
-            self.waits_since = None;
-        } else if self.waits_since.is_none() {
-            self.waits_since = Some(Instant::now());
+    fn update_waiting_since(&mut self) {
+        if self.status.used.get() && !self.has_partial_request() {
+            self.waiting_since = None;
+        } else if self.waiting_since.is_none() {
+            self.waiting_since = Some(Instant::now());
         }
     }
 
     /// Takes in what has come by now; no more than a peer that sends without end can make it.
-    async fn read_what_came(&mut self) -> Result<(), End> {
-        for _ in 0..LAST_READS {
+    async fn read_available(&mut self) -> Result<(), End> {
+        for _ in 0..MAX_FINAL_READS {
             if self.closing || self.read_closed || silent(&self.stream) {
                 break;
             }
             // The runtime learns of what has come as this lets the others have their turn.
             tokio::task::yield_now().await;
-            self.input.reserve(CHUNK);
+            self.input.reserve(READ_BYTES);
             match self.stream.try_read_buf(&mut self.input) {
                 Ok(0) => self.read_closed = true,
                 Ok(_) => self.take_in().await?,
@@ -581,17 +591,17 @@
         let before = self.output.len();
         self.requests.refuse_unfinished(&mut self.output);
         let more = self.output.len() - before;
-        self.front.unwritten.take_beyond(more);
-        self.booked += more;
+        self.front.output_budget.take_beyond(more);
+        self.reserved += more;
     }
 
     /// Ends what is sent and reads on for a little, behind answers to a peer that may still send.
     async fn linger(&mut self) {
         let _ = self.stream.shutdown().await;
         let leaves = self.front.idle.borrow().standing;
-        let until = Instant::now() + if leaves || !self.cut_off { CROSSING } else { LINGER };
-        let mut scratch = vec![0; CHUNK];
-        let mut left = MAX_LINGER;
+        let until = Instant::now() + if leaves || !self.drain_input { LEAVING_LINGER } else { LINGER };
+        let mut scratch = vec![0; READ_BYTES];
+        let mut left = MAX_LINGER_BYTES;
         while let Ok(Ok(n @ 1..)) = timeout_at(until, self.stream.read(&mut scratch)).await {
             left = left.saturating_sub(n);
             if left == 0 {
@@ -601,7 +611,7 @@
     }
 
     /// Whether the rest of a record or request is waited for.
-    fn partial(&self) -> bool {
+    fn has_partial_request(&self) -> bool {
         !self.input.is_empty() || self.requests.len() > self.requests.unanswered().count()
     }
 
@@ -612,9 +622,9 @@
     }
 
     /// Guards against a peer that sends without end and would keep all others from the thread.
-    async fn give_way(&self, reads: &mut u32) {
+    async fn yield_if_due(&self, reads: &mut u32) {
         *reads += 1;
-        if *reads > READS_A_TURN {
+        if *reads > READS_PER_TURN {
             *reads = 0;
             tokio::task::yield_now().await;
         }
@@ -629,14 +639,14 @@
             match next_record(&mut rest) {
                 Ok(Some(record)) => self.take_record(&record).await?,
                 Ok(None) => break,
-                Err(LostFraming) => self.lost("what it sends are no records of FastCGI 1.0"),
+                Err(FramingError) => self.stop_reading("what it sends are no records of FastCGI 1.0"),
             }
         }
         if !self.closing {
             let taken = input.len() - rest.len();
             input.drain(..taken);
-            if input.len() < CHUNK {
-                input.shrink_to(2 * CHUNK);
+            if input.len() < READ_BYTES {
+                input.shrink_to(2 * READ_BYTES);
             }
             self.input = input;
         }
@@ -646,35 +656,35 @@
     /// The peer wants the connection closed behind an answer, or does not. Further requests may have been sent on it.
     fn close_if(&mut self, close: bool) {
         self.closing |= close;
-        self.cut_off |= close;
+        self.drain_input |= close;
     }
 
     /// Nothing more can be made of what the peer sends. What was whole before is answered all the same.
-    fn lost(&mut self, what: &'static str) {
-        self.front.fault(self.peer, &what);
-        (self.closing, self.cut_off) = (true, true);
+    fn stop_reading(&mut self, what: &'static str) {
+        self.front.log_peer_fault(self.peer, &what);
+        (self.closing, self.drain_input) = (true, true);
     }
 
     async fn take_record(&mut self, record: &Record<'_>) -> Result<(), End> {
         let Ok(step) = self.requests.take(record, &mut self.output) else {
-            self.lost("it begins a request that is open, or in a malformed way");
+            self.stop_reading("it begins a request that is open, or in a malformed way");
             return Ok(());
         };
-        self.book()?;
+        self.reserve()?;
         match step {
             Step::Nothing => {}
             Step::Stray => {
                 // Guards against a peer that keeps the thread busy with what is no request.
                 self.stray += record.content.len() + 1;
-                if self.stray > MAX_STRAY {
-                    self.lost("it sends too much that belongs to no request");
+                if self.stray > MAX_STRAY_BYTES {
+                    self.stop_reading("it sends too much that belongs to no request");
                 }
             }
-            Step::Whole(whole) => {
+            Step::Complete(whole) => {
                 self.stray = 0;
-                self.hand_over(whole).await;
-                if self.slot.used.get() {
-                    self.waits_since = None;
+                self.submit(whole).await;
+                if self.status.used.get() {
+                    self.waiting_since = None;
                 }
             }
             // The engine owes no answer any more and gives one all the same, with which the request is closed: its
@@ -688,7 +698,7 @@
                 }
             }
             Step::Oversize(id) => {
-                self.front.fault(self.peer, &"a request is over its size");
+                self.front.log_peer_fault(self.peer, &"a request is over its size");
                 self.answer(id, &Reply::new(Answer::Bad, None))?;
             }
             Step::Ended { close } => self.close_if(close),
@@ -696,16 +706,16 @@
         Ok(())
     }
 
-    async fn hand_over(&mut self, whole: Whole) {
+    async fn submit(&mut self, whole: CompleteRequest) {
         let reply = ReplyTo::new(self.reply_to.clone(), whole.id);
         let front = &self.front;
         match asked(&whole.params, whole.body, front) {
             Ok(Asked::Check) => {
-                self.slot.used.set(true);
+                self.status.used.set(true);
                 let _ = front.engine.send(Input::Check { reply }).await;
             }
             Ok(Asked::Work(work)) => {
-                self.slot.used.set(true);
+                self.status.used.set(true);
                 let id = RequestId(front.last_id.get() + 1);
                 front.last_id.set(id.0);
                 self.ids.insert(whole.id, id);
@@ -719,7 +729,7 @@
                 let _ = front.engine.send(Input::Work { id, work, reply }).await;
             }
             Err(problem) => {
-                front.fault(self.peer, &problem);
+                front.log_peer_fault(self.peer, &problem);
                 reply.send(Reply::new(Answer::Bad, None));
             }
         }
@@ -737,16 +747,16 @@
         put_reply(&mut self.output, id, reply);
         let close = self.requests.close(id);
         self.close_if(close);
-        self.book()
+        self.reserve()
     }
 
     /// Books what waits to be written. A peer that reads nothing is let go before the memory is full.
-    fn book(&mut self) -> Result<(), End> {
-        let more = self.output.len().saturating_sub(self.booked);
-        if !self.front.book_unwritten(more, &self.slot) {
-            return Err(End::Fault("too many answers are unread"));
+    fn reserve(&mut self) -> Result<(), End> {
+        let more = self.output.len().saturating_sub(self.reserved);
+        if !self.front.reserve_output(more, &self.status) {
+            return Err(End::PeerFault("too many answers are unread"));
         }
-        self.booked += more;
+        self.reserved += more;
         Ok(())
     }
 
@@ -756,7 +766,7 @@
                 Ok(n) => {
                     self.output.drain(..n);
                     self.last_write = Instant::now();
-                    self.slot.last_traffic.set(self.last_write);
+                    self.status.last_traffic.set(self.last_write);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) => return Err(e.into()),
@@ -767,9 +777,9 @@
             // The wait for the peer to read begins with the next answer.
             self.last_write = Instant::now();
         }
-        self.front.unwritten.give(self.booked - self.output.len());
-        self.booked = self.output.len();
-        self.slot.stalled_since.set((!self.output.is_empty()).then_some(self.last_write));
+        self.front.output_budget.give(self.reserved - self.output.len());
+        self.reserved = self.output.len();
+        self.status.stalled_since.set((!self.output.is_empty()).then_some(self.last_write));
         Ok(())
     }
 }
@@ -791,7 +801,7 @@
 }
 
 /// Reads a request from its parameters, which are named as CGI names headers.
-fn asked(params: &[u8], body: Vec<u8>, front: &Front) -> Result<Asked, BadRequest> {
+fn asked(params: &[u8], body: Vec<u8>, front: &Connections) -> Result<Asked, BadRequest> {
     let Some(pairs) = pairs(params) else {
         return Err(BadRequest("its parameters are cut off".to_string()));
     };
--- a/crates/node/src/fastcgi/records.rs
+++ b/crates/node/src/fastcgi/records.rs
@@ -61,7 +61,7 @@
 
 /// The bytes are no records: where the next one begins is not known any more.
 #[derive(Debug, PartialEq, Eq)]
-pub struct LostFraming;
+pub struct FramingError;
 
 fn record<'a>(input: &mut Partial<&'a [u8]>) -> winnow::ModalResult<Record<'a>> {
     let (_, kind, id, length, padding, _) =
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// What stands there is no record.
-pub fn next_record<'a>(bytes: &mut &'a [u8]) -> Result<Option<Record<'a>>, LostFraming> {
+pub fn next_record<'a>(bytes: &mut &'a [u8]) -> Result<Option<Record<'a>>, FramingError> {
     let mut input = Partial::new(*bytes);
     match record(&mut input) {
         Ok(record) => {
@@ -82,7 +82,7 @@
             Ok(Some(record))
         }
         Err(ErrMode::Incomplete(_)) => Ok(None),
-        Err(_) => Err(LostFraming),
+        Err(_) => Err(FramingError),
     }
 }
 
@@ -102,12 +102,12 @@
 ///
 /// # Errors
 /// It has another length than such a record has.
-pub fn begin(content: &[u8]) -> Result<Begin, LostFraming> {
+pub fn begin(content: &[u8]) -> Result<Begin, FramingError> {
     match content {
         [high, low, flags, _, _, _, _, _] => {
             Ok(Begin { role: u16::from_be_bytes([*high, *low]), keep_conn: flags & 1 == 1 })
         }
-        _ => Err(LostFraming),
+        _ => Err(FramingError),
     }
 }
 
--- a/crates/node/src/fastcgi/requests.rs
+++ b/crates/node/src/fastcgi/requests.rs
@@ -47,15 +47,15 @@
 
 /// Bytes of a budget that are given back when this is dropped.
 #[derive(Debug)]
-pub struct Room {
+pub struct Reservation {
     budget: Budget,
     taken: usize,
 }
 
-impl Room {
+impl Reservation {
     /// None is taken yet.
-    pub fn new(budget: Budget) -> Room {
-        Room { budget, taken: 0 }
+    pub fn new(budget: Budget) -> Reservation {
+        Reservation { budget, taken: 0 }
     }
 
     /// Takes or gives back until so many bytes are taken; whether there was room for them.
@@ -69,7 +69,7 @@
     }
 }
 
-impl Drop for Room {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.budget.give(self.taken);
     }
@@ -77,7 +77,7 @@
 
 /// A request whose last byte was read.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct CompleteRequest {
     /// Its id on the connection.
     pub id: u16,
     /// The parameters, still packed.
@@ -92,7 +92,7 @@
     /// Nothing yet.
     Nothing,
     /// A request is whole.
-    Whole(Whole),
+    Complete(CompleteRequest),
     /// The record belongs to no open request.
     Stray,
     /// A request that is not whole is over its size already. It is to be answered; the rest of it is stray then.
@@ -106,7 +106,7 @@
     },
 }
 
-struct Open {
+struct OpenRequest {
     keep_conn: bool,
     params: Vec<u8>,
     params_ended: bool,
@@ -120,7 +120,7 @@
 
 /// The requests that are open on one connection.
 pub struct Requests {
-    open: BTreeMap<u16, Open>,
+    open: BTreeMap<u16, OpenRequest>,
     budget: Budget,
 }
 
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     /// A record that begins a request and has another length than such a record has.
-    pub fn take(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, LostFraming> {
+    pub fn take(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, FramingError> {
         if record.id == 0 {
             manage(record, out);
             return Ok(Step::Stray);
@@ -185,17 +185,17 @@
             kind::PARAMS if !open.params_ended => {
                 open.params_ended = record.content.is_empty();
                 match open.grow(|open| &mut open.params, record.content, MAX_PARAMS, &self.budget) {
-                    Grown::Fits => {}
-                    Grown::Oversize => return Ok(Step::Oversize(record.id)),
-                    Grown::NoRoom => return Ok(self.overloaded(record.id, out)),
+                    AppendResult::Fits => {}
+                    AppendResult::Oversize => return Ok(Step::Oversize(record.id)),
+                    AppendResult::OutOfMemory => return Ok(self.overloaded(record.id, out)),
                 }
             }
             kind::STDIN if !open.body_ended => {
                 open.body_ended = record.content.is_empty();
                 match open.grow(|open| &mut open.body, record.content, MAX_BODY, &self.budget) {
-                    Grown::Fits => {}
-                    Grown::Oversize => return Ok(Step::Oversize(record.id)),
-                    Grown::NoRoom => return Ok(self.overloaded(record.id, out)),
+                    AppendResult::Fits => {}
+                    AppendResult::Oversize => return Ok(Step::Oversize(record.id)),
+                    AppendResult::OutOfMemory => return Ok(self.overloaded(record.id, out)),
                 }
             }
             _ => return Ok(Step::Stray),
@@ -205,14 +205,14 @@
         }
         open.whole = true;
         let (params, body) = (std::mem::take(&mut open.params), std::mem::take(&mut open.body));
-        Ok(Step::Whole(Whole { id: record.id, params, body }))
+        Ok(Step::Complete(CompleteRequest { id: record.id, params, body }))
     }
 
-    fn begin(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, LostFraming> {
+    fn begin(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, FramingError> {
         let begin = begin(record.content)?;
         if self.open.contains_key(&record.id) {
             // Which of the two the records to come belong to cannot be told.
-            return Err(LostFraming);
+            return Err(FramingError);
         }
         if begin.role != RESPONDER {
             put_end(out, record.id, ProtocolStatus::UnknownRole);
@@ -222,7 +222,7 @@
             put_end(out, record.id, ProtocolStatus::Overloaded);
             return Ok(Step::Ended { close: !begin.keep_conn });
         }
-        let open = Open {
+        let open = OpenRequest {
             keep_conn: begin.keep_conn,
             params: Vec::new(),
             params_ended: false,
@@ -250,32 +250,32 @@
 }
 
 /// What became of a part of a request that grows.
-enum Grown {
+enum AppendResult {
     Fits,
     /// It is over its size.
     Oversize,
     /// There is no memory for it.
-    NoRoom,
+    OutOfMemory,
 }
 
-impl Open {
+impl OpenRequest {
     /// Appends to a part of a request.
     fn grow(
         &mut self,
-        part: fn(&mut Open) -> &mut Vec<u8>,
+        part: fn(&mut OpenRequest) -> &mut Vec<u8>,
         more: &[u8],
         most: usize,
         budget: &Budget,
-    ) -> Grown {
+    ) -> AppendResult {
         if part(self).len() + more.len() > most {
-            return Grown::Oversize;
+            return AppendResult::Oversize;
         }
         if !budget.take(more.len()) {
-            return Grown::NoRoom;
+            return AppendResult::OutOfMemory;
         }
         self.booked += more.len();
         part(self).extend(more);
-        Grown::Fits
+        AppendResult::Fits
     }
 }
 
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -9,12 +9,12 @@
 use winnow::token::{take_till, take_while};
 
 /// The longest head and body of a reply.
-const MAX_HEAD: usize = 8 * 1024;
-const MAX_BODY: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Interim answers that one reply may have before it.
 const MAX_INTERIM: usize = 8;
 /// What every reply begins with.
-const BEGINNING: &[u8] = b"HTTP/1.";
+const STATUS_LINE_PREFIX: &[u8] = b"HTTP/1.";
 
 /// The head of a reply.
 #[derive(Debug, PartialEq, Eq)]
@@ -90,15 +90,15 @@
 pub fn read_head(bytes: &[u8]) -> io::Result<Option<(Head, usize)>> {
     let unreadable = || io::Error::from(io::ErrorKind::InvalidData);
     // Noise is known by its first bytes: its end would be waited for in vain.
-    if !bytes.iter().zip(BEGINNING).all(|(byte, expected)| byte == expected) {
+    if !bytes.iter().zip(STATUS_LINE_PREFIX).all(|(byte, expected)| byte == expected) {
         return Err(unreadable());
     }
     let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") else {
-        return if bytes.len() > MAX_HEAD { Err(unreadable()) } else { Ok(None) };
+        return if bytes.len() > MAX_HEAD_BYTES { Err(unreadable()) } else { Ok(None) };
     };
     let whole = end + 4;
     match head.parse(&bytes[..whole]) {
-        Ok(head) if head.length <= MAX_BODY => Ok(Some((head, whole))),
+        Ok(head) if head.length <= MAX_BODY_BYTES => Ok(Some((head, whole))),
         _ => Err(unreadable()),
     }
 }
--- a/crates/node/src/interpreter.rs
+++ b/crates/node/src/interpreter.rs
@@ -21,11 +21,11 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// The longest line that is read: a result of 4 KiB in base64, with room to spare.
-const MAX_LINE: usize = 64 * 1024;
+const MAX_LINE_BYTES: usize = 64 * 1024;
 /// Arrays and objects in one line. The parser of JSON goes down into each, so their number bounds its stack.
-const MAX_NESTED: usize = 64;
+const MAX_NESTED_VALUES: usize = 64;
 /// Between attempts to connect. A link that was up for so long is made anew at once.
-const RECONNECT: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// For one attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Asks for the gauges to learn when all that was missed has been heard; the engine's tags begin at 1.
@@ -129,7 +129,7 @@
 /// # Errors
 /// What is wrong with it.
 pub fn read_line(line: &[u8]) -> Result<Message, String> {
-    if line.iter().filter(|b| matches!(b, b'[' | b'{')).count() > MAX_NESTED {
+    if line.iter().filter(|b| matches!(b, b'[' | b'{')).count() > MAX_NESTED_VALUES {
         return Err("nests too deep".to_string());
     }
     let line = std::str::from_utf8(line).map_err(|_| "is not UTF-8".to_string())?;
@@ -178,43 +178,43 @@
 
 /// What is known of the link whether it is up or down.
 #[derive(Debug, Default)]
-struct Memory {
+struct LinkState {
     /// The last notice that was read.
     pos: u64,
     /// Commands sent so far.
     sent: u64,
     /// Those that may not have arrived, with their numbers.
-    unsure: VecDeque<(u64, Command)>,
+    unconfirmed: VecDeque<(u64, Command)>,
 }
 
-impl Memory {
+impl LinkState {
     fn send(&mut self, command: Command, out: &mut Vec<u8>) {
         command.write(out, self.sent);
         if command.uid().is_some() {
             self.sent += 1;
-            self.unsure.push_back((self.sent, command));
+            self.unconfirmed.push_back((self.sent, command));
         }
     }
 
     /// Whether a message is news. A notice shows what became of commands: one that is read again after a break is
     /// skipped, and those that a run has left behind must not be sent again.
-    fn heard(&mut self, message: &Message) -> bool {
+    fn accept(&mut self, message: &Message) -> bool {
         match message {
             Message::Value { pos, uid, .. } | Message::Await { pos, uid, .. } => {
                 if *pos <= self.pos {
                     return false;
                 }
-                self.note(*pos);
+                self.advance(*pos);
                 let over = matches!(message, Message::Value { .. });
                 // A run that waits again or anew has taken all but an order to stop.
-                self.unsure
+                self.unconfirmed
                     .retain(|(_, c)| c.uid() != Some(uid) || !over && matches!(c, Command::Break { .. }));
             }
             Message::Remark { pos } if *pos <= self.pos => return false,
-            Message::Remark { pos } => self.note(*pos),
+            Message::Remark { pos } => self.advance(*pos),
             Message::Gauges { vouches, .. } => {
-                while self.unsure.front().is_some_and(|(number, _)| number <= vouches) {
-                    self.unsure.pop_front();
+                while self.unconfirmed.front().is_some_and(|(number, _)| number <= vouches) {
+                    self.unconfirmed.pop_front();
                 }
             }
             Message::Banner { .. } | Message::Rejected { .. } => {}
@@ -222,7 +222,7 @@
         true
     }
 
-    fn note(&mut self, pos: u64) {
+    fn advance(&mut self, pos: u64) {
         if pos > self.pos + 1 {
             log!(ERROR, "interpreter: {} notices are lost", pos - self.pos - 1);
         }
@@ -237,7 +237,7 @@
     engine: mpsc::Sender<Input>,
     mut commands: mpsc::Receiver<Command>,
 ) {
-    let mut memory = Memory::default();
+    let mut state = LinkState::default();
     let mut known_down = false;
     loop {
         let address = peers.borrow_and_update().interpreter;
@@ -246,7 +246,7 @@
             Ok(Ok(stream)) => {
                 known_down = false;
                 Link::new(stream, &engine)
-                    .converse(&mut memory, &mut commands, moved(&mut peers, address))
+                    .converse(&mut state, &mut commands, until_moved(&mut peers, address))
                     .await
             }
             Ok(Err(e)) => Err(e),
@@ -261,14 +261,14 @@
             log!(WARN, "interpreter: no link to {address}: {e}");
             known_down = true;
         }
-        if began.elapsed() < RECONNECT {
-            sleep(RECONNECT).await;
+        if began.elapsed() < RECONNECT_DELAY {
+            sleep(RECONNECT_DELAY).await;
         }
     }
 }
 
 /// Returns once the interpreter is elsewhere.
-async fn moved(peers: &mut watch::Receiver<Peers>, address: SocketAddr) {
+async fn until_moved(peers: &mut watch::Receiver<Peers>, address: SocketAddr) {
     if peers.wait_for(|peers| peers.interpreter != address).await.is_err() {
         // It can move no more.
         std::future::pending().await
@@ -290,13 +290,13 @@
 
     async fn converse(
         &mut self,
-        memory: &mut Memory,
+        state: &mut LinkState,
         commands: &mut mpsc::Receiver<Command>,
         moved: impl Future<Output = ()>,
     ) -> io::Result<()> {
         let mut moved = std::pin::pin!(moved);
         // Writing to a Vec cannot fail.
-        let _ = writeln!(self.output, r#"{{"action":"CONNECT","pos":{}}}"#, memory.pos);
+        let _ = writeln!(self.output, r#"{{"action":"CONNECT","pos":{}}}"#, state.pos);
         let mut caught_up = false;
         loop {
             let (mut reader, mut writer) = self.stream.split();
@@ -307,11 +307,11 @@
                     if read? == 0 {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
-                    let caught_up_now = self.take_in(memory).await?;
+                    let caught_up_now = self.take_in(state).await?;
                     if caught_up_now && !caught_up {
                         caught_up = true;
-                        for (_, command) in std::mem::take(&mut memory.unsure) {
-                            memory.send(command, &mut self.output);
+                        for (_, command) in std::mem::take(&mut state.unconfirmed) {
+                            state.send(command, &mut self.output);
                         }
                         if self.engine.send(Input::LinkUp).await.is_err() {
                             return Ok(());
@@ -321,11 +321,11 @@
                 written = writer.write(&self.output), if !self.output.is_empty() => {
                     self.output.drain(..written?);
                 }
-                command = commands.recv(), if caught_up && self.output.len() < MAX_LINE => {
+                command = commands.recv(), if caught_up && self.output.len() < MAX_LINE_BYTES => {
                     let Some(command) = command else { return Ok(()) };
-                    memory.send(command, &mut self.output);
-                    while self.output.len() < MAX_LINE && let Ok(command) = commands.try_recv() {
-                        memory.send(command, &mut self.output);
+                    state.send(command, &mut self.output);
+                    while self.output.len() < MAX_LINE_BYTES && let Ok(command) = commands.try_recv() {
+                        state.send(command, &mut self.output);
                     }
                 }
             }
@@ -333,7 +333,7 @@
     }
 
     /// Takes in all whole lines; whether all that was missed is among them.
-    async fn take_in(&mut self, memory: &mut Memory) -> io::Result<bool> {
+    async fn take_in(&mut self, state: &mut LinkState) -> io::Result<bool> {
         let mut caught_up = false;
         let input = std::mem::take(&mut self.input);
         let mut rest = &input[..];
@@ -352,14 +352,14 @@
                         Message::Rejected { command, .. } if command == "TOP" => caught_up = true,
                         _ => {}
                     }
-                    if memory.heard(&message) && self.engine.send(Input::Heard(message)).await.is_err() {
+                    if state.accept(&message) && self.engine.send(Input::Heard(message)).await.is_err() {
                         return Ok(caught_up);
                     }
                 }
                 Err(problem) => log!(WARN, "interpreter: a line {problem}"),
             }
         }
-        if rest.len() > MAX_LINE {
+        if rest.len() > MAX_LINE_BYTES {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "a line is too long"));
         }
         self.input = rest.to_vec();
@@ -376,7 +376,7 @@
     }
 
     /// What would be sent again after a break.
-    fn unsure(memory: &Memory) -> Vec<&'static str> {
+    fn unconfirmed(state: &LinkState) -> Vec<&'static str> {
         let name = |command: &Command| match command {
             Command::Apply { .. } => "apply",
             Command::Break { .. } => "break",
@@ -385,40 +385,40 @@
             Command::Stub { .. } => "stub",
             Command::Gauges { .. } => "gauges",
         };
-        memory.unsure.iter().map(|(_, command)| name(command)).collect()
+        state.unconfirmed.iter().map(|(_, command)| name(command)).collect()
     }
 
     #[test]
     fn what_a_run_has_left_behind_is_not_sent_again() {
-        let (mut memory, mut out) = (Memory::default(), Vec::new());
+        let (mut state, mut out) = (LinkState::default(), Vec::new());
         let wait = |pos| Message::Await { pos, uid: uid(), content: vec![] };
-        memory.send(Command::Apply { uid: uid(), class: "c".into(), body: [].into() }, &mut out);
-        assert_eq!(unsure(&memory), ["apply"]);
-        assert!(memory.heard(&wait(1)));
-        memory.send(Command::Resolve { uid: uid(), content: vec![].into() }, &mut out);
+        state.send(Command::Apply { uid: uid(), class: "c".into(), body: [].into() }, &mut out);
+        assert_eq!(unconfirmed(&state), ["apply"]);
+        assert!(state.accept(&wait(1)));
+        state.send(Command::Resolve { uid: uid(), content: vec![].into() }, &mut out);
         // A notice that comes again tells nothing of what was sent since.
-        assert!(!memory.heard(&wait(1)));
-        assert_eq!(unsure(&memory), ["resolve"]);
+        assert!(!state.accept(&wait(1)));
+        assert_eq!(unconfirmed(&state), ["resolve"]);
         // The next call would else be answered with the reply to this one.
-        assert!(memory.heard(&wait(2)));
-        memory.send(Command::Stub { uid: uid(), pos: 2 }, &mut out);
-        memory.send(Command::Break { uid: uid() }, &mut out);
-        assert_eq!(unsure(&memory), ["stub", "break"]);
-        assert!(memory.heard(&wait(3)));
-        assert_eq!(unsure(&memory), ["break"], "an order to stop is still meant");
-        assert!(memory.heard(&Message::Value { pos: 4, uid: uid(), end: RunEnd::Stopped }));
-        assert!(unsure(&memory).is_empty());
+        assert!(state.accept(&wait(2)));
+        state.send(Command::Stub { uid: uid(), pos: 2 }, &mut out);
+        state.send(Command::Break { uid: uid() }, &mut out);
+        assert_eq!(unconfirmed(&state), ["stub", "break"]);
+        assert!(state.accept(&wait(3)));
+        assert_eq!(unconfirmed(&state), ["break"], "an order to stop is still meant");
+        assert!(state.accept(&Message::Value { pos: 4, uid: uid(), end: RunEnd::Stopped }));
+        assert!(unconfirmed(&state).is_empty());
     }
 
     #[test]
     fn gauges_vouch_for_the_commands_before_them_only() {
-        let (mut memory, mut out) = (Memory::default(), Vec::new());
-        memory.send(Command::Break { uid: uid() }, &mut out);
-        memory.send(Command::Gauges { tag: 7 }, &mut out);
-        memory.send(Command::Stub { uid: uid(), pos: 1 }, &mut out);
+        let (mut state, mut out) = (LinkState::default(), Vec::new());
+        state.send(Command::Break { uid: uid() }, &mut out);
+        state.send(Command::Gauges { tag: 7 }, &mut out);
+        state.send(Command::Stub { uid: uid(), pos: 1 }, &mut out);
         let line = String::from_utf8(out).unwrap();
         assert!(line.contains(r#""echo":"7-1""#), "{line}");
-        memory.heard(&Message::Gauges { tag: 7, vouches: 1, readings: vec![] });
-        assert_eq!(unsure(&memory), ["stub"]);
+        state.accept(&Message::Gauges { tag: 7, vouches: 1, readings: vec![] });
+        assert_eq!(unconfirmed(&state), ["stub"]);
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,11 +1,11 @@
 //! One nodo: serves balancers until it is told to leave; and what an operator needs beside it.
 
 use clap::Parser;
-use jaspershunt_node::admin::{self, Desk, Order};
+use jaspershunt_node::admin::{self, AdminState, Order};
 use jaspershunt_node::cli::{self, Cli, Command, Serve};
 use jaspershunt_node::clock::Clock;
 use jaspershunt_node::config::{self, Config};
-use jaspershunt_node::server::Doors;
+use jaspershunt_node::server::Endpoints;
 use jaspershunt_node::upgrade::link::Place;
 use jaspershunt_node::{log, server};
 use std::path::Path;
@@ -79,10 +79,10 @@
                     }
                 }
             });
-            let desk = Rc::new(Desk::default());
+            let desk = Rc::new(AdminState::default());
             let orders = mpsc::channel(admin::QUEUE);
             let to_engine = orders.0.clone();
-            let doors = Doors { listener: None, admin, desk: desk.clone(), orders, upgrade };
+            let endpoints = Endpoints { listener: None, admin, desk: desk.clone(), orders, upgrade };
             let leave = async {
                 tokio::select! {
                     _ = terminate.recv() => {}
@@ -119,7 +119,7 @@
                     }
                 }
             });
-            server::run(config, Clock::System, doors, peers, operator, leave).await
+            server::run(config, Clock::System, endpoints, peers, operator, leave).await
         });
         // Guards against a disk that stalls: a thread that waits for it would be waited for here without end.
         runtime.shutdown_background();
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -1,11 +1,11 @@
 //! Puts the parts together, and takes them apart again when the nodo leaves.
 
-use crate::admin::{self, Desk, Order};
+use crate::admin::{self, AdminState, Order};
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError, Peers};
 use crate::engine::input::{self, Input, Peer};
 use crate::engine::{self, Engine, Idle, Ways};
-use crate::fastcgi::connection::Front;
+use crate::fastcgi::connection::Connections;
 use crate::steering::Steering;
 use crate::upgrade::link::Place;
 use crate::upgrade::right::Alive;
@@ -22,32 +22,32 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 /// From SIGTERM to the kill of a process that a later start took over from: the longest deadline, or this if that is longer,
-const RETIRE_WITHIN: Duration = Duration::from_secs(3);
+const MAX_RETIRE_TIME: Duration = Duration::from_secs(3);
 /// and this. The operators' figures.
 const RETIRE_SLACK: Duration = Duration::from_millis(700);
 /// It ends so long before the kill whatever is left. Ours, as the next two: a tenth of a second for each step.
-const RETIRE_AHEAD: Duration = Duration::from_millis(200);
+const RETIRE_MARGIN: Duration = Duration::from_millis(200);
 /// What is owed is failed so long before that.
-const GIVE_UP_AHEAD: Duration = Duration::from_millis(100);
+const GIVE_UP_MARGIN: Duration = Duration::from_millis(100);
 /// Connections that are never quiet are read no more so long before: answers take less than this, but for a few.
-const LAST_CALL: Duration = Duration::from_secs(1);
+const LAST_CALL_MARGIN: Duration = Duration::from_secs(1);
 /// Connections that the system holds until they are accepted.
 const BACKLOG: u32 = 1024;
 /// A notice to leave waits so long at most for the engine to see whether this process still has the right to run.
-const LOOK_WITHIN: Duration = Duration::from_millis(100);
+const OWNERSHIP_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 /// Beyond the grace the listener stays open so long, since a request that came just within it may be on its way.
-const BEYOND_GRACE: Duration = Duration::from_millis(100);
+const EXTRA_GRACE: Duration = Duration::from_millis(100);
 /// The program ends so long before the kill whatever is left.
-const EXIT_AHEAD: Duration = Duration::from_millis(40);
+const EXIT_MARGIN: Duration = Duration::from_millis(40);
 /// Connections that still bring requests so long before that are read no more, and end behind their last answer: the end of the
 /// program would reset them, over requests that were read and answers that the peer has not. Ours: answers take less than this,
 /// and the module's last ones are given before it.
-const HANG_UP_AHEAD: Duration = Duration::from_millis(60);
+const HANG_UP_MARGIN: Duration = Duration::from_millis(60);
 /// Tries that the fleet has to hold are refused until its member has its number. A nodo that starts waits so long for that before it
 /// takes clients, and no longer: the disk may stall.
-const NUMBER_WITHIN: Duration = Duration::from_millis(300);
+const INCARNATION_TIMEOUT: Duration = Duration::from_millis(300);
 /// A nodo that owes nothing waits so long for what may still be on its way before it closes its connections.
-const QUIET: Duration = Duration::from_millis(100);
+const QUIET_PERIOD: Duration = Duration::from_millis(100);
 
 /// A listener on an address; the message of an error names the key. With `shared`, a later start of the program may listen
 /// there too, while this one still does.
@@ -72,7 +72,7 @@
     read: Result<Config, ConfigError>,
     moves: &watch::Sender<Peers>,
     orders: &mpsc::Sender<Order>,
-    desk: &Desk,
+    desk: &AdminState,
 ) {
     let taken = async {
         let new = read.map_err(|e| e.to_string())?;
@@ -113,24 +113,24 @@
 }
 
 /// Where a nodo is called.
-pub struct Doors {
+pub struct Endpoints {
     /// By balancers; where there is none yet, the configured address is listened at.
     pub listener: Option<TcpListener>,
     /// By operators, if they may.
     pub admin: Option<TcpListener>,
     /// What operators are shown.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<AdminState>,
     /// What operators have the engine do.
     pub orders: (mpsc::Sender<Order>, mpsc::Receiver<Order>),
     /// By other starts of the program, if several can be one nodo: where that is settled.
     pub upgrade: Option<(Place, Alive)>,
 }
 
-impl Doors {
+impl Endpoints {
     /// Balancers alone can call.
-    pub fn new(listener: TcpListener) -> Doors {
+    pub fn new(listener: TcpListener) -> Endpoints {
         let listener = Some(listener);
-        Doors {
+        Endpoints {
             listener,
             admin: None,
             desk: Rc::default(),
@@ -148,12 +148,12 @@
 pub async fn run(
     config: Config,
     clock: Clock,
-    doors: Doors,
+    endpoints: Endpoints,
     peers: watch::Receiver<Peers>,
     mut operator: watch::Receiver<Option<Rc<File>>>,
     leave: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    let Doors { listener, admin, desk, orders: (orders_in, orders_out), upgrade } = doors;
+    let Endpoints { listener, admin, desk, orders: (orders_in, orders_out), upgrade } = endpoints;
     desk.shared.set(upgrade.is_some());
     let (engine_in, engine_out) = mpsc::channel(input::QUEUE);
     let (commands_in, commands_out) = mpsc::channel(interpreter::QUEUE);
@@ -187,7 +187,8 @@
     spawn_local(async move { directory::report(peers, &name, mode_out).await });
     let steering = config.operator.as_ref().and_then(|file| Steering::new(file, &config.name));
     desk.steering.borrow_mut().clone_from(&steering);
-    let mut front = Front::new(&config, engine_in.clone(), idle_out, facts.clone(), desk.connections.clone());
+    let mut front =
+        Connections::new(&config, engine_in.clone(), idle_out, facts.clone(), desk.connections.clone());
     front.samples = steering.as_ref().map(|steering| steering.samples());
     let front = Rc::new(front);
     let listeners = Rc::new(Listeners::new(front.clone()));
@@ -243,7 +244,7 @@
         let to_engine = engine_in.downgrade();
         let office = (!file.team.is_empty()).then(|| fleet::routes::Office::new(&file, &desk.tally));
         *desk.routes.borrow_mut() = office.clone();
-        let (numbered, number) = (Rc::new(Notify::new()), Instant::now() + NUMBER_WITHIN);
+        let (numbered, number) = (Rc::new(Notify::new()), Instant::now() + INCARNATION_TIMEOUT);
         let has_number = numbered.clone();
         let publish = move |way: Option<fleet::Way>| {
             if let (Some(office), Some(way)) = (&office, &way) {
@@ -273,27 +274,27 @@
     log!("{} listens on {listens}", config.name);
 
     leave.await;
-    let told = Instant::now();
+    let notified_at = Instant::now();
     desk.leaves.set(true);
     if desk.shared.get() {
         // Guards against a process that was frozen and takes the notice for one to the nodo, before it has seen that it lost.
         let (answer, seen) = oneshot::channel();
         let _ = engine_in.send(Input::Peer(Peer::Look { told: answer })).await;
-        let _ = timeout_at(told + LOOK_WITHIN, seen).await;
+        let _ = timeout_at(notified_at + OWNERSHIP_CHECK_TIMEOUT, seen).await;
     }
     // Another process serves, or will: this one says nothing for the nodo.
     if idle_in.borrow().passing || desk.lost.get() {
         let longest = facts.borrow().settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-        retire(&config.name, longest, told, &engine_in, &front, &idle_in, &mut owed).await;
+        retire(&config.name, longest, notified_at, &engine_in, &front, &idle_in, &mut owed).await;
         return Ok(());
     }
-    let end = told + config.stop.saturating_sub(EXIT_AHEAD);
-    let _ = engine_in.send(Input::Leave { told }).await;
+    let end = notified_at + config.stop.saturating_sub(EXIT_MARGIN);
+    let _ = engine_in.send(Input::Leave { told: notified_at }).await;
     let grace = Duration::from_secs_f64(facts.borrow().settings.drain_grace.min(1e6));
-    sleep_until((told + grace + BEYOND_GRACE).min(end)).await;
+    sleep_until((notified_at + grace + EXTRA_GRACE).min(end)).await;
     // New connections are refused from here on, which proves to balancers that nothing ran.
     listeners.close(end).await;
-    let last = end - HANG_UP_AHEAD;
+    let last = end - HANG_UP_MARGIN;
     let _ = timeout_at(last, quiet(&mut owed)).await;
     let mut member = std::pin::pin!(timeout_at(end, async {
         if let Some(member) = member {
@@ -302,7 +303,7 @@
         }
     }));
     // Guards against a member that takes until the end: what still comes on connections would be reset by that.
-    let waits = timeout_at(last, &mut member).await.is_err();
+    let member_waits = timeout_at(last, &mut member).await.is_err();
     idle_in.send_modify(|idle| (idle.limit, idle.standing) = (Duration::ZERO, true));
     let all_ended = async {
         while front.open.get() > 0 {
@@ -310,15 +311,15 @@
         }
     };
     let mut all_ended = std::pin::pin!(all_ended);
-    let mut left_over = timeout_at(last, &mut all_ended).await.is_err();
-    if left_over {
+    let mut connections_left = timeout_at(last, &mut all_ended).await.is_err();
+    if connections_left {
         idle_in.send_modify(|idle| idle.hang_up = true);
-        left_over = timeout_at(end, all_ended).await.is_err();
+        connections_left = timeout_at(end, all_ended).await.is_err();
     }
-    if waits {
+    if member_waits {
         let _ = member.await;
     }
-    log!("{} leaves{}", config.name, if left_over { " with connections open" } else { "" });
+    log!("{} leaves{}", config.name, if connections_left { " with connections open" } else { "" });
     Ok(())
 }
 
@@ -327,14 +328,15 @@
 async fn retire(
     name: &str,
     longest: f64,
-    told: Instant,
+    notified_at: Instant,
     engine: &mpsc::Sender<Input>,
-    front: &Front,
+    front: &Connections,
     idle: &watch::Sender<Idle>,
     owed: &mut watch::Receiver<usize>,
 ) {
-    let end = told + Duration::from_secs_f64(longest.min(RETIRE_WITHIN.as_secs_f64())) + RETIRE_SLACK
-        - RETIRE_AHEAD;
+    let end =
+        notified_at + Duration::from_secs_f64(longest.min(MAX_RETIRE_TIME.as_secs_f64())) + RETIRE_SLACK
+            - RETIRE_MARGIN;
     log!("{name} leaves the work to a later start");
     let done = async {
         loop {
@@ -349,14 +351,14 @@
         }
     };
     let mut done = std::pin::pin!(done);
-    if timeout_at(end - LAST_CALL, &mut done).await.is_err() {
+    if timeout_at(end - LAST_CALL_MARGIN, &mut done).await.is_err() {
         idle.send_modify(|idle| idle.last_call = true);
-        if timeout_at(end - GIVE_UP_AHEAD, &mut done).await.is_err() {
+        if timeout_at(end - GIVE_UP_MARGIN, &mut done).await.is_err() {
             let _ = engine.send(Input::Peer(Peer::GiveUp)).await;
             let _ = timeout_at(end, &mut done).await;
         }
     }
-    front.farewell(end).await;
+    front.send_farewell(end).await;
     log!("{name} ends, {} connections are left", front.open.get());
 }
 
@@ -366,7 +368,7 @@
         if owed.wait_for(|owed| *owed == 0).await.is_err() {
             return;
         }
-        let until = Instant::now() + QUIET;
+        let until = Instant::now() + QUIET_PERIOD;
         if timeout_at(until, owed.wait_for(|owed| *owed > 0)).await.is_err() {
             return;
         }
--- a/crates/node/src/upgrade/mod.rs
+++ b/crates/node/src/upgrade/mod.rs
@@ -17,10 +17,10 @@
 pub mod right;
 pub mod wire;
 
-use crate::admin::Desk;
+use crate::admin::AdminState;
 use crate::engine::Idle;
 use crate::engine::input::{Input, Peer};
-use crate::fastcgi::connection::{Came, Front, accept};
+use crate::fastcgi::connection::{Connections, PassedState, accept};
 use crate::log;
 use claims::{Knows, Met, Seeks, Silence, Steady, TAKE_WAITS, WORD_EVERY, seek};
 use link::{Out, Place, Reader, Writer, ends};
@@ -166,7 +166,7 @@
                 (Message::Work { ticket, work }, _) => Peer::Work { ticket, work, to: out.clone() },
                 (Message::Gone { ticket }, _) => Peer::Gone { ticket },
                 (Message::Load(load), _) => {
-                    front.leave_to_other(load.descriptors as usize);
+                    front.reserve_for_other_process(load.descriptors as usize);
                     Peer::Load(load)
                 }
                 (Message::Ended(entry), _) => Peer::Ended(entry),
@@ -177,7 +177,7 @@
                     match peer.and_then(|peer| Ok((tokio::net::TcpStream::from_std(stream)?, peer))) {
                         Ok((stream, peer)) => {
                             let waited = waited_ms.map(Duration::from_millis);
-                            front.take_over(stream, peer, Came { input, used, waited });
+                            front.adopt(stream, peer, PassedState { input, used, waited });
                         }
                         Err(e) => log!(WARN, "upgrade: a connection was lost on the way: {e}"),
                     }
@@ -212,7 +212,7 @@
             Peer::Broke
         }
     };
-    front.leave_to_other(0);
+    front.reserve_for_other_process(0);
     let _ = engine.send(Input::Peer(over)).await;
     is_silent
 }
@@ -232,7 +232,7 @@
     /// Tells connections that they are to be passed on.
     pub idle: watch::Sender<Idle>,
     /// What operators are shown.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<AdminState>,
     /// Where balancers are accepted.
     pub listeners: Rc<Listeners>,
 }
@@ -241,7 +241,7 @@
 /// waits there is lost by nobody.
 pub struct Listeners {
     /// The connections.
-    pub front: Rc<Front>,
+    pub front: Rc<Connections>,
     /// Told once nothing more is accepted.
     close: watch::Sender<bool>,
     all: RefCell<Vec<Rc<TcpListener>>>,
@@ -250,7 +250,7 @@
 
 impl Listeners {
     /// None yet.
-    pub fn new(front: Rc<Front>) -> Listeners {
+    pub fn new(front: Rc<Connections>) -> Listeners {
         let (all, accepting) = (RefCell::default(), RefCell::default());
         Listeners { front, close: watch::channel(false).0, all, accepting }
     }
@@ -443,7 +443,7 @@
                 };
                 if lost {
                     task.abort();
-                    self.listeners.front.leave_to_other(0);
+                    self.listeners.front.reserve_for_other_process(0);
                     drop(here);
                     self.regain(&listener, false).await;
                     continue;
@@ -487,7 +487,7 @@
 
     /// Undoes what a hand-over began; whether the other one said nothing any more.
     async fn hand_over_ended(&self, ended: &io::Result<()>) -> bool {
-        self.listeners.front.hand_to(None);
+        self.listeners.front.set_successor(None);
         self.idle.send_modify(|idle| idle.passing = false);
         let _ = self.engine.send(Input::Peer(Peer::Broke)).await;
         match ended {
@@ -616,7 +616,7 @@
                     Message::Reply { ticket, reply } => Peer::Reply { ticket, reply },
                     Message::Lameduck { on } => Peer::Lameduck { on },
                     Message::Ready => {
-                        self.listeners.front.hand_to(Some(out.clone()));
+                        self.listeners.front.set_successor(Some(out.clone()));
                         self.idle.send_modify(|idle| idle.passing = true);
                         continue;
                     }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! A nodo on loopback, with the test in the place of everything that it talks to.
 #![allow(dead_code)]
 
-use jaspershunt_node::admin::{self, Desk, Order};
+use jaspershunt_node::admin::{self, AdminState, Order};
 use jaspershunt_node::clock::Clock;
 use jaspershunt_node::config::{self, Config, ConfigError, Peers};
 use jaspershunt_node::fastcgi::records::{self, kind, put_pair, put_record};
-use jaspershunt_node::server::{self, Doors};
+use jaspershunt_node::server::{self, Endpoints};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -216,7 +216,7 @@
     pub config: Config,
     pub orders: mpsc::Sender<Order>,
     pub directory_at: SocketAddr,
-    pub desk: Rc<Desk>,
+    pub desk: Rc<AdminState>,
     pub done: JoinHandle<()>,
 }
 
@@ -241,12 +241,13 @@
         let (moves, peers) = watch::channel(config.peers);
         let (operators, operator) = watch::channel(None);
         let (operators_at, operators_admin) = listener().await;
-        let desk = Rc::new(Desk::default());
+        let desk = Rc::new(AdminState::default());
         let orders = mpsc::channel(admin::QUEUE);
         let to_engine = orders.0.clone();
         let told_config = config.clone();
-        let doors = Doors { admin: Some(operators_at), desk: desk.clone(), orders, ..Doors::new(front) };
-        let run = server::run(config, Clock::System, doors, peers, operator, async {
+        let endpoints =
+            Endpoints { admin: Some(operators_at), desk: desk.clone(), orders, ..Endpoints::new(front) };
+        let run = server::run(config, Clock::System, endpoints, peers, operator, async {
             let _ = told.await;
         });
         let done = spawn_local(async move { run.await.unwrap() });
--- a/crates/node/tests/crossing_connections.rs
+++ b/crates/node/tests/crossing_connections.rs
@@ -5,10 +5,10 @@
 
 mod common;
 use common::*;
-use jaspershunt_node::config::Facts;
+use jaspershunt_node::config::NamedSettings;
 use jaspershunt_node::engine::Idle;
 use jaspershunt_node::engine::input::{Input, QUEUE};
-use jaspershunt_node::fastcgi::connection::{Front, accept};
+use jaspershunt_node::fastcgi::connection::{Connections, accept};
 use jaspershunt_node::fastcgi::records::{kind, put_record};
 use jaspershunt_node::fastcgi::requests::Budget;
 use jaspershunt_node::request::{Answer, Reply, ReplyTo};
@@ -37,31 +37,31 @@
 /// The connection code, listening, with the test as its engine.
 struct Server {
     address: SocketAddr,
-    front: Rc<Front>,
+    front: Rc<Connections>,
     work: mpsc::Receiver<Input>,
     idle: watch::Sender<Idle>,
     stop: Option<oneshot::Sender<()>>,
     accepts: JoinHandle<()>,
-    _facts: watch::Sender<Rc<Facts>>,
+    _facts: watch::Sender<Rc<NamedSettings>>,
 }
 
 impl Server {
     /// Accepts so many connections at once.
     async fn start(most: usize) -> Server {
-        Server::with(|front| front.most = most).await
+        Server::with(|front| front.max_connections = most).await
     }
 
-    async fn with(change: impl FnOnce(&mut Front)) -> Server {
+    async fn with(change: impl FnOnce(&mut Connections)) -> Server {
         let (listener, address) = listener().await;
         Server::on(listener, address, change)
     }
 
-    fn on(listener: TcpListener, address: SocketAddr, change: impl FnOnce(&mut Front)) -> Server {
+    fn on(listener: TcpListener, address: SocketAddr, change: impl FnOnce(&mut Connections)) -> Server {
         let config = config(address, address, address, address);
         let (engine, work) = mpsc::channel(QUEUE);
         let (idle, idle_out) = watch::channel(Idle::default());
         let (facts, facts_out) = watch::channel(Rc::new(config.facts()));
-        let mut front = Front::new(&config, engine, idle_out, facts_out, Rc::new(Cell::new(0)));
+        let mut front = Connections::new(&config, engine, idle_out, facts_out, Rc::new(Cell::new(0)));
         change(&mut front);
         let front = Rc::new(front);
         let (stop, stopped) = oneshot::channel::<()>();
@@ -130,7 +130,7 @@
 /// A server whose engine serves whatever comes.
 struct ServedByItself {
     address: SocketAddr,
-    front: Rc<Front>,
+    front: Rc<Connections>,
     _idle: watch::Sender<Idle>,
     stop: Option<oneshot::Sender<()>>,
     accepts: JoinHandle<()>,
@@ -191,7 +191,7 @@
 }
 
 /// Until the connections that are open are as many.
-async fn until_open(front: &Front, connections: usize) {
+async fn until_open(front: &Connections, connections: usize) {
     while front.open.get() != connections {
         yield_now().await;
     }
@@ -416,14 +416,14 @@
         let (listener, address) = listener().await;
         // What the system takes in for a peer is not the program's, so it gets little.
         SockRef::from(&listener).set_send_buffer_size(4096).unwrap();
-        let mut server = Server::on(listener, address, |front| front.unwritten = Budget::new(ROOM));
+        let mut server = Server::on(listener, address, |front| front.output_budget = Budget::new(ROOM));
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(2048).unwrap();
         let mut flood = Peer::new(socket.connect(address).await.unwrap());
         let result = vec![b'x'; 4000];
         // Answers are asked for until no more of them have room.
-        while server.front.unwritten.take(result.len()) {
-            server.front.unwritten.give(result.len());
+        while server.front.output_budget.take(result.len()) {
+            server.front.output_budget.give(result.len());
             flood.send(whole()).await;
             served(server.handed_over().await, &result);
             one_poll().await;
@@ -445,7 +445,7 @@
     local(async {
         const ROOM: usize = 100_000;
         const RECORD: usize = 65_000;
-        let server = Server::with(|front| front.held = Budget::new(ROOM)).await.serve_all();
+        let server = Server::with(|front| front.request_budget = Budget::new(ROOM)).await.serve_all();
         let mut long = Vec::new();
         put_record(&mut long, kind::STDIN, 9, &vec![0; RECORD]);
         let mut floods = Vec::new();
@@ -468,7 +468,7 @@
         until_open(&server.front, 1).await;
         drop(good);
         until_open(&server.front, 0).await;
-        assert!(server.front.held.take(ROOM), "all room was given back");
+        assert!(server.front.request_budget.take(ROOM), "all room was given back");
     });
 }
 
@@ -564,7 +564,7 @@
         SockRef::from(&listener).set_send_buffer_size(4096).unwrap();
         let mut server = Server::on(listener, address, |_| {});
         let (later, mut passed) = mpsc::channel(1);
-        server.front.hand_to(Some(later));
+        server.front.set_successor(Some(later));
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(2048).unwrap();
         let mut slow = Peer::new(socket.connect(address).await.unwrap());
--- a/crates/node/tests/dependencies.rs
+++ b/crates/node/tests/dependencies.rs
@@ -105,7 +105,7 @@
         // Both begin at the same moment and then follow the runtime's clock.
         let clock = Clock::runtime(UNIX_EPOCH.elapsed().unwrap().as_secs_f64());
         let balancer = Balancer::new(address, 4, Some(interpreter.clone()));
-        let run = server::run(config, clock, server::Doors::new(front), peers, operator, async {
+        let run = server::run(config, clock, server::Endpoints::new(front), peers, operator, async {
             let _ = told.await;
         });
         let done = spawn_local(async move { run.await.unwrap() });
--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -148,7 +148,7 @@
     let (leave, told) = oneshot::channel();
     let clock = Clock::runtime(UNIX_EPOCH.elapsed().unwrap().as_secs_f64());
     let balancer = Balancer::new(address, 4, Some(interpreter.clone()));
-    let run = server::run(config, clock, server::Doors::new(front), peers, operator, async {
+    let run = server::run(config, clock, server::Endpoints::new(front), peers, operator, async {
         let _ = told.await;
     });
     let done = spawn_local(async move { run.await.unwrap() });
--- a/crates/node/tests/nodo.rs
+++ b/crates/node/tests/nodo.rs
@@ -5,7 +5,7 @@
 use jaspershunt_node::config;
 use jaspershunt_node::engine::Idle;
 use jaspershunt_node::engine::input::Input;
-use jaspershunt_node::fastcgi::connection::{Came, Front, accept};
+use jaspershunt_node::fastcgi::connection::{Connections, PassedState, accept};
 use jaspershunt_node::fastcgi::records::{kind, put_record};
 use jaspershunt_node::request::{Answer, Reply, ReplyTo};
 use std::io::{BufRead, BufReader};
@@ -279,7 +279,7 @@
 
 /// Connections alone. The test answers in the place of the engine.
 struct Alone {
-    front: Rc<Front>,
+    front: Rc<Connections>,
     address: SocketAddr,
     inputs: mpsc::Receiver<Input>,
     _idle: watch::Sender<Idle>,
@@ -294,7 +294,7 @@
         let (_idle, idle) = watch::channel(Idle::default());
         let config = config::read(&text, |_| None).unwrap();
         let facts = watch::channel(Rc::new(config.facts())).1;
-        let front = Rc::new(Front::new(&config, engine, idle, facts, Rc::default()));
+        let front = Rc::new(Connections::new(&config, engine, idle, facts, Rc::default()));
         spawn_local(accept(Rc::new(socket), front.clone(), std::future::pending()));
         Alone { front, address, inputs, _idle }
     }
@@ -388,7 +388,7 @@
         let same = stream.try_clone().unwrap();
         assert!(!same.nodelay().unwrap());
         let ended = alone.front.ended.notified();
-        alone.front.take_over(TcpStream::from_std(stream).unwrap(), peer, Came::default());
+        alone.front.adopt(TcpStream::from_std(stream).unwrap(), peer, PassedState::default());
         drop(balancer);
         ended.await;
         assert!(same.nodelay().unwrap());
@@ -426,7 +426,7 @@
 fn when_all_connections_are_taken_the_least_useful_makes_room() {
     paused(async {
         let mut alone = Alone::start(r#""sockets":128"#).await;
-        let most = alone.front.most;
+        let most = alone.front.max_connections;
         let (mut quiet, mut owed) = (alone.connect().await, alone.connect().await);
         alone.use_once(&mut quiet).await;
         owed.send(request(1, 1, "read", &[], b"")).await;
--- a/crates/node/tests/parsers.rs
+++ b/crates/node/tests/parsers.rs
@@ -62,7 +62,7 @@
         bytes.extend(vec![0; padding.into()]);
         bytes.extend(request(2, 8, "sign", &[], b"x"));
         let steps = feed(&mut new_requests(), &cut(&bytes, &at), &mut Vec::new()).unwrap();
-        let [Step::Whole(one), Step::Whole(two)] = &steps[..] else { panic!("{steps:?}") };
+        let [Step::Complete(one), Step::Complete(two)] = &steps[..] else { panic!("{steps:?}") };
         prop_assert_eq!((one.id, &one.body, two.id, &two.body[..]), (1, &body, 2, &b"x"[..]));
         let pairs = records::pairs(&one.params).unwrap();
         prop_assert_eq!((pairs.len(), pairs[0].1.len()), (8, 300));
@@ -75,7 +75,7 @@
             *first = 1;
         }
         let steps = feed(&mut new_requests(), &[&bytes], &mut Vec::new());
-        prop_assert!(steps.is_none_or(|steps| !steps.iter().any(|step| matches!(step, Step::Whole(_)))));
+        prop_assert!(steps.is_none_or(|steps| !steps.iter().any(|step| matches!(step, Step::Complete(_)))));
         if let Some(pairs) = records::pairs(&bytes) {
             let length: usize = pairs.iter().map(|(name, value)| 2 + name.len() + value.len()).sum();
             prop_assert!(length <= bytes.len());
@@ -177,7 +177,7 @@
     let mut requests = Requests::new(budget.clone());
     let both = [request(1, 1, "read", &[], &[0; 2000]), request(2, 2, "read", &[], &[0; 2500])].concat();
     let steps = feed(&mut requests, &[&both], &mut Vec::new()).unwrap();
-    assert!(matches!(steps[..], [Step::Whole(_), Step::Oversize(2), ..]), "{steps:?}");
+    assert!(matches!(steps[..], [Step::Complete(_), Step::Oversize(2), ..]), "{steps:?}");
     assert!(!budget.take(6000) && budget.take(5000));
     requests.close(1);
     requests.close(2);
@@ -194,7 +194,7 @@
     let mut out = Vec::new();
     let steps = feed(&mut requests, &[&bytes], &mut out).unwrap();
     assert!(
-        matches!(steps[..], [Step::Whole(_), Step::Aborted(1), Step::Ended { close: false }]),
+        matches!(steps[..], [Step::Complete(_), Step::Aborted(1), Step::Ended { close: false }]),
         "{steps:?}"
     );
     assert_eq!(requests.len(), 1);
