--- a/crates/node/src/fastcgi/connection.rs
+++ b/crates/node/src/fastcgi/connection.rs
@@ -1,5 +1,5 @@
-//! A balancer's connection: reads requests, hands them to the engine, and writes the answers in the order in which
-//! they come.
+//! Connections of balancers: read FastCGI requests, submit them to the engine, and write the answers in the
+//! order in which the engine gives them.
 
 use super::records::{FramingError, Record, next_record, pairs, put_reply};
 use super::requests::{Budget, CompleteRequest, MAX_OPEN, MAX_PARAMS, Requests, Reservation, Step};
@@ -26,97 +26,100 @@
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// With more answers than this unwritten, nothing more is read: who reads no answers sends no requests.
+/// Reading pauses while more answer bytes than this are unwritten, so that a peer must read answers to send
+/// requests.
 const MAX_OUTPUT_BYTES: usize = 64 * 1024;
-/// An answer that cannot be written for so long is given up, and its connection with it.
+/// The connection is closed when no answer byte could be written for this long.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A new connection has so long to bring a first request that makes sense, and one that did has so long for the rest of
-/// a later one. Nothing is owed to who brings none, but a word or a close within 3 s.
+/// A new connection must bring its first valid request within this time, and a later request must be complete
+/// within it. Leaves time to close or answer within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// For so long a connection that brought nothing yet counts as one that will.
+/// A connection younger than this that has sent nothing is not yet treated as unused.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(500);
-/// Between attempts to accept a connection where the system has none to give.
+/// Delay before accepting again after the system failed to give a connection.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
-/// Bytes that belong to no open request and are read between two that do.
+/// Bytes of records that belong to no open request, accepted between two complete requests.
 const MAX_STRAY_BYTES: usize = 256 * 1024;
-/// Before a connection closes on a peer that still sends, so much is read, for so long at most: a close with bytes
-/// unread is a reset, which could take the last answer with it.
+/// At most this many bytes are read and dropped, for `LINGER` at most, before a connection closes on a peer
+/// that still sends: closing with unread bytes causes a reset, which can lose the last answer.
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
 const LINGER: Duration = Duration::from_secs(1);
-/// As the nodo leaves it reads on for no longer than what crosses the close can take, by the protocol's page.
+/// While the nodo leaves, a connection lingers only for bytes that cross the close on the network.
 const LEAVING_LINGER: Duration = Duration::from_millis(50);
-/// Read at once. After so many reads with no wait between them the other tasks have their turn.
+/// Bytes per read. After `READS_PER_TURN` reads without waiting, the task yields to others.
 const READ_BYTES: usize = 4 * 1024;
 const READS_PER_TURN: u32 = 4;
-/// A record of this length fits any that a request can use; what is read of a longer one takes of the room for requests.
+/// Input buffered up to this length (any usable record fits) is not charged to the request budget; only the
+/// excess is.
 const UNCHARGED_INPUT_BYTES: usize = MAX_PARAMS + READ_BYTES;
-/// Reads of what had come to a connection by the time at which nothing more is read of it.
+/// Maximum number of reads of pending input when a connection stops reading.
 const MAX_FINAL_READS: u32 = 16;
-/// Connections beyond [`Connections::max_connections`] while the last ones of a closing listener are taken in: a part of the descriptors for
-/// calls, of which fewer and fewer are made then.
+/// Connections accepted beyond [`Connections::max_connections`] while a closing listener's backlog is
+/// accepted. They use a part of the descriptors for calls, of which fewer and fewer are made then.
 const CLOSING_RESERVE: usize = 16;
 
-/// What all connections share.
+/// State shared by all connections.
 pub struct Connections {
-    /// The way to the engine.
+    /// Sends input to the engine.
     pub engine: mpsc::Sender<Input>,
-    /// The settings in force, for the classes and names.
+    /// The current settings with the names of classes and tenants.
     pub facts: watch::Receiver<Rc<NamedSettings>>,
-    /// Bytes of requests, from their reading to their answer.
+    /// Bytes of requests, from their reading until their answer.
     pub request_budget: Budget,
-    /// Bytes of answers that are not written.
+    /// Bytes of answers not yet written.
     pub output_budget: Budget,
-    /// Connections open at once, at most.
+    /// Maximum number of open connections.
     pub max_connections: usize,
     /// How long connections may be idle.
     pub idle: watch::Receiver<Idle>,
-    /// Connections open.
+    /// Number of open connections.
     pub open: Rc<Cell<usize>>,
-    /// Descriptors that the other process of an upgrade holds of those for connections.
+    /// Descriptors, of those for connections, that the other process of an upgrade uses.
     other_process_descriptors: Cell<usize>,
-    /// What is known of each of them from outside, by the order in which they came.
+    /// Status of each open connection, in order of arrival.
     connections: RefCell<BTreeMap<u64, Rc<ConnectionStatus>>>,
-    /// Told of each connection that ends, or that was asked to and cannot.
+    /// Notified when a connection ends, or cannot end although it was asked to.
     pub ended: Notify,
-    /// Cuts the lines on what peers do wrong to one a second.
+    /// Limits log lines about peers' faults to one per second.
     fault_limiter: RefCell<Limiter>,
-    /// The last request id that was given out; ids are never used twice.
+    /// The last request id assigned; ids are never reused.
     pub last_id: Cell<u64>,
-    /// The way to a later start, to which quiet connections go.
+    /// Sends connections without in-flight requests to the successor process.
     successor: RefCell<Option<mpsc::Sender<Out>>>,
-    /// Who is told what is seen of clients' delays, where the operator's file wants it.
+    /// Receives samples of clients' delays, if the operator's file enables steering.
     pub samples: Option<Samples>,
 }
 
-/// A connection as the others see it.
+/// Status of a connection, visible to the others.
 struct ConnectionStatus {
-    /// It brought a request that makes sense.
+    /// Whether the connection has brought a valid request.
     used: Cell<bool>,
-    /// It could be closed: no answer is owed on it, and no request that may still become whole is half read.
+    /// Whether the connection may be closed: no answer is owed and no request is partly read that could still
+    /// become complete.
     quiet: Cell<bool>,
-    /// Since when its peer has read nothing of the answers that wait to be written.
+    /// Time since which the peer has read none of the pending answers.
     stalled_since: Cell<Option<Instant>>,
-    /// It is to end, as its peer reads nothing and others need the room.
+    /// Requests that the connection end because its peer reads nothing and others need the output budget.
     evict: Notify,
     last_traffic: Cell<Instant>,
-    /// It was asked to make room.
+    /// Whether the connection was asked to close to free a descriptor.
     asked_to_close: Cell<bool>,
     close_request: Notify,
 }
 
-/// Accepts connections until `stop`, and takes in those that the machine has accepted by then.
+/// Accepts connections until `stop`, then those left in the listener's backlog.
 pub async fn accept(listener: Rc<TcpListener>, front: Rc<Connections>, stop: impl Future<Output = ()>) {
     let mut stop = std::pin::pin!(stop);
     let mut idle = front.idle.clone();
     loop {
-        // A later start accepts now.
+        // The successor process accepts now.
         if idle.borrow_and_update().passing {
             tokio::select! {
                 Ok(()) = idle.changed() => continue,
                 () = &mut stop => return,
             }
         }
-        // Descriptors are left for everything else: the rest waits until a connection has ended.
+        // Keeps descriptors free for other uses: further connections wait until one has ended.
         if front.open.get() + front.other_process_descriptors.get() >= front.max_connections {
             let ended = front.ended.notified();
             front.ask_one_to_close();
@@ -141,9 +144,9 @@
     take_in_backlog(&listener, &front).await;
 }
 
-/// Takes in the connections that the system has accepted for a listener that is about to close: a request on one of them
-/// counts as received, so none may be left behind. Descriptors are left for everything else here too, so that what is beyond
-/// them waits until a connection has ended; the caller bounds that wait.
+/// Accepts the connections left in the backlog of a listener that is about to close. A request on one of them
+/// counts as received, so none may be left behind. The descriptor limit applies here too, so connections
+/// beyond it wait until one has ended; the caller bounds that wait.
 async fn take_in_backlog(listener: &TcpListener, front: &Rc<Connections>) {
     loop {
         if front.open.get() + front.other_process_descriptors.get() >= front.max_connections + CLOSING_RESERVE
@@ -153,7 +156,7 @@
             ended.await;
             continue;
         }
-        // The runtime looks at its sockets before it takes this up again.
+        // Lets the runtime poll its sockets first.
         tokio::task::yield_now().await;
         match timeout_at(Instant::now(), listener.accept()).await {
             Ok(Ok((stream, peer))) => start(stream, peer, front, PassedState::default()),
@@ -166,14 +169,14 @@
     }
 }
 
-/// What is known of a connection that was served elsewhere before; of a new one, nothing.
+/// State of a connection passed on by another process; the default is a new connection.
 #[derive(Debug, Default)]
 pub struct PassedState {
-    /// Bytes that were read of it and belong to no whole record.
+    /// Bytes read that do not yet form a whole record.
     pub input: Vec<u8>,
-    /// It brought a request that makes sense.
+    /// Whether the connection has brought a valid request.
     pub used: bool,
-    /// For how long a first such request, or the rest of one, has been waited for.
+    /// How long a first valid request, or the rest of a partial one, has been awaited.
     pub waited: Option<Duration>,
 }
 
@@ -192,7 +195,7 @@
     });
     front.connections.borrow_mut().insert(index, status.clone());
     tokio::task::spawn_local(async move {
-        // Guards against answers that the system holds back until earlier ones are acknowledged.
+        // Without this the system delays answers until earlier ones are acknowledged.
         let _ = stream.set_nodelay(true);
         Connection::new(stream, peer, front.clone(), status, passed).serve().await;
         front.connections.borrow_mut().remove(&index);
@@ -202,7 +205,7 @@
 }
 
 impl Connections {
-    /// No connection is open yet.
+    /// Creates the state with no open connections.
     pub fn new(
         config: &Config,
         engine: mpsc::Sender<Input>,
@@ -228,12 +231,13 @@
         }
     }
 
-    /// From now on quiet connections go there, once [`Idle::passing`] says so; or nowhere.
+    /// Sets where idle connections are passed once [`Idle::passing`] is set; `None` passes none.
     pub fn set_successor(&self, successor: Option<mpsc::Sender<Out>>) {
         *self.successor.borrow_mut() = successor;
     }
 
-    /// Takes leave of a later start, once all that was said to it has left this process, or it is time.
+    /// Sends the final message to the successor process and waits until all messages to it have been written,
+    /// or until the given time.
     pub async fn send_farewell(&self, until: Instant) {
         let Some(successor) = self.successor.borrow().clone() else { return };
         let (left, gone) = oneshot::channel();
@@ -243,23 +247,23 @@
         }
     }
 
-    /// So many of the descriptors for connections are the other process's.
+    /// Reserves this many of the descriptors for connections for the other process.
     pub fn reserve_for_other_process(&self, descriptors: usize) {
         self.other_process_descriptors.set(descriptors);
         self.ended.notify_waiters();
     }
 
-    /// Serves a connection that another process had, with what that had read of it.
+    /// Serves a connection passed on by another process, with the input that it had read.
     pub fn adopt(self: &Rc<Connections>, stream: TcpStream, peer: SocketAddr, passed: PassedState) {
         start(stream, peer, self, passed);
     }
 
-    /// Asks the connection that is of least use to end: one that never brought a request that makes sense, else one that
-    /// has been idle, and of these the one that has been so for longest. None on which an answer is owed.
+    /// Asks one connection to close: preferably one that never brought a valid request, otherwise an idle
+    /// one, and among these the one that has been idle longest. Never one on which an answer is owed.
     fn ask_one_to_close(&self) {
         let connections = self.connections.borrow();
         let quiet = connections.values().filter(|status| status.quiet.get() && !status.asked_to_close.get());
-        // A newcomer's request may still be on its way.
+        // The first request of a new connection may still be on its way.
         let unused = |status: &ConnectionStatus| {
             !status.used.get() && status.last_traffic.get().elapsed() > NEW_CONNECTION_GRACE
         };
@@ -271,10 +275,12 @@
         }
     }
 
-    /// Books bytes of answers that wait to be written on this connection, beyond the bound if need be: then the connection whose
-    /// peer has read nothing for longest is asked to end. Fails if that is this one.
+    /// Reserves output bytes for answers pending on this connection, beyond the budget if need be: then the
+    /// connection whose peer has read nothing for longest is asked to end. Returns false if that is this
+    /// connection.
     ///
-    /// Guards against peers that read nothing and take the room of those that do: each of these is owed its answers.
+    /// Prevents peers that read nothing from using up the budget of those that do, since those are owed their
+    /// answers.
     fn reserve_output(&self, more: usize, status: &Rc<ConnectionStatus>) -> bool {
         if self.output_budget.take(more) {
             return true;
@@ -290,27 +296,27 @@
         true
     }
 
-    /// Tells the operator what a peer did wrong, now and then: there can be very many.
+    /// Logs a peer's fault, rate-limited because there can be very many.
     fn log_peer_fault(&self, peer: SocketAddr, what: &dyn std::fmt::Display) {
         if let Some(more) = self.fault_limiter.borrow_mut().admit_now() {
-            log!(WARN, "fault of a peer, {peer}: {what} (and {more} of others since the last line)");
+            log!(WARN, "peer fault, {peer}: {what} ({more} more faults since the last line)");
         }
     }
 }
 
-/// Why a connection ends.
+/// Reason why a connection ends.
 enum End {
-    /// All is done.
+    /// Everything is answered and nothing more can be read.
     Finished,
-    /// It was at rest, and is closed for that.
+    /// Closed as idle.
     Idle,
-    /// It makes room for another one, and at once: many may wait for that.
+    /// Closed at once to free its descriptor for a waiting connection.
     Replaced,
-    /// It goes to a later start.
+    /// Passed on to the successor process.
     PassedOn,
-    /// The peer has gone without waiting for its answers.
+    /// The peer closed without waiting for its answers.
     Gone,
-    /// The peer broke the protocol or a bound, as the text says.
+    /// The peer violated the protocol or a limit, described by the text.
     PeerFault(&'static str),
 }
 
@@ -325,28 +331,29 @@
     peer: SocketAddr,
     front: Rc<Connections>,
     requests: Requests,
-    /// What the engine knows the whole requests by.
+    /// Engine ids of the complete requests.
     ids: BTreeMap<u16, RequestId>,
     replies: mpsc::Receiver<(u16, Reply)>,
     reply_to: mpsc::Sender<(u16, Reply)>,
     status: Rc<ConnectionStatus>,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Room for what of `input` is longer than a record that is of use.
+    /// Reservation for the part of `input` beyond `UNCHARGED_INPUT_BYTES`.
     input_room: Reservation,
-    /// Bytes of `output` that are reserved.
+    /// Bytes reserved in the output budget.
     reserved: usize,
     read_closed: bool,
-    /// To be closed once all is answered and written; nothing more is read.
+    /// Nothing more is read; the connection closes once all is answered and written.
     closing: bool,
-    /// That is so though the peer may be sending much: it is read on for longer, so that the answers arrive.
+    /// Reading stopped although the peer may still send: lingers for longer, so that the answers arrive.
     drain_input: bool,
-    /// Since when a first request that makes sense, or the rest of a later one, is waited for.
+    /// Time since which a first valid request, or the rest of a later one, has been awaited.
     waiting_since: Option<Instant>,
-    /// Bytes read that belong to no open request, since the last whole one.
+    /// Bytes read that belong to no open request, since the last complete request.
     stray: usize,
     last_write: Instant,
-    /// For steering alone: whose the open requests are, and when the last answer was written with none open and none come.
+    /// For steering only: the clients of the open requests, and the time of the last answer given when no
+    /// other request was open or had arrived.
     clients: BTreeMap<u16, Client>,
     answered: Option<Instant>,
 }
@@ -359,7 +366,7 @@
         status: Rc<ConnectionStatus>,
         passed: PassedState,
     ) -> Connection {
-        // Room for a reply to every request that may be open: handing one over never waits.
+        // One slot per request that may be open, so that sending a reply never waits.
         let (reply_to, replies) = mpsc::channel(MAX_OPEN);
         let requests = Requests::new(front.request_budget.clone());
         let input_room = Reservation::new(front.request_budget.clone());
@@ -380,8 +387,8 @@
             read_closed: false,
             closing: false,
             drain_input: false,
-            // A peer that brings nothing has no more time for having been passed on; nor has it less, as a clock may begin
-            // after that of its wait.
+            // Being passed on neither extends nor shortens the peer's time limit. The subtraction fails if
+            // this clock began after the wait did.
             waiting_since: (!passed.used || passed.waited.is_some())
                 .then(|| now.checked_sub(passed.waited.unwrap_or_default()).unwrap_or(now)),
             stray: 0,
@@ -401,7 +408,7 @@
         if let End::PeerFault(what) = end {
             self.front.log_peer_fault(self.peer, &what);
         }
-        // What is left of its time, it cannot make room for another one.
+        // From here on this connection cannot be asked to free its descriptor.
         self.status.quiet.set(false);
         match end {
             End::Gone | End::Replaced => {}
@@ -421,7 +428,8 @@
         self.front.output_budget.give(self.reserved);
     }
 
-    /// Hands the connection to a later start, with what was read of it; if that cannot be, it is served on here.
+    /// Passes the connection with its unparsed input to the successor process; on failure it is served here
+    /// again.
     async fn pass_on(self) {
         let Connection { stream, peer, front, input, status, waiting_since, .. } = self;
         let successor = front.successor.borrow().clone();
@@ -452,14 +460,15 @@
             self.write()?;
         }
         loop {
-            // Guards against a reset as the program ends: what has come is answered, and the peer sees where the answers end. What
-            // it sends behind that crosses the close, and is not run.
+            // Avoids a reset when the program ends: input that has arrived is answered, and the peer sees
+            // where the answers end. What it sends afterwards crosses the close and is not run.
             if idle.borrow().hang_up && !self.closing {
                 self.read_available().await?;
                 self.close_unfinished();
                 self.write()?;
             }
-            // What is not whole by now never will be: waiting for it would keep the connection open for ever.
+            // After reading has ended, partial requests can never complete; waiting for them would keep the
+            // connection open forever.
             let no_more = self.closing || self.read_closed;
             let owed = self.requests.unanswered().next().is_some() || !self.output.is_empty();
             if no_more && !owed {
@@ -468,7 +477,8 @@
             let half_read = self.status.used.get() && self.has_partial_request();
             self.status.quiet.set(!(owed || half_read));
             let (passing, last_call) = (idle.borrow().passing, idle.borrow().last_call);
-            // Nothing is open, and what was read goes along: no request meets a closed connection.
+            // No request is open and the input read so far is passed along, so no request meets a closed
+            // connection.
             if passing && !owed && self.requests.is_empty() && !self.read_closed && !self.closing {
                 return Ok(End::PassedOn);
             }
@@ -493,13 +503,13 @@
                 }
                 read = reader.read_buf(&mut self.input), if may_read => {
                     if read? == 0 {
-                        // The end of the peer's sending is no abort: what was read is answered.
+                        // A half-close by the peer is no abort: what was read is answered.
                         self.read_closed = true;
                     } else {
                         self.status.last_traffic.set(Instant::now());
                         self.take_in().await?;
                         if !self.input_room.set(self.input.len().saturating_sub(UNCHARGED_INPUT_BYTES)) && !self.closing {
-                            self.stop_reading("there is no room for the rest of a long record");
+                            self.stop_reading("no memory is left for the rest of a long record");
                             self.close_unfinished();
                         }
                         self.yield_if_due(&mut reads).await;
@@ -517,7 +527,7 @@
                     }
                 }
                 () = self.status.close_request.notified() => {
-                    // Guards against a first request that has come whole and is not read yet.
+                    // Checks the socket too: a complete first request may have arrived and not been read yet.
                     let unused = !self.status.used.get() && silent(&self.stream);
                     if !owed && (unused || self.may_close()) {
                         self.close_unfinished();
@@ -528,13 +538,13 @@
                     self.front.ended.notify_waiters();
                 }
                 () = self.status.evict.notified() => {
-                    return Err(End::PeerFault("too many answers are unread"));
+                    return Err(End::PeerFault("too many answer bytes are unread"));
                 }
                 () = sleep_until(give_up.unwrap_or(self.last_write)), if give_up.is_some() => {
-                    // Guards against the rest of a request that has come in this moment and is not read yet.
+                    // Reads first: the rest of the request may just have arrived.
                     self.read_available().await?;
                     if self.is_late() {
-                        self.front.log_peer_fault(self.peer, &"it brings no whole request in time");
+                        self.front.log_peer_fault(self.peer, &"no complete request arrived in time");
                         if !self.has_partial_request() {
                             return Ok(End::Idle);
                         }
@@ -542,7 +552,7 @@
                     }
                 }
                 () = sleep_until(self.last_write + WRITE_TIMEOUT), if !self.output.is_empty() => {
-                    return Err(End::PeerFault("its answers are not read"));
+                    return Err(End::PeerFault("the peer does not read its answers"));
                 }
             }
             self.write()?;
@@ -550,13 +560,14 @@
         }
     }
 
-    /// Whether a request, or the rest of one, has been waited for too long. One that is owed an answer was whole in time.
+    /// Whether a request, or the rest of one, has been awaited too long. A request that is owed an answer was
+    /// complete in time.
     fn is_late(&self) -> bool {
         let waits = self.waiting_since.is_some_and(|since| since.elapsed() >= REQUEST_TIMEOUT);
         waits && !self.closing && !self.read_closed && self.requests.unanswered().next().is_none()
     }
 
-    /// Notes since when a request is waited for that is not whole, or a first one that makes sense.
+    /// Updates the time since which a partial request, or a first valid one, has been awaited.
     fn update_waiting_since(&mut self) {
         if self.status.used.get() && !self.has_partial_request() {
             self.waiting_since = None;
@@ -565,13 +576,13 @@
         }
     }
 
-    /// Takes in what has come by now; no more than a peer that sends without end can make it.
+    /// Reads and processes pending input, up to `MAX_FINAL_READS` reads since a peer may send without end.
     async fn read_available(&mut self) -> Result<(), End> {
         for _ in 0..MAX_FINAL_READS {
             if self.closing || self.read_closed || silent(&self.stream) {
                 break;
             }
-            // The runtime learns of what has come as this lets the others have their turn.
+            // Yielding lets the runtime poll the socket.
             tokio::task::yield_now().await;
             self.input.reserve(READ_BYTES);
             match self.stream.try_read_buf(&mut self.input) {
@@ -584,8 +595,8 @@
         Ok(())
     }
 
-    /// Nothing more is read. Requests that are not whole never will be, and are told that they did not run: the peer may have
-    /// written the rest of them by now.
+    /// Stops reading. Partial requests are answered as never run, since the peer may have sent the rest of
+    /// them by now.
     fn close_unfinished(&mut self) {
         self.closing = true;
         let before = self.output.len();
@@ -595,7 +606,8 @@
         self.reserved += more;
     }
 
-    /// Ends what is sent and reads on for a little, behind answers to a peer that may still send.
+    /// Shuts down the sending side and discards input for a short time, so that a peer that still sends gets
+    /// its answers.
     async fn linger(&mut self) {
         let _ = self.stream.shutdown().await;
         let leaves = self.front.idle.borrow().standing;
@@ -610,18 +622,18 @@
         }
     }
 
-    /// Whether the rest of a record or request is waited for.
+    /// Whether a record or request has been read only in part.
     fn has_partial_request(&self) -> bool {
         !self.input.is_empty() || self.requests.len() > self.requests.unanswered().count()
     }
 
-    /// Whether the connection may be closed as idle; not while something has come that is not read yet.
+    /// Whether the connection may be closed as idle; false while unread input has arrived.
     fn may_close(&self) -> bool {
         let quiet = self.requests.is_empty() && self.output.is_empty() && self.input.is_empty();
         quiet && (self.read_closed || silent(&self.stream))
     }
 
-    /// Guards against a peer that sends without end and would keep all others from the thread.
+    /// Yields regularly, so that a peer that sends without end does not keep the thread from other tasks.
     async fn yield_if_due(&self, reads: &mut u32) {
         *reads += 1;
         if *reads > READS_PER_TURN {
@@ -630,16 +642,16 @@
         }
     }
 
-    /// Takes in all that is whole.
+    /// Processes all complete records in the input.
     async fn take_in(&mut self) -> Result<(), End> {
-        // The buffer is kept for what comes next, but not one that a large record made large.
+        // Keeps the buffer for the next input unless a large record made it large.
         let mut input = std::mem::take(&mut self.input);
         let mut rest = &input[..];
         while !self.closing {
             match next_record(&mut rest) {
                 Ok(Some(record)) => self.take_record(&record).await?,
                 Ok(None) => break,
-                Err(FramingError) => self.stop_reading("what it sends are no records of FastCGI 1.0"),
+                Err(FramingError) => self.stop_reading("its input is not FastCGI 1.0 records"),
             }
         }
         if !self.closing {
@@ -653,13 +665,15 @@
         Ok(())
     }
 
-    /// The peer wants the connection closed behind an answer, or does not. Further requests may have been sent on it.
+    /// Closes the connection after an answer if the peer asked for it. The peer may have sent further
+    /// requests.
     fn close_if(&mut self, close: bool) {
         self.closing |= close;
         self.drain_input |= close;
     }
 
-    /// Nothing more can be made of what the peer sends. What was whole before is answered all the same.
+    /// Stops reading input that can no longer be parsed. Requests that were complete before are still
+    /// answered.
     fn stop_reading(&mut self, what: &'static str) {
         self.front.log_peer_fault(self.peer, &what);
         (self.closing, self.drain_input) = (true, true);
@@ -667,17 +681,19 @@
 
     async fn take_record(&mut self, record: &Record<'_>) -> Result<(), End> {
         let Ok(step) = self.requests.take(record, &mut self.output) else {
-            self.stop_reading("it begins a request that is open, or in a malformed way");
+            self.stop_reading(
+                "it begins a request whose id is already open, or the begin record is malformed",
+            );
             return Ok(());
         };
         self.reserve()?;
         match step {
             Step::Nothing => {}
             Step::Stray => {
-                // Guards against a peer that keeps the thread busy with what is no request.
+                // Limits input that forms no request, so that it cannot keep the thread busy.
                 self.stray += record.content.len() + 1;
                 if self.stray > MAX_STRAY_BYTES {
-                    self.stop_reading("it sends too much that belongs to no request");
+                    self.stop_reading("it sends too many bytes that belong to no request");
                 }
             }
             Step::Complete(whole) => {
@@ -687,8 +703,8 @@
                     self.waiting_since = None;
                 }
             }
-            // The engine owes no answer any more and gives one all the same, with which the request is closed: its
-            // id cannot be taken again while a reply to it may be on the way.
+            // The engine no longer owes an answer but still gives one, with which the request is closed: its
+            // id cannot be reused while a reply to it may be on the way.
             Step::Aborted(id) => {
                 if let (Some(samples), Some(client)) = (&self.front.samples, self.clients.remove(&id)) {
                     samples.tell(Seen::TimedOut(client));
@@ -698,7 +714,7 @@
                 }
             }
             Step::Oversize(id) => {
-                self.front.log_peer_fault(self.peer, &"a request is over its size");
+                self.front.log_peer_fault(self.peer, &"a request exceeds the size limit");
                 self.answer(id, &Reply::new(Answer::Bad, None))?;
             }
             Step::Ended { close } => self.close_if(close),
@@ -735,12 +751,13 @@
         }
     }
 
-    /// The one answer to a request.
+    /// Writes the only answer to a request.
     fn answer(&mut self, id: u16, reply: &Reply) -> Result<(), End> {
         self.ids.remove(&id);
         if self.front.samples.is_some() {
             self.clients.remove(&id);
-            // Another that is open, or that has come already, says nothing of a way there and back.
+            // If another request is open or has already arrived, the gap until the next one does not measure
+            // a round trip.
             let alone = self.requests.len() == 1 && self.input.is_empty();
             self.answered = alone.then(Instant::now);
         }
@@ -750,11 +767,12 @@
         self.reserve()
     }
 
-    /// Books what waits to be written. A peer that reads nothing is let go before the memory is full.
+    /// Reserves the budget for pending output. Ends a connection whose peer reads nothing before the budget
+    /// is exceeded.
     fn reserve(&mut self) -> Result<(), End> {
         let more = self.output.len().saturating_sub(self.reserved);
         if !self.front.reserve_output(more, &self.status) {
-            return Err(End::PeerFault("too many answers are unread"));
+            return Err(End::PeerFault("too many answer bytes are unread"));
         }
         self.reserved += more;
         Ok(())
@@ -774,7 +792,7 @@
         }
         if self.output.is_empty() {
             self.output = Vec::new();
-            // The wait for the peer to read begins with the next answer.
+            // The write timeout starts with the next answer.
             self.last_write = Instant::now();
         }
         self.front.output_budget.give(self.reserved - self.output.len());
@@ -784,13 +802,13 @@
     }
 }
 
-/// Whether a parameter is the one that CGI makes of a header: `HTTP_X_ORG` of `X-Org`.
+/// Whether a parameter is the CGI form of a header, such as `HTTP_X_ORG` for `X-Org`.
 fn is_cgi_name(param: &[u8], header: &str) -> bool {
     let cgi = |b: u8| if b == b'-' { b'_' } else { b.to_ascii_uppercase() };
     param.strip_prefix(b"HTTP_").is_some_and(|name| name.iter().copied().eq(header.bytes().map(cgi)))
 }
 
-/// Whose a request is, as steering has it.
+/// Returns the client of a request, as steering identifies it.
 fn client(samples: &Samples, peer: SocketAddr, balancer: u64, params: &[u8]) -> Option<Client> {
     let pairs = pairs(params)?;
     let field = |name: &str| {
@@ -800,10 +818,10 @@
     samples.client(peer, balancer, field)
 }
 
-/// Reads a request from its parameters, which are named as CGI names headers.
+/// Reads a request from its parameters, named as CGI names headers.
 fn asked(params: &[u8], body: Vec<u8>, front: &Connections) -> Result<Asked, BadRequest> {
     let Some(pairs) = pairs(params) else {
-        return Err(BadRequest("its parameters are cut off".to_string()));
+        return Err(BadRequest("its parameters are truncated".to_string()));
     };
     let param = |name: &str| {
         let (_, value) = pairs.iter().find(|(n, _)| *n == name.as_bytes())?;
--- a/crates/node/src/fastcgi/records.rs
+++ b/crates/node/src/fastcgi/records.rs
@@ -1,4 +1,4 @@
-//! Records, parameters and answers: bytes in, bytes out.
+//! Encodes and decodes FastCGI records, parameters and answers.
 
 use crate::request::{Answer, Reply};
 use std::io::Write;
@@ -9,57 +9,57 @@
 use winnow::stream::Partial;
 use winnow::token::take;
 
-/// The version that every record begins with.
+/// Protocol version, the first byte of each record.
 const VERSION: u8 = 1;
 const HEADER_LEN: usize = 8;
-/// The most content that one record can carry.
+/// Maximum content length of a record.
 const MAX_CONTENT: usize = u16::MAX as usize;
 
-/// The types of records that are known here.
+/// Record types known here.
 pub mod kind {
-    /// Opens a request.
+    /// Begins a request.
     pub const BEGIN_REQUEST: u8 = 1;
-    /// Its caller has gone.
+    /// Aborts a request whose caller has gone.
     pub const ABORT_REQUEST: u8 = 2;
-    /// Closes a request.
+    /// Ends a request.
     pub const END_REQUEST: u8 = 3;
     /// A part of the parameters.
     pub const PARAMS: u8 = 4;
     /// A part of the body.
     pub const STDIN: u8 = 5;
-    /// A part of the answer.
+    /// A part of the response.
     pub const STDOUT: u8 = 6;
-    /// Asks for variables of this application.
+    /// Queries variables of this application.
     pub const GET_VALUES: u8 = 9;
-    /// Answers that.
+    /// Answers [`GET_VALUES`].
     pub const GET_VALUES_RESULT: u8 = 10;
-    /// Answers a management record of a type that is not known.
+    /// Answers a management record of an unknown type.
     pub const UNKNOWN_TYPE: u8 = 11;
 }
 
-/// How a request ended, as far as the protocol goes.
+/// Protocol status in the end record of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolStatus {
-    /// It was answered.
+    /// The request was answered.
     RequestComplete = 0,
-    /// Too many are open.
+    /// The request was rejected for lack of room.
     Overloaded = 2,
-    /// Its role is not played here.
+    /// The requested role is not supported.
     UnknownRole = 3,
 }
 
-/// A record as it was read.
+/// A decoded record.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Record<'a> {
-    /// Its type; see [`kind`].
+    /// The record type; see [`kind`].
     pub kind: u8,
-    /// The request that it belongs to; 0 for management records.
+    /// The request id; 0 for management records.
     pub id: u16,
-    /// What it carries.
+    /// The content.
     pub content: &'a [u8],
 }
 
-/// The bytes are no records: where the next one begins is not known any more.
+/// The bytes are not valid records, so the start of the next record is unknown.
 #[derive(Debug, PartialEq, Eq)]
 pub struct FramingError;
 
@@ -70,10 +70,10 @@
     Ok(Record { kind, id, content })
 }
 
-/// Takes the first record off the front of `bytes`; `None` while it is not whole.
+/// Splits the first record off `bytes`; `None` while it is incomplete.
 ///
 /// # Errors
-/// What stands there is no record.
+/// The bytes are not a record.
 pub fn next_record<'a>(bytes: &mut &'a [u8]) -> Result<Option<Record<'a>>, FramingError> {
     let mut input = Partial::new(*bytes);
     match record(&mut input) {
@@ -86,22 +86,22 @@
     }
 }
 
-/// What a record that begins a request asks for.
+/// Content of a begin record.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Begin {
-    /// The role to play.
+    /// The requested role.
     pub role: u16,
     /// Whether the connection stays open after the answer.
     pub keep_conn: bool,
 }
 
-/// The role that is played here.
+/// The only supported role.
 pub const RESPONDER: u16 = 1;
 
 /// Reads the content of [`kind::BEGIN_REQUEST`].
 ///
 /// # Errors
-/// It has another length than such a record has.
+/// The content has the wrong length.
 pub fn begin(content: &[u8]) -> Result<Begin, FramingError> {
     match content {
         [high, low, flags, _, _, _, _, _] => {
@@ -122,13 +122,13 @@
     (take(name), take(value)).parse_next(input)
 }
 
-/// Reads names and values; `None` if they are cut off or run over the end.
+/// Decodes names and values; `None` if they are truncated or exceed the input.
 pub fn pairs(bytes: &[u8]) -> Option<Vec<(&[u8], &[u8])>> {
     let all: Result<Vec<_>, winnow::error::ParseError<&[u8], ContextError>> = repeat(0.., pair).parse(bytes);
     all.ok()
 }
 
-/// Appends a name and a value.
+/// Appends a name-value pair.
 pub fn put_pair(out: &mut Vec<u8>, name: &[u8], value: &[u8]) {
     for part in [name, value] {
         match u8::try_from(part.len()) {
@@ -140,7 +140,7 @@
     out.extend(value);
 }
 
-/// Appends one record, with no padding; `content` fits into one.
+/// Appends a record without padding; `content` beyond the maximum length is cut off.
 pub fn put_record(out: &mut Vec<u8>, kind: u8, id: u16, content: &[u8]) {
     let length = content.len().min(MAX_CONTENT);
     out.reserve(HEADER_LEN + length);
@@ -151,12 +151,12 @@
     out.extend(&content[..length]);
 }
 
-/// Appends the record that closes a request.
+/// Appends the end record of a request.
 pub fn put_end(out: &mut Vec<u8>, id: u16, status: ProtocolStatus) {
     put_record(out, kind::END_REQUEST, id, &[0, 0, 0, 0, status as u8, 0, 0, 0]);
 }
 
-/// Appends a whole answer: a CGI response, the end of the stream and the end of the request.
+/// Appends a complete answer: a CGI response, the end of the stream and the end record.
 pub fn put_reply(out: &mut Vec<u8>, id: u16, reply: &Reply) {
     let (status, body): (&str, &[u8]) = match &reply.answer {
         Answer::Served(body) => ("200 OK", body),
@@ -174,7 +174,7 @@
     }
     if let Answer::Refused { stay_away, last } = reply.answer {
         if stay_away > 0.0 {
-            // Rounded up: 0 would be no advice.
+            // Rounded up, since 0 would mean no delay.
             let _ = write!(text, "X-Pushback-Ms: {:.0}\r\n", (stay_away * 1000.0).ceil());
         }
         if last {
--- a/crates/node/src/fastcgi/requests.rs
+++ b/crates/node/src/fastcgi/requests.rs
@@ -1,4 +1,4 @@
-//! Puts the requests of one connection together from its records, and answers the records that need no decision.
+//! Assembles the requests of one connection from its records, and answers the records that need no decision.
 
 use super::records::*;
 use crate::request::MAX_BODY;
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Requests that may be open on a connection.
+/// Maximum number of open requests per connection.
 pub const MAX_OPEN: usize = 32;
-/// The most bytes of parameters of one request; those that are asked for take a tenth of that.
+/// Maximum bytes of parameters of one request. The parameters used here take a tenth of that.
 pub const MAX_PARAMS: usize = 8 * 1024;
 
-/// Bytes that all connections together may hold, so that no number of peers can take the memory.
+/// Byte budget shared by all connections, so that no number of peers can exhaust the memory.
 #[derive(Clone, Debug)]
 pub struct Budget {
     used: Rc<Cell<usize>>,
@@ -19,12 +19,12 @@
 }
 
 impl Budget {
-    /// Nothing is used yet.
+    /// Creates an unused budget.
     pub fn new(most: usize) -> Budget {
         Budget { used: Rc::default(), most }
     }
 
-    /// Takes so many bytes; whether there was room.
+    /// Reserves bytes; returns whether they fit.
     pub fn take(&self, bytes: usize) -> bool {
         let used = self.used.get() + bytes;
         let fits = used <= self.most;
@@ -34,18 +34,18 @@
         fits
     }
 
-    /// Takes so many bytes whether or not there is room.
+    /// Reserves bytes even beyond the limit.
     pub fn take_beyond(&self, bytes: usize) {
         self.used.set(self.used.get() + bytes);
     }
 
-    /// Gives back what was taken.
+    /// Releases reserved bytes.
     pub fn give(&self, bytes: usize) {
         self.used.set(self.used.get().saturating_sub(bytes));
     }
 }
 
-/// Bytes of a budget that are given back when this is dropped.
+/// Reservation of bytes of a budget, released on drop.
 #[derive(Debug)]
 pub struct Reservation {
     budget: Budget,
@@ -53,12 +53,12 @@
 }
 
 impl Reservation {
-    /// None is taken yet.
+    /// Creates an empty reservation.
     pub fn new(budget: Budget) -> Reservation {
         Reservation { budget, taken: 0 }
     }
 
-    /// Takes or gives back until so many bytes are taken; whether there was room for them.
+    /// Grows or shrinks the reservation to this many bytes; returns whether they fit.
     pub fn set(&mut self, bytes: usize) -> bool {
         if bytes > self.taken && !self.budget.take(bytes - self.taken) {
             return false;
@@ -75,31 +75,31 @@
     }
 }
 
-/// A request whose last byte was read.
+/// A completely read request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CompleteRequest {
-    /// Its id on the connection.
+    /// The request id on the connection.
     pub id: u16,
-    /// The parameters, still packed.
+    /// The encoded parameters.
     pub params: Vec<u8>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What a record led to.
+/// Result of processing a record.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing yet.
+    /// Nothing to do yet.
     Nothing,
-    /// A request is whole.
+    /// A request is complete.
     Complete(CompleteRequest),
     /// The record belongs to no open request.
     Stray,
-    /// A request that is not whole is over its size already. It is to be answered; the rest of it is stray then.
+    /// A partial request exceeds the size limit. It is to be answered; its further records are stray.
     Oversize(u16),
-    /// The caller of a whole request has gone.
+    /// The caller aborted a complete request.
     Aborted(u16),
-    /// A request ended before it was whole, with what was written to `out`.
+    /// A request ended before it was complete; the records written to `out` close it.
     Ended {
         /// Whether the connection is to be closed.
         close: bool,
@@ -113,8 +113,7 @@
     body: Vec<u8>,
     body_ended: bool,
     whole: bool,
-    /// Bytes taken from the budget. They stay booked until the request is answered, since what was read of it is
-    /// held until then.
+    /// Bytes reserved in the budget until the request is answered, since its content is kept until then.
     booked: usize,
 }
 
@@ -125,34 +124,34 @@
 }
 
 impl Requests {
-    /// None are open.
+    /// Creates the state with no open requests.
     pub fn new(budget: Budget) -> Requests {
         Requests { open: BTreeMap::new(), budget }
     }
 
-    /// How many are open.
+    /// Returns the number of open requests.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether none are open.
+    /// Whether no request is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// The whole ones that have not been closed.
+    /// Returns the ids of complete requests that are not closed.
     pub fn unanswered(&self) -> impl Iterator<Item = u16> {
         self.open.iter().filter(|(_, open)| open.whole).map(|(id, _)| *id)
     }
 
-    /// A request was answered; whether the connection is to be closed after it.
+    /// Closes an answered request; returns whether the connection is to be closed after it.
     pub fn close(&mut self, id: u16) -> bool {
         let Some(open) = self.open.remove(&id) else { return false };
         self.budget.give(open.booked);
         !open.keep_conn
     }
 
-    /// Closes the requests that are not whole: they never ran, as `out` says.
+    /// Closes the partial requests and writes to `out` that they never ran.
     pub fn refuse_unfinished(&mut self, out: &mut Vec<u8>) {
         let unfinished: Vec<u16> =
             self.open.iter().filter(|(_, open)| !open.whole).map(|(id, _)| *id).collect();
@@ -162,10 +161,10 @@
         }
     }
 
-    /// Takes in a record. What can be answered at once is written to `out`.
+    /// Processes a record. What can be answered at once is written to `out`.
     ///
     /// # Errors
-    /// A record that begins a request and has another length than such a record has.
+    /// A begin record of the wrong length, or for a request that is already open.
     pub fn take(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, FramingError> {
         if record.id == 0 {
             manage(record, out);
@@ -174,7 +173,7 @@
         if record.kind == kind::BEGIN_REQUEST {
             return self.begin(record, out);
         }
-        // Records of requests that are not open are left over from answered ones: the protocol has them ignored.
+        // The protocol requires that records of closed requests are ignored.
         let Some(open) = self.open.get_mut(&record.id) else { return Ok(Step::Stray) };
         match record.kind {
             kind::ABORT_REQUEST if open.whole => return Ok(Step::Aborted(record.id)),
@@ -211,7 +210,7 @@
     fn begin(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, FramingError> {
         let begin = begin(record.content)?;
         if self.open.contains_key(&record.id) {
-            // Which of the two the records to come belong to cannot be told.
+            // Later records could not be assigned to one of the two requests.
             return Err(FramingError);
         }
         if begin.role != RESPONDER {
@@ -235,7 +234,7 @@
         Ok(Step::Nothing)
     }
 
-    /// There is no memory for more of this request, which therefore never runs.
+    /// Closes a request that exceeds the byte budget; it never runs.
     fn overloaded(&mut self, id: u16, out: &mut Vec<u8>) -> Step {
         put_end(out, id, ProtocolStatus::Overloaded);
         Step::Ended { close: self.close(id) }
@@ -249,17 +248,17 @@
     }
 }
 
-/// What became of a part of a request that grows.
+/// Result of appending to a part of a request.
 enum AppendResult {
     Fits,
-    /// It is over its size.
+    /// The part exceeds its size limit.
     Oversize,
-    /// There is no memory for it.
+    /// The byte budget is exhausted.
     OutOfMemory,
 }
 
 impl OpenRequest {
-    /// Appends to a part of a request.
+    /// Appends to a part of a request, within its size limit and the budget.
     fn grow(
         &mut self,
         part: fn(&mut OpenRequest) -> &mut Vec<u8>,
--- a/crates/node/src/interpreter.rs
+++ b/crates/node/src/interpreter.rs
@@ -1,8 +1,8 @@
-//! The link to the interpreter: its messages, and a task that keeps the link, through breaks too.
+//! The link to the interpreter: its messages, and a task that keeps the link up across disconnects.
 //!
-//! Commands stay here until it is certain that they arrived: the interpreter takes them in order, so the answer to a
-//! [`Command::Gauges`] vouches for all before it. After a break the link first hears all that it missed, and then
-//! sends again what may not have arrived and still makes sense.
+//! Commands are kept until their arrival is confirmed. The interpreter processes commands in order, so the
+//! answer to a [`Command::Gauges`] confirms all before it. After a reconnect the link first reads all
+//! messages that it missed, and then resends unconfirmed commands that still apply.
 
 use crate::config::Peers;
 use crate::engine::input::{Input, Message, RunEnd};
@@ -20,64 +20,66 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-/// The longest line that is read: a result of 4 KiB in base64, with room to spare.
+/// Maximum line length: a result of 4 KiB in base64, with a margin.
 const MAX_LINE_BYTES: usize = 64 * 1024;
-/// Arrays and objects in one line. The parser of JSON goes down into each, so their number bounds its stack.
+/// Maximum number of arrays and objects in a line. The JSON parser recurses into each, so this bounds its
+/// stack.
 const MAX_NESTED_VALUES: usize = 64;
-/// Between attempts to connect. A link that was up for so long is made anew at once.
+/// Delay between attempts to connect. A link that was up for at least this long is reconnected at once.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// For one attempt.
+/// Timeout of one attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Asks for the gauges to learn when all that was missed has been heard; the engine's tags begin at 1.
+/// Request for the gauges whose answer shows that all missed messages have been read. The engine's tags begin
+/// at 1.
 const CATCH_UP: Command = Command::Gauges { tag: 0 };
-/// Commands that wait to be sent.
+/// Maximum number of commands waiting to be sent.
 pub const QUEUE: usize = 4096;
 
-/// What the interpreter is told.
+/// Commands to the interpreter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Run a request.
+    /// Runs a request.
     Apply {
         /// The request.
         uid: Rc<str>,
-        /// The name of its class, in quotes; see [`quoted`].
+        /// The name of its class as a JSON string; see [`quoted`].
         class: Rc<str>,
         /// Its body.
         body: Rc<[u8]>,
     },
-    /// Stop the run of a request.
+    /// Stops the run of a request.
     Break {
         /// The request.
         uid: Rc<str>,
     },
-    /// Go on with a paused run.
+    /// Resumes a paused run.
     Continue {
         /// The request.
         uid: Rc<str>,
     },
-    /// The reply to the call that a run waits for.
+    /// Delivers the reply to the call that a run waits for.
     Resolve {
         /// The request.
         uid: Rc<str>,
-        /// The reply, as it came.
+        /// The reply, unchanged.
         content: Rc<[u8]>,
     },
-    /// Go on without a call.
+    /// Continues a run without its call.
     Stub {
         /// The request.
         uid: Rc<str>,
-        /// The notice that asked for the call.
+        /// Position of the message that requested the call.
         pos: u64,
     },
-    /// Ask for the gauges.
+    /// Requests the gauges.
     Gauges {
-        /// Comes back with them.
+        /// Returned with the answer.
         tag: u64,
     },
 }
 
 impl Command {
-    /// The request that a command is about.
+    /// Returns the uid of the request that a command concerns.
     fn uid(&self) -> Option<&Rc<str>> {
         match self {
             Command::Apply { uid, .. }
@@ -89,9 +91,9 @@
         }
     }
 
-    /// Appends the line of a command; `vouches` is the number of commands before it. Ids are hex digits and contents
-    /// base64, so that nothing in them needs escaping, and [`Command::Apply`] has its class escaped.
-    fn write(&self, out: &mut Vec<u8>, vouches: u64) {
+    /// Appends the line of a command; `confirms` is the number of commands before it. Uids are hex digits and
+    /// contents base64, so they need no escaping, and the class in [`Command::Apply`] is already escaped.
+    fn write(&self, out: &mut Vec<u8>, confirms: u64) {
         // Writing to a Vec cannot fail.
         let _ = match self {
             Command::Apply { uid, class, body } => {
@@ -108,43 +110,44 @@
                 writeln!(out, r#"{{"action":"RESOLVE","uid":"{uid}","content":"{}"}}"#, base64(content))
             }
             Command::Stub { uid, pos } => writeln!(out, r#"{{"action":"STUB","uid":"{uid}","pos":{pos}}}"#),
-            Command::Gauges { tag } => writeln!(out, r#"{{"action":"TOP","echo":"{tag}-{vouches}"}}"#),
+            Command::Gauges { tag } => writeln!(out, r#"{{"action":"TOP","echo":"{tag}-{confirms}"}}"#),
         };
     }
 }
 
-/// Bytes as they stand in a line.
+/// Encodes bytes as base64 for a line.
 fn base64(bytes: &[u8]) -> base64::display::Base64Display<'_, '_, base64::engine::GeneralPurpose> {
     base64::display::Base64Display::new(bytes, &BASE64)
 }
 
-/// The name of a class as it stands in a line.
+/// Encodes the name of a class as a JSON string.
 pub fn quoted(class: &str) -> Rc<str> {
-    // Only a number that is not finite cannot be written.
+    // Only non-finite numbers fail to serialize.
     JsonValue::String(class.to_string()).stringify().unwrap_or_default().into()
 }
 
-/// Reads a line.
+/// Parses a line.
 ///
 /// # Errors
-/// What is wrong with it.
+/// The problem with the line.
 pub fn read_line(line: &[u8]) -> Result<Message, String> {
     if line.iter().filter(|b| matches!(b, b'[' | b'{')).count() > MAX_NESTED_VALUES {
-        return Err("nests too deep".to_string());
+        return Err("has too many arrays and objects".to_string());
     }
     let line = std::str::from_utf8(line).map_err(|_| "is not UTF-8".to_string())?;
     let value: JsonValue = line.parse().map_err(|_| "is not JSON".to_string())?;
-    let object: &HashMap<String, JsonValue> = value.get().ok_or("is no object")?;
+    let object: &HashMap<String, JsonValue> = value.get().ok_or("is not an object")?;
     let word = |key: &str| match object.get(key) {
         Some(JsonValue::String(text)) => Ok(text.as_str()),
-        _ => Err(format!("has no text {key}")),
+        _ => Err(format!("lacks the string {key}")),
     };
     let count = |key: &str| match object.get(key) {
         Some(JsonValue::Number(n)) if *n >= 0.0 && n.is_finite() => Ok(*n),
-        _ => Err(format!("has no number {key}")),
+        _ => Err(format!("lacks the number {key}")),
     };
-    let content = || BASE64.decode(word("content")?).map_err(|_| "has no base64 in content".to_string());
-    // The cast is exact: positions are whole and far below 2^53.
+    let content =
+        || BASE64.decode(word("content")?).map_err(|_| "has content that is not base64".to_string());
+    // The cast is exact: positions are integers far below 2^53.
     let pos = || count("pos").map(|n| n as u64);
     let uid = || word("uid").map(Rc::from);
     Ok(match word("action")? {
@@ -161,10 +164,10 @@
         }
         "AWAIT" => Message::Await { pos: pos()?, uid: uid()?, content: content()? },
         "TOPS" => {
-            let (tag, vouches) = word("echo")?.split_once('-').ok_or("has a strange echo")?;
-            let whole = |text: &str| text.parse().map_err(|_| "has a strange echo".to_string());
+            let (tag, vouches) = word("echo")?.split_once('-').ok_or("has a malformed echo")?;
+            let whole = |text: &str| text.parse().map_err(|_| "has a malformed echo".to_string());
             let Some(JsonValue::Array(meters)) = object.get("meters") else {
-                return Err("has no list meters".to_string());
+                return Err("lacks the list meters".to_string());
             };
             let reading = |value: &JsonValue| value.get::<f64>().copied().filter(|n| n.is_finite());
             let readings = meters.iter().map(reading).collect();
@@ -176,14 +179,14 @@
     })
 }
 
-/// What is known of the link whether it is up or down.
+/// State of the link that outlasts its connections.
 #[derive(Debug, Default)]
 struct LinkState {
-    /// The last notice that was read.
+    /// Position of the last numbered message read.
     pos: u64,
-    /// Commands sent so far.
+    /// Number of commands sent.
     sent: u64,
-    /// Those that may not have arrived, with their numbers.
+    /// Sent commands whose arrival is unconfirmed, with their numbers.
     unconfirmed: VecDeque<(u64, Command)>,
 }
 
@@ -196,8 +199,8 @@
         }
     }
 
-    /// Whether a message is news. A notice shows what became of commands: one that is read again after a break is
-    /// skipped, and those that a run has left behind must not be sent again.
+    /// Updates the state and returns whether a message is new. Messages repeated after a reconnect are
+    /// skipped. A message of a run confirms its earlier commands, which must not be sent again.
     fn accept(&mut self, message: &Message) -> bool {
         match message {
             Message::Value { pos, uid, .. } | Message::Await { pos, uid, .. } => {
@@ -206,7 +209,7 @@
                 }
                 self.advance(*pos);
                 let over = matches!(message, Message::Value { .. });
-                // A run that waits again or anew has taken all but an order to stop.
+                // A run that makes a new call has processed all its commands except possibly a stop.
                 self.unconfirmed
                     .retain(|(_, c)| c.uid() != Some(uid) || !over && matches!(c, Command::Break { .. }));
             }
@@ -224,14 +227,14 @@
 
     fn advance(&mut self, pos: u64) {
         if pos > self.pos + 1 {
-            log!(ERROR, "interpreter: {} notices are lost", pos - self.pos - 1);
+            log!(ERROR, "interpreter: {} messages were lost", pos - self.pos - 1);
         }
         self.pos = pos;
     }
 }
 
-/// Keeps the link to the interpreter, also when that moves. What it tells goes to the engine, what the engine wants
-/// comes from `commands`. Ends when the engine does.
+/// Keeps the link to the interpreter, reconnecting when its address changes. Messages go to the engine; the
+/// engine's commands come from `commands`. Ends when the engine does.
 pub async fn keep_link(
     mut peers: watch::Receiver<Peers>,
     engine: mpsc::Sender<Input>,
@@ -267,10 +270,10 @@
     }
 }
 
-/// Returns once the interpreter is elsewhere.
+/// Returns once the interpreter's address has changed.
 async fn until_moved(peers: &mut watch::Receiver<Peers>, address: SocketAddr) {
     if peers.wait_for(|peers| peers.interpreter != address).await.is_err() {
-        // It can move no more.
+        // The address can no longer change.
         std::future::pending().await
     }
 }
@@ -302,7 +305,7 @@
             let (mut reader, mut writer) = self.stream.split();
             tokio::select! {
                 biased;
-                () = &mut moved => return Err(io::Error::other("it has moved")),
+                () = &mut moved => return Err(io::Error::other("the interpreter's address has changed")),
                 read = reader.read_buf(&mut self.input) => {
                     if read? == 0 {
                         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -332,7 +335,7 @@
         }
     }
 
-    /// Takes in all whole lines; whether all that was missed is among them.
+    /// Processes all complete lines; returns whether the link has caught up with the missed messages.
     async fn take_in(&mut self, state: &mut LinkState) -> io::Result<bool> {
         let mut caught_up = false;
         let input = std::mem::take(&mut self.input);
@@ -343,12 +346,12 @@
             match read_line(line) {
                 Ok(message) => {
                     match &message {
-                        // Until the interpreter is up it turns away all but the greeting, so only now the link asks
-                        // for what comes behind all notices that were missed. The answer vouches for nothing that
-                        // another link carried.
+                        // The interpreter rejects all but the greeting until it is up, so the catch-up
+                        // request is sent only now. Its answer confirms no commands sent over an earlier
+                        // connection.
                         Message::Banner { .. } => CATCH_UP.write(&mut self.output, 0),
                         Message::Gauges { tag: 0, .. } => caught_up = true,
-                        // Turned away all the same, it still was answered in its turn.
+                        // A rejected catch-up request was still answered in order.
                         Message::Rejected { command, .. } if command == "TOP" => caught_up = true,
                         _ => {}
                     }
@@ -356,7 +359,7 @@
                         return Ok(caught_up);
                     }
                 }
-                Err(problem) => log!(WARN, "interpreter: a line {problem}"),
+                Err(problem) => log!(WARN, "interpreter: ignored a line that {problem}"),
             }
         }
         if rest.len() > MAX_LINE_BYTES {
@@ -375,7 +378,7 @@
         "ab".into()
     }
 
-    /// What would be sent again after a break.
+    /// Returns the commands that would be resent after a reconnect.
     fn unconfirmed(state: &LinkState) -> Vec<&'static str> {
         let name = |command: &Command| match command {
             Command::Apply { .. } => "apply",
@@ -389,29 +392,29 @@
     }
 
     #[test]
-    fn what_a_run_has_left_behind_is_not_sent_again() {
+    fn commands_that_a_run_has_processed_are_not_resent() {
         let (mut state, mut out) = (LinkState::default(), Vec::new());
         let wait = |pos| Message::Await { pos, uid: uid(), content: vec![] };
         state.send(Command::Apply { uid: uid(), class: "c".into(), body: [].into() }, &mut out);
         assert_eq!(unconfirmed(&state), ["apply"]);
         assert!(state.accept(&wait(1)));
         state.send(Command::Resolve { uid: uid(), content: vec![].into() }, &mut out);
-        // A notice that comes again tells nothing of what was sent since.
+        // A repeated message confirms nothing sent since.
         assert!(!state.accept(&wait(1)));
         assert_eq!(unconfirmed(&state), ["resolve"]);
-        // The next call would else be answered with the reply to this one.
+        // Otherwise the next call would be answered with the reply to this one.
         assert!(state.accept(&wait(2)));
         state.send(Command::Stub { uid: uid(), pos: 2 }, &mut out);
         state.send(Command::Break { uid: uid() }, &mut out);
         assert_eq!(unconfirmed(&state), ["stub", "break"]);
         assert!(state.accept(&wait(3)));
-        assert_eq!(unconfirmed(&state), ["break"], "an order to stop is still meant");
+        assert_eq!(unconfirmed(&state), ["break"], "a stop command stays unconfirmed");
         assert!(state.accept(&Message::Value { pos: 4, uid: uid(), end: RunEnd::Stopped }));
         assert!(unconfirmed(&state).is_empty());
     }
 
     #[test]
-    fn gauges_vouch_for_the_commands_before_them_only() {
+    fn gauges_confirm_only_the_commands_before_them() {
         let (mut state, mut out) = (LinkState::default(), Vec::new());
         state.send(Command::Break { uid: uid() }, &mut out);
         state.send(Command::Gauges { tag: 7 }, &mut out);
