--- a/crates/node/src/admin/line.rs
+++ b/crates/node/src/admin/line.rs
@@ -1,4 +1,4 @@
-//! The lines of operators' calls and of the answers to them. Nothing here waits or reads.
+//! Parses operators' calls and formats the answers, without I/O.
 
 use std::fmt;
 use winnow::ascii::{Caseless, dec_uint, space0, space1};
@@ -6,60 +6,60 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// The longest line that is read, its end included. The longest call takes a tenth of that.
+/// Maximum line length with its terminator. The longest call takes a tenth of that.
 pub const MAX_LINE: usize = 128;
 
-/// What operators may call for.
+/// Operators' calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// Asks whether this process accepts clients.
     Ping,
-    /// The figures.
+    /// Asks for the figures.
     Info,
-    /// Send clients away.
+    /// Sends clients away.
     Lameduck,
-    /// Take clients again.
+    /// Accepts clients again.
     Rejoin,
-    /// Something of the fleet.
+    /// A call on the fleet.
     Fleet(Fleet),
-    /// The steering table that this nodo has.
+    /// Asks for this nodo's steering table.
     Steering,
-    /// Something of the route table.
+    /// A call on the route table.
     Routes(Routes),
 }
 
-/// What operators may call for that concerns the route table.
+/// Calls on the route table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Routes {
-    /// The table, here and as it is agreed.
+    /// Asks for the table, local and replicated.
     Show,
-    /// Take what is said in the bytes behind the line, so many.
+    /// Submits the message of this many bytes after the line.
     Say(usize),
 }
 
-/// What operators may call for that concerns the fleet.
+/// Calls on the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fleet {
-    /// The agreed state.
+    /// Asks for the replicated state.
     Show,
-    /// Run a task now.
+    /// Runs a task now.
     Run(String),
-    /// Stop a task.
+    /// Pauses a task.
     Pause(String),
-    /// Let it go on.
+    /// Resumes a task.
     Resume(String),
-    /// Take a lease back from its holder.
+    /// Revokes a lease from its holder.
     Release(String),
 }
 
-/// Why a line is no call.
+/// Reason why a line is not a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoCall {
-    /// It is over its length.
+    /// The line is too long.
     TooLong,
-    /// It calls for something that is not known.
+    /// The call is unknown.
     Unknown,
-    /// It did not come whole in time.
+    /// The line was not complete in time.
     Unfinished,
 }
 
@@ -73,11 +73,11 @@
     }
 }
 
-/// The call in what has come so far; `None` while its line may still grow. A line ends with LF or CRLF. What stands
-/// behind the first line is not looked at: a connection carries one.
+/// Parses the call from the input so far; `None` while its line is incomplete. A line ends with LF or CRLF.
+/// Input after the first line is ignored, since a connection carries one call.
 ///
 /// # Errors
-/// The line is no call, or is over its length.
+/// The line is not a call, or is too long.
 pub fn read(input: &[u8]) -> Result<Option<Call>, NoCall> {
     let Some(end) = input.iter().take(MAX_LINE).position(|b| *b == b'\n') else {
         return if input.len() < MAX_LINE { Ok(None) } else { Err(NoCall::TooLong) };
@@ -124,21 +124,21 @@
     .parse_next(line)
 }
 
-/// What is answered.
+/// Answers to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Yes, with a remark.
+    /// Success, with a remark.
     Yes(&'static str),
-    /// Yes, with what came of it.
+    /// Success, with its result.
     Done(String),
-    /// Yes, and the figures.
+    /// Success, with the figures.
     Figures(String),
-    /// No, and why.
+    /// Failure, with its reason.
     No(String),
 }
 
 impl Answer {
-    /// As it stands on the wire.
+    /// Formats the answer for the wire.
     pub fn text(&self) -> String {
         match self {
             Answer::Done(what) => format!("+OK {what}\r\n"),
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,8 +1,8 @@
-//! Where operators call: the second listener. A connection carries one line and gets one answer.
+//! The operators' listener. A connection carries one line and gets one answer.
 //!
-//! Answers do not wait behind requests. The figures are those that the engine keeps, read where they stand, and what
-//! changes something has a way of its own into the engine, which takes it before all else. [`line`] reads and writes
-//! the lines.
+//! Answers do not queue behind requests: figures are read directly from the engine's counters, and orders
+//! that change something have their own queue into the engine, which it processes first. [`line`] parses and
+//! formats the lines.
 
 pub mod line;
 
@@ -22,76 +22,77 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// A caller has so long for its line. Those that send nothing and stay keep a place for no longer.
+/// Time for a caller to send its line, so that callers that send nothing do not keep their place.
 const LINE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The engine has so long to take a command. It is told within one round; the answer is due within 1 s.
+/// Time for the engine to process an order, which takes it one round; the answer is due within 1 s.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
-/// A caller has so long to read its answer, and to close then.
+/// Time for a caller to read its answer, and again to close.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes that are read behind the line, so that the close does not take the answer with it.
+/// Maximum bytes read and dropped after the line, so that closing does not reset the connection and lose the
+/// answer.
 const MAX_LINGER_BYTES: usize = 16 * 1024;
-/// Commands that wait for the engine.
+/// Maximum number of orders waiting for the engine.
 pub const QUEUE: usize = 16;
 
-/// What operators may have the engine do.
+/// Orders of operators to the engine.
 #[derive(Debug)]
 pub enum Order {
-    /// Send clients away, or take them again.
+    /// Sends clients away, or accepts them again.
     Lameduck {
-        /// Whether they are sent away.
+        /// Whether clients are sent away.
         on: bool,
-        /// Told once it is so.
+        /// Notified once it is done.
         done: oneshot::Sender<()>,
     },
-    /// See whether this process has the right to run what is new.
+    /// Checks whether this process has the right to run new requests.
     Look {
-        /// Told once it is seen.
+        /// Notified once it is checked.
         done: oneshot::Sender<()>,
     },
-    /// Write out what was captured.
+    /// Writes the capture to a file.
     WriteCapture,
-    /// Take up settings that were read anew.
+    /// Applies settings that were read again.
     Settings {
         /// The settings and their names.
         facts: Rc<NamedSettings>,
-        /// Told whether they were taken, or why not.
+        /// Receives whether they were applied, or why not.
         done: oneshot::Sender<Result<(), String>>,
     },
 }
 
-/// What operators are shown.
+/// State of the nodo shown to operators.
 #[derive(Debug, Default)]
 pub struct AdminState {
     /// The figures.
     pub counts: RefCell<Counts>,
-    /// The interpreter was heard of: requests can run.
+    /// Whether the interpreter is up, so that requests can run.
     pub up: Cell<bool>,
-    /// Balancers' connections are accepted.
+    /// Whether balancers' connections are accepted.
     pub listens: Cell<bool>,
-    /// The nodo was told to leave.
+    /// Whether the nodo has received the notice to leave.
     pub leaves: Cell<bool>,
-    /// Other starts of the program may be one nodo with this one.
+    /// Whether other processes of the program may be one nodo with this one.
     pub shared: Cell<bool>,
-    /// Another start has the right to run what is new, which this one had.
+    /// Whether another process has taken over this one's right to run new requests.
     pub lost: Cell<bool>,
-    /// Told when that is found.
+    /// Notified when `lost` is set.
     pub lost_now: Notify,
-    /// The way to this process's part of a fleet, while there is one.
+    /// Sends to this process's fleet member, if it runs one.
     pub fleet: RefCell<Option<fleet::Way>>,
-    /// What is measured for steering, where the operator's file wants it.
+    /// Measurements for steering, if the operator's file enables it.
     pub steering: RefCell<Option<Rc<Steering>>>,
-    /// What a nodo that leaves held in the fleet is handed over.
+    /// Whether the work recorded in the fleet for a leaving nodo has been handed over.
     pub handed: Cell<bool>,
-    /// The nodo's side of the route table, where the operator's file names teams that edit it.
+    /// The nodo's part of route table editing, if the operator's file names teams.
     pub routes: RefCell<Option<Rc<fleet::routes::Office>>>,
-    /// What was seen of the newest trial of a route table.
+    /// Tally of the newest trial of a route table.
     pub tally: Rc<RefCell<Tally>>,
-    /// Balancers' connections that are open.
+    /// Number of open connections of balancers.
     pub connections: Rc<Cell<usize>>,
 }
 
 impl AdminState {
-    /// Why this process takes no clients, if so.
+    /// Returns why this process accepts no clients, if so.
     fn closed(&self) -> Option<&'static str> {
         if self.leaves.get() {
             Some("leaving")
@@ -107,26 +108,26 @@
     }
 }
 
-/// The callers that are here, by the order in which they came; each can be told to go.
+/// The connected callers in order of arrival; each can be disconnected.
 #[derive(Default)]
 struct Callers {
     here: RefCell<BTreeMap<u64, Rc<Notify>>>,
     ended: Notify,
 }
 
-/// Answers operators until nobody can call any more.
+/// Answers operators as long as the listener exists.
 pub async fn serve(listener: TcpListener, desk: Rc<AdminState>, orders: mpsc::Sender<Order>) {
     let callers = Rc::new(Callers::default());
     for number in 0u64.. {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log!(WARN, "admin: cannot accept a call: {e}");
+                log!(WARN, "admin: cannot accept a connection: {e}");
                 sleep(Duration::from_millis(10)).await;
                 continue;
             }
         };
-        // Guards against callers that send nothing and stay: the one that is here for longest makes room.
+        // At the limit the oldest caller is disconnected, since callers may send nothing and stay.
         while callers.here.borrow().len() >= CALLERS {
             let ended = callers.ended.notified();
             if let Some(oldest) = callers.here.borrow().values().next() {
@@ -148,12 +149,12 @@
     }
 }
 
-/// One caller, from its line to its close.
+/// Serves one caller.
 async fn attend(mut stream: TcpStream, desk: &AdminState, orders: &mpsc::Sender<Order>) {
     let mut input = Vec::with_capacity(MAX_LINE);
     let call = match timeout(LINE_TIMEOUT, first_line(&mut stream, &mut input)).await {
         Ok(Some(call)) => call,
-        // It left without a call.
+        // The caller closed without a call.
         Ok(None) => return,
         Err(_) => Err(NoCall::Unfinished),
     };
@@ -180,7 +181,7 @@
     }
 }
 
-/// The call of a connection; `None` if it ends with nothing sent. The end of what is sent ends a line too.
+/// Reads the call of a connection; `None` if it ends without input. A half-close ends a line too.
 async fn first_line(stream: &mut TcpStream, input: &mut Vec<u8>) -> Option<Result<Call, NoCall>> {
     loop {
         match line::read(input) {
@@ -197,7 +198,7 @@
     }
 }
 
-/// A call on the route table. Where the file names no team there is none, and the call is as unknown as any.
+/// Answers a call on the route table. If the file names no team there is none, and the call is unknown.
 async fn routes(what: Routes, stream: &mut TcpStream, input: &mut Vec<u8>, desk: &AdminState) -> Answer {
     let (office, way) = (desk.routes.borrow().clone(), desk.fleet.borrow().clone());
     let Some(office) = office else { return Answer::No(NoCall::Unknown.to_string()) };
@@ -228,7 +229,7 @@
 async fn execute(call: Call, desk: &AdminState, orders: &mpsc::Sender<Order>) -> Answer {
     match call {
         Call::Ping => {
-            // Guards against a process that was frozen and answers before it has seen that another one serves now.
+            // A process that was paused may answer before it has seen that another one serves now.
             let seen = if desk.shared.get() {
                 order_done(orders, |done| Order::Look { done }).await
             } else {
@@ -240,7 +241,7 @@
                 (Ok(()), None) => Answer::Yes("taking clients"),
             }
         }
-        // No number that is not finite is among the figures, so that they can be written.
+        // All figures are finite, so serialization does not fail.
         Call::Info => Answer::Figures(serde_json::to_string(&*desk.counts.borrow()).unwrap_or_default()),
         Call::Lameduck => order(orders, true, "clients are sent away").await,
         Call::Rejoin => order(orders, false, "taking clients again").await,
@@ -248,7 +249,7 @@
             Some(steering) => steering.answer(),
             None => Answer::No("this nodo's file has no steering block".to_string()),
         },
-        // Has a way of its own, as bytes may follow the line.
+        // Handled by `routes`, since bytes may follow the line.
         Call::Routes(_) => Answer::No(NoCall::Unknown.to_string()),
         Call::Fleet(what) => {
             let way = desk.fleet.borrow().clone();
@@ -267,17 +268,17 @@
     }
 }
 
-/// Has the engine do something, and waits until it has.
+/// Sends an order to the engine and waits until it is done.
 async fn order_done(
     orders: &mpsc::Sender<Order>,
     order: impl FnOnce(oneshot::Sender<()>) -> Order,
 ) -> Result<(), &'static str> {
     let (done, taken) = oneshot::channel();
-    let told = async {
+    let processed = async {
         orders.send(order(done)).await.ok()?;
         taken.await.ok()
     };
-    match timeout(ORDER_TIMEOUT, told).await {
+    match timeout(ORDER_TIMEOUT, processed).await {
         Ok(Some(())) => Ok(()),
         Ok(None) => Err("the nodo has ended its work"),
         Err(_) => Err("not taken in time; say it again"),
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,5 @@
-//! The one place where configuration is read, checked and given defaults. Every message names the key at fault.
+//! Reads and checks the platform's configuration and applies its defaults. Every message names the key at
+//! fault.
 
 use jaspershunt::{Repeat, Settings};
 use jaspershunt_operator::check::{Class, against_settings};
@@ -10,74 +11,74 @@
 use std::time::Duration;
 use tinyjson::JsonValue;
 
-/// What the names of all variables begin with, and the one that names the file.
+/// Prefix of all variables, and the variable that names the file.
 const VARIABLES: &str = "NODE_";
 const CONFIG: &str = "NODE_CONFIG";
-/// Time from the notice to leave to the kill, where none is given.
+/// Default time from the notice to leave to the kill.
 const STOP_MS: f64 = 3000.0;
-/// The limits of a scored day, where none are given.
+/// Default limits.
 const MEMORY_MB: f64 = 192.0;
 const SOCKETS: f64 = 1024.0;
 const MIN_MEMORY_MB: f64 = 32.0;
 const MIN_SOCKETS: f64 = 128.0;
 
-/// The part of the memory limit that kept results and keys may take, that of requests that are read or held, and
-/// that of answers not written yet. The other half is for the program and its read buffers, a record's length for
-/// each connection: 62 MB at 1,024 descriptors.
+/// Divisors of the memory limit for kept results and keys, for requests read and queued, and for answers not
+/// yet written. The other half is for the program and its read buffers, one record's length per connection:
+/// 62 MB at 1,024 descriptors.
 const KEPT_DIVISOR: usize = 6;
 const REQUESTS_DIVISOR: usize = 6;
 const UNWRITTEN_DIVISOR: usize = 6;
-/// The part of that for keys and results which replies kept to fall back on may take.
+/// Divisor of the memory for keys and results, giving the maximum for replies kept as fallback.
 const OPERATOR_KEPT_DIVISOR: usize = 4;
-/// Descriptors for what is not a balancer's connection: standard streams, the runtime, the listener, the
+/// Descriptors other than balancers' connections: standard streams, the runtime, the listener, the
 /// interpreter, the directory, and the calls to the database.
 pub const OTHER_SOCKETS: usize = 96;
-/// Descriptors set aside for operators that call; one more is their listener.
+/// Descriptors reserved for operators' connections; their listener takes one more.
 pub const CALLERS: usize = 16;
-/// Connections that are left for balancers, whatever else is on.
+/// Minimum number of connections left for balancers.
 const MIN_CONNECTIONS: usize = 16;
-/// The most of those that calls to the database take.
+/// Maximum number of those descriptors for calls to the database.
 const CALL_SOCKETS: usize = 64;
 
-/// What a nodo is told.
+/// The configuration of a nodo.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name in the directory.
     pub name: String,
     /// Where balancers connect.
     pub listen: SocketAddr,
-    /// Where operators call, if they may.
+    /// The address for operators, if any.
     pub admin: Option<SocketAddr>,
-    /// Where the others are.
+    /// The addresses of the other services.
     pub peers: Peers,
-    /// From the notice to leave to the kill.
+    /// Time from the notice to leave to the kill.
     pub stop: Duration,
-    /// What the module is told.
+    /// The module's settings.
     pub settings: Settings,
-    /// The names that the settings give.
+    /// The names in the settings.
     pub names: Names,
-    /// Bounds that follow from the limits.
+    /// Bounds derived from the limits.
     pub bounds: Bounds,
-    /// For random numbers; new with each start.
+    /// Seed of the random numbers; new with each start.
     pub seed: u64,
-    /// The operator's own file, where there is one.
+    /// The operator's file, if any.
     pub operator: Option<Rc<File>>,
-    /// Where the platform's file is, if it is a file.
+    /// Path of the platform's file, if it was read from one.
     path: Option<Rc<str>>,
-    /// The platform's file as it stands.
+    /// The parsed platform's file.
     file: Rc<JsonValue>,
 }
 
-/// What the module is told, with the names in it. May change while a nodo runs.
+/// The module's settings with the names in them. May change while a nodo runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedSettings {
-    /// The settings. Classes and tenants have places in it that names may not lead to any more.
+    /// The settings. They may have entries of classes and tenants that no name refers to any more.
     pub settings: Settings,
-    /// The names that lead there.
+    /// The names of the entries.
     pub names: Names,
 }
 
-/// Where those are that a nodo works with. These addresses may change while it runs; all else stays.
+/// Addresses of the services that a nodo uses. They may change while it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peers {
     /// The interpreter.
@@ -91,22 +92,22 @@
 /// Bounds on memory and descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Balancers' connections open at once.
+    /// Maximum number of balancers' connections.
     pub connections: usize,
-    /// Connections to the database open at once.
+    /// Maximum number of connections to the database.
     pub calls: usize,
     /// Bytes of keys and kept results.
     pub kept: usize,
-    /// Bytes of requests, from their reading to their answer.
+    /// Bytes of requests, from their reading until their answer.
     pub requests: usize,
-    /// Bytes of answers that are not written yet.
+    /// Bytes of answers not yet written.
     pub unwritten: usize,
 }
 
-/// A configuration that cannot be used: the key or variable at fault, and what is wrong with it.
+/// An invalid configuration: the key or variable at fault, and the problem.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The file that the key is in, if it is in one that is known.
+    /// The file that contains the key, if known.
     file: Option<String>,
     problem: String,
 }
@@ -116,7 +117,7 @@
         ConfigError { file: None, problem }
     }
 
-    /// The same, told of a configuration from this file. What is wrong with a variable is not in it.
+    /// Adds the path of the file, unless the problem is in a variable.
     fn in_file(self, path: &str) -> ConfigError {
         let variable = self.problem.starts_with(VARIABLES) && !self.problem.starts_with(CONFIG);
         let file = (!variable).then(|| path.to_string());
@@ -139,11 +140,11 @@
     Err(ConfigError::new(format!("{key} {problem}")))
 }
 
-/// Reads the configuration: the file that the variable `NODE_CONFIG` names, in which `NODE_NAME` and
-/// `NODE_LISTEN`, where they are set, take the place of `name` and `listen`.
+/// Loads the file named by the variable `NODE_CONFIG`; `NODE_NAME` and `NODE_LISTEN`, where set, replace
+/// `name` and `listen`.
 ///
 /// # Errors
-/// The key or variable that is missing or wrong.
+/// The missing or invalid key or variable.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let Some(path) = variable(CONFIG) else { return wrong(CONFIG, "is not set") };
     match std::fs::read_to_string(&path) {
@@ -155,10 +156,10 @@
     }
 }
 
-/// Reads the configuration from its text; see [`load`].
+/// Parses the configuration from its text; see [`load`].
 ///
 /// # Errors
-/// The key or variable that is missing or wrong.
+/// The missing or invalid key or variable.
 pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let value: JsonValue = match text.parse() {
         Ok(value) => value,
@@ -172,22 +173,22 @@
         Some(JsonValue::Object(limits)) => limits.clone(),
         Some(_) => return wrong("limits", "must be an object"),
     };
-    let told = |name: &str, key: &str| match variable(name).filter(|value| !value.is_empty()) {
+    let variable_or_key = |name: &str, key: &str| match variable(name).filter(|value| !value.is_empty()) {
         Some(value) => Ok((name.to_string(), value)),
         None => Ok((key.to_string(), text_of(object, key)?)),
     };
-    let (name_key, name) = told("NODE_NAME", "name")?;
-    // The name stands in a path as it is.
+    let (name_key, name) = variable_or_key("NODE_NAME", "name")?;
+    // The name is used unescaped in a path.
     if name.is_empty() || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._~".contains(&b)) {
         return wrong(&name_key, "must hold letters, digits, '-', '.', '_' or '~' only");
     }
-    let (listen_key, listen) = told("NODE_LISTEN", "listen")?;
+    let (listen_key, listen) = variable_or_key("NODE_LISTEN", "listen")?;
     let admin = match (variable("NODE_ADMIN").filter(|value| !value.is_empty()), object.get("admin")) {
         (Some(value), _) => Some(address("NODE_ADMIN", &value)?),
         (None, None | Some(JsonValue::Null)) => None,
         (None, Some(_)) => Some(address("admin", &text_of(object, "admin")?)?),
     };
-    // Descriptors for operators come off those for balancers.
+    // Descriptors for operators reduce those for balancers.
     let admin_sockets = if admin.is_some() { CALLERS + 1 } else { 0 };
     let stop_ms = number(object, "", "stop_ms", STOP_MS, 0.0)?;
     let memory = number(&limits, "limits.", "memory_mb", MEMORY_MB, MIN_MEMORY_MB)? * 1024.0 * 1024.0;
@@ -226,10 +227,10 @@
 }
 
 impl Config {
-    /// Takes the operator's file, if it fits the settings and the limits.
+    /// Adds the operator's file if it is consistent with the settings and the limits.
     ///
     /// # Errors
-    /// All that does not fit, with the way to the key.
+    /// All inconsistencies, each with the path of the key.
     pub fn with_operator(mut self, file: File) -> Result<Config, Vec<String>> {
         let wrong = self.against(&file);
         if !wrong.is_empty() {
@@ -246,7 +247,8 @@
         Ok(self)
     }
 
-    /// What of an operator's file does not fit the settings and the limits, with the way to the key.
+    /// Returns the inconsistencies of an operator's file with the settings and the limits, each with the path
+    /// of the key.
     pub fn against(&self, file: &File) -> Vec<String> {
         let repeat = |repeat| match repeat {
             Repeat::Safe => OperatorRepeat::Safe,
@@ -256,8 +258,8 @@
         let classes: Vec<Class> = (self.settings.classes.iter())
             .map(|class| Class { name: &class.name, repeat: repeat(class.repeat), calls: class.calls })
             .collect();
-        let told = |(key, what)| format!("{key}: {what}");
-        let mut wrong: Vec<String> = against_settings(file, &classes).into_iter().map(told).collect();
+        let message = |(key, what)| format!("{key}: {what}");
+        let mut wrong: Vec<String> = against_settings(file, &classes).into_iter().map(message).collect();
         let connections: usize = file.dependency.values().map(|d| d.connections).sum();
         if connections > self.bounds.calls {
             let most = self.bounds.calls;
@@ -305,8 +307,9 @@
         wrong
     }
 
-    /// Whether a file that was read anew can follow this one. A file that lacks a key that this one has was most likely cut
-    /// short or put together wrongly, also where a default would do at a start: nothing of it is taken.
+    /// Checks whether a file that was read again may replace this one. A file without a key that this one has
+    /// was most likely truncated or assembled wrongly, so it is rejected as a whole even where the key has a
+    /// default.
     ///
     /// # Errors
     /// The first key that is missing.
@@ -317,18 +320,18 @@
         }
     }
 
-    /// What is wrong with this configuration, beside the file that it is from.
+    /// Creates an error about this configuration with the path of its file.
     pub fn wrong(&self, problem: String) -> ConfigError {
         ConfigError { file: self.path.as_ref().map(|path| path.to_string()), problem }
     }
 
-    /// What the module is told.
+    /// The module's settings.
     pub fn facts(&self) -> NamedSettings {
         NamedSettings { settings: self.settings.clone(), names: self.names.clone() }
     }
 
-    /// The keys, other than those of the peers and the settings, in which a configuration that was read anew differs from
-    /// this one. A nodo that runs keeps to what it started with there.
+    /// Returns the keys, other than those of the peers and the settings, in which a configuration that was
+    /// read again differs from this one. A running nodo keeps its original values there.
     pub fn kept_keys(&self, new: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name == new.name),
@@ -341,18 +344,18 @@
     }
 }
 
-/// The way to the first key, by name, that an object has and one that is to take its place lacks. Objects in a list are
-/// all of one kind: each new one needs what all the old ones have.
+/// Returns the path of the first key, by name, that the old value has and the new one lacks. Objects in a
+/// list have one type: each new one needs the keys common to all old ones.
 fn missing_key(old: &JsonValue, new: &JsonValue, path: &str) -> Option<String> {
     match (old, new) {
         (JsonValue::Object(old), JsonValue::Object(new)) => {
             let mut keys: Vec<_> = old.iter().collect();
             keys.sort_unstable_by_key(|(key, _)| *key);
             keys.into_iter().find_map(|(key, value)| {
-                let way = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+                let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
                 match new.get(key) {
-                    Some(other) => missing_key(value, other, &way),
-                    None => Some(way),
+                    Some(other) => missing_key(value, other, &path),
+                    None => Some(path),
                 }
             })
         }
@@ -380,7 +383,7 @@
     }
 }
 
-/// A number of at least `least`, and small enough to be counted in bytes; `missing` where there is none.
+/// Reads a number of at least `least` and small enough to be counted in bytes; `missing` is the default.
 fn number(
     object: &HashMap<String, JsonValue>,
     path: &str,
@@ -398,10 +401,10 @@
     }
 }
 
-/// A number from the seed, whatever text that is; all random waits are made from it, and nothing else is random.
+/// Hashes the seed text to a number, from which all random waits are derived; nothing else is random.
 fn seed(object: &HashMap<String, JsonValue>) -> u64 {
     let Some(JsonValue::String(text)) = object.get("seed") else { return 0 };
-    // FNV-1a (Fowler, Noll and Vo): every byte counts.
+    // FNV-1a hash (Fowler, Noll and Vo).
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     text.bytes().fold(0xcbf2_9ce4_8422_2325, mix)
 }
--- a/crates/node/src/database.rs
+++ b/crates/node/src/database.rs
@@ -1,4 +1,4 @@
-//! Calls to the database that all nodos share.
+//! Calls to the database shared by all nodos, and to the dependencies of the operator's file.
 
 use crate::config::Peers;
 use crate::engine::input::{CallEnd, Input};
@@ -15,12 +15,12 @@
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::time::{Instant, timeout};
 
-/// An idle connection is used again only within this time. The database closes them after 10 s, and a call that
+/// Maximum idle time of a reused connection. The database closes idle ones after 10 s, and a call that
 /// crosses such a close might have run.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(4);
-/// So many idle ones are kept; with those that carry a call they stay within the descriptors for calls.
+/// Maximum number of idle connections; with the busy ones they stay within the descriptors for calls.
 const MAX_IDLE: usize = 16;
-/// It is used again no sooner than this: bytes that were sent behind a reply would else be taken for the next one.
+/// Minimum idle time before reuse: bytes sent after a reply would otherwise be taken for the next one.
 const MIN_IDLE_AGE: Duration = Duration::from_millis(50);
 
 /// A call to make.
@@ -28,29 +28,30 @@
 pub struct Call {
     /// The request that it is made for.
     pub id: RequestId,
-    /// Tells the calls of a request apart.
+    /// Distinguishes the calls of a request.
     pub number: u64,
-    /// What the database knows the request by.
+    /// The request's id at the database.
     pub uid: Rc<str>,
-    /// The body, as the interpreter gave it.
+    /// The body, unchanged from the interpreter.
     pub body: Rc<[u8]>,
-    /// Where it goes; `None` is the one database of the platform's configuration.
+    /// The target; `None` is the database of the platform's configuration.
     pub to: Option<Target>,
-    /// Nothing may be left open as to whether it ran, since it cannot be made again: it gets a connection of its own. One
-    /// that was idle may have been forgotten at the other end; what breaks it then looks like a call that ran.
+    /// The call cannot be made again, so its outcome must be certain: it gets a new connection. The other end
+    /// may have dropped an idle one, and the resulting break would look like a call that ran.
     pub once: bool,
-    /// The call is given up after this time.
+    /// Timeout of the call.
     pub give_up_after: Duration,
-    /// The call is given up when the other half is dropped.
+    /// The call is abandoned when the sender is dropped.
     pub given_up: oneshot::Receiver<()>,
-    /// The operation key, and the token under which the fleet holds it: what is called can tell a repeat and turn older ones away.
+    /// The operation key and the fleet's fencing token, with which the target recognizes repeats and rejects
+    /// older ones.
     pub fence: Option<(Key, u64)>,
 }
 
 /// A dependency of the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its place; connections are kept apart by it.
+    /// Index of the dependency; each has its own pool.
     pub dependency: usize,
     /// The address for this call.
     pub address: SocketAddr,
@@ -58,21 +59,21 @@
     pub connections: usize,
 }
 
-/// The pool of connections to one dependency: the idle ones, the last used last.
+/// Connection pool of one dependency; idle connections are ordered by last use.
 struct Pool {
-    /// Where calls go that name no address; `None` where all do.
+    /// Address of calls that name none; `None` where all do.
     address: Option<SocketAddr>,
     idle: Vec<(Instant, SocketAddr, TcpStream)>,
-    /// Connections that carry a call, or are being made for one.
+    /// Number of connections that carry a call or are being opened for one.
     busy: usize,
-    /// Connections at most, idle ones included.
+    /// Maximum number of connections, idle ones included.
     most: usize,
 }
 
-/// The pools by dependency; the one of the platform's configuration is none of the operator's.
+/// Pools by dependency; `None` is the database of the platform's configuration.
 type Pools = Rc<RefCell<BTreeMap<Option<usize>, Rc<RefCell<Pool>>>>>;
 
-/// Gives back the room of a connection when its call is over or dropped.
+/// Releases the place of a connection when its call is over or dropped.
 struct BusyGuard(Rc<RefCell<Pool>>);
 
 impl Drop for BusyGuard {
@@ -81,8 +82,8 @@
     }
 }
 
-/// Makes the calls that come in, each in a task of its own and at most `most` at once, until no more can come. When
-/// the database moves, calls under way may end where they are.
+/// Makes the received calls, each in its own task and at most `most` at once, until the channel closes. When
+/// the database's address changes, calls in flight may finish at the old one.
 pub async fn make_calls(
     mut peers: watch::Receiver<Peers>,
     most: usize,
@@ -95,7 +96,7 @@
     let room = Rc::new(Semaphore::new(most));
     loop {
         let call = tokio::select! {
-            // A call that comes behind a move goes to the new address.
+            // A call received after an address change uses the new address.
             biased;
             Ok(()) = peers.changed() => {
                 if let Some(pool) = pools.borrow().get(&None) {
@@ -115,7 +116,7 @@
             let began = Instant::now();
             tokio::select! {
                 biased;
-                // The connection closes as the call is dropped, which gives the call up below.
+                // Dropping the call closes its connection, which abandons it at the dependency.
                 _ = &mut given_up => {}
                 end = make(&pool, &room, to, &request, once, give_up_after) => {
                     let took = began.elapsed().as_secs_f64();
@@ -126,7 +127,7 @@
     }
 }
 
-/// The pool for a call, with what the call says of its dependency.
+/// Returns the pool for a call, updated with the connection limit that the call names.
 fn pool_for(pools: &Pools, to: Option<Target>) -> Rc<RefCell<Pool>> {
     let mut pools = pools.borrow_mut();
     let pool = pools.entry(to.map(|to| to.dependency)).or_insert_with(|| Pool::new(None, 0));
@@ -152,7 +153,7 @@
             let Some(address) = to.or(held.address) else { return failed(Outcome::Unreachable) };
             let reused = if once { None } else { held.take(address) };
             held.busy += 1;
-            // Idle ones make room for one that is in use: together they stay within the bound.
+            // Closes idle connections so that all together stay within the bound.
             let room = held.most.saturating_sub(held.busy);
             let beyond = held.idle.len().saturating_sub(room);
             held.idle.drain(..beyond);
@@ -163,7 +164,7 @@
             None => {
                 match TcpStream::connect(address).await {
                     Ok(stream) => stream,
-                    // Without a connection nothing can have run.
+                    // Without a connection nothing ran.
                     Err(_) => return failed(Outcome::Unreachable),
                 }
             }
@@ -187,7 +188,8 @@
         Rc::new(RefCell::new(Pool { address, idle: Vec::new(), busy: 0, most }))
     }
 
-    /// An idle connection that is surely open. Only those that are tried are looked at: each look is a system call.
+    /// Takes an idle connection that is still open. Only candidates are checked, since each check is a system
+    /// call.
     fn take(&mut self, address: SocketAddr) -> Option<TcpStream> {
         let now = Instant::now();
         self.idle.retain(|(since, ..)| now.duration_since(*since) < MAX_IDLE_AGE);
@@ -203,7 +205,7 @@
         None
     }
 
-    /// Keeps a connection to this address for another call, unless the database has moved meanwhile or enough are kept.
+    /// Returns a connection to the pool, unless the database's address has changed or enough are idle.
     fn put_back(&mut self, address: SocketAddr, stream: TcpStream) {
         let here = self.address.is_none_or(|here| here == address);
         if here && self.idle.len() < MAX_IDLE && self.idle.len() + self.busy <= self.most {
@@ -211,7 +213,7 @@
         }
     }
 
-    /// The database has moved: what is idle at its old address takes no more calls.
+    /// Changes the database's address and drops idle connections to the old one.
     fn move_to(&mut self, address: SocketAddr) {
         if Some(address) != self.address {
             (self.address, self.idle) = (Some(address), Vec::new());
@@ -219,7 +221,7 @@
     }
 }
 
-/// The bytes of a call.
+/// Formats the HTTP request of a call.
 fn request(uid: &str, body: &[u8], give_up_after: Duration, fence: Option<&(Key, u64)>) -> Vec<u8> {
     let ms = give_up_after.as_millis().max(1);
     let fence = fence.map_or(String::new(), |(key, token)| {
@@ -233,7 +235,7 @@
     [head.as_bytes(), body].concat()
 }
 
-/// What a reply means. Only the marked refusals prove that nothing ran.
+/// Returns the outcome that a reply means. Only marked refusals prove that nothing ran.
 fn outcome(reply: &http::Reply) -> Outcome {
     match (reply.head.status, reply.head.never_started) {
         (200, _) => Outcome::Done,
@@ -244,7 +246,7 @@
     }
 }
 
-/// The error of a call that was never made, as there was no room for it.
+/// Returns the error of a call that was not made for lack of room.
 pub fn not_made() -> CallEnd {
     CallEnd { outcome: Outcome::Unreachable, body: Vec::new() }
 }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -1,4 +1,4 @@
-//! Reports to the directory, from which balancers learn of this nodo.
+//! Reports this nodo to the directory, from which balancers learn of it.
 
 use crate::config::Peers;
 use crate::http;
@@ -11,47 +11,47 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Between reports. An entry lapses 3 s after the last one.
+/// Interval of reports. An entry expires 3 s after the last one.
 const REPORT_INTERVAL: Duration = Duration::from_millis(900);
-/// For the answer to one report. One that gets none may have counted all the same, but the next one comes soon, on
-/// another connection.
+/// Timeout of a report. One that times out may still have counted, but the next follows soon on another
+/// connection.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The same after one that got none in that time, until one is answered sooner: a directory may need longer for each,
-/// and a report counts only with its answer. With the wait before the next attempt it stays under a second, in which a
-/// directory that is back has to be told.
+/// Timeout after a report that timed out, until one is answered sooner: a slow directory may need longer, and
+/// a report counts only with its answer. With the delay before the next attempt it stays under 1 s, within
+/// which a recovered directory must get a report.
 const SLOW_REPORT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Between the attempts at a report that did not count.
+/// Delay after a failed report.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What is reported.
+/// The reported mode.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Takes work.
+    /// Accepts requests.
     Open,
-    /// Takes no work.
+    /// Accepts no requests.
     Closed,
 }
 
-/// Reports the mode about once a second and at each change, of the directory's address too, through outages; nothing
-/// while there is none yet. Ends when the mode can no longer change.
+/// Reports the mode about once a second, and at each change of the mode or of the directory's address,
+/// through outages too. Reports nothing while there is no mode. Ends when the mode can no longer change.
 pub async fn report(mut peers: watch::Receiver<Peers>, name: &str, mut mode: watch::Receiver<Option<Mode>>) {
     let mut stream = None;
     let mut fails = false;
     let mut patience = REPORT_TIMEOUT;
     let mut address = peers.borrow().directory;
     loop {
-        let told = *mode.borrow_and_update();
+        let current = *mode.borrow_and_update();
         let now_at = peers.borrow_and_update().directory;
         if now_at != address {
             (address, stream) = (now_at, None);
         }
         let began = Instant::now();
         let mut next = began + REPORT_INTERVAL;
-        if let Some(told) = told {
+        if let Some(current) = current {
             let sent = tokio::select! {
-                sent = timeout(patience, put(address, name, told, stream.take())) => sent,
-                // Guards against callers sent here because an older report still waits for its answer: what is news is reported at
-                // once.
+                sent = timeout(patience, put(address, name, current, stream.take())) => sent,
+                // Does not wait for the answer to an outdated report, which could send callers here: changes
+                // are reported at once.
                 changed = mode.changed() => match changed {
                     Ok(()) => continue,
                     Err(_) => return,
@@ -82,7 +82,7 @@
     }
 }
 
-/// One report; returns the connection if it can carry the next one.
+/// Sends one report; returns the connection if it can be reused.
 async fn put(
     address: SocketAddr,
     name: &str,
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -1,4 +1,4 @@
-//! As much of an HTTP/1.1 client as the database and the directory need: one call at a time on a connection.
+//! A minimal HTTP/1.1 client for the database and the directory: one call at a time on a connection.
 
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -8,12 +8,12 @@
 use winnow::combinator::{opt, preceded, repeat_till};
 use winnow::token::{take_till, take_while};
 
-/// The longest head and body of a reply.
+/// Maximum sizes of a reply's head and body.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Interim answers that one reply may have before it.
+/// Maximum number of interim responses before a reply.
 const MAX_INTERIM: usize = 8;
-/// What every reply begins with.
+/// First bytes of each reply.
 const STATUS_LINE_PREFIX: &[u8] = b"HTTP/1.";
 
 /// The head of a reply.
@@ -23,20 +23,20 @@
     pub status: u16,
     /// The length of the body.
     pub length: usize,
-    /// The connection is closed behind the body.
+    /// The server closes the connection after the body.
     pub close: bool,
-    /// The header `Never-Started: 1` is there: what was asked for never ran.
+    /// Whether the header `Never-Started: 1` is present: the request never ran.
     pub never_started: bool,
 }
 
-/// A whole reply.
+/// A complete reply.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
     /// The head.
     pub head: Head,
     /// The body.
     pub body: Vec<u8>,
-    /// The connection can carry another call: nothing came but this reply, and the other end keeps it open.
+    /// Whether the connection can be reused: no bytes followed this reply, and the server keeps it open.
     pub reusable: bool,
 }
 
@@ -60,7 +60,7 @@
             .map(|(_, v)| v.trim_ascii())
     };
     let value = |name| values(name).next();
-    // Where the body ends must be told, once and beyond doubt: else it is not known to be whole.
+    // The body length must be given unambiguously, or else a truncated body could not be recognized.
     let mut lengths = values("Content-Length");
     let length = match (lengths.next(), value("Transfer-Encoding")) {
         (Some(text), None) if lengths.all(|other| other == text) => match digits(text) {
@@ -77,19 +77,19 @@
     Ok(Head { status, length, close, never_started: value("Never-Started") == Some(b"1") })
 }
 
-/// A number written in digits only.
+/// Parses a number written in digits only.
 fn digits(text: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(text).ok().filter(|text| text.bytes().all(|b| b.is_ascii_digit()))?;
     text.parse().ok()
 }
 
-/// Reads the head at the front of `bytes`, with its length; `None` while it is not whole.
+/// Parses the head at the start of `bytes`, and returns it with its length; `None` while it is incomplete.
 ///
 /// # Errors
-/// What stands there is no head of a reply, or one that is not understood here.
+/// The bytes are not the head of a reply, or it is not supported.
 pub fn read_head(bytes: &[u8]) -> io::Result<Option<(Head, usize)>> {
     let unreadable = || io::Error::from(io::ErrorKind::InvalidData);
-    // Noise is known by its first bytes: its end would be waited for in vain.
+    // Detects garbage by its first bytes instead of waiting for its end.
     if !bytes.iter().zip(STATUS_LINE_PREFIX).all(|(byte, expected)| byte == expected) {
         return Err(unreadable());
     }
@@ -103,10 +103,10 @@
     }
 }
 
-/// Makes a call on a connection, which serves for another one only if [`Reply::reusable`] says so.
+/// Makes a call on a connection, which may be reused only if [`Reply::reusable`] is set.
 ///
 /// # Errors
-/// The connection broke or the reply cannot be read: nothing is known of what became of the call.
+/// The connection broke or the reply is invalid: the outcome of the call is unknown.
 pub async fn call(stream: &mut TcpStream, request: &[u8]) -> io::Result<Reply> {
     stream.write_all(request).await?;
     let mut input = Vec::with_capacity(1024);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,10 +1,11 @@
-//! The real nodo round the jaspershunt module: one program that serves balancers on sockets.
+//! The nodo: a server on sockets around the jaspershunt module.
 //!
-//! [`engine`] is the one task that owns the module; everything reaches it through one queue, in the types of
-//! [`request`], which know no protocol. Round it: [`fastcgi`] speaks with balancers, [`interpreter`] with what does
-//! the work, [`database`] and [`directory`] (over [`http`]) with what all nodos share. [`keys`] remembers what may
-//! not run twice, [`config`] is where the platform's configuration is read, [`cli`] is the command line, and [`server`]
-//! puts the parts together. [`fleet`] makes it a member of a fleet where the operator's file says so.
+//! [`engine`] is the task that owns the module; all input reaches it through one queue, in the
+//! protocol-independent types of [`request`]. [`fastcgi`] serves balancers, [`interpreter`] runs the
+//! requests, [`database`] and [`directory`] (over [`http`]) are clients of the services shared by all nodos.
+//! [`keys`] remembers what may not run twice, [`config`] reads the platform's configuration, [`cli`] is the
+//! command line, and [`server`] starts the parts. [`fleet`] makes the nodo a member of a fleet if the
+//! operator's file says so.
 
 pub mod admin;
 pub mod capture;
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,4 +1,4 @@
-//! Lines for the operator on standard error: text or JSON, by level, a bounded number of them a second.
+//! Log lines for the operator on standard error: text or JSON, filtered by level, rate-limited.
 
 use std::fmt;
 use std::sync::Mutex;
@@ -8,10 +8,11 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Lines a second; more are counted and left out, so that no peer can fill a disk or take the core with them.
+/// Maximum lines per second. Further lines are counted and dropped, so that no peer can fill the disk or use
+/// up the core with them.
 const LINES_PER_SECOND: u32 = 25;
 
-/// Counts the lines of the present second.
+/// Limits the lines of each second.
 #[derive(Debug)]
 pub struct Limiter {
     most: u32,
@@ -21,17 +22,17 @@
 }
 
 impl Limiter {
-    /// A limiter that has let nothing through yet, of so many lines a second.
+    /// Creates a limiter of this many lines per second.
     pub const fn new(most: u32) -> Self {
         Limiter { most, second: 0, lines: 0, dropped: 0 }
     }
 
-    /// [`Limiter::admit`] at the present time.
+    /// Calls [`Limiter::admit`] with the current time.
     pub fn admit_now(&mut self) -> Option<u64> {
         self.admit(std::time::UNIX_EPOCH.elapsed().map_or(0, |t| t.as_secs()))
     }
 
-    /// Whether a line may be written in this second, with the number of those left out before it.
+    /// Returns the number of lines dropped before this one, or `None` if this line must be dropped too.
     pub fn admit(&mut self, second: u64) -> Option<u64> {
         if second != self.second {
             (self.second, self.lines) = (second, 0);
@@ -47,7 +48,7 @@
 
 static LIMITER: Mutex<Limiter> = Mutex::new(Limiter::new(LINES_PER_SECOND));
 
-/// Asks the program's one limiter for a line. Used by [`log!`](crate::log).
+/// Asks the program's limiter whether a line may be written. Used by [`log!`](crate::log).
 pub fn admit() -> Option<u64> {
     LIMITER.lock().map_or(Some(0), |mut limiter| limiter.admit_now())
 }
@@ -62,17 +63,17 @@
     Json,
 }
 
-/// Writes lines of this level and those above it to standard error from now on. A second call changes nothing.
+/// Starts writing lines of this level and above to standard error. A second call has no effect.
 pub fn start(form: Form, least: Level) {
     let lines = tracing_subscriber::fmt().with_max_level(least).with_writer(std::io::stderr);
-    // An error means that lines are written already.
+    // An error means that logging was started before.
     let _ = match form {
         Form::Text => lines.event_format(Text).try_init(),
         Form::Json => lines.json().flatten_event(true).with_target(false).try_init(),
     };
 }
 
-/// The text form.
+/// Formats lines as text.
 struct Text;
 
 impl<S, N> FormatEvent<S, N> for Text
@@ -92,7 +93,7 @@
     }
 }
 
-/// Writes the text of a line, which is the one field that lines have here.
+/// Writes the message of a line, the only field that lines have.
 struct Message<'a, 'b>(&'a mut Writer<'b>, fmt::Result);
 
 impl Visit for Message<'_, '_> {
@@ -103,7 +104,8 @@
     }
 }
 
-/// Writes a line, unless too many were written in this second. A level other than INFO comes first: `log!(WARN, "…")`.
+/// Writes a log line, unless the rate limit is reached. A level other than INFO comes first: `log!(WARN,
+/// "…")`.
 #[macro_export]
 macro_rules! log {
     ($level:ident, $($arg:tt)*) => {
@@ -126,7 +128,7 @@
     use std::sync::Arc;
 
     #[test]
-    fn a_flood_of_lines_is_cut_and_counted() {
+    fn lines_beyond_the_limit_are_dropped_and_counted() {
         let mut limiter = Limiter::new(LINES_PER_SECOND);
         let written = (0..100).filter(|_| limiter.admit(7).is_some()).count();
         assert_eq!(written, LINES_PER_SECOND as usize);
@@ -147,7 +149,7 @@
     }
 
     #[test]
-    fn a_line_of_text_names_its_level_only_where_it_is_not_the_ordinary_one() {
+    fn text_lines_name_their_level_unless_it_is_info() {
         let lines = Lines::default();
         let to = lines.clone();
         let subscriber = tracing_subscriber::fmt()
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,5 @@
-//! One nodo: serves balancers until it is told to leave; and what an operator needs beside it.
+//! The nodo's program: serves balancers until it receives a signal to leave; its subcommands are tools for
+//! operators.
 
 use clap::Parser;
 use jaspershunt_node::admin::{self, AdminState, Order};
@@ -34,7 +35,7 @@
     }
 }
 
-/// The configuration, with the operator's file if there is one.
+/// Loads the configuration, with the operator's file if there is one.
 fn configuration(how: &Serve) -> Result<Config, String> {
     let config = config::load(variable).map_err(|e| format!("configuration: {e}"))?;
     let Some(path) = &how.operator else { return Ok(config) };
@@ -42,7 +43,7 @@
     config.with_operator(file).map_err(|wrong| format!("{path}: {}", one_line(wrong.iter())))
 }
 
-/// The first of several messages, and how many there are beside it.
+/// Formats the first of several messages with the number of further ones.
 fn one_line<T: ToString>(mut messages: impl ExactSizeIterator<Item = T>) -> String {
     let more = messages.len().saturating_sub(1);
     let first = messages.next().map_or(String::new(), |first| first.to_string());
@@ -58,7 +59,7 @@
             return ExitCode::FAILURE;
         }
     };
-    // One core and one thread: nothing here waits but on sockets and timers.
+    // One thread suffices: tasks wait only on sockets and timers.
     let run = || {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let ended = LocalSet::new().block_on(&runtime, async {
@@ -66,13 +67,14 @@
             let mut interrupt = signal(SignalKind::interrupt())?;
             let mut hangup = signal(SignalKind::hangup())?;
             let admin = config.admin.map(|at| server::listen("admin", at, false)).transpose()?;
-            // A later start can take over where operators call, and where there is a folder that both see.
+            // A later process can take over if operators can call and both processes see the same folder.
             let folder = config.admin.and(variable("TMPDIR").filter(|folder| !folder.is_empty()));
             let upgrade = folder.and_then(|folder| {
                 let place = Place::new(Path::new(&folder), &config.name);
                 match place.show_alive() {
                     Ok(alive) => Some((place, alive)),
-                    // Without it two could serve at one address and know nothing of each other.
+                    // Without the file two processes could serve at one address without knowing of each
+                    // other.
                     Err(e) => {
                         log!(WARN, "upgrade: {folder} cannot be used: {e}; no other start can take over");
                         None
@@ -89,7 +91,7 @@
                     _ = interrupt.recv() => {}
                 }
             };
-            // Without captures the signal does what it does to any program.
+            // Without captures the signal keeps its default action.
             if config.operator.as_ref().is_some_and(|file| file.capture.is_some()) {
                 let mut asked = signal(SignalKind::user_defined1())?;
                 let orders = to_engine.clone();
@@ -121,7 +123,7 @@
             });
             server::run(config, Clock::System, endpoints, peers, operator, leave).await
         });
-        // Guards against a disk that stalls: a thread that waits for it would be waited for here without end.
+        // Does not wait for threads blocked on a stalled disk.
         runtime.shutdown_background();
         ended
     };
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together, and takes them apart again when the nodo leaves.
+//! Starts the parts of a nodo, and shuts them down in order when it leaves.
 
 use crate::admin::{self, AdminState, Order};
 use crate::clock::Clock;
@@ -21,39 +21,42 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// From SIGTERM to the kill of a process that a later start took over from: the longest deadline, or this if that is longer,
+/// Maximum time from SIGTERM to the kill of a process that a later one took over from: the longest deadline,
+/// or this if that is longer, plus `RETIRE_SLACK`. Both are set by the operators.
 const MAX_RETIRE_TIME: Duration = Duration::from_secs(3);
-/// and this. The operators' figures.
+/// Added to the time until the kill.
 const RETIRE_SLACK: Duration = Duration::from_millis(700);
-/// It ends so long before the kill whatever is left. Ours, as the next two: a tenth of a second for each step.
+/// A retiring process ends this long before the kill in any case.
 const RETIRE_MARGIN: Duration = Duration::from_millis(200);
-/// What is owed is failed so long before that.
+/// Remaining answers are given as failures this long before the end.
 const GIVE_UP_MARGIN: Duration = Duration::from_millis(100);
-/// Connections that are never quiet are read no more so long before: answers take less than this, but for a few.
+/// Connections that still have requests are read no more this long before the end. Nearly all answers take
+/// less than this.
 const LAST_CALL_MARGIN: Duration = Duration::from_secs(1);
-/// Connections that the system holds until they are accepted.
+/// Listen backlog.
 const BACKLOG: u32 = 1024;
-/// A notice to leave waits so long at most for the engine to see whether this process still has the right to run.
+/// Maximum wait, on a notice to leave, for the engine to check whether this process still has the right to
+/// run.
 const OWNERSHIP_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
-/// Beyond the grace the listener stays open so long, since a request that came just within it may be on its way.
+/// Time for which the listener stays open after the grace, for requests sent just within it.
 const EXTRA_GRACE: Duration = Duration::from_millis(100);
-/// The program ends so long before the kill whatever is left.
+/// The program ends this long before the kill in any case.
 const EXIT_MARGIN: Duration = Duration::from_millis(40);
-/// Connections that still bring requests so long before that are read no more, and end behind their last answer: the end of the
-/// program would reset them, over requests that were read and answers that the peer has not. Ours: answers take less than this,
-/// and the module's last ones are given before it.
+/// Connections that still have requests are read no more this long before the end, and close after their last
+/// answer: otherwise the program's end would reset them and lose read requests and unread answers. Answers
+/// take less than this, and the module gives its last ones before it.
 const HANG_UP_MARGIN: Duration = Duration::from_millis(60);
-/// Tries that the fleet has to hold are refused until its member has its number. A nodo that starts waits so long for that before it
-/// takes clients, and no longer: the disk may stall.
+/// Maximum wait at the start for the fleet member's incarnation number, since tries that the fleet records
+/// are refused until then. Bounded because the disk may stall.
 const INCARNATION_TIMEOUT: Duration = Duration::from_millis(300);
-/// A nodo that owes nothing waits so long for what may still be on its way before it closes its connections.
+/// Time without owed answers before a leaving nodo closes its connections, for requests still on their way.
 const QUIET_PERIOD: Duration = Duration::from_millis(100);
 
-/// A listener on an address; the message of an error names the key. With `shared`, a later start of the program may listen
-/// there too, while this one still does.
+/// Opens a listener on an address; error messages name the key. With `shared`, a later process of the program
+/// may listen there at the same time.
 ///
 /// # Errors
-/// The address cannot be had.
+/// The address is not available.
 pub fn listen(key: &str, at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let open = || {
         let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
@@ -65,8 +68,8 @@
     open().map_err(|e| io::Error::new(e.kind(), format!("{key}: cannot listen on {at}: {e}")))
 }
 
-/// Takes up what may change in a nodo that runs, from a configuration that was read anew, which is then the one in force.
-/// One that cannot be used changes nothing: it is taken whole or not at all.
+/// Applies the changeable parts of a configuration that was read again, which then becomes the one in force.
+/// An invalid one is rejected as a whole and changes nothing.
 pub async fn reload(
     running: &mut Config,
     read: Result<Config, ConfigError>,
@@ -112,22 +115,22 @@
     running.operator = operator;
 }
 
-/// Where a nodo is called.
+/// The endpoints of a nodo.
 pub struct Endpoints {
-    /// By balancers; where there is none yet, the configured address is listened at.
+    /// Listener for balancers; `None` listens on the configured address.
     pub listener: Option<TcpListener>,
-    /// By operators, if they may.
+    /// Listener for operators, if configured.
     pub admin: Option<TcpListener>,
-    /// What operators are shown.
+    /// State shown to operators.
     pub desk: Rc<AdminState>,
-    /// What operators have the engine do.
+    /// Operators' orders to the engine.
     pub orders: (mpsc::Sender<Order>, mpsc::Receiver<Order>),
-    /// By other starts of the program, if several can be one nodo: where that is settled.
+    /// For several processes of the program that may be one nodo: where they settle which one serves.
     pub upgrade: Option<(Place, Alive)>,
 }
 
 impl Endpoints {
-    /// Balancers alone can call.
+    /// Creates endpoints for balancers only.
     pub fn new(listener: TcpListener) -> Endpoints {
         let listener = Some(listener);
         Endpoints {
@@ -140,11 +143,11 @@
     }
 }
 
-/// Runs a nodo on a listener until it is told to leave and has left. Needs to run in a local set. The addresses in
-/// `peers` take the place of those in `config`, and a file in `operator` that of the one before.
+/// Runs a nodo until `leave` completes and the shutdown is done. Must run in a local set. Addresses from
+/// `peers` replace those in `config`, and a file from `operator` replaces the previous one.
 ///
 /// # Errors
-/// The address for balancers cannot be had.
+/// The address for balancers is not available.
 pub async fn run(
     config: Config,
     clock: Clock,
@@ -192,7 +195,7 @@
     front.samples = steering.as_ref().map(|steering| steering.samples());
     let front = Rc::new(front);
     let listeners = Rc::new(Listeners::new(front.clone()));
-    // Operators are answered from the first moment on, also while an earlier start still serves.
+    // Operators are answered from the start, even while an earlier process still serves.
     if let Some(admin) = admin {
         let at = admin.local_addr().map_or(String::new(), |at| format!(" on {at}"));
         log!("{} answers operators{at}", config.name);
@@ -227,7 +230,7 @@
             return Ok(());
         }
     };
-    // The system's choice where the port was 0.
+    // The system chose the port if it was 0.
     let listens = listener.local_addr().unwrap_or(config.listen);
     if let Some(steering) = &steering {
         steering.start(listens);
@@ -235,7 +238,8 @@
     let mut member = None;
     if let Some(file) = config.operator.clone().filter(|file| file.fleet.is_some()) {
         let (here, lost, idle, at) = (desk.clone(), desk.clone(), idle_in.subscribe(), desk.clone());
-        // Work that the fleet holds for this nodo is ended or handed over before the member leaves: what it has is an heir's then.
+        // Work that the fleet records for this nodo is ended or handed over before the member leaves: what is
+        // left goes to a successor.
         let holds = !file.handover.is_empty();
         let leaving = move || here.leaves.get() && (!holds || here.handed.get());
         let others = desk.clone();
@@ -262,7 +266,8 @@
         member = Some(spawn_local(fleet::keep(file, config.name.clone(), serves, leaves, publish)))
             .filter(|_| holds);
         if holds {
-            // Guards against a repeat that is refused by a nodo which starts, though the fleet knows what became of its key.
+            // Without this wait a starting nodo would refuse repeats although the fleet knows the outcome of
+            // their keys.
             let _ = timeout_at(number, numbered.notified()).await;
         }
     }
@@ -277,12 +282,13 @@
     let notified_at = Instant::now();
     desk.leaves.set(true);
     if desk.shared.get() {
-        // Guards against a process that was frozen and takes the notice for one to the nodo, before it has seen that it lost.
+        // A process that was paused may take the notice as one to the nodo before it has seen that it lost
+        // the right to run.
         let (answer, seen) = oneshot::channel();
         let _ = engine_in.send(Input::Peer(Peer::Look { told: answer })).await;
         let _ = timeout_at(notified_at + OWNERSHIP_CHECK_TIMEOUT, seen).await;
     }
-    // Another process serves, or will: this one says nothing for the nodo.
+    // Another process serves, or will: this one reports nothing for the nodo.
     if idle_in.borrow().passing || desk.lost.get() {
         let longest = facts.borrow().settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
         retire(&config.name, longest, notified_at, &engine_in, &front, &idle_in, &mut owed).await;
@@ -292,7 +298,7 @@
     let _ = engine_in.send(Input::Leave { told: notified_at }).await;
     let grace = Duration::from_secs_f64(facts.borrow().settings.drain_grace.min(1e6));
     sleep_until((notified_at + grace + EXTRA_GRACE).min(end)).await;
-    // New connections are refused from here on, which proves to balancers that nothing ran.
+    // From here on new connections are refused, which proves to balancers that nothing ran.
     listeners.close(end).await;
     let last = end - HANG_UP_MARGIN;
     let _ = timeout_at(last, quiet(&mut owed)).await;
@@ -302,7 +308,7 @@
             let _ = member.await;
         }
     }));
-    // Guards against a member that takes until the end: what still comes on connections would be reset by that.
+    // If the member takes until the end, input still arriving on connections would be reset by that.
     let member_waits = timeout_at(last, &mut member).await.is_err();
     idle_in.send_modify(|idle| (idle.limit, idle.standing) = (Duration::ZERO, true));
     let all_ended = async {
@@ -323,8 +329,8 @@
     Ok(())
 }
 
-/// Ends what is in hand while a later start serves. This is no notice to drain: health stays good, and what still comes
-/// goes to the later start.
+/// Ends in-flight requests while a later process serves. This does not drain the nodo: health stays good, and
+/// new requests go to the later process.
 async fn retire(
     name: &str,
     longest: f64,
@@ -362,7 +368,7 @@
     log!("{name} ends, {} connections are left", front.open.get());
 }
 
-/// Waits until nothing has been owed for a while.
+/// Waits until no answer has been owed for `QUIET_PERIOD`.
 async fn quiet(owed: &mut watch::Receiver<usize>) {
     loop {
         if owed.wait_for(|owed| *owed == 0).await.is_err() {
