--- a/crates/node/src/admin/line/tests.rs
+++ b/crates/node/src/admin/line/tests.rs
@@ -5,7 +5,7 @@
     [("PING", Call::Ping), ("INFO", Call::Info), ("LAMEDUCK", Call::Lameduck), ("REJOIN", Call::Rejoin)];
 
 #[test]
-fn a_call_is_read_once_its_line_is_whole_and_not_before() {
+fn a_call_is_parsed_only_once_its_line_is_complete() {
     for (word, call) in KNOWN {
         for end in ["\n", "\r\n", " \r\n", "\nPING\n"] {
             let text = format!("{word}{end}");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn calls_of_the_fleet_name_a_task_or_a_lease() {
+fn fleet_calls_name_a_task_or_a_lease() {
     let read = |line: &str| read(line.as_bytes());
     assert_eq!(read("FLEET SHOW\n"), Ok(Some(Call::Fleet(Fleet::Show))));
     assert_eq!(read("fleet run cierre\r\n"), Ok(Some(Call::Fleet(Fleet::Run("cierre".into())))));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn calls_of_the_route_table_say_how_many_bytes_come_behind_them() {
+fn route_table_messages_state_their_length() {
     let read = |line: &str| read(line.as_bytes());
     assert_eq!(read("ROUTES SHOW\r\n"), Ok(Some(Call::Routes(Routes::Show))));
     assert_eq!(read("routes say 7000\n{"), Ok(Some(Call::Routes(Routes::Say(7000)))));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn other_lines_are_no_calls() {
+fn other_lines_are_rejected() {
     for line in ["\n", "PIN\n", "PINGS\n", "PING INFO\n", " PING\n", "\0PING\n", "GET / HTTP/1.1\r\n"] {
         assert_eq!(read(line.as_bytes()), Err(NoCall::Unknown), "{line:?}");
     }
@@ -57,7 +57,7 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn garbage_is_no_call_and_waits_for_its_end_only_within_the_bound(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn garbage_is_rejected_within_the_length_limit(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         match read(&bytes) {
             Ok(None) => prop_assert!(bytes.len() < MAX_LINE && !bytes.contains(&b'\n')),
             Ok(Some(call)) => {
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -111,7 +111,7 @@
 /// The connected callers in order of arrival; each can be disconnected.
 #[derive(Default)]
 struct Callers {
-    here: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    connected: RefCell<BTreeMap<u64, Rc<Notify>>>,
     ended: Notify,
 }
 
@@ -128,38 +128,38 @@
             }
         };
         // At the limit the oldest caller is disconnected, since callers may send nothing and stay.
-        while callers.here.borrow().len() >= CALLERS {
+        while callers.connected.borrow().len() >= CALLERS {
             let ended = callers.ended.notified();
-            if let Some(oldest) = callers.here.borrow().values().next() {
+            if let Some(oldest) = callers.connected.borrow().values().next() {
                 oldest.notify_one();
             }
             ended.await;
         }
-        let go = Rc::new(Notify::new());
-        callers.here.borrow_mut().insert(number, go.clone());
+        let disconnect = Rc::new(Notify::new());
+        callers.connected.borrow_mut().insert(number, disconnect.clone());
         let (callers, desk, orders) = (callers.clone(), desk.clone(), orders.clone());
         tokio::task::spawn_local(async move {
             tokio::select! {
-                () = attend(stream, &desk, &orders) => {}
-                () = go.notified() => {}
+                () = serve_caller(stream, &desk, &orders) => {}
+                () = disconnect.notified() => {}
             }
-            callers.here.borrow_mut().remove(&number);
+            callers.connected.borrow_mut().remove(&number);
             callers.ended.notify_waiters();
         });
     }
 }
 
 /// Serves one caller.
-async fn attend(mut stream: TcpStream, desk: &AdminState, orders: &mpsc::Sender<Order>) {
+async fn serve_caller(mut stream: TcpStream, desk: &AdminState, orders: &mpsc::Sender<Order>) {
     let mut input = Vec::with_capacity(MAX_LINE);
-    let call = match timeout(LINE_TIMEOUT, first_line(&mut stream, &mut input)).await {
+    let call = match timeout(LINE_TIMEOUT, read_call(&mut stream, &mut input)).await {
         Ok(Some(call)) => call,
         // The caller closed without a call.
         Ok(None) => return,
         Err(_) => Err(NoCall::Unfinished),
     };
     let answer = match call {
-        Ok(Call::Routes(what)) => routes(what, &mut stream, &mut input, desk).await,
+        Ok(Call::Routes(what)) => answer_routes(what, &mut stream, &mut input, desk).await,
         Ok(call) => execute(call, desk, orders).await,
         Err(why) => Answer::No(why.to_string()),
     };
@@ -182,7 +182,7 @@
 }
 
 /// Reads the call of a connection; `None` if it ends without input. A half-close ends a line too.
-async fn first_line(stream: &mut TcpStream, input: &mut Vec<u8>) -> Option<Result<Call, NoCall>> {
+async fn read_call(stream: &mut TcpStream, input: &mut Vec<u8>) -> Option<Result<Call, NoCall>> {
     loop {
         match line::read(input) {
             Ok(Some(call)) => return Some(Ok(call)),
@@ -199,7 +199,12 @@
 }
 
 /// Answers a call on the route table. If the file names no team there is none, and the call is unknown.
-async fn routes(what: Routes, stream: &mut TcpStream, input: &mut Vec<u8>, desk: &AdminState) -> Answer {
+async fn answer_routes(
+    what: Routes,
+    stream: &mut TcpStream,
+    input: &mut Vec<u8>,
+    desk: &AdminState,
+) -> Answer {
     let (office, way) = (desk.routes.borrow().clone(), desk.fleet.borrow().clone());
     let Some(office) = office else { return Answer::No(NoCall::Unknown.to_string()) };
     let bytes = match what {
@@ -249,7 +254,7 @@
             Some(steering) => steering.answer(),
             None => Answer::No("this nodo's file has no steering block".to_string()),
         },
-        // Handled by `routes`, since bytes may follow the line.
+        // Handled by `answer_routes`, since bytes may follow the line.
         Call::Routes(_) => Answer::No(NoCall::Unknown.to_string()),
         Call::Fleet(what) => {
             let way = desk.fleet.borrow().clone();
--- a/crates/node/src/database.rs
+++ b/crates/node/src/database.rs
@@ -55,7 +55,7 @@
     pub dependency: usize,
     /// The address for this call.
     pub address: SocketAddr,
-    /// Connections to the dependency at most, idle ones included.
+    /// Maximum number of connections to the dependency, idle ones included.
     pub connections: usize,
 }
 
@@ -67,7 +67,7 @@
     /// Number of connections that carry a call or are being opened for one.
     busy: usize,
     /// Maximum number of connections, idle ones included.
-    most: usize,
+    max_connections: usize,
 }
 
 /// Pools by dependency; `None` is the database of the platform's configuration.
@@ -82,18 +82,18 @@
     }
 }
 
-/// Makes the received calls, each in its own task and at most `most` at once, until the channel closes. When
+/// Makes the received calls, each in its own task and at most `max_calls` at once, until the channel closes. When
 /// the database's address changes, calls in flight may finish at the old one.
 pub async fn make_calls(
     mut peers: watch::Receiver<Peers>,
-    most: usize,
+    max_calls: usize,
     engine: mpsc::Sender<Input>,
     mut calls: mpsc::Receiver<Call>,
 ) {
     let address = peers.borrow_and_update().database;
     let pools = Pools::default();
     pools.borrow_mut().insert(None, Pool::new(Some(address), usize::MAX));
-    let room = Rc::new(Semaphore::new(most));
+    let room = Rc::new(Semaphore::new(max_calls));
     loop {
         let call = tokio::select! {
             // A call received after an address change uses the new address.
@@ -132,7 +132,7 @@
     let mut pools = pools.borrow_mut();
     let pool = pools.entry(to.map(|to| to.dependency)).or_insert_with(|| Pool::new(None, 0));
     if let Some(to) = to {
-        pool.borrow_mut().most = to.connections;
+        pool.borrow_mut().max_connections = to.connections;
     }
     pool.clone()
 }
@@ -149,14 +149,14 @@
     let exchange = async {
         let Ok(_permit) = room.acquire().await else { return failed(Outcome::Unreachable) };
         let (address, reused, _busy) = {
-            let mut held = pool.borrow_mut();
-            let Some(address) = to.or(held.address) else { return failed(Outcome::Unreachable) };
-            let reused = if once { None } else { held.take(address) };
-            held.busy += 1;
+            let mut pool_state = pool.borrow_mut();
+            let Some(address) = to.or(pool_state.address) else { return failed(Outcome::Unreachable) };
+            let reused = if once { None } else { pool_state.take(address) };
+            pool_state.busy += 1;
             // Closes idle connections so that all together stay within the bound.
-            let room = held.most.saturating_sub(held.busy);
-            let beyond = held.idle.len().saturating_sub(room);
-            held.idle.drain(..beyond);
+            let room = pool_state.max_connections.saturating_sub(pool_state.busy);
+            let beyond = pool_state.idle.len().saturating_sub(room);
+            pool_state.idle.drain(..beyond);
             (address, reused, BusyGuard(pool.clone()))
         };
         let mut stream = match reused {
@@ -184,8 +184,8 @@
 }
 
 impl Pool {
-    fn new(address: Option<SocketAddr>, most: usize) -> Rc<RefCell<Pool>> {
-        Rc::new(RefCell::new(Pool { address, idle: Vec::new(), busy: 0, most }))
+    fn new(address: Option<SocketAddr>, max_connections: usize) -> Rc<RefCell<Pool>> {
+        Rc::new(RefCell::new(Pool { address, idle: Vec::new(), busy: 0, max_connections }))
     }
 
     /// Takes an idle connection that is still open. Only candidates are checked, since each check is a system
@@ -208,7 +208,7 @@
     /// Returns a connection to the pool, unless the database's address has changed or enough are idle.
     fn put_back(&mut self, address: SocketAddr, stream: TcpStream) {
         let here = self.address.is_none_or(|here| here == address);
-        if here && self.idle.len() < MAX_IDLE && self.idle.len() + self.busy <= self.most {
+        if here && self.idle.len() < MAX_IDLE && self.idle.len() + self.busy <= self.max_connections {
             self.idle.push((Instant::now(), address, stream));
         }
     }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -36,20 +36,20 @@
 /// through outages too. Reports nothing while there is no mode. Ends when the mode can no longer change.
 pub async fn report(mut peers: watch::Receiver<Peers>, name: &str, mut mode: watch::Receiver<Option<Mode>>) {
     let mut stream = None;
-    let mut fails = false;
-    let mut patience = REPORT_TIMEOUT;
+    let mut failing = false;
+    let mut report_timeout = REPORT_TIMEOUT;
     let mut address = peers.borrow().directory;
     loop {
         let current = *mode.borrow_and_update();
-        let now_at = peers.borrow_and_update().directory;
-        if now_at != address {
-            (address, stream) = (now_at, None);
+        let new_address = peers.borrow_and_update().directory;
+        if new_address != address {
+            (address, stream) = (new_address, None);
         }
         let began = Instant::now();
         let mut next = began + REPORT_INTERVAL;
         if let Some(current) = current {
             let sent = tokio::select! {
-                sent = timeout(patience, put(address, name, current, stream.take())) => sent,
+                sent = timeout(report_timeout, put(address, name, current, stream.take())) => sent,
                 // Does not wait for the answer to an outdated report, which could send callers here: changes
                 // are reported at once.
                 changed = mode.changed() => match changed {
@@ -59,7 +59,7 @@
                 Ok(()) = peers.changed() => continue,
             };
             let in_time = began.elapsed() < REPORT_TIMEOUT;
-            patience = if in_time { REPORT_TIMEOUT } else { SLOW_REPORT_TIMEOUT };
+            report_timeout = if in_time { REPORT_TIMEOUT } else { SLOW_REPORT_TIMEOUT };
             let (kept, failed) = match sent {
                 Ok(Ok(kept)) => (kept, None),
                 Ok(Err(e)) => (None, Some(e)),
@@ -68,11 +68,11 @@
             stream = kept;
             if let Some(e) = &failed {
                 next = Instant::now() + RETRY_DELAY;
-                if !fails {
+                if !failing {
                     log!(WARN, "directory: report failed: {e}");
                 }
             }
-            fails = failed.is_some();
+            failing = failed.is_some();
         }
         tokio::select! {
             () = sleep_until(next) => {}
--- a/crates/node/src/fastcgi/connection.rs
+++ b/crates/node/src/fastcgi/connection.rs
@@ -399,7 +399,7 @@
     }
 
     async fn serve(mut self) {
-        let end = match self.converse().await {
+        let end = match self.run().await {
             Ok(end) | Err(end) => end,
         };
         if let End::PassedOn = end {
@@ -452,11 +452,11 @@
         }
     }
 
-    async fn converse(&mut self) -> Result<End, End> {
+    async fn run(&mut self) -> Result<End, End> {
         let mut idle = self.front.idle.clone();
         let mut reads = 0;
         if !self.input.is_empty() {
-            self.take_in().await?;
+            self.process_input().await?;
             self.write()?;
         }
         loop {
@@ -507,7 +507,7 @@
                         self.read_closed = true;
                     } else {
                         self.status.last_traffic.set(Instant::now());
-                        self.take_in().await?;
+                        self.process_input().await?;
                         if !self.input_room.set(self.input.len().saturating_sub(UNCHARGED_INPUT_BYTES)) && !self.closing {
                             self.stop_reading("no memory is left for the rest of a long record");
                             self.close_unfinished();
@@ -587,7 +587,7 @@
             self.input.reserve(READ_BYTES);
             match self.stream.try_read_buf(&mut self.input) {
                 Ok(0) => self.read_closed = true,
-                Ok(_) => self.take_in().await?,
+                Ok(_) => self.process_input().await?,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(e) => return Err(e.into()),
             }
@@ -643,13 +643,13 @@
     }
 
     /// Processes all complete records in the input.
-    async fn take_in(&mut self) -> Result<(), End> {
+    async fn process_input(&mut self) -> Result<(), End> {
         // Keeps the buffer for the next input unless a large record made it large.
         let mut input = std::mem::take(&mut self.input);
         let mut rest = &input[..];
         while !self.closing {
             match next_record(&mut rest) {
-                Ok(Some(record)) => self.take_record(&record).await?,
+                Ok(Some(record)) => self.process_record(&record).await?,
                 Ok(None) => break,
                 Err(FramingError) => self.stop_reading("its input is not FastCGI 1.0 records"),
             }
@@ -679,7 +679,7 @@
         (self.closing, self.drain_input) = (true, true);
     }
 
-    async fn take_record(&mut self, record: &Record<'_>) -> Result<(), End> {
+    async fn process_record(&mut self, record: &Record<'_>) -> Result<(), End> {
         let Ok(step) = self.requests.take(record, &mut self.output) else {
             self.stop_reading(
                 "it begins a request whose id is already open, or the begin record is malformed",
@@ -725,7 +725,7 @@
     async fn submit(&mut self, whole: CompleteRequest) {
         let reply = ReplyTo::new(self.reply_to.clone(), whole.id);
         let front = &self.front;
-        match asked(&whole.params, whole.body, front) {
+        match parse_request(&whole.params, whole.body, front) {
             Ok(Asked::Check) => {
                 self.status.used.set(true);
                 let _ = front.engine.send(Input::Check { reply }).await;
@@ -737,7 +737,7 @@
                 self.ids.insert(whole.id, id);
                 if let Some(samples) = &front.samples {
                     let gap = self.answered.take().map(|answered| answered.elapsed());
-                    if let Some(client) = client(samples, self.peer, work.caller.0, &whole.params) {
+                    if let Some(client) = steering_client(samples, self.peer, work.caller.0, &whole.params) {
                         self.clients.insert(whole.id, client.clone());
                         samples.tell(Seen::Asked { peer: self.peer, client, gap });
                     }
@@ -809,7 +809,7 @@
 }
 
 /// Returns the client of a request, as steering identifies it.
-fn client(samples: &Samples, peer: SocketAddr, balancer: u64, params: &[u8]) -> Option<Client> {
+fn steering_client(samples: &Samples, peer: SocketAddr, balancer: u64, params: &[u8]) -> Option<Client> {
     let pairs = pairs(params)?;
     let field = |name: &str| {
         let (_, value) = pairs.iter().find(|(n, _)| is_cgi_name(n, name))?;
@@ -819,7 +819,7 @@
 }
 
 /// Reads a request from its parameters, named as CGI names headers.
-fn asked(params: &[u8], body: Vec<u8>, front: &Connections) -> Result<Asked, BadRequest> {
+fn parse_request(params: &[u8], body: Vec<u8>, front: &Connections) -> Result<Asked, BadRequest> {
     let Some(pairs) = pairs(params) else {
         return Err(BadRequest("its parameters are truncated".to_string()));
     };
--- a/crates/node/src/fastcgi/requests.rs
+++ b/crates/node/src/fastcgi/requests.rs
@@ -15,19 +15,19 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     used: Rc<Cell<usize>>,
-    most: usize,
+    limit: usize,
 }
 
 impl Budget {
     /// Creates an unused budget.
-    pub fn new(most: usize) -> Budget {
-        Budget { used: Rc::default(), most }
+    pub fn new(limit: usize) -> Budget {
+        Budget { used: Rc::default(), limit }
     }
 
     /// Reserves bytes; returns whether they fit.
     pub fn take(&self, bytes: usize) -> bool {
         let used = self.used.get() + bytes;
-        let fits = used <= self.most;
+        let fits = used <= self.limit;
         if fits {
             self.used.set(used);
         }
@@ -167,7 +167,7 @@
     /// A begin record of the wrong length, or for a request that is already open.
     pub fn take(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, FramingError> {
         if record.id == 0 {
-            manage(record, out);
+            answer_management_record(record, out);
             return Ok(Step::Stray);
         }
         if record.kind == kind::BEGIN_REQUEST {
@@ -183,7 +183,7 @@
             }
             kind::PARAMS if !open.params_ended => {
                 open.params_ended = record.content.is_empty();
-                match open.grow(|open| &mut open.params, record.content, MAX_PARAMS, &self.budget) {
+                match open.append(|open| &mut open.params, record.content, MAX_PARAMS, &self.budget) {
                     AppendResult::Fits => {}
                     AppendResult::Oversize => return Ok(Step::Oversize(record.id)),
                     AppendResult::OutOfMemory => return Ok(self.overloaded(record.id, out)),
@@ -191,7 +191,7 @@
             }
             kind::STDIN if !open.body_ended => {
                 open.body_ended = record.content.is_empty();
-                match open.grow(|open| &mut open.body, record.content, MAX_BODY, &self.budget) {
+                match open.append(|open| &mut open.body, record.content, MAX_BODY, &self.budget) {
                     AppendResult::Fits => {}
                     AppendResult::Oversize => return Ok(Step::Oversize(record.id)),
                     AppendResult::OutOfMemory => return Ok(self.overloaded(record.id, out)),
@@ -259,14 +259,14 @@
 
 impl OpenRequest {
     /// Appends to a part of a request, within its size limit and the budget.
-    fn grow(
+    fn append(
         &mut self,
         part: fn(&mut OpenRequest) -> &mut Vec<u8>,
         more: &[u8],
-        most: usize,
+        limit: usize,
         budget: &Budget,
     ) -> AppendResult {
-        if part(self).len() + more.len() > most {
+        if part(self).len() + more.len() > limit {
             return AppendResult::Oversize;
         }
         if !budget.take(more.len()) {
@@ -279,7 +279,7 @@
 }
 
 /// Answers a management record.
-fn manage(record: &Record, out: &mut Vec<u8>) {
+fn answer_management_record(record: &Record, out: &mut Vec<u8>) {
     if record.kind != kind::GET_VALUES {
         put_record(out, kind::UNKNOWN_TYPE, 0, &[record.kind, 0, 0, 0, 0, 0, 0, 0]);
         return;
--- a/crates/node/src/interpreter.rs
+++ b/crates/node/src/interpreter.rs
@@ -249,7 +249,7 @@
             Ok(Ok(stream)) => {
                 known_down = false;
                 Link::new(stream, &engine)
-                    .converse(&mut state, &mut commands, until_moved(&mut peers, address))
+                    .exchange(&mut state, &mut commands, until_moved(&mut peers, address))
                     .await
             }
             Ok(Err(e)) => Err(e),
@@ -291,7 +291,7 @@
         Link { stream, engine, input: Vec::new(), output: Vec::new() }
     }
 
-    async fn converse(
+    async fn exchange(
         &mut self,
         state: &mut LinkState,
         commands: &mut mpsc::Receiver<Command>,
@@ -310,7 +310,7 @@
                     if read? == 0 {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
-                    let caught_up_now = self.take_in(state).await?;
+                    let caught_up_now = self.process_input(state).await?;
                     if caught_up_now && !caught_up {
                         caught_up = true;
                         for (_, command) in std::mem::take(&mut state.unconfirmed) {
@@ -336,7 +336,7 @@
     }
 
     /// Processes all complete lines; returns whether the link has caught up with the missed messages.
-    async fn take_in(&mut self, state: &mut LinkState) -> io::Result<bool> {
+    async fn process_input(&mut self, state: &mut LinkState) -> io::Result<bool> {
         let mut caught_up = false;
         let input = std::mem::take(&mut self.input);
         let mut rest = &input[..];
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -15,7 +15,7 @@
 /// Limits the lines of each second.
 #[derive(Debug)]
 pub struct Limiter {
-    most: u32,
+    max_lines: u32,
     second: u64,
     lines: u32,
     dropped: u64,
@@ -23,8 +23,8 @@
 
 impl Limiter {
     /// Creates a limiter of this many lines per second.
-    pub const fn new(most: u32) -> Self {
-        Limiter { most, second: 0, lines: 0, dropped: 0 }
+    pub const fn new(max_lines: u32) -> Self {
+        Limiter { max_lines, second: 0, lines: 0, dropped: 0 }
     }
 
     /// Calls [`Limiter::admit`] with the current time.
@@ -37,7 +37,7 @@
         if second != self.second {
             (self.second, self.lines) = (second, 0);
         }
-        if self.lines >= self.most {
+        if self.lines >= self.max_lines {
             self.dropped += 1;
             return None;
         }
