--- a/crates/node/src/fastcgi/connection.rs
+++ b/crates/node/src/fastcgi/connection.rs
@@ -108,9 +108,9 @@
 }
 
 /// Accepts connections until `stop`, then those left in the listener's backlog.
-pub async fn accept(listener: Rc<TcpListener>, front: Rc<Connections>, stop: impl Future<Output = ()>) {
+pub async fn accept(listener: Rc<TcpListener>, shared: Rc<Connections>, stop: impl Future<Output = ()>) {
     let mut stop = std::pin::pin!(stop);
-    let mut idle = front.idle.clone();
+    let mut idle = shared.idle.clone();
     loop {
         // The successor process accepts now.
         if idle.borrow_and_update().passing {
@@ -120,9 +120,9 @@
             }
         }
         // Keeps descriptors free for other uses: further connections wait until one has ended.
-        if front.open.get() + front.other_process_descriptors.get() >= front.max_connections {
-            let ended = front.ended.notified();
-            front.ask_one_to_close();
+        if shared.open.get() + shared.other_process_descriptors.get() >= shared.max_connections {
+            let ended = shared.ended.notified();
+            shared.ask_one_to_close();
             tokio::select! {
                 () = ended => continue,
                 () = &mut stop => break,
@@ -131,7 +131,7 @@
         tokio::select! {
             biased;
             accepted = listener.accept() => match accepted {
-                Ok((stream, peer)) => start(stream, peer, &front, PassedState::default()),
+                Ok((stream, peer)) => start(stream, peer, &shared, PassedState::default()),
                 Err(e) => {
                     log!(WARN, "cannot accept a connection: {e}");
                     tokio::time::sleep(ACCEPT_RETRY).await;
@@ -141,25 +141,26 @@
             () = &mut stop => break,
         }
     }
-    take_in_backlog(&listener, &front).await;
+    take_in_backlog(&listener, &shared).await;
 }
 
 /// Accepts the connections left in the backlog of a listener that is about to close. A request on one of them
 /// counts as received, so none may be left behind. The descriptor limit applies here too, so connections
 /// beyond it wait until one has ended; the caller bounds that wait.
-async fn take_in_backlog(listener: &TcpListener, front: &Rc<Connections>) {
+async fn take_in_backlog(listener: &TcpListener, shared: &Rc<Connections>) {
     loop {
-        if front.open.get() + front.other_process_descriptors.get() >= front.max_connections + CLOSING_RESERVE
+        if shared.open.get() + shared.other_process_descriptors.get()
+            >= shared.max_connections + CLOSING_RESERVE
         {
-            let ended = front.ended.notified();
-            front.ask_one_to_close();
+            let ended = shared.ended.notified();
+            shared.ask_one_to_close();
             ended.await;
             continue;
         }
         // Lets the runtime poll its sockets first.
         tokio::task::yield_now().await;
         match timeout_at(Instant::now(), listener.accept()).await {
-            Ok(Ok((stream, peer))) => start(stream, peer, front, PassedState::default()),
+            Ok(Ok((stream, peer))) => start(stream, peer, shared, PassedState::default()),
             Ok(Err(e)) => {
                 log!(WARN, "cannot accept a connection: {e}");
                 tokio::time::sleep(ACCEPT_RETRY).await;
@@ -180,10 +181,10 @@
     pub waited: Option<Duration>,
 }
 
-fn start(stream: TcpStream, peer: SocketAddr, front: &Rc<Connections>, passed: PassedState) {
-    let front = front.clone();
-    front.open.set(front.open.get() + 1);
-    let index = front.connections.borrow().last_key_value().map_or(0, |(index, _)| index + 1);
+fn start(stream: TcpStream, peer: SocketAddr, shared: &Rc<Connections>, passed: PassedState) {
+    let shared = shared.clone();
+    shared.open.set(shared.open.get() + 1);
+    let index = shared.connections.borrow().last_key_value().map_or(0, |(index, _)| index + 1);
     let status = Rc::new(ConnectionStatus {
         used: Cell::new(passed.used),
         quiet: Cell::new(true),
@@ -193,14 +194,14 @@
         asked_to_close: Cell::new(false),
         close_request: Notify::new(),
     });
-    front.connections.borrow_mut().insert(index, status.clone());
+    shared.connections.borrow_mut().insert(index, status.clone());
     tokio::task::spawn_local(async move {
         // Without this the system delays answers until earlier ones are acknowledged.
         let _ = stream.set_nodelay(true);
-        Connection::new(stream, peer, front.clone(), status, passed).serve().await;
-        front.connections.borrow_mut().remove(&index);
-        front.open.set(front.open.get() - 1);
-        front.ended.notify_waiters();
+        Connection::new(stream, peer, shared.clone(), status, passed).serve().await;
+        shared.connections.borrow_mut().remove(&index);
+        shared.open.set(shared.open.get() - 1);
+        shared.ended.notify_waiters();
     });
 }
 
@@ -277,7 +278,7 @@
 
     /// Reserves output bytes for answers pending on this connection, beyond the budget if need be: then the
     /// connection whose peer has read nothing for longest is asked to end. Returns false if that is this
-    /// connection.
+    /// connection or if no peer is stalled.
     ///
     /// Prevents peers that read nothing from using up the budget of those that do, since those are owed their
     /// answers.
@@ -329,7 +330,7 @@
 struct Connection {
     stream: TcpStream,
     peer: SocketAddr,
-    front: Rc<Connections>,
+    shared: Rc<Connections>,
     requests: Requests,
     /// Engine ids of the complete requests.
     ids: BTreeMap<u16, RequestId>,
@@ -362,19 +363,19 @@
     fn new(
         stream: TcpStream,
         peer: SocketAddr,
-        front: Rc<Connections>,
+        shared: Rc<Connections>,
         status: Rc<ConnectionStatus>,
         passed: PassedState,
     ) -> Connection {
         // One slot per request that may be open, so that sending a reply never waits.
         let (reply_to, replies) = mpsc::channel(MAX_OPEN);
-        let requests = Requests::new(front.request_budget.clone());
-        let input_room = Reservation::new(front.request_budget.clone());
+        let requests = Requests::new(shared.request_budget.clone());
+        let input_room = Reservation::new(shared.request_budget.clone());
         let now = Instant::now();
         Connection {
             stream,
             peer,
-            front,
+            shared,
             requests,
             ids: BTreeMap::new(),
             replies,
@@ -406,7 +407,7 @@
             return self.pass_on().await;
         }
         if let End::PeerFault(what) = end {
-            self.front.log_peer_fault(self.peer, &what);
+            self.shared.log_peer_fault(self.peer, &what);
         }
         // From here on this connection cannot be asked to free its descriptor.
         self.status.quiet.set(false);
@@ -418,21 +419,21 @@
             _ => {}
         }
         for id in self.requests.unanswered().collect::<Vec<_>>() {
-            if let (Some(samples), Some(client)) = (&self.front.samples, self.clients.remove(&id)) {
+            if let (Some(samples), Some(client)) = (&self.shared.samples, self.clients.remove(&id)) {
                 samples.tell(Seen::Reset(client));
             }
             if let Some(id) = self.ids.remove(&id) {
-                let _ = self.front.engine.send(Input::Gone { id }).await;
+                let _ = self.shared.engine.send(Input::Gone { id }).await;
             }
         }
-        self.front.output_budget.give(self.reserved);
+        self.shared.output_budget.give(self.reserved);
     }
 
     /// Passes the connection with its unparsed input to the successor process; on failure it is served here
     /// again.
     async fn pass_on(self) {
-        let Connection { stream, peer, front, input, status, waiting_since, .. } = self;
-        let successor = front.successor.borrow().clone();
+        let Connection { stream, peer, shared, input, status, waiting_since, .. } = self;
+        let successor = shared.successor.borrow().clone();
         let (used, waited) = (status.used.get(), waiting_since.map(|since| since.elapsed()));
         let waited_ms = waited.map(|waited| waited.as_millis() as u64);
         let Ok(stream) = stream.into_std() else { return };
@@ -448,12 +449,12 @@
             return;
         }
         if let Ok(stream) = TcpStream::from_std(stream) {
-            start(stream, peer, &front, PassedState { input, used, waited });
+            start(stream, peer, &shared, PassedState { input, used, waited });
         }
     }
 
     async fn run(&mut self) -> Result<End, End> {
-        let mut idle = self.front.idle.clone();
+        let mut idle = self.shared.idle.clone();
         let mut reads = 0;
         if !self.input.is_empty() {
             self.process_input().await?;
@@ -535,7 +536,7 @@
                         return Ok(End::Replaced);
                     }
                     self.status.asked_to_close.set(false);
-                    self.front.ended.notify_waiters();
+                    self.shared.ended.notify_waiters();
                 }
                 () = self.status.evict.notified() => {
                     return Err(End::PeerFault("too many answer bytes are unread"));
@@ -544,7 +545,7 @@
                     // Reads first: the rest of the request may just have arrived.
                     self.read_available().await?;
                     if self.is_late() {
-                        self.front.log_peer_fault(self.peer, &"no complete request arrived in time");
+                        self.shared.log_peer_fault(self.peer, &"no complete request arrived in time");
                         if !self.has_partial_request() {
                             return Ok(End::Idle);
                         }
@@ -602,7 +603,7 @@
         let before = self.output.len();
         self.requests.refuse_unfinished(&mut self.output);
         let more = self.output.len() - before;
-        self.front.output_budget.take_beyond(more);
+        self.shared.output_budget.take_beyond(more);
         self.reserved += more;
     }
 
@@ -610,7 +611,7 @@
     /// its answers.
     async fn linger(&mut self) {
         let _ = self.stream.shutdown().await;
-        let leaves = self.front.idle.borrow().standing;
+        let leaves = self.shared.idle.borrow().standing;
         let until = Instant::now() + if leaves || !self.drain_input { LEAVING_LINGER } else { LINGER };
         let mut scratch = vec![0; READ_BYTES];
         let mut left = MAX_LINGER_BYTES;
@@ -675,7 +676,7 @@
     /// Stops reading input that can no longer be parsed. Requests that were complete before are still
     /// answered.
     fn stop_reading(&mut self, what: &'static str) {
-        self.front.log_peer_fault(self.peer, &what);
+        self.shared.log_peer_fault(self.peer, &what);
         (self.closing, self.drain_input) = (true, true);
     }
 
@@ -706,15 +707,15 @@
             // The engine no longer owes an answer but still gives one, with which the request is closed: its
             // id cannot be reused while a reply to it may be on the way.
             Step::Aborted(id) => {
-                if let (Some(samples), Some(client)) = (&self.front.samples, self.clients.remove(&id)) {
+                if let (Some(samples), Some(client)) = (&self.shared.samples, self.clients.remove(&id)) {
                     samples.tell(Seen::TimedOut(client));
                 }
                 if let Some(id) = self.ids.remove(&id) {
-                    let _ = self.front.engine.send(Input::Gone { id }).await;
+                    let _ = self.shared.engine.send(Input::Gone { id }).await;
                 }
             }
             Step::Oversize(id) => {
-                self.front.log_peer_fault(self.peer, &"a request exceeds the size limit");
+                self.shared.log_peer_fault(self.peer, &"a request exceeds the size limit");
                 self.answer(id, &Reply::new(Answer::Bad, None))?;
             }
             Step::Ended { close } => self.close_if(close),
@@ -724,28 +725,28 @@
 
     async fn submit(&mut self, whole: CompleteRequest) {
         let reply = ReplyTo::new(self.reply_to.clone(), whole.id);
-        let front = &self.front;
-        match parse_request(&whole.params, whole.body, front) {
+        let shared = &self.shared;
+        match parse_request(&whole.params, whole.body, shared) {
             Ok(Asked::Check) => {
                 self.status.used.set(true);
-                let _ = front.engine.send(Input::Check { reply }).await;
+                let _ = shared.engine.send(Input::Check { reply }).await;
             }
             Ok(Asked::Work(work)) => {
                 self.status.used.set(true);
-                let id = RequestId(front.last_id.get() + 1);
-                front.last_id.set(id.0);
+                let id = RequestId(shared.last_id.get() + 1);
+                shared.last_id.set(id.0);
                 self.ids.insert(whole.id, id);
-                if let Some(samples) = &front.samples {
+                if let Some(samples) = &shared.samples {
                     let gap = self.answered.take().map(|answered| answered.elapsed());
                     if let Some(client) = steering_client(samples, self.peer, work.caller.0, &whole.params) {
                         self.clients.insert(whole.id, client.clone());
                         samples.tell(Seen::Asked { peer: self.peer, client, gap });
                     }
                 }
-                let _ = front.engine.send(Input::Work { id, work, reply }).await;
+                let _ = shared.engine.send(Input::Work { id, work, reply }).await;
             }
             Err(problem) => {
-                front.log_peer_fault(self.peer, &problem);
+                shared.log_peer_fault(self.peer, &problem);
                 reply.send(Reply::new(Answer::Bad, None));
             }
         }
@@ -754,7 +755,7 @@
     /// Writes the only answer to a request.
     fn answer(&mut self, id: u16, reply: &Reply) -> Result<(), End> {
         self.ids.remove(&id);
-        if self.front.samples.is_some() {
+        if self.shared.samples.is_some() {
             self.clients.remove(&id);
             // If another request is open or has already arrived, the gap until the next one does not measure
             // a round trip.
@@ -771,7 +772,7 @@
     /// is exceeded.
     fn reserve(&mut self) -> Result<(), End> {
         let more = self.output.len().saturating_sub(self.reserved);
-        if !self.front.reserve_output(more, &self.status) {
+        if !self.shared.reserve_output(more, &self.status) {
             return Err(End::PeerFault("too many answer bytes are unread"));
         }
         self.reserved += more;
@@ -795,7 +796,7 @@
             // The write timeout starts with the next answer.
             self.last_write = Instant::now();
         }
-        self.front.output_budget.give(self.reserved - self.output.len());
+        self.shared.output_budget.give(self.reserved - self.output.len());
         self.reserved = self.output.len();
         self.status.stalled_since.set((!self.output.is_empty()).then_some(self.last_write));
         Ok(())
@@ -819,7 +820,7 @@
 }
 
 /// Reads a request from its parameters, named as CGI names headers.
-fn parse_request(params: &[u8], body: Vec<u8>, front: &Connections) -> Result<Asked, BadRequest> {
+fn parse_request(params: &[u8], body: Vec<u8>, shared: &Connections) -> Result<Asked, BadRequest> {
     let Some(pairs) = pairs(params) else {
         return Err(BadRequest("its parameters are truncated".to_string()));
     };
@@ -833,6 +834,6 @@
     };
     let path = param("SCRIPT_NAME").unwrap_or_default();
     let method = param("REQUEST_METHOD").unwrap_or_default();
-    let facts = front.facts.borrow();
+    let facts = shared.facts.borrow();
     request::read(path, method, field, body, &facts.settings, &facts.names)
 }
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -190,11 +190,11 @@
     spawn_local(async move { directory::report(peers, &name, mode_out).await });
     let steering = config.operator.as_ref().and_then(|file| Steering::new(file, &config.name));
     desk.steering.borrow_mut().clone_from(&steering);
-    let mut front =
+    let mut connections =
         Connections::new(&config, engine_in.clone(), idle_out, facts.clone(), desk.connections.clone());
-    front.samples = steering.as_ref().map(|steering| steering.samples());
-    let front = Rc::new(front);
-    let listeners = Rc::new(Listeners::new(front.clone()));
+    connections.samples = steering.as_ref().map(|steering| steering.samples());
+    let connections = Rc::new(connections);
+    let listeners = Rc::new(Listeners::new(connections.clone()));
     // Operators are answered from the start, even while an earlier process still serves.
     if let Some(admin) = admin {
         let at = admin.local_addr().map_or(String::new(), |at| format!(" on {at}"));
@@ -291,7 +291,7 @@
     // Another process serves, or will: this one reports nothing for the nodo.
     if idle_in.borrow().passing || desk.lost.get() {
         let longest = facts.borrow().settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-        retire(&config.name, longest, notified_at, &engine_in, &front, &idle_in, &mut owed).await;
+        retire(&config.name, longest, notified_at, &engine_in, &connections, &idle_in, &mut owed).await;
         return Ok(());
     }
     let end = notified_at + config.stop.saturating_sub(EXIT_MARGIN);
@@ -312,8 +312,8 @@
     let member_waits = timeout_at(last, &mut member).await.is_err();
     idle_in.send_modify(|idle| (idle.limit, idle.standing) = (Duration::ZERO, true));
     let all_ended = async {
-        while front.open.get() > 0 {
-            front.ended.notified().await;
+        while connections.open.get() > 0 {
+            connections.ended.notified().await;
         }
     };
     let mut all_ended = std::pin::pin!(all_ended);
@@ -336,7 +336,7 @@
     longest: f64,
     notified_at: Instant,
     engine: &mpsc::Sender<Input>,
-    front: &Connections,
+    connections: &Connections,
     idle: &watch::Sender<Idle>,
     owed: &mut watch::Receiver<usize>,
 ) {
@@ -346,8 +346,8 @@
     log!("{name} leaves the work to a later start");
     let done = async {
         loop {
-            let ended = front.ended.notified();
-            if front.open.get() == 0 && *owed.borrow_and_update() == 0 {
+            let ended = connections.ended.notified();
+            if connections.open.get() == 0 && *owed.borrow_and_update() == 0 {
                 return;
             }
             tokio::select! {
@@ -364,8 +364,8 @@
             let _ = timeout_at(end, &mut done).await;
         }
     }
-    front.send_farewell(end).await;
-    log!("{name} ends, {} connections are left", front.open.get());
+    connections.send_farewell(end).await;
+    log!("{name} ends, {} connections are left", connections.open.get());
 }
 
 /// Waits until no answer has been owed for `QUIET_PERIOD`.
