--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -4,10 +4,10 @@
 //! and executes the module's actions in order. It knows no protocol and never waits on a socket: I/O is
 //! delegated to the tasks of the interpreter, the database, the directory and the connections.
 
-use crate::admin::{Desk, Order};
+use crate::admin::{AdminState, Order};
 use crate::capture::Capture;
 use crate::clock::Clock;
-use crate::config::{Config, Facts};
+use crate::config::{Config, NamedSettings};
 use crate::database;
 use crate::directory::Mode;
 use crate::interpreter::{self, Command};
@@ -108,9 +108,9 @@
     /// The number of in-flight requests and runs.
     pub owed: watch::Sender<usize>,
     /// State shared with the operators' interface.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<AdminState>,
     /// The settings in force, for the tasks that read requests.
-    pub facts: watch::Sender<Rc<Facts>>,
+    pub facts: watch::Sender<Rc<NamedSettings>>,
 }
 
 /// The stage of a request's run.
--- a/crates/node/src/engine/settings.rs
+++ b/crates/node/src/engine/settings.rs
@@ -1,7 +1,7 @@
 //! Settings that are reloaded while the nodo runs.
 
 use super::Engine;
-use crate::config::Facts;
+use crate::config::NamedSettings;
 use crate::engine::input::Input;
 use crate::interpreter;
 use jaspershunt::{Event, Gauges};
@@ -12,7 +12,7 @@
 impl Engine {
     /// Puts reloaded settings into force. In-flight requests keep the class that they arrived under, at its
     /// index.
-    pub(super) fn reload_settings(&mut self, facts: &Facts) -> Result<(), String> {
+    pub(super) fn reload_settings(&mut self, facts: &NamedSettings) -> Result<(), String> {
         if self.dependencies.is_some() {
             return Err(
                 "settings change with a restart only where the operator's file names dependencies".into()
@@ -38,7 +38,7 @@
         self.channels.desk.counts.borrow_mut().add_classes(names.classes());
         (self.settings, self.names) = (settings.clone(), names.clone());
         self.events.push(Event::Settings(Box::new(self.share())));
-        self.channels.facts.send_replace(Rc::new(Facts { settings, names }));
+        self.channels.facts.send_replace(Rc::new(NamedSettings { settings, names }));
         Ok(())
     }
 
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -462,7 +462,7 @@
             let text = SETTINGS.replacen("\"deadlineS\":4", &format!("\"deadlineS\":{}", 3 + n % 5), 1);
             let (settings, names) = jaspershunt_settings::read(&text, "settings").unwrap();
             let (done, mut taken) = oneshot::channel();
-            rig.engine.handle_order(Order::Settings { facts: Rc::new(Facts { settings, names }), done });
+            rig.engine.handle_order(Order::Settings { facts: Rc::new(NamedSettings { settings, names }), done });
             assert_eq!(taken.try_recv(), Ok(Ok(())), "change {n}");
             for command in rig.commands() {
                 if let Some(digit) = command.strip_prefix("apply ") {
--- a/crates/node/src/fastcgi/requests.rs
+++ b/crates/node/src/fastcgi/requests.rs
@@ -1,4 +1,4 @@
-//! Puts the requests of one connection together from its records, and answers the records that need no decision.
+//! Assembles the requests of one connection from its records, and answers the records that need no decision.
 
 use super::records::*;
 use crate::request::MAX_BODY_BYTES;
@@ -6,59 +6,59 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Requests that may be open on a connection.
+/// Maximum number of open requests per connection.
 pub const MAX_OPEN: usize = 32;
-/// The most bytes of parameters of one request; those that are asked for take a tenth of that.
+/// Maximum bytes of parameters of one request. The parameters used here take a tenth of that.
 pub const MAX_PARAMS: usize = 8 * 1024;
 
-/// Bytes that all connections together may hold, so that no number of peers can take the memory.
+/// Byte budget shared by all connections, so that no number of peers can exhaust the memory.
 #[derive(Clone, Debug)]
 pub struct Budget {
     used: Rc<Cell<usize>>,
-    most: usize,
+    limit: usize,
 }
 
 impl Budget {
-    /// Nothing is used yet.
-    pub fn new(most: usize) -> Budget {
-        Budget { used: Rc::default(), most }
+    /// Creates an unused budget.
+    pub fn new(limit: usize) -> Budget {
+        Budget { used: Rc::default(), limit }
     }
 
-    /// Takes so many bytes; whether there was room.
+    /// Reserves bytes; returns whether they fit.
     pub fn take(&self, bytes: usize) -> bool {
         let used = self.used.get() + bytes;
-        let fits = used <= self.most;
+        let fits = used <= self.limit;
         if fits {
             self.used.set(used);
         }
         fits
     }
 
-    /// Takes so many bytes whether or not there is room.
+    /// Reserves bytes even beyond the limit.
     pub fn take_beyond(&self, bytes: usize) {
         self.used.set(self.used.get() + bytes);
     }
 
-    /// Gives back what was taken.
+    /// Releases reserved bytes.
     pub fn give(&self, bytes: usize) {
         self.used.set(self.used.get().saturating_sub(bytes));
     }
 }
 
-/// Bytes of a budget that are given back when this is dropped.
+/// Reservation of bytes of a budget, released on drop.
 #[derive(Debug)]
-pub struct Room {
+pub struct Reservation {
     budget: Budget,
     taken: usize,
 }
 
-impl Room {
-    /// None is taken yet.
-    pub fn new(budget: Budget) -> Room {
-        Room { budget, taken: 0 }
+impl Reservation {
+    /// Creates an empty reservation.
+    pub fn new(budget: Budget) -> Reservation {
+        Reservation { budget, taken: 0 }
     }
 
-    /// Takes or gives back until so many bytes are taken; whether there was room for them.
+    /// Grows or shrinks the reservation to this many bytes; returns whether they fit.
     pub fn set(&mut self, bytes: usize) -> bool {
         if bytes > self.taken && !self.budget.take(bytes - self.taken) {
             return false;
@@ -69,90 +69,89 @@
     }
 }
 
-impl Drop for Room {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.budget.give(self.taken);
     }
 }
 
-/// A request whose last byte was read.
+/// A completely read request.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Whole {
-    /// Its id on the connection.
+pub struct CompleteRequest {
+    /// The request id on the connection.
     pub id: u16,
-    /// The parameters, still packed.
+    /// The encoded parameters.
     pub params: Vec<u8>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What a record led to.
+/// Result of processing a record.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing yet.
+    /// Nothing to do yet.
     Nothing,
-    /// A request is whole.
-    Whole(Whole),
+    /// A request is complete.
+    Complete(CompleteRequest),
     /// The record belongs to no open request.
     Stray,
-    /// A request that is not whole is over its size already. It is to be answered; the rest of it is stray then.
+    /// A partial request exceeds the size limit. It is to be answered; its further records are stray.
     Oversize(u16),
-    /// The caller of a whole request has gone.
+    /// The caller aborted a complete request.
     Aborted(u16),
-    /// A request ended before it was whole, with what was written to `out`.
+    /// A request ended before it was complete; the records written to `out` close it.
     Ended {
         /// Whether the connection is to be closed.
         close: bool,
     },
 }
 
-struct Open {
+struct OpenRequest {
     keep_conn: bool,
     params: Vec<u8>,
     params_ended: bool,
     body: Vec<u8>,
     body_ended: bool,
     whole: bool,
-    /// Bytes taken from the budget. They stay booked until the request is answered, since what was read of it is
-    /// held until then.
+    /// Bytes reserved in the budget until the request is answered, since its content is kept until then.
     booked: usize,
 }
 
 /// The requests that are open on one connection.
 pub struct Requests {
-    open: BTreeMap<u16, Open>,
+    open: BTreeMap<u16, OpenRequest>,
     budget: Budget,
 }
 
 impl Requests {
-    /// None are open.
+    /// Creates the state with no open requests.
     pub fn new(budget: Budget) -> Requests {
         Requests { open: BTreeMap::new(), budget }
     }
 
-    /// How many are open.
+    /// Returns the number of open requests.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether none are open.
+    /// Whether no request is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// The whole ones that have not been closed.
+    /// Returns the ids of complete requests that are not closed.
     pub fn unanswered(&self) -> impl Iterator<Item = u16> {
         self.open.iter().filter(|(_, open)| open.whole).map(|(id, _)| *id)
     }
 
-    /// A request was answered; whether the connection is to be closed after it.
+    /// Closes an answered request; returns whether the connection is to be closed after it.
     pub fn close(&mut self, id: u16) -> bool {
         let Some(open) = self.open.remove(&id) else { return false };
         self.budget.give(open.booked);
         !open.keep_conn
     }
 
-    /// Closes the requests that are not whole: they never ran, as `out` says.
+    /// Closes the partial requests and writes to `out` that they never ran.
     pub fn refuse_unfinished(&mut self, out: &mut Vec<u8>) {
         let unfinished: Vec<u16> =
             self.open.iter().filter(|(_, open)| !open.whole).map(|(id, _)| *id).collect();
@@ -162,19 +161,19 @@
         }
     }
 
-    /// Takes in a record. What can be answered at once is written to `out`.
+    /// Processes a record. What can be answered at once is written to `out`.
     ///
     /// # Errors
-    /// A record that begins a request and has another length than such a record has.
-    pub fn take(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, LostFraming> {
+    /// A begin record of the wrong length, or for a request that is already open.
+    pub fn take(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, FramingError> {
         if record.id == 0 {
-            manage(record, out);
+            answer_management_record(record, out);
             return Ok(Step::Stray);
         }
         if record.kind == kind::BEGIN_REQUEST {
             return self.begin(record, out);
         }
-        // Records of requests that are not open are left over from answered ones: the protocol has them ignored.
+        // The protocol requires that records of closed requests are ignored.
         let Some(open) = self.open.get_mut(&record.id) else { return Ok(Step::Stray) };
         match record.kind {
             kind::ABORT_REQUEST if open.whole => return Ok(Step::Aborted(record.id)),
@@ -184,18 +183,18 @@
             }
             kind::PARAMS if !open.params_ended => {
                 open.params_ended = record.content.is_empty();
-                match open.grow(|open| &mut open.params, record.content, MAX_PARAMS, &self.budget) {
-                    Grown::Fits => {}
-                    Grown::Oversize => return Ok(Step::Oversize(record.id)),
-                    Grown::NoRoom => return Ok(self.overloaded(record.id, out)),
+                match open.append(|open| &mut open.params, record.content, MAX_PARAMS, &self.budget) {
+                    AppendResult::Fits => {}
+                    AppendResult::Oversize => return Ok(Step::Oversize(record.id)),
+                    AppendResult::OutOfMemory => return Ok(self.overloaded(record.id, out)),
                 }
             }
             kind::STDIN if !open.body_ended => {
                 open.body_ended = record.content.is_empty();
-                match open.grow(|open| &mut open.body, record.content, MAX_BODY_BYTES, &self.budget) {
-                    Grown::Fits => {}
-                    Grown::Oversize => return Ok(Step::Oversize(record.id)),
-                    Grown::NoRoom => return Ok(self.overloaded(record.id, out)),
+                match open.append(|open| &mut open.body, record.content, MAX_BODY_BYTES, &self.budget) {
+                    AppendResult::Fits => {}
+                    AppendResult::Oversize => return Ok(Step::Oversize(record.id)),
+                    AppendResult::OutOfMemory => return Ok(self.overloaded(record.id, out)),
                 }
             }
             _ => return Ok(Step::Stray),
@@ -205,14 +204,14 @@
         }
         open.whole = true;
         let (params, body) = (std::mem::take(&mut open.params), std::mem::take(&mut open.body));
-        Ok(Step::Whole(Whole { id: record.id, params, body }))
+        Ok(Step::Complete(CompleteRequest { id: record.id, params, body }))
     }
 
-    fn begin(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, LostFraming> {
+    fn begin(&mut self, record: &Record, out: &mut Vec<u8>) -> Result<Step, FramingError> {
         let begin = begin(record.content)?;
         if self.open.contains_key(&record.id) {
-            // Which of the two the records to come belong to cannot be told.
-            return Err(LostFraming);
+            // Later records could not be assigned to one of the two requests.
+            return Err(FramingError);
         }
         if begin.role != RESPONDER {
             put_end(out, record.id, ProtocolStatus::UnknownRole);
@@ -222,7 +221,7 @@
             put_end(out, record.id, ProtocolStatus::Overloaded);
             return Ok(Step::Ended { close: !begin.keep_conn });
         }
-        let open = Open {
+        let open = OpenRequest {
             keep_conn: begin.keep_conn,
             params: Vec::new(),
             params_ended: false,
@@ -235,7 +234,7 @@
         Ok(Step::Nothing)
     }
 
-    /// There is no memory for more of this request, which therefore never runs.
+    /// Closes a request that exceeds the byte budget; it never runs.
     fn overloaded(&mut self, id: u16, out: &mut Vec<u8>) -> Step {
         put_end(out, id, ProtocolStatus::Overloaded);
         Step::Ended { close: self.close(id) }
@@ -249,38 +248,38 @@
     }
 }
 
-/// What became of a part of a request that grows.
-enum Grown {
+/// Result of appending to a part of a request.
+enum AppendResult {
     Fits,
-    /// It is over its size.
+    /// The part exceeds its size limit.
     Oversize,
-    /// There is no memory for it.
-    NoRoom,
+    /// The byte budget is exhausted.
+    OutOfMemory,
 }
 
-impl Open {
-    /// Appends to a part of a request.
-    fn grow(
+impl OpenRequest {
+    /// Appends to a part of a request, within its size limit and the budget.
+    fn append(
         &mut self,
-        part: fn(&mut Open) -> &mut Vec<u8>,
+        part: fn(&mut OpenRequest) -> &mut Vec<u8>,
         more: &[u8],
-        most: usize,
+        limit: usize,
         budget: &Budget,
-    ) -> Grown {
-        if part(self).len() + more.len() > most {
-            return Grown::Oversize;
+    ) -> AppendResult {
+        if part(self).len() + more.len() > limit {
+            return AppendResult::Oversize;
         }
         if !budget.take(more.len()) {
-            return Grown::NoRoom;
+            return AppendResult::OutOfMemory;
         }
         self.booked += more.len();
         part(self).extend(more);
-        Grown::Fits
+        AppendResult::Fits
     }
 }
 
 /// Answers a management record.
-fn manage(record: &Record, out: &mut Vec<u8>) {
+fn answer_management_record(record: &Record, out: &mut Vec<u8>) {
     if record.kind != kind::GET_VALUES {
         put_record(out, kind::UNKNOWN_TYPE, 0, &[record.kind, 0, 0, 0, 0, 0, 0, 0]);
         return;
