--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -37,7 +37,7 @@
 mod settings;
 mod upgrade;
 use crate::upgrade::claims::Claims;
-use crate::upgrade::right::Right;
+use crate::upgrade::ownership::Ownership;
 use below::Several;
 use handover::Handover;
 pub(crate) use handover::MAX_QUESTIONS;
@@ -214,7 +214,7 @@
     /// Who owns the keys, the right to run what is new, where more than one process can be there, and the other process of an
     /// upgrade.
     claims: Claims,
-    right: Option<Right>,
+    right: Option<Ownership>,
     partner: Partner,
     /// The directory is to hear of this process once it has the right.
     unreported: bool,
--- a/crates/node/src/engine/arrivals.rs
+++ b/crates/node/src/engine/arrivals.rs
@@ -6,7 +6,7 @@
 use crate::keys::{TryRejected, digest};
 use crate::log;
 use crate::request::{Answer, Label, Reply, ReplyTo, Work};
-use crate::upgrade::claims::{Claims, Goes};
+use crate::upgrade::claims::{Claims, Placement};
 use jaspershunt::{Event, Outcome, Request, RequestId};
 use jaspershunt_routes::trial::RequestEnd as Tried;
 
@@ -16,14 +16,14 @@
 impl Engine {
     pub(super) fn arrive(&mut self, id: RequestId, mut work: Work, reply: ReplyTo) {
         self.comes_late(&mut work);
-        let goes = if self.claims == Claims::Mine { Goes::Here } else { self.place(&work) };
-        if goes == Goes::There {
+        let goes = if self.claims == Claims::Owned { Placement::Local } else { self.place(&work) };
+        if goes == Placement::Remote {
             return self.relay(id, work, reply);
         }
         let class = work.class;
         self.ways.desk.counts.borrow_mut().taken(&self.settings.classes[class].name);
         let admitted = match goes {
-            Goes::Nowhere => Err((reply, Answer::Failed)),
+            Placement::Rejected => Err((reply, Answer::Failed)),
             // Before the fleet holds it: what another nodo began is gone on with, however many there are.
             _ if self.is_over_table(&work) => {
                 if let Some(table) = &self.table {
--- a/crates/node/src/engine/handover.rs
+++ b/crates/node/src/engine/handover.rs
@@ -221,7 +221,7 @@
         let Some(handover) = &mut self.handover else { return };
         handover.takes_part(&me);
         // Guards against two processes of an upgrade that both act for the nodo: the earlier start leaves others' work alone.
-        if self.claims != Claims::Mine {
+        if self.claims != Claims::Owned {
             seen.owned.retain(|owned| !owned.taken_over);
         }
         self.of_work(|own, now_ms| own.on_view(&seen, now_ms));
--- a/crates/node/src/engine/input.rs
+++ b/crates/node/src/engine/input.rs
@@ -3,8 +3,8 @@
 
 use crate::request::{Key, ReplyTo, Work};
 use crate::upgrade::link::Out;
-use crate::upgrade::right::Right;
-use crate::upgrade::wire::{Entry, Load, Relayed, Told};
+use crate::upgrade::ownership::Ownership;
+use crate::upgrade::wire::{Entry, Load, RelayedReply, RelayedWork};
 use jaspershunt::{Outcome, RequestId};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
@@ -155,9 +155,9 @@
         lameduck: Option<bool>,
     },
     /// The right to run what is new was there to be had, with nobody alive beside this process.
-    Found(Right),
+    Found(Ownership),
     /// It was taken from a process that says nothing, and that can run nothing more that is new by now.
-    Taken(Right),
+    Taken(Ownership),
     /// Whether this process has it.
     Look {
         /// Told.
@@ -175,14 +175,14 @@
         /// The try.
         ticket: u64,
         /// The reply.
-        reply: Told,
+        reply: RelayedReply,
     },
     /// A piece of the earlier start's table of keys.
     Table(Vec<Entry>),
     /// That was all of it, and here is the right.
     Yours {
         /// The right.
-        right: Right,
+        right: Ownership,
         /// What is to be doubted all the same, in Unix seconds.
         doubt: Option<(f64, f64)>,
     },
@@ -193,7 +193,7 @@
         /// What it is known by there.
         ticket: u64,
         /// The try.
-        work: Relayed,
+        work: RelayedWork,
         /// The way for its reply.
         to: mpsc::Sender<Out>,
     },
--- a/crates/node/src/engine/upgrade.rs
+++ b/crates/node/src/engine/upgrade.rs
@@ -7,10 +7,10 @@
 use crate::keys::{FIRST_ADOPTED_ID, RunState};
 use crate::log;
 use crate::request::{Answer, Key, Reply, ReplyTo, Work};
-use crate::upgrade::claims::{Claims, Doubt, Goes, Known, Try};
+use crate::upgrade::claims::{Claims, KeyKnowledge, Placement, Try, Uncertainty};
 use crate::upgrade::link::Out;
-use crate::upgrade::right::Right;
-use crate::upgrade::wire::{self, Load, Message, Relayed, State};
+use crate::upgrade::ownership::Ownership;
+use crate::upgrade::wire::{self, Load, Message, RelayedWork, State};
 use jaspershunt::{Class, Event, Repeat, RequestId, Settings};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -108,8 +108,9 @@
             Peer::Table(entries) => entries.into_iter().for_each(|entry| self.adopt(entry)),
             Peer::Yours { right, doubt } => {
                 let epoch = self.epoch;
-                self.claims
-                    .given(doubt.map(|(since, until)| Doubt { since: since - epoch, until: until - epoch }));
+                self.claims.given(
+                    doubt.map(|(since, until)| Uncertainty { since: since - epoch, until: until - epoch }),
+                );
                 log!("upgrade: {} keys were taken over", self.partner.adopted);
                 self.has_right(right);
             }
@@ -129,7 +130,7 @@
             Peer::Lameduck { on } => self.set_lameduck(on),
             Peer::Farewell => self.partner_lost(),
             Peer::Broke => {
-                let gave = self.claims == Claims::Theirs;
+                let gave = self.claims == Claims::Transferred;
                 self.claims.broke();
                 if gave {
                     self.is_lost();
@@ -159,7 +160,7 @@
     }
 
     /// This process has the right, unless it was taken again on the way.
-    fn has_right(&mut self, right: Right) {
+    fn has_right(&mut self, right: Ownership) {
         self.right = Some(right);
         self.ways.desk.lost.set(false);
         self.look();
@@ -185,12 +186,12 @@
         let in_hand =
             self.now + longest(&self.settings, |class| class.deadline) + longest_window(&self.settings);
         let epoch = self.epoch;
-        let entries = self.keys.entries().map(|(key, print, run)| {
+        let entries = self.keys.entries().map(|(key, digest, run)| {
             let (until, state) = match run {
-                None => (in_hand, State::InHand),
+                None => (in_hand, State::InFlight),
                 Some((until, run)) => (until, state_of(run)),
             };
-            wire::Entry { key: key.clone(), print, until: until + epoch, state }
+            wire::Entry { key: key.clone(), digest, until: until + epoch, state }
         });
         let all = Vec::from_iter(entries);
         let count = all.len();
@@ -201,7 +202,11 @@
         let last = match self.right.take() {
             Some(right) if fits => {
                 let doubt = self.claims.give().map(|doubt| (doubt.since + epoch, doubt.until + epoch));
-                Out { message: Message::Yours { doubt }, beside: Some(right.into_file()), left: None }
+                Out {
+                    message: Message::Yours { doubt },
+                    descriptor: Some(right.into_descriptor()),
+                    sent: None,
+                }
             }
             None if fits => {
                 self.claims.give();
@@ -233,7 +238,7 @@
 
     /// Tells the later start now and then how much is left for it.
     pub(super) fn tell_load(&mut self) {
-        if self.claims != Claims::Theirs || self.now < self.partner.load_due {
+        if self.claims != Claims::Transferred || self.now < self.partner.load_due {
             return;
         }
         self.partner.load_due = self.now + LOAD_EVERY;
@@ -245,11 +250,11 @@
     }
 
     /// Where a try goes, as far as keys have a say.
-    pub(super) fn place(&mut self, work: &Work) -> Goes {
+    pub(super) fn place(&mut self, work: &Work) -> Placement {
         let known = match &work.key {
-            None => Known::NoKey,
-            Some(key) if self.keys.contains(key) => Known::Here,
-            Some(_) => Known::Nothing,
+            None => KeyKnowledge::NoKey,
+            Some(key) if self.keys.contains(key) => KeyKnowledge::Local,
+            Some(_) => KeyKnowledge::Unknown,
         };
         let may_repeat = work.resent || !self.settings.marks_retry;
         let arrived = work.arrived.map_or(self.now, |unix| unix - self.epoch);
@@ -259,7 +264,7 @@
     /// What this process still has to see to its end: answers that are owed, here or by way of the later start, and, while
     /// that owns the keys, the runs of keys whose callers have left, since what they come to has to be told.
     pub(super) fn in_hand(&self) -> usize {
-        let told = self.claims == Claims::Theirs;
+        let told = self.claims == Claims::Transferred;
         let runs = |e: &&Entry| e.reply.is_none() && e.key.is_some() && e.runs();
         let unheard = if told { self.requests.values().filter(runs).count() } else { 0 };
         // Guards against a nodo that leaves once all callers have their answers, and takes with it a run that it could hand over.
@@ -274,7 +279,7 @@
         let tenant =
             work.tenant.and_then(|tenant| self.settings.tenants.get(tenant)).map(|t| t.name.as_str());
         let keyed = work.key.is_some();
-        let message = Message::Work { ticket: id.0, work: Relayed::new(work, class, tenant) };
+        let message = Message::Work { ticket: id.0, work: RelayedWork::new(work, class, tenant) };
         if self.partner.relays.len() < RELAYS && self.partner.say(message) {
             self.partner.relays.insert(id.0, reply);
             return;
@@ -295,18 +300,18 @@
 
     /// Tells the later start what a key has come to that was in hand here.
     pub(super) fn tell_of_key(&mut self, key: &Key) {
-        if self.partner.to.is_none() || self.claims != Claims::Theirs {
+        if self.partner.to.is_none() || self.claims != Claims::Transferred {
             return;
         }
-        let Some((print, until, state)) = (match self.keys.run_entry(key) {
+        let Some((digest, until, state)) = (match self.keys.run_entry(key) {
             Some((_, _, RunState::Running)) => None,
-            Some((print, until, run)) => Some((print, until, state_of(run))),
+            Some((digest, until, run)) => Some((digest, until, state_of(run))),
             None if self.keys.contains(key) => None,
             None => Some((0, self.now, State::NeverRan)),
         }) else {
             return;
         };
-        let entry = wire::Entry { key: key.clone(), print, until: until + self.epoch, state };
+        let entry = wire::Entry { key: key.clone(), digest, until: until + self.epoch, state };
         if !self.partner.say(Message::Ended(entry)) {
             log!(ERROR, "upgrade: the link is full; what became of a key is not told");
         }
@@ -336,13 +341,13 @@
         self.partner.adopted += 1;
         let id = RequestId(FIRST_ADOPTED_ID.0 + self.partner.adopted);
         let (run, result) = match entry.state {
-            State::InHand => (Some(RunState::Running), None),
+            State::InFlight => (Some(RunState::Running), None),
             State::Done(result) => (Some(RunState::Done(result.clone())), Some(result)),
             State::Failed => (Some(RunState::Failed), None),
             State::NeverRan => (None, None),
         };
         let running = run == Some(RunState::Running);
-        let news = self.keys.adopt(&entry.key, entry.print, id, until, run);
+        let news = self.keys.adopt(&entry.key, entry.digest, id, until, run);
         if news && !running {
             self.serve_followers(&entry.key, result);
         }
@@ -358,7 +363,7 @@
     /// together. Calls are left as they are: the module keeps their mean under half of its part.
     pub(super) fn share(&self) -> Settings {
         let (load, set) = (self.partner.load, &self.settings);
-        if self.claims == Claims::Theirs || load == Load::default() {
+        if self.claims == Claims::Transferred || load == Load::default() {
             return set.clone();
         }
         let crowd = set.crowd_multiple - f64::from(load.running) / f64::from(set.cores);
@@ -407,7 +412,7 @@
 
 fn state_of(run: &RunState) -> State {
     match run {
-        RunState::Running => State::InHand,
+        RunState::Running => State::InFlight,
         RunState::Done(result) => State::Done(result.clone()),
         RunState::Failed => State::Failed,
     }
--- a/crates/node/src/fastcgi/connection.rs
+++ b/crates/node/src/fastcgi/connection.rs
@@ -236,7 +236,7 @@
     pub async fn farewell(&self, until: Instant) {
         let Some(heir) = self.heir.borrow().clone() else { return };
         let (left, gone) = oneshot::channel();
-        let out = Out { message: Message::Farewell, beside: None, left: Some(left) };
+        let out = Out { message: Message::Farewell, descriptor: None, sent: Some(left) };
         if heir.try_send(out).is_ok() {
             let _ = timeout_at(until, gone).await;
         }
@@ -422,7 +422,7 @@
         let Ok(beside) = stream.try_clone() else { return };
         let (left, passed) = oneshot::channel();
         let message = Message::Connection { input: input.clone(), used, waited_ms };
-        let out = Out { message, beside: Some(beside.into()), left: Some(left) };
+        let out = Out { message, descriptor: Some(beside.into()), sent: Some(left) };
         let sent = match &heir {
             Some(heir) => heir.send(out).await.is_ok(),
             None => false,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -70,7 +70,7 @@
             let folder = config.admin.and(variable("TMPDIR").filter(|folder| !folder.is_empty()));
             let upgrade = folder.and_then(|folder| {
                 let place = Place::new(Path::new(&folder), &config.name);
-                match place.show_alive() {
+                match place.mark_alive() {
                     Ok(alive) => Some((place, alive)),
                     // Without it two could serve at one address and know nothing of each other.
                     Err(e) => {
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -8,7 +8,7 @@
 use crate::fastcgi::connection::Front;
 use crate::steering::Steering;
 use crate::upgrade::link::Place;
-use crate::upgrade::right::Alive;
+use crate::upgrade::ownership::AliveMarker;
 use crate::upgrade::{Keeper, Listeners};
 use crate::{database, directory, fleet, interpreter, log};
 use jaspershunt_operator::File;
@@ -123,7 +123,7 @@
     /// What operators have the engine do.
     pub orders: (mpsc::Sender<Order>, mpsc::Receiver<Order>),
     /// By other starts of the program, if several can be one nodo: where that is settled.
-    pub upgrade: Option<(Place, Alive)>,
+    pub upgrade: Option<(Place, AliveMarker)>,
 }
 
 impl Doors {
--- a/crates/node/src/upgrade/claims.rs
+++ b/crates/node/src/upgrade/claims.rs
@@ -1,260 +1,277 @@
-//! Who may run a try while several processes are one nodo, any of which may be frozen and wake. Without I/O.
+//! Decides which process may run a try while several processes serve as one nodo and any of them may be
+//! paused and resumed. Without I/O.
 //!
-//! **The right.** At any time one process at most has the right to run what is new. It lies in a folder that all starts of
-//! a nodo share, is passed on with the whole table of keys, and can be taken from a process that says nothing. A process
-//! from which it was taken learns of that when it looks, and a look is good for [`LOOK_LASTS`]; so one that takes it waits
-//! [`TAKE_WAITS`] before it acts. Every try that another process may still run was read there before that wait was over.
+//! **Ownership.** At most one process at a time may run new requests. Ownership is kept in a folder that all
+//! processes of a nodo share. It is transferred together with the whole key table, or taken from a process
+//! that no longer responds. The former owner learns of the loss when it checks, and a check is valid for
+//! [`CHECK_VALIDITY`]; the new owner therefore waits [`TAKEOVER_DELAY`] before it acts. Every try that the
+//! former owner may still run was read there before that delay had passed.
 //!
-//! **Keys.** The right comes with the whole table when it is passed on, and without it when it is taken. Nobody can then
-//! say what the other ran: a keyed try is run only if it is proven to be the first of its request, or if all that is known
-//! of its key lies here; any other fails, which promises nothing.
+//! **Keys.** A transfer brings the whole key table, a takeover does not. After a takeover it is unknown what
+//! the former owner ran: a keyed try is run only if it is proven to be the first of its request, or if the
+//! whole state of its key is local. Any other try fails, an answer that promises nothing.
 //!
-//! A pause between a look and the command to the interpreter is no matter: the try was read before the look, so its
-//! request is none whose first try came after the wait of the one that took the right, and no other runs there.
+//! A pause between a check and the command to the interpreter is safe: the try was read before the check, so
+//! its request is not one whose first try came after the new owner's delay, and the new owner runs no other.
 
 use jaspershunt::Seconds;
 use std::time::Duration;
 
-/// For so long a look at the right is good. Ours: seldom enough to cost nothing, short beside the time that a process which
-/// says nothing is waited for.
-pub const LOOK_LASTS: Duration = Duration::from_millis(100);
-/// One that takes the right waits so long before it acts: until the last look of the other is no good any more, and half as
-/// long again for timers that are late. All clocks here are the one machine's.
-pub const TAKE_WAITS: Duration = Duration::from_millis(150);
-/// Each end of a link says something at least so often.
-pub const WORD_EVERY: Duration = Duration::from_millis(250);
-/// An end that has said nothing for so many of these is silent. Ours: a second, as for every other word of a partner.
-pub const SILENT_AFTER: u32 = 4;
+/// How long an ownership check stays valid. The check costs little at this interval, and the interval is
+/// short beside the time after which a process counts as silent.
+pub const CHECK_VALIDITY: Duration = Duration::from_millis(100);
+/// How long a new owner waits before it acts: until the former owner's last check is no longer valid, and
+/// half as long again for late timers. All clocks involved are those of one machine.
+pub const TAKEOVER_DELAY: Duration = Duration::from_millis(150);
+/// The longest time between two messages from each end of a link.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// An end of a link is silent after more missed heartbeats than this: one second, as for all other messages
+/// of a partner.
+pub const MAX_MISSED_HEARTBEATS: u32 = 4;
 
-/// What is known here of the key of a try.
+/// What this process knows of the key of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum KeyKnowledge {
     /// The try has no key, and may run any number of times.
     NoKey,
-    /// Nothing.
-    Nothing,
-    /// A try of it is held here, runs here, or ran.
-    Here,
+    /// The key is not in this process's table.
+    Unknown,
+    /// A try of the key is queued here, runs here, or ran.
+    Local,
 }
 
 /// What is known of a try.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Try {
     /// What is known of its key.
-    pub known: Known,
-    /// It is marked as a further try, or such are not marked.
+    pub known: KeyKnowledge,
+    /// The try is marked as a repeated one, or repeated tries are not marked.
     pub may_repeat: bool,
-    /// When it came to the machine.
+    /// When it arrived at the machine.
     pub arrived: Seconds,
 }
 
-/// Where a try goes.
+/// Which process handles a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Goes {
-    /// To this process's own decisions.
-    Here,
-    /// To the process that owns the keys.
-    There,
-    /// Nowhere: it fails, since another try of it may have run.
-    Nowhere,
+pub enum Placement {
+    /// This process.
+    Local,
+    /// The process that owns the keys.
+    Remote,
+    /// None: the try fails, since another try of its key may have run.
+    Rejected,
 }
 
-/// What nobody can tell: tries that came before `since` may have run elsewhere, and the keys of those are remembered until
-/// `until`.
+/// The period for which it is unknown what another process ran: tries that arrived before `since` may have
+/// run there, and their keys are remembered until `until`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Doubt {
-    /// When the other could run nothing more.
+pub struct Uncertainty {
+    /// From when on the other process could run nothing more.
     pub since: Seconds,
-    /// When all windows have passed of what it may have run.
+    /// When the windows of all keys that it may have run have passed.
     pub until: Seconds,
 }
 
-/// Who owns the keys, seen from one process.
+/// The ownership of the keys as one process sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Claims {
-    /// This process, and nobody else has run anything that it does not know of.
-    Mine,
-    /// Another process, to which all keys of this one were given.
-    Theirs,
-    /// Not this process, which does not know who: it never had the right, or lost it. It ends what it has in hand.
+    /// This process owns the keys, and knows of everything that other processes ran.
+    Owned,
+    /// Another process owns them; all keys of this one were transferred to it.
+    Transferred,
+    /// This process never had ownership, or lost it, and does not know the owner. It only completes its
+    /// in-flight requests.
     Lost,
-    /// This process, beside which another may have run what nobody can tell.
-    Doubted(Doubt),
+    /// This process owns the keys, but another may have run tries of which this one does not know.
+    Uncertain(Uncertainty),
 }
 
 impl Claims {
-    /// At the start: where no second process can be, everything is this one's.
+    /// Returns the state at startup: a process that can have no other beside it owns all keys.
     pub fn start(alone: bool) -> Claims {
-        if alone { Claims::Mine } else { Claims::Lost }
+        if alone { Claims::Owned } else { Claims::Lost }
     }
 
-    /// Whether this process may run what is new.
+    /// Whether this process may run new requests.
     pub fn owns(self) -> bool {
-        matches!(self, Claims::Mine | Claims::Doubted(_))
+        matches!(self, Claims::Owned | Claims::Uncertain(_))
     }
 
-    /// The keys are given to another process, and the right if this one has it. Returns what that must doubt as well.
-    pub fn give(&mut self) -> Option<Doubt> {
+    /// Records that the keys were transferred to another process, with ownership if this process had it.
+    /// Returns the uncertainty that the other process has to take over.
+    pub fn give(&mut self) -> Option<Uncertainty> {
         let doubt = match *self {
-            // Guards against keys that another process ran, and which a third would run again as it knows nothing of it.
-            Claims::Doubted(doubt) if !mutant(Mutant::DoubtIsNotPassedOn) => Some(doubt),
+            // Guards against keys that another process ran, and that a third would run again without knowing
+            // of it.
+            Claims::Uncertain(doubt) if !mutant(Mutant::UncertaintyIsNotTransferred) => Some(doubt),
             _ => None,
         };
-        *self = Claims::Theirs;
+        *self = Claims::Transferred;
         doubt
     }
 
-    /// The right came, with all keys of the one that had it.
-    pub fn given(&mut self, doubt: Option<Doubt>) {
-        *self = doubt.map_or(Claims::Mine, Claims::Doubted);
+    /// Records that the owner transferred ownership and all its keys to this process.
+    pub fn given(&mut self, doubt: Option<Uncertainty>) {
+        *self = doubt.map_or(Claims::Owned, Claims::Uncertain);
     }
 
-    /// The right was there to be had, and no other process is alive.
+    /// Records that this process acquired ownership while no other process was alive.
     pub fn found(&mut self) {
-        *self = Claims::Mine;
+        *self = Claims::Owned;
     }
 
-    /// The right was taken from a process that says nothing, and that process's last look is no good any more by now.
+    /// Records that ownership was taken from a silent process whose last check is no longer valid.
     pub fn taken(&mut self, now: Seconds, longest_window: Seconds) {
-        *self = Claims::Doubted(Doubt { since: now, until: now + longest_window });
+        *self = Claims::Uncertain(Uncertainty { since: now, until: now + longest_window });
     }
 
-    /// A look shows that another process has taken the right. Keys that were given are not this one's in any case.
+    /// Records that a check found ownership taken by another process. Transferred keys stay transferred.
     pub fn lost(&mut self) {
-        if self.owns() && !mutant(Mutant::WokenKeepsTheRight) {
+        if self.owns() && !mutant(Mutant::ResumedProcessKeepsOwnership) {
             *self = Claims::Lost;
         }
     }
 
-    /// The link to the other process broke, or it says nothing. One that had the keys of this one keeps them until they are
-    /// taken back.
+    /// Records that the link to the other process broke, or that the process is silent. Keys that were
+    /// transferred to it stay there until this process takes ownership back.
     pub fn broke(&mut self) {
-        if *self == Claims::Theirs {
-            *self = if mutant(Mutant::BreakGivesTheKeysBack) { Claims::Mine } else { Claims::Lost };
+        if *self == Claims::Transferred {
+            *self = if mutant(Mutant::DisconnectReturnsTheKeys) { Claims::Owned } else { Claims::Lost };
         }
     }
 
-    /// Where a try goes.
-    pub fn place(&mut self, now: Seconds, a_try: Try) -> Goes {
+    /// Decides which process handles a try.
+    pub fn place(&mut self, now: Seconds, a_try: Try) -> Placement {
         match *self {
-            Claims::Mine => Goes::Here,
-            Claims::Theirs => Goes::There,
+            Claims::Owned => Placement::Local,
+            Claims::Transferred => Placement::Remote,
             Claims::Lost => match a_try.known {
-                Known::NoKey | Known::Here => Goes::Here,
-                // Guards against a second run at a process that was woken: the first may be at the one that serves now.
-                Known::Nothing if mutant(Mutant::LostRunsFirstTries) && !a_try.may_repeat => Goes::Here,
-                Known::Nothing => Goes::Nowhere,
+                KeyKnowledge::NoKey | KeyKnowledge::Local => Placement::Local,
+                // Guards against a second run in a process that was resumed: the new owner may have run the
+                // first.
+                KeyKnowledge::Unknown if mutant(Mutant::FormerOwnerRunsFirstTries) && !a_try.may_repeat => {
+                    Placement::Local
+                }
+                KeyKnowledge::Unknown => Placement::Rejected,
             },
-            Claims::Doubted(Doubt { until, .. }) if now > until => {
-                *self = Claims::Mine;
-                Goes::Here
+            Claims::Uncertain(Uncertainty { until, .. }) if now > until => {
+                *self = Claims::Owned;
+                Placement::Local
             }
-            Claims::Doubted(Doubt { since, .. }) => match a_try.known {
-                Known::NoKey | Known::Here => Goes::Here,
-                // Only the first try of a request is not marked, and what came since never reached the other while it could
-                // run anything.
-                Known::Nothing if !a_try.may_repeat && a_try.arrived > since => Goes::Here,
-                Known::Nothing if mutant(Mutant::TakerRunsFurtherTries) && a_try.arrived > since => {
-                    Goes::Here
+            Claims::Uncertain(Uncertainty { since, .. }) => match a_try.known {
+                KeyKnowledge::NoKey | KeyKnowledge::Local => Placement::Local,
+                // Only the first try of a request is unmarked, and one that arrived since then never reached
+                // the other process while that could run anything.
+                KeyKnowledge::Unknown if !a_try.may_repeat && a_try.arrived > since => Placement::Local,
+                KeyKnowledge::Unknown
+                    if mutant(Mutant::NewOwnerRunsRepeatedTries) && a_try.arrived > since =>
+                {
+                    Placement::Local
+                }
+                KeyKnowledge::Unknown if mutant(Mutant::NewOwnerRunsOldTries) && !a_try.may_repeat => {
+                    Placement::Local
                 }
-                Known::Nothing if mutant(Mutant::TakerRunsOldTries) && !a_try.may_repeat => Goes::Here,
-                Known::Nothing => Goes::Nowhere,
+                KeyKnowledge::Unknown => Placement::Rejected,
             },
         }
     }
 }
 
-/// Whether the right has to be looked at again: after any gap of the clock, and now and then.
-pub fn look_due(looked: Duration, now: Duration) -> bool {
-    now.saturating_sub(looked) >= LOOK_LASTS && !mutant(Mutant::NeverLooksAgain)
+/// Whether ownership has to be checked again, which includes every gap of the clock.
+pub fn check_due(checked: Duration, now: Duration) -> bool {
+    now.saturating_sub(checked) >= CHECK_VALIDITY && !mutant(Mutant::OwnershipIsCheckedOnce)
 }
 
-/// Whether the other end of a link is silent, counted in ticks of a timer of this process, one each [`WORD_EVERY`]. A gap
-/// between two ticks is this process's own pause, in which it could hear nothing: it says nothing about the other.
+/// Detects that the other end of a link is silent, by ticks of a timer of this process, one each
+/// [`HEARTBEAT_INTERVAL`]. A gap between two ticks is a pause of this process, during which it could receive
+/// nothing: it does not count against the other end.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Silence {
+pub struct SilenceDetector {
     ticked: Option<Duration>,
-    unheard: u32,
+    missed: u32,
 }
 
-impl Silence {
-    /// The other end said something.
+impl SilenceDetector {
+    /// Records a message from the other end.
     pub fn heard(&mut self) {
-        self.unheard = 0;
+        self.missed = 0;
     }
 
-    /// The timer ticked; whether the other end counts as silent.
+    /// Records a tick of the timer; returns whether the other end counts as silent.
     pub fn tick(&mut self, now: Duration) -> bool {
-        let paused = self.ticked.is_some_and(|ticked| now.saturating_sub(ticked) > 2 * WORD_EVERY);
+        let paused = self.ticked.is_some_and(|ticked| now.saturating_sub(ticked) > 2 * HEARTBEAT_INTERVAL);
         self.ticked = Some(now);
-        // Guards against a process that wakes and takes the right from one that spoke all the time.
-        self.unheard = if paused { 0 } else { self.unheard + 1 };
-        self.unheard > SILENT_AFTER
+        // Guards against a resumed process that takes ownership from one that sent messages all along.
+        self.missed = if paused { 0 } else { self.missed + 1 };
+        self.missed > MAX_MISSED_HEARTBEATS
     }
 }
 
-/// What a process without the right meets when it looks for the one that has it.
+/// The response that a process without ownership gets when it looks for the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
-    /// Nobody listens.
+pub enum PeerResponse {
+    /// No process listens.
     Nobody,
-    /// Somebody does, and says nothing.
+    /// A process listens and does not respond.
     Silent,
-    /// Somebody does, and asks it to come again: it takes over itself, or is another version.
-    TurnsAway,
-    /// One that goes on with it.
+    /// A process responds and declines for now: it is taking over itself, or has another version.
+    Declines,
+    /// A process accepts the link.
     Answers,
 }
 
-/// What it does then.
+/// What a process without ownership does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seeks {
-    /// Goes on with the one that answers.
-    GoesOn,
-    /// Asks again a little later: who speaks is alive, and is never taken from.
-    AsksAgain,
-    /// Takes the right.
-    Takes {
-        /// Nobody is alive who could have run anything.
+pub enum TakeoverAction {
+    /// Uses the link to the process that answered.
+    Connect,
+    /// Asks again a little later. Ownership is never taken from a process that responds.
+    Retry,
+    /// Acquires ownership.
+    Acquire {
+        /// No process is alive that could have run anything.
         alone: bool,
     },
 }
 
-/// What a process knows beside that.
+/// What else a process knows when it looks for the owner.
 #[derive(Clone, Copy, Debug)]
-pub struct Knows {
-    /// Its interpreter is up. Without one it could run nothing, and leaves the right where a silent process may wake with it.
+pub struct TakeoverContext {
+    /// Its interpreter is up. Without one it could run nothing, so it leaves ownership to a silent process
+    /// that may resume.
     pub up: bool,
-    /// Another process of the nodo is alive, or was met.
+    /// Another process of the nodo is alive, or responded before.
     pub others: bool,
-    /// Nobody has taken the right for a while; see [`Steady`].
+    /// Ownership has not changed for a while; see [`StabilityWatch`].
     pub steady: bool,
 }
 
-/// What a process does that wants the right.
-pub fn seek(met: Met, knows: Knows) -> Seeks {
-    match met {
-        Met::Answers => Seeks::GoesOn,
-        Met::TurnsAway => Seeks::AsksAgain,
-        Met::Nobody if !knows.others => Seeks::Takes { alone: true },
-        _ if !knows.up => Seeks::AsksAgain,
-        // Guards against two that take the right from each other without end: who has just taken it does not listen yet.
-        Met::Nobody if !knows.steady => Seeks::AsksAgain,
-        Met::Nobody | Met::Silent => Seeks::Takes { alone: false },
+/// Decides what a process without ownership does next.
+pub fn next_action(response: PeerResponse, context: TakeoverContext) -> TakeoverAction {
+    match response {
+        PeerResponse::Answers => TakeoverAction::Connect,
+        PeerResponse::Declines => TakeoverAction::Retry,
+        PeerResponse::Nobody if !context.others => TakeoverAction::Acquire { alone: true },
+        _ if !context.up => TakeoverAction::Retry,
+        // Guards against two processes that take ownership from each other without end: a new owner does not
+        // listen at once.
+        PeerResponse::Nobody if !context.steady => TakeoverAction::Retry,
+        PeerResponse::Nobody | PeerResponse::Silent => TakeoverAction::Acquire { alone: false },
     }
 }
 
-/// Watches whether the right stays with one process, by a mark that is another with each taking.
+/// Detects whether ownership stays with one process, by a mark that changes with each takeover.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Steady<M> {
+pub struct StabilityWatch<M> {
     seen: Option<(M, Duration)>,
 }
 
-impl<M: PartialEq> Steady<M> {
-    /// The mark as it is now; whether it has been the same for longer than one that takes the right needs until it listens.
+impl<M: PartialEq> StabilityWatch<M> {
+    /// Records the present mark; returns whether it has been the same for longer than a new owner takes to
+    /// listen.
     pub fn see(&mut self, mark: M, now: Duration) -> bool {
         match &self.seen {
-            Some((seen, since)) if *seen == mark => now.saturating_sub(*since) >= 2 * TAKE_WAITS,
+            Some((seen, since)) if *seen == mark => now.saturating_sub(*since) >= 2 * TAKEOVER_DELAY,
             _ => {
                 self.seen = Some((mark, now));
                 false
@@ -263,29 +280,29 @@
     }
 }
 
-/// Ways in which these rules could be wrong. The tests show that each is found; in the program there are none.
+/// Deliberate errors in these rules. The tests show that each is detected; the program activates none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Mutant {
-    /// A third process does not hear what the second must doubt.
-    DoubtIsNotPassedOn,
-    /// A look that shows the loss changes nothing.
-    WokenKeepsTheRight,
-    /// When the link breaks the giver has its keys back.
-    BreakGivesTheKeysBack,
-    /// A process that lost the right runs what claims to be a first try.
-    LostRunsFirstTries,
-    /// One that took the right runs marked tries of unknown keys.
-    TakerRunsFurtherTries,
-    /// One that took the right runs tries that came before it could.
-    TakerRunsOldTries,
-    /// A process looks once.
-    NeverLooksAgain,
-    /// One that takes the right acts at once.
+    /// The uncertainty of the second process is not transferred to a third.
+    UncertaintyIsNotTransferred,
+    /// A check that shows the loss of ownership has no effect.
+    ResumedProcessKeepsOwnership,
+    /// A broken link returns the keys to the process that transferred them.
+    DisconnectReturnsTheKeys,
+    /// A process that lost ownership runs tries that are not marked as repeated.
+    FormerOwnerRunsFirstTries,
+    /// A new owner runs repeated tries of unknown keys.
+    NewOwnerRunsRepeatedTries,
+    /// A new owner runs tries that arrived before its delay was over.
+    NewOwnerRunsOldTries,
+    /// Ownership is checked once only.
+    OwnershipIsCheckedOnce,
+    /// A new owner acts without the delay.
     #[cfg_attr(not(test), expect(dead_code))]
-    TakerDoesNotWait,
-    /// The right goes over in words: one that reads of it long after has it.
+    NewOwnerDoesNotWait,
+    /// Ownership that arrives by message counts without a check, however late the message is read.
     #[cfg_attr(not(test), expect(dead_code))]
-    RightIsNotLookedAtOnArrival,
+    TransferredOwnershipIsNotChecked,
 }
 
 #[cfg(not(test))]
--- a/crates/node/src/upgrade/claims/tests.rs
+++ b/crates/node/src/upgrade/claims/tests.rs
@@ -21,29 +21,29 @@
 #[test]
 fn what_may_have_run_elsewhere_does_not_run_here() {
     let mut claims = Claims::start(true);
-    let first = Try { known: Known::Nothing, may_repeat: false, arrived: 5.0 };
-    assert_eq!(claims.place(5.0, first), Goes::Here);
+    let first = Try { known: KeyKnowledge::Unknown, may_repeat: false, arrived: 5.0 };
+    assert_eq!(claims.place(5.0, first), Placement::Local);
     assert_eq!(claims.give(), None);
-    assert_eq!(claims.place(5.0, Try { known: Known::Here, ..first }), Goes::There);
+    assert_eq!(claims.place(5.0, Try { known: KeyKnowledge::Local, ..first }), Placement::Remote);
     claims.broke();
-    assert_eq!(claims.place(5.0, first), Goes::Nowhere, "the right is not back yet");
-    assert_eq!(claims.place(5.0, Try { known: Known::NoKey, ..first }), Goes::Here);
+    assert_eq!(claims.place(5.0, first), Placement::Rejected, "the right is not back yet");
+    assert_eq!(claims.place(5.0, Try { known: KeyKnowledge::NoKey, ..first }), Placement::Local);
     claims.taken(10.0, WINDOW);
-    assert_eq!(claims.place(10.0, first), Goes::Nowhere, "it may have reached the other");
-    assert_eq!(claims.place(11.0, Try { arrived: 10.5, ..first }), Goes::Here);
+    assert_eq!(claims.place(10.0, first), Placement::Rejected, "it may have reached the other");
+    assert_eq!(claims.place(11.0, Try { arrived: 10.5, ..first }), Placement::Local);
     let again = Try { may_repeat: true, arrived: 10.5, ..first };
-    assert_eq!(claims.place(11.0, again), Goes::Nowhere, "its first try may have run there");
-    assert_eq!(claims.place(11.0, Try { known: Known::Here, ..again }), Goes::Here);
-    assert_eq!(claims.place(11.0, Try { known: Known::NoKey, ..again }), Goes::Here);
+    assert_eq!(claims.place(11.0, again), Placement::Rejected, "its first try may have run there");
+    assert_eq!(claims.place(11.0, Try { known: KeyKnowledge::Local, ..again }), Placement::Local);
+    assert_eq!(claims.place(11.0, Try { known: KeyKnowledge::NoKey, ..again }), Placement::Local);
     // What is doubted is doubted by whoever gets the keys next.
     let doubt = claims.clone().give();
     let mut next = Claims::start(false);
     next.given(doubt);
-    assert_eq!(next.place(11.0, again), Goes::Nowhere);
-    assert_eq!(claims.place(70.1, again), Goes::Here, "all windows have passed");
-    assert_eq!(claims, Claims::Mine);
+    assert_eq!(next.place(11.0, again), Placement::Rejected);
+    assert_eq!(claims.place(70.1, again), Placement::Local, "all windows have passed");
+    assert_eq!(claims, Claims::Owned);
     claims.lost();
-    assert_eq!(claims.place(71.0, Try { arrived: 71.0, ..first }), Goes::Nowhere);
+    assert_eq!(claims.place(71.0, Try { arrived: 71.0, ..first }), Placement::Rejected);
     claims.broke();
     assert_eq!(claims, Claims::Lost, "a link that breaks gives nothing back");
 }
@@ -51,57 +51,57 @@
 /// What a process does that looks for the one that serves: every case.
 #[test]
 fn the_right_is_taken_from_the_silent_and_the_dead_alone() {
-    let takes = |alone| Seeks::Takes { alone };
-    for (met, up, others, steady, seeks) in [
-        (Met::Answers, false, true, false, Seeks::GoesOn),
-        (Met::Answers, true, true, true, Seeks::GoesOn),
-        (Met::TurnsAway, true, true, true, Seeks::AsksAgain),
-        (Met::TurnsAway, false, true, true, Seeks::AsksAgain),
-        (Met::Silent, true, true, false, takes(false)),
-        (Met::Silent, false, true, true, Seeks::AsksAgain),
-        (Met::Nobody, true, true, true, takes(false)),
-        (Met::Nobody, true, true, false, Seeks::AsksAgain),
-        (Met::Nobody, false, true, true, Seeks::AsksAgain),
-        (Met::Nobody, true, false, false, takes(true)),
+    let takes = |alone| TakeoverAction::Acquire { alone };
+    for (response, up, others, steady, action) in [
+        (PeerResponse::Answers, false, true, false, TakeoverAction::Connect),
+        (PeerResponse::Answers, true, true, true, TakeoverAction::Connect),
+        (PeerResponse::Declines, true, true, true, TakeoverAction::Retry),
+        (PeerResponse::Declines, false, true, true, TakeoverAction::Retry),
+        (PeerResponse::Silent, true, true, false, takes(false)),
+        (PeerResponse::Silent, false, true, true, TakeoverAction::Retry),
+        (PeerResponse::Nobody, true, true, true, takes(false)),
+        (PeerResponse::Nobody, true, true, false, TakeoverAction::Retry),
+        (PeerResponse::Nobody, false, true, true, TakeoverAction::Retry),
+        (PeerResponse::Nobody, true, false, false, takes(true)),
         // The first start listens before its interpreter is up.
-        (Met::Nobody, false, false, false, takes(true)),
+        (PeerResponse::Nobody, false, false, false, takes(true)),
     ] {
-        let knows = Knows { up, others, steady };
-        assert_eq!(seek(met, knows), seeks, "{met:?} {knows:?}");
+        let context = TakeoverContext { up, others, steady };
+        assert_eq!(next_action(response, context), action, "{response:?} {context:?}");
     }
 }
 
 #[test]
 fn the_right_is_steady_once_nobody_has_taken_it_for_longer_than_a_taking_needs() {
-    let (mut steady, ms) = (Steady::default(), Duration::from_millis);
+    let (mut steady, ms) = (StabilityWatch::default(), Duration::from_millis);
     assert!(!steady.see(1, ms(0)));
     assert!(!steady.see(1, ms(299)));
     assert!(!steady.see(2, ms(300)));
     assert!(!steady.see(2, ms(599)));
     assert!(steady.see(2, ms(600)));
-    assert!(2 * TAKE_WAITS == ms(300));
+    assert!(2 * TAKEOVER_DELAY == ms(300));
 }
 
 #[test]
 fn a_partner_is_silent_after_a_second_and_a_pause_of_ones_own_says_nothing() {
-    let at = |n: u32| WORD_EVERY * n;
-    let mut silence = Silence::default();
-    assert!((0..SILENT_AFTER).all(|n| !silence.tick(at(n))));
-    assert!(silence.tick(at(SILENT_AFTER)));
+    let at = |n: u32| HEARTBEAT_INTERVAL * n;
+    let mut silence = SilenceDetector::default();
+    assert!((0..MAX_MISSED_HEARTBEATS).all(|n| !silence.tick(at(n))));
+    assert!(silence.tick(at(MAX_MISSED_HEARTBEATS)));
     silence.heard();
     assert!(!silence.tick(at(5)));
     // Frozen here for a minute: what the other said meanwhile has not been read yet.
     let after = at(5) + Duration::from_secs(60);
-    assert!((0..=SILENT_AFTER).all(|n| !silence.tick(after + at(n))));
-    assert!(silence.tick(after + at(SILENT_AFTER + 1)));
+    assert!((0..=MAX_MISSED_HEARTBEATS).all(|n| !silence.tick(after + at(n))));
+    assert!(silence.tick(after + at(MAX_MISSED_HEARTBEATS + 1)));
 }
 
 #[test]
 fn a_look_is_good_for_less_than_the_wait_of_one_that_takes_the_right() {
-    assert!(LOOK_LASTS < TAKE_WAITS);
+    assert!(CHECK_VALIDITY < TAKEOVER_DELAY);
     let looked = Duration::from_secs(5);
-    assert!(!look_due(looked, looked + LOOK_LASTS - Duration::from_millis(1)));
-    assert!(look_due(looked, looked + LOOK_LASTS));
+    assert!(!check_due(looked, looked + CHECK_VALIDITY - Duration::from_millis(1)));
+    assert!(check_due(looked, looked + CHECK_VALIDITY));
 }
 
 /// One key, three starts of one nodo, and all that may happen to it, in every order, up to a bound. Any of them may be slow,
@@ -184,7 +184,7 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Said {
     Entry(Option<State>),
-    Yours(u32, Option<Doubt>),
+    Yours(u32, Option<Uncertainty>),
     Try,
     Ended(Option<State>),
 }
@@ -236,7 +236,7 @@
         let right = self.right;
         let start = &mut self.starts[at];
         let Some(mine) = start.right else { return };
-        if !look_due(Duration::ZERO, if start.sure { Duration::ZERO } else { LOOK_LASTS }) {
+        if !check_due(Duration::ZERO, if start.sure { Duration::ZERO } else { CHECK_VALIDITY }) {
             return;
         }
         start.sure = mine == right;
@@ -252,7 +252,7 @@
     fn has_right(&mut self, at: usize, right: u32) {
         self.starts[at].right = Some(right);
         // The first look is made on arrival.
-        self.starts[at].sure = mutant(Mutant::RightIsNotLookedAtOnArrival);
+        self.starts[at].sure = mutant(Mutant::TransferredOwnershipIsNotChecked);
         self.look(at);
     }
 
@@ -265,15 +265,15 @@
         let now = self.now;
         let start = &mut self.starts[at];
         let Some(a_try) = start.read.take() else { return };
-        let known = if start.known.is_some() { Known::Here } else { Known::Nothing };
+        let known = if start.known.is_some() { KeyKnowledge::Local } else { KeyKnowledge::Unknown };
         match start.claims.place(now, Try { known, ..a_try }) {
-            Goes::Here => self.take(at),
-            Goes::There => {
+            Placement::Local => self.take(at),
+            Placement::Remote => {
                 if let Some(link) = &mut self.link {
                     link.said.push(Said::Try);
                 }
             }
-            Goes::Nowhere => {}
+            Placement::Rejected => {}
         }
     }
 
@@ -330,7 +330,7 @@
             }
             // One that never had the right takes no clients.
             let takes_clients = at == 0 || start.claims != Claims::Lost || start.known.is_some();
-            let unknown = Try { known: Known::Nothing, may_repeat: true, arrived: self.now };
+            let unknown = Try { known: KeyKnowledge::Unknown, may_repeat: true, arrived: self.now };
             if let (First::Sent(arrived), true) = (self.first, takes_clients) {
                 step(at, "the first try is read", &|w| {
                     w.first = First::Read;
@@ -378,7 +378,8 @@
                     Some(right) => {
                         let waited = |other: &Start| other.dead || !other.sure;
                         let others = self.starts.iter().enumerate().filter(|(n, _)| *n != at);
-                        if others.clone().all(|(_, other)| waited(other)) || mutant(Mutant::TakerDoesNotWait)
+                        if others.clone().all(|(_, other)| waited(other))
+                            || mutant(Mutant::NewOwnerDoesNotWait)
                         {
                             step(at, "it has waited", &|w| {
                                 w.now += 1.0;
@@ -449,7 +450,7 @@
                         // Where it goes is decided as for any other.
                         Said::Try => {
                             start.read =
-                                Some(Try { known: Known::Nothing, may_repeat: true, arrived: w.now });
+                                Some(Try { known: KeyKnowledge::Unknown, may_repeat: true, arrived: w.now });
                         }
                     }
                 });
@@ -494,10 +495,10 @@
         }
         for Start { claims, known, right, sure, read, takes, dead } in starts {
             let claims = match claims {
-                Claims::Mine => (0, 0),
-                Claims::Theirs => (1, 0),
+                Claims::Owned => (0, 0),
+                Claims::Transferred => (1, 0),
                 Claims::Lost => (2, 0),
-                Claims::Doubted(doubt) => (3, doubt.since.to_bits()),
+                Claims::Uncertain(doubt) => (3, doubt.since.to_bits()),
             };
             let read = read.map(|read| (read.may_repeat, read.arrived.to_bits()));
             (claims, known, right, sure, read, takes, dead).hash(&mut hasher);
@@ -551,15 +552,15 @@
 #[test]
 fn every_mutant_of_the_rules_is_killed() {
     for one in [
-        Mutant::DoubtIsNotPassedOn,
-        Mutant::WokenKeepsTheRight,
-        Mutant::BreakGivesTheKeysBack,
-        Mutant::LostRunsFirstTries,
-        Mutant::TakerRunsFurtherTries,
-        Mutant::TakerRunsOldTries,
-        Mutant::NeverLooksAgain,
-        Mutant::TakerDoesNotWait,
-        Mutant::RightIsNotLookedAtOnArrival,
+        Mutant::UncertaintyIsNotTransferred,
+        Mutant::ResumedProcessKeepsOwnership,
+        Mutant::DisconnectReturnsTheKeys,
+        Mutant::FormerOwnerRunsFirstTries,
+        Mutant::NewOwnerRunsRepeatedTries,
+        Mutant::NewOwnerRunsOldTries,
+        Mutant::OwnershipIsCheckedOnce,
+        Mutant::NewOwnerDoesNotWait,
+        Mutant::TransferredOwnershipIsNotChecked,
     ] {
         MUTANT.set(Some(one));
         let found = explore(TWO).err().or_else(|| explore(THREE).err());
--- a/crates/node/src/upgrade/mod.rs
+++ b/crates/node/src/upgrade/mod.rs
@@ -1,20 +1,22 @@
-//! Several processes as one nodo: a later start of the program takes over from an earlier one, and any of them may be frozen
-//! and wake.
+//! Several processes that serve as one nodo: a later process takes over from an earlier one, and any of them
+//! may be paused and resumed.
 //!
-//! The one that serves keeps a Unix socket in `$TMPDIR`, and beside it the [`right`] to run what is new. A later start finds
-//! it, gets the listener of balancers over it, and, once its interpreter is up, the table of keys and the right. From then on
-//! all that is new is the later one's: what still reaches the earlier one is sent over the link and its reply sent back, and
-//! connections follow as soon as they are quiet, with what was read of them. The earlier one ends what it has in hand.
+//! The serving process keeps a Unix socket in `$TMPDIR`, and beside it its [`ownership`] of all new requests.
+//! A later process connects to the socket and gets the listener for balancers, and, once its interpreter is
+//! up, the key table and ownership. From then on the later process handles all new requests: those that still
+//! reach the earlier one are relayed over the link and their replies sent back, and connections are
+//! transferred with their unprocessed input as soon as they are idle. The earlier process completes its
+//! in-flight requests.
 //!
-//! A process that says nothing for a second is frozen, for all that anybody can tell: the right is taken from it. When it wakes
-//! it sees that, and hands over what it has to the one that serves, in the same way ([`Keeper::regain`]).
+//! A process that sends nothing for a second counts as paused, and ownership is taken from it. When it
+//! resumes it detects the loss, and hands over to the new owner in the same way ([`Keeper::regain`]).
 //!
-//! [`claims`] decides who may run what and who takes the right when, [`wire`] has the messages, [`link`] the socket; the
-//! engine's side is in `engine/upgrade`.
+//! [`claims`] decides which process may run a try and when ownership is taken, [`wire`] defines the messages,
+//! [`link`] the socket; the engine's side is in `engine/upgrade`.
 
 pub mod claims;
 pub mod link;
-pub mod right;
+pub mod ownership;
 pub mod wire;
 
 use crate::admin::Desk;
@@ -22,9 +24,12 @@
 use crate::engine::input::{Input, Peer};
 use crate::fastcgi::connection::{Came, Front, accept};
 use crate::log;
-use claims::{Knows, Met, Seeks, Silence, Steady, TAKE_WAITS, WORD_EVERY, seek};
+use claims::{
+    HEARTBEAT_INTERVAL, PeerResponse, SilenceDetector, StabilityWatch, TAKEOVER_DELAY, TakeoverAction,
+    TakeoverContext, next_action,
+};
 use link::{Out, Place, Reader, Writer, ends};
-use right::{Alive, Right};
+use ownership::{AliveMarker, Ownership};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -37,81 +42,82 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, timeout, timeout_at};
 use wire::{Message, VERSION};
 
-/// For a word of the other process.
-const ANSWERS_WITHIN: Duration = Duration::from_secs(1);
-/// One that is turned away asks again so often.
-const ASK_EVERY: Duration = Duration::from_millis(50);
-/// A folder that cannot be written is tried again so often.
-const TAKE_EVERY: Duration = Duration::from_secs(1);
-/// Listeners of processes that lost the right, at which this one accepts too. Beyond that what waits there is lost with them.
-const MOST_LISTENERS: usize = 4;
-
-/// A link to a process that goes on with this one.
+/// How long a process waits for a response of the other.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How often a declined process asks again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How often acquiring ownership is retried while the folder cannot be written.
+const ACQUIRE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// The most listeners of former owners at which this process accepts too. Connections that wait at further
+/// ones are lost with those processes.
+const MAX_LISTENERS: usize = 4;
+
+/// An established link to another process.
 struct Linked {
     reader: Reader,
     writer: Writer,
 }
 
-/// What a process meets that looks for the one that serves.
-enum Meets {
+/// The result of contacting the process that listens at the socket.
+enum Contact {
     Answers(Linked, Box<Message>, Option<OwnedFd>),
-    TurnsAway(String),
+    Declines(String),
     Silent,
     Nobody,
 }
 
-impl Meets {
-    fn met(&self) -> Met {
+impl Contact {
+    fn response(&self) -> PeerResponse {
         match self {
-            Meets::Answers(..) => Met::Answers,
-            Meets::TurnsAway(_) => Met::TurnsAway,
-            Meets::Silent => Met::Silent,
-            Meets::Nobody => Met::Nobody,
+            Contact::Answers(..) => PeerResponse::Answers,
+            Contact::Declines(_) => PeerResponse::Declines,
+            Contact::Silent => PeerResponse::Silent,
+            Contact::Nobody => PeerResponse::Nobody,
         }
     }
 }
 
-/// Says this to the process whose socket lies there, and waits for its first word.
-async fn meet(place: &Place, said: Message, beside: Option<&TcpListener>) -> Meets {
+/// Sends a message to the process that listens at the socket, and waits for its first response.
+async fn contact(place: &Place, greeting: Message, descriptor: Option<&TcpListener>) -> Contact {
     let stream = match place.connect().await {
         Ok(Some(stream)) => stream,
-        Ok(None) => return Meets::Nobody,
+        Ok(None) => return Contact::Nobody,
         Err(e) => {
-            log!(WARN, "upgrade: the socket of another start cannot be reached: {e}");
-            return Meets::Nobody;
+            log!(WARN, "upgrade: cannot connect to the socket of another process: {e}");
+            return Contact::Nobody;
         }
     };
     let (mut reader, mut writer) = ends(stream);
-    let word = async {
-        writer.send(&said, beside.map(AsFd::as_fd)).await?;
+    let response = async {
+        writer.send(&greeting, descriptor.map(AsFd::as_fd)).await?;
         reader.next().await
     };
-    let word: Result<io::Result<_>, _> = timeout(ANSWERS_WITHIN, word).await;
-    match word {
-        Ok(Ok((Message::NotNow { why }, _))) => Meets::TurnsAway(why),
-        Ok(Ok((first, came))) => Meets::Answers(Linked { reader, writer }, Box::new(first), came),
-        // It closed the link: it is alive, or gone by the next time.
-        Ok(Err(e)) => Meets::TurnsAway(e.to_string()),
-        Err(_) => Meets::Silent,
+    let response: Result<io::Result<_>, _> = timeout(RESPONSE_TIMEOUT, response).await;
+    match response {
+        Ok(Ok((Message::NotNow { why }, _))) => Contact::Declines(why),
+        Ok(Ok((first, came))) => Contact::Answers(Linked { reader, writer }, Box::new(first), came),
+        // It closed the link: it is alive, or the next attempt finds that it has ended.
+        Ok(Err(e)) => Contact::Declines(e.to_string()),
+        Err(_) => Contact::Silent,
     }
 }
 
 fn unexpected() -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, "what it says does not belong here")
+    io::Error::new(io::ErrorKind::InvalidData, "unexpected message")
 }
 
 fn silent() -> io::Error {
-    io::Error::new(io::ErrorKind::TimedOut, "it says nothing any more")
+    io::Error::new(io::ErrorKind::TimedOut, "no message within the time limit")
 }
 
-/// Speaks now and then, and returns once the other end is silent.
-async fn until_silent(silence: &Cell<Silence>, out: &mpsc::Sender<Out>) -> io::Error {
+/// Sends heartbeats, and returns once the other end is silent.
+async fn until_silent(silence: &Cell<SilenceDetector>, out: &mpsc::Sender<Out>) -> io::Error {
     let began = Instant::now();
-    let mut ticks = interval(WORD_EVERY);
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        // A queue that is full has words enough in it.
+        // A full queue holds messages enough to count as heartbeats.
         let _ = out.try_send(Message::Alive.into());
         let mut now = silence.get();
         let is_silent = now.tick(began.elapsed());
@@ -122,15 +128,15 @@
     }
 }
 
-fn heard(silence: &Cell<Silence>) {
+fn heard(silence: &Cell<SilenceDetector>) {
     let mut now = silence.get();
     now.heard();
     silence.set(now);
 }
 
-/// The side of a link that takes over: takes in what the other one hands over. `owns` is told once all that is new is this
-/// process's, and dropped if the link breaks before. Ends with the link; returns whether the other one said nothing any more.
-/// One that `yields` has lost the right, any other gives it away.
+/// Runs the side of a link that takes over from the other process. `owns` is notified once this process
+/// handles all new requests, and dropped if the link breaks before. Ends with the link; returns whether the
+/// other process fell silent. A process that `yields` has lost ownership; any other one transfers it.
 async fn take_over(
     link: Linked,
     yields: bool,
@@ -142,7 +148,7 @@
     let front = listeners.front.clone();
     let Linked { mut reader, writer } = link;
     let mut owns = Some(owns);
-    let silence = Cell::new(Silence::default());
+    let silence = Cell::new(SilenceDetector::default());
     let reading = async {
         loop {
             let message = reader.next().await?;
@@ -150,14 +156,15 @@
             let peer = match message {
                 (Message::Alive, _) => continue,
                 (Message::Table(entries), _) => Peer::Table(entries),
-                (Message::Yours { doubt }, Some(right)) if !yields => {
-                    let right = Right::passed_on(right);
+                (Message::Yours { doubt }, Some(file)) if !yields => {
+                    let right = Ownership::transferred(file);
                     let _ = engine.send(Input::Peer(Peer::Yours { right, doubt })).await;
-                    // The receiver is there until it is told.
+                    // The receiver waits until it is notified.
                     owns.take().map(|owns| owns.send(()));
                     continue;
                 }
-                // Guards against one that loses the right as it is asked for it: this process would serve without.
+                // Guards against a process that loses ownership while it is asked for it: this process would
+                // then serve without ownership.
                 (Message::Yielded, _) if yields => {
                     let _ = out.try_send(Message::Ready.into());
                     owns.take().map(|owns| owns.send(()));
@@ -179,7 +186,7 @@
                             let waited = waited_ms.map(Duration::from_millis);
                             front.take_over(stream, peer, Came { input, used, waited });
                         }
-                        Err(e) => log!(WARN, "upgrade: a connection was lost on the way: {e}"),
+                        Err(e) => log!(WARN, "upgrade: a transferred connection cannot be used: {e}"),
                     }
                     continue;
                 }
@@ -203,7 +210,7 @@
     let is_silent = ended.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::TimedOut);
     let over = match ended {
         Ok(true) => {
-            log!("upgrade: the other start has ended its work");
+            log!("upgrade: the other process has ended its work");
             Peer::Farewell
         }
         Ok(false) => Peer::Broke,
@@ -217,45 +224,45 @@
     is_silent
 }
 
-/// What a start of the program has that may be one of several processes of its nodo.
+/// Keeps or regains the ownership of its nodo for one of several processes.
 pub struct Keeper {
-    /// Where the socket and the right lie.
+    /// The folder of the socket and the ownership file.
     pub place: Place,
-    /// The sign that this process is alive.
-    pub alive: Alive,
+    /// Shows other processes that this one is alive.
+    pub alive: AliveMarker,
     /// The nodo's name.
     pub name: String,
     /// Where balancers connect, as configured.
     pub listen: SocketAddr,
-    /// The way to the engine.
+    /// The queue to the engine.
     pub engine: mpsc::Sender<Input>,
-    /// Tells connections that they are to be passed on.
+    /// Tells connections that they are to be transferred.
     pub idle: watch::Sender<Idle>,
-    /// What operators are shown.
+    /// The state shown to operators.
     pub desk: Rc<Desk>,
-    /// Where balancers are accepted.
+    /// The listeners for balancers.
     pub listeners: Rc<Listeners>,
 }
 
-/// Where balancers are accepted: at this process's own listener, and at those of processes that lost the right, so that what
-/// waits there is lost by nobody.
+/// The listeners for balancers: this process's own, and those of processes that lost ownership, so that no
+/// connection that waits there is lost.
 pub struct Listeners {
     /// The connections.
     pub front: Rc<Front>,
-    /// Told once nothing more is accepted.
+    /// Set once nothing more is accepted.
     close: watch::Sender<bool>,
     all: RefCell<Vec<Rc<TcpListener>>>,
     accepting: RefCell<Vec<JoinHandle<()>>>,
 }
 
 impl Listeners {
-    /// None yet.
+    /// Creates an empty set of listeners.
     pub fn new(front: Rc<Front>) -> Listeners {
         let (all, accepting) = (RefCell::default(), RefCell::default());
         Listeners { front, close: watch::channel(false).0, all, accepting }
     }
 
-    /// Accepts there from now on.
+    /// Accepts connections at a listener from now on.
     pub fn accept(&self, listener: Rc<TcpListener>) {
         let mut close = self.close.subscribe();
         let stop = async move {
@@ -265,7 +272,7 @@
         self.accepting.borrow_mut().push(spawn_local(accept(listener, self.front.clone(), stop)));
     }
 
-    /// Accepts nothing more, and takes in what the machine has accepted by then.
+    /// Stops accepting, after the connections that the system has accepted by then.
     pub async fn close(&self, until: Instant) {
         self.close.send_replace(true);
         self.all.take();
@@ -274,23 +281,26 @@
         }
     }
 
-    /// Accepts at a listener of another process too, unless it is known here.
+    /// Accepts at a listener of another process too, unless it is already in use here.
     fn add(&self, theirs: OwnedFd) {
         let inode = |fd| rustix::fs::fstat(fd).ok().map(|file| (file.st_dev, file.st_ino));
         let known = self.all.borrow().iter().any(|mine| inode(mine.as_fd()) == inode(theirs.as_fd()));
         if known {
             return;
         }
-        if self.all.borrow().len() >= MOST_LISTENERS {
-            return log!(WARN, "upgrade: too many listeners; what waits at another start's may be lost");
+        if self.all.borrow().len() >= MAX_LISTENERS {
+            return log!(
+                WARN,
+                "upgrade: too many listeners; connections waiting at another process's listener may be lost"
+            );
         }
         match listener_from(theirs) {
             Ok(listener) => self.accept(Rc::new(listener)),
-            Err(e) => log!(WARN, "upgrade: the listener of another start cannot be used: {e}"),
+            Err(e) => log!(WARN, "upgrade: cannot use the listener of another process: {e}"),
         }
     }
 
-    /// Descriptors of those beside the first.
+    /// Returns the descriptors of all listeners but the first.
     fn further(&self) -> Vec<OwnedFd> {
         let all = self.all.borrow();
         all.iter().skip(1).filter_map(|listener| listener.as_fd().try_clone_to_owned().ok()).collect()
@@ -303,114 +313,120 @@
     TcpListener::from_std(listener)
 }
 
-/// A start that has the right.
-pub struct Serves {
+/// The state of a process that has just become the owner.
+pub struct Serving {
     /// Where balancers connect.
     pub listener: Rc<TcpListener>,
-    /// The task that goes on with an earlier start, and the way there.
+    /// The task that takes over from an earlier process, and the queue of messages to that process.
     taking: Option<(JoinHandle<bool>, mpsc::Sender<Out>)>,
 }
 
 impl Keeper {
-    /// Gets the right: at once where no other process is alive, from one that hands it over, or by taking it from one that
-    /// says nothing.
+    /// Gets ownership: at once if no other process is alive, from one that hands over, or by taking it from a
+    /// silent one.
     ///
     /// # Errors
-    /// The address cannot be had.
-    pub async fn begin(&self, listen: impl Fn() -> io::Result<TcpListener>) -> io::Result<Serves> {
+    /// Fails if the address cannot be listened on.
+    pub async fn begin(&self, listen: impl Fn() -> io::Result<TcpListener>) -> io::Result<Serving> {
         let mut listener: Option<TcpListener> = None;
         let mut others = self.alive.others;
-        let mut told = String::new();
-        let (mut steady, began) = (Steady::default(), Instant::now());
-        // After silence on a link there is nothing left to ask.
+        let mut last_reason = String::new();
+        let (mut steady, began) = (StabilityWatch::default(), Instant::now());
+        // After silence on a link the process is not contacted again.
         let mut is_silent = false;
         loop {
             let hello =
                 Message::Hello { version: VERSION, name: self.name.clone(), listen: self.listen.to_string() };
-            let meets = if is_silent { Meets::Silent } else { meet(&self.place, hello, None).await };
-            if !matches!(meets, Meets::Nobody) {
+            let contact = if is_silent { Contact::Silent } else { contact(&self.place, hello, None).await };
+            if !matches!(contact, Contact::Nobody) {
                 others = true;
             }
-            let steady = steady.see(self.place.right_mark(), began.elapsed());
-            let seeks = seek(meets.met(), Knows { up: self.desk.up.get(), others, steady });
-            match (seeks, meets) {
-                (_, Meets::Answers(link, first, Some(theirs)))
+            let steady = steady.see(self.place.ownership_mark(), began.elapsed());
+            let action =
+                next_action(contact.response(), TakeoverContext { up: self.desk.up.get(), others, steady });
+            match (action, contact) {
+                (_, Contact::Answers(link, first, Some(theirs)))
                     if matches!(*first, Message::Welcome { .. }) =>
                 {
                     let lameduck = *first == Message::Welcome { lameduck: true };
                     let theirs = listener_from(theirs)?;
                     let (task, out, owns) = self.take_over_from(link, Some(lameduck)).await;
                     if owns.await.is_ok() {
-                        return Ok(Serves { listener: Rc::new(theirs), taking: Some((task, out)) });
+                        return Ok(Serving { listener: Rc::new(theirs), taking: Some((task, out)) });
                     }
-                    // It is gone, or frozen with the right; what waits at its listener is still to be served.
+                    // It has ended, or is paused with ownership; connections that wait at its listener are
+                    // still served.
                     listener = Some(theirs);
                     is_silent = task.await.unwrap_or(false);
                 }
-                (Seeks::Takes { alone }, _) => {
+                (TakeoverAction::Acquire { alone }, _) => {
                     is_silent = false;
-                    if !self.take_right(alone).await {
+                    if !self.acquire_ownership(alone).await {
                         continue;
                     }
-                    // The listener comes behind the right: what waits there was sent since.
+                    // Created after ownership was acquired: what waits there was sent since then.
                     let listener = listener.map_or_else(&listen, Ok)?;
-                    return Ok(Serves { listener: Rc::new(listener), taking: None });
+                    return Ok(Serving { listener: Rc::new(listener), taking: None });
                 }
-                (_, meets) => {
-                    let why = match meets {
-                        Meets::TurnsAway(why) => format!("does not hand over: {why}"),
-                        Meets::Answers(..) => format!("does not hand over: {}", unexpected()),
+                (_, contact) => {
+                    let why = match contact {
+                        Contact::Declines(why) => format!("does not hand over: {why}"),
+                        Contact::Answers(..) => format!("does not hand over: {}", unexpected()),
                         _ if self.desk.up.get() => "is alive and cannot be reached".to_string(),
-                        _ => "does not answer, and this one's interpreter is not up yet".to_string(),
+                        _ => "does not respond, and this process's interpreter is not up yet".to_string(),
                     };
-                    if why != told {
+                    if why != last_reason {
                         log!(WARN, "upgrade: another start {why}; this one waits");
-                        told = why;
+                        last_reason = why;
                     }
                     is_silent = false;
-                    sleep(ASK_EVERY).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Takes the right, and waits until whoever had it can run nothing more that is new; whether this process has it then.
-    async fn take_right(&self, alone: bool) -> bool {
-        let right = match self.place.take_right() {
-            Ok(right) => right,
+    /// Takes ownership, and waits until the former owner can run no new requests; returns whether this
+    /// process is the owner then.
+    async fn acquire_ownership(&self, alone: bool) -> bool {
+        let ownership = match self.place.acquire_ownership() {
+            Ok(ownership) => ownership,
             Err(e) => {
-                log!(ERROR, "upgrade: the right to run cannot be taken: {e}; this process waits");
-                sleep(TAKE_EVERY).await;
+                log!(ERROR, "upgrade: cannot write the ownership file: {e}; this process waits");
+                sleep(ACQUIRE_RETRY_INTERVAL).await;
                 return false;
             }
         };
         let peer = if alone {
-            Peer::Found(right)
+            Peer::Found(ownership)
         } else {
-            sleep(TAKE_WAITS).await;
-            Peer::Taken(right)
+            sleep(TAKEOVER_DELAY).await;
+            Peer::Taken(ownership)
         };
         let _ = self.engine.send(Input::Peer(peer)).await;
-        // Another one may have taken it meanwhile.
-        let (told, has_it) = oneshot::channel();
-        let _ = self.engine.send(Input::Peer(Peer::Look { told })).await;
+        // Another process may have taken ownership meanwhile.
+        let (reply, has_it) = oneshot::channel();
+        let _ = self.engine.send(Input::Peer(Peer::Look { told: reply })).await;
         let has_it = has_it.await.unwrap_or(false);
         if has_it && !alone {
-            log!(WARN, "upgrade: no start with the right to run answers; this one has taken it");
+            log!(
+                WARN,
+                "upgrade: the owner of new requests does not respond; this process has taken ownership"
+            );
         }
         has_it
     }
 
-    /// Takes over from a process at the other end of a link: the task that does, the way there, and what is told once all
-    /// that is new is this process's.
+    /// Takes over from the process at the other end of a link. Returns the task, the queue of messages to
+    /// that process, and a receiver that is notified once this process handles all new requests.
     async fn take_over_from(
         &self,
         link: Linked,
         lameduck: Option<bool>,
     ) -> (JoinHandle<bool>, mpsc::Sender<Out>, oneshot::Receiver<()>) {
-        let (out, outs) = mpsc::channel(link::QUEUE);
-        let told = Peer::Earlier { to: out.clone(), lameduck };
-        let _ = self.engine.send(Input::Peer(told)).await;
+        let (out, outs) = mpsc::channel(link::MAX_QUEUED_MESSAGES);
+        let earlier = Peer::Earlier { to: out.clone(), lameduck };
+        let _ = self.engine.send(Input::Peer(earlier)).await;
         let (owns, now_owns) = oneshot::channel();
         let yields = lameduck.is_none();
         let task =
@@ -418,74 +434,75 @@
         (spawn_local(task), out, now_owns)
     }
 
-    /// Goes on for as long as the process lives: waits for a later start and hands over to it, takes over from one that lost
-    /// the right, and yields when this one has lost it. A later start that dies leaves this process to serve as before.
+    /// Runs until the process ends: waits for a later process and hands over to it, takes over from one that
+    /// lost ownership, and yields when this one has lost it. If the later process dies, this one serves as
+    /// before.
     ///
-    /// While this process itself still takes over, others are asked to come again.
-    pub async fn keep(self, serves: Serves) {
-        let Serves { listener, taking } = serves;
+    /// While this process itself is still taking over, others are declined.
+    pub async fn keep(self, serves: Serving) {
+        let Serving { listener, taking } = serves;
         let mut socket = None;
         let mut taking = taking.map(|(task, out)| {
-            // An error means that the earlier start has gone.
+            // An error means that the earlier process has ended.
             let _ = out.try_send(Message::Ready.into());
             task
         });
         loop {
-            let here = match socket.take().map_or_else(|| self.place.listen(), Ok) {
-                Ok(here) => here,
-                Err(e) => return log!(WARN, "upgrade: no socket for a later start: {e}"),
+            let acceptor = match socket.take().map_or_else(|| self.place.listen(), Ok) {
+                Ok(acceptor) => acceptor,
+                Err(e) => return log!(WARN, "upgrade: cannot create the socket for a later process: {e}"),
             };
             if let Some(mut task) = taking.take() {
                 let lost = tokio::select! {
                     _ = &mut task => false,
-                    () = turn_away(&here) => false,
+                    () = decline_links(&acceptor) => false,
                     () = self.until_lost() => true,
                 };
                 if lost {
                     task.abort();
                     self.listeners.front.leave_to_other(0);
-                    drop(here);
+                    drop(acceptor);
                     self.regain(&listener, false).await;
                     continue;
                 }
             }
-            let met = tokio::select! {
-                met = self.greeted(&here, &listener) => Some(met),
+            let accepted = tokio::select! {
+                accepted = self.accept_link(&acceptor, &listener) => Some(accepted),
                 () = self.until_lost() => None,
             };
-            match met {
-                // It has lost the right.
+            match accepted {
+                // This process has lost ownership.
                 None => {
-                    drop(here);
+                    drop(acceptor);
                     self.regain(&listener, false).await;
                 }
-                Some(Greeted::Nobody) => socket = Some(here),
-                Some(Greeted::Later(link)) => {
+                Some(Accepted::Nobody) => socket = Some(acceptor),
+                Some(Accepted::Later(link)) => {
                     log!("upgrade: a later start is here");
                     let given = Cell::new(false);
                     let ended = tokio::select! {
                         ended = self.hand_over(link, None, &given) => ended,
-                        () = turn_away(&here) => Ok(()),
+                        () = decline_links(&acceptor) => Ok(()),
                         () = self.until_lost() => Ok(()),
                     };
                     let is_silent = self.hand_over_ended(&ended).await;
                     if given.get() || self.desk.lost.get() {
-                        drop(here);
+                        drop(acceptor);
                         self.regain(&listener, is_silent).await;
                     }
                 }
-                Some(Greeted::Lost(link, theirs)) => {
-                    log!("upgrade: a start that lost the right hands over what it has");
+                Some(Accepted::Lost(link, theirs)) => {
+                    log!("upgrade: a process that lost ownership hands over its work and connections");
                     self.listeners.add(theirs);
                     let (task, _, _) = self.take_over_from(link, None).await;
                     taking = Some(task);
-                    socket = Some(here);
+                    socket = Some(acceptor);
                 }
             }
         }
     }
 
-    /// Undoes what a hand-over began; whether the other one said nothing any more.
+    /// Undoes what a handover began; returns whether the other process fell silent.
     async fn hand_over_ended(&self, ended: &io::Result<()>) -> bool {
         self.listeners.front.hand_to(None);
         self.idle.send_modify(|idle| idle.passing = false);
@@ -499,95 +516,101 @@
         }
     }
 
-    /// This process has not the right any more. It hands over what it has to the one that has it, for as long as that is there,
-    /// and takes the right back once that says nothing.
+    /// Handles the loss of ownership: hands over to the owner for as long as that responds, and takes
+    /// ownership back once it is silent.
     async fn regain(&self, listener: &TcpListener, mut is_silent: bool) {
-        let mut told = String::new();
-        let (mut steady, began) = (Steady::default(), Instant::now());
+        let mut last_reason = String::new();
+        let (mut steady, began) = (StabilityWatch::default(), Instant::now());
         loop {
             let me =
                 Message::Yield { version: VERSION, name: self.name.clone(), listen: self.listen.to_string() };
-            let meets = if is_silent { Meets::Silent } else { meet(&self.place, me, Some(listener)).await };
-            let steady = steady.see(self.place.right_mark(), began.elapsed());
-            match (seek(meets.met(), Knows { up: true, others: true, steady }), meets) {
-                (Seeks::GoesOn, Meets::Answers(link, first, _)) => {
-                    log!("upgrade: what this process has goes to the start that serves");
+            let contact =
+                if is_silent { Contact::Silent } else { contact(&self.place, me, Some(listener)).await };
+            let steady = steady.see(self.place.ownership_mark(), began.elapsed());
+            match (
+                next_action(contact.response(), TakeoverContext { up: true, others: true, steady }),
+                contact,
+            ) {
+                (TakeoverAction::Connect, Contact::Answers(link, first, _)) => {
+                    log!("upgrade: this process hands over to the owner");
                     let given = Cell::new(false);
                     let ended = self.hand_over(link, Some(*first), &given).await;
                     is_silent = self.hand_over_ended(&ended).await;
                 }
-                (Seeks::Takes { .. }, _) => {
+                (TakeoverAction::Acquire { .. }, _) => {
                     is_silent = false;
-                    if self.take_right(false).await {
+                    if self.acquire_ownership(false).await {
                         return;
                     }
                 }
-                (_, meets) => {
-                    if let Meets::TurnsAway(why) = meets
-                        && why != told
+                (_, contact) => {
+                    if let Contact::Declines(why) = contact
+                        && why != last_reason
                     {
-                        log!(WARN, "upgrade: the start that serves takes nothing over yet: {why}");
-                        told = why;
+                        log!(WARN, "upgrade: the owner does not take over yet: {why}");
+                        last_reason = why;
                     }
-                    sleep(ASK_EVERY).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Returns once the engine has found that another process took the right.
+    /// Returns once the engine has detected that another process took ownership.
     async fn until_lost(&self) {
         while !self.desk.lost.get() {
             self.desk.lost_now.notified().await;
         }
     }
 
-    async fn greeted(&self, socket: &UnixListener, listener: &TcpListener) -> Greeted {
+    /// Accepts a link, and decides whether the process at its other end may use it.
+    async fn accept_link(&self, socket: &UnixListener, listener: &TcpListener) -> Accepted {
         let Ok((stream, _)) = socket.accept().await else {
-            sleep(ASK_EVERY).await;
-            return Greeted::Nobody;
+            sleep(RETRY_INTERVAL).await;
+            return Accepted::Nobody;
         };
         let (mut reader, mut writer) = ends(stream);
-        let (lame, told) = oneshot::channel();
+        let (lame, lameduck) = oneshot::channel();
         let _ = self.engine.send(Input::Peer(Peer::Lame { told: lame })).await;
         let greeting = async {
-            let (message, beside) = reader.next().await?;
+            let (message, descriptor) = reader.next().await?;
             let (version, name, listen, lost) = match message {
                 Message::Hello { version, name, listen } => (version, name, listen, None),
-                Message::Yield { version, name, listen } => (version, name, listen, beside),
+                Message::Yield { version, name, listen } => (version, name, listen, descriptor),
                 _ => return Ok(Greeting::No),
             };
             let why = if version != VERSION {
-                format!("it speaks version {version}, this process {VERSION}")
+                format!("it has protocol version {version}, this process {VERSION}")
             } else if name != self.name || listen != self.listen.to_string() {
                 format!("it is {name} on {listen}, this process {} on {}", self.name, self.listen)
             } else {
-                match (told.await.unwrap_or(None), lost) {
+                match (lameduck.await.unwrap_or(None), lost) {
                     (Some(_), Some(theirs)) => return Ok(Greeting::Lost(theirs)),
                     (Some(lameduck), None) => {
                         let welcome = Message::Welcome { lameduck };
                         writer.send(&welcome, Some(listener.as_fd())).await?;
                         return Ok(Greeting::Later);
                     }
-                    (None, _) => "this process has lost the right itself".to_string(),
+                    (None, _) => "this process has lost ownership itself".to_string(),
                 }
             };
-            log!(WARN, "upgrade: another start is turned away: {why}");
+            log!(WARN, "upgrade: another process is declined: {why}");
             writer.send(&Message::NotNow { why }, None).await.map(|()| Greeting::No)
         };
-        let greeting: Result<io::Result<Greeting>, _> = timeout(ANSWERS_WITHIN, greeting).await;
+        let greeting: Result<io::Result<Greeting>, _> = timeout(RESPONSE_TIMEOUT, greeting).await;
         match greeting {
-            Ok(Ok(Greeting::Later)) => Greeted::Later(Linked { reader, writer }),
-            Ok(Ok(Greeting::Lost(theirs))) => Greeted::Lost(Linked { reader, writer }, theirs),
-            _ => Greeted::Nobody,
+            Ok(Ok(Greeting::Later)) => Accepted::Later(Linked { reader, writer }),
+            Ok(Ok(Greeting::Lost(theirs))) => Accepted::Lost(Linked { reader, writer }, theirs),
+            _ => Accepted::Nobody,
         }
     }
 
-    /// The side of a link that hands over, until it ends; `given` tells whether the keys have left this process by then.
+    /// Runs the side of a link that hands over, until the link ends; `given` is set once the keys were
+    /// transferred.
     async fn hand_over(&self, link: Linked, first: Option<Message>, given: &Cell<bool>) -> io::Result<()> {
         let Linked { mut reader, writer } = link;
-        let (out, outs) = mpsc::channel(link::QUEUE);
-        let silence = Cell::new(Silence::default());
+        let (out, outs) = mpsc::channel(link::MAX_QUEUED_MESSAGES);
+        let silence = Cell::new(SilenceDetector::default());
         let reading = async {
             let mut first = first;
             loop {
@@ -599,17 +622,17 @@
                 let peer = match message {
                     Message::Alive => continue,
                     Message::Begin => {
-                        let (told, is_given) = oneshot::channel();
-                        let begin = Peer::Begin { to: out.clone(), given: told };
+                        let (reply, is_given) = oneshot::channel();
+                        let begin = Peer::Begin { to: out.clone(), given: reply };
                         let _ = self.engine.send(Input::Peer(begin)).await;
                         if !is_given.await.unwrap_or(false) {
-                            return Err(io::Error::other("the table of keys is too long for it"));
+                            return Err(io::Error::other("the key table is too long for the link"));
                         }
                         given.set(true);
                         for listener in self.listeners.further() {
                             let message = Message::Listener;
                             // An error means that the link has ended.
-                            let _ = out.try_send(Out { message, beside: Some(listener), left: None });
+                            let _ = out.try_send(Out { message, descriptor: Some(listener), sent: None });
                         }
                         continue;
                     }
@@ -635,8 +658,8 @@
     }
 }
 
-/// Who came.
-enum Greeted {
+/// The process at the other end of an accepted link.
+enum Accepted {
     Nobody,
     Later(Linked),
     Lost(Linked, OwnedFd),
@@ -648,15 +671,15 @@
     Lost(OwnedFd),
 }
 
-/// While one other start is here, others are told to come again.
-async fn turn_away(socket: &UnixListener) {
+/// Declines further processes while one link is in use.
+async fn decline_links(socket: &UnixListener) {
     loop {
         let Ok((stream, _)) = socket.accept().await else {
-            sleep(ASK_EVERY).await;
+            sleep(RETRY_INTERVAL).await;
             continue;
         };
         let (_, mut writer) = ends(stream);
-        let why = "another start is taking over".to_string();
-        let _ = timeout(ANSWERS_WITHIN, writer.send(&Message::NotNow { why }, None)).await;
+        let why = "another process is taking over".to_string();
+        let _ = timeout(RESPONSE_TIMEOUT, writer.send(&Message::NotNow { why }, None)).await;
     }
 }
--- a/crates/node/src/upgrade/wire.rs
+++ b/crates/node/src/upgrade/wire.rs
@@ -1,26 +1,30 @@
-//! What two processes that are one nodo say to each other, as bytes: a length of four bytes, least first, and a message in
-//! postcard. Nothing here waits or reads.
+//! The messages between two processes of one nodo, and their encoding: a length of four bytes in
+//! little-endian order, then the message in postcard. Without I/O.
 
 use crate::request::{Answer, Label, Reply, Work};
 use jaspershunt::CallerId;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// The version of this protocol. Two that differ do not work together; the later start then waits for the other's end.
+/// The version of this protocol. Processes of different versions do not link; the later one then waits until
+/// the earlier one ends.
 pub const VERSION: u32 = 3;
-/// The longest message. The largest is a piece of the table of keys, or a connection with what was read of it.
-pub const MAX_MESSAGE: usize = 256 * 1024;
-/// Entries of the table of keys in one message.
-pub const PIECE: usize = 32;
-/// Bytes of their keys and results. A result has 4 KiB, and 64 KiB at the very most: the longest line of the interpreter.
-pub const PIECE_BYTES: usize = 128 * 1024;
-const HEAD: usize = 4;
+/// The longest message. The largest are a piece of the key table and a connection with its unprocessed input.
+pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
+/// The most entries of the key table in one message.
+pub const MAX_PIECE_ENTRIES: usize = 32;
+/// The most bytes of keys and results in such a message. A result has 4 KiB, and at most 64 KiB: the longest
+/// line of the interpreter.
+pub const MAX_PIECE_BYTES: usize = 128 * 1024;
+const LENGTH_BYTES: usize = 4;
 
-/// What is said. A connection travels beside its message, the listener beside [`Message::Welcome`] and [`Message::Yield`], and
-/// the right to run what is new beside [`Message::Yours`].
+/// A message. The descriptor of a connection is sent with its message, the listener's with
+/// [`Message::Welcome`], [`Message::Yield`] and [`Message::Listener`], and the ownership file's with
+/// [`Message::Yours`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The later start names itself. This and the next two stand first in every version: they are how two that differ find out.
+    /// The later process identifies itself. This variant and the next two come first in every version, so
+    /// that processes of different versions can detect that they differ.
     Hello {
         /// Its [`VERSION`].
         version: u32,
@@ -29,34 +33,34 @@
         /// Where balancers connect.
         listen: String,
     },
-    /// The earlier start is the same nodo; its listener comes with this.
+    /// The earlier process belongs to the same nodo, and sends its listener.
     Welcome {
-        /// Operators had clients sent away.
+        /// Operators had new clients refused.
         lameduck: bool,
     },
-    /// The other one cannot go on now.
+    /// The process declines to link for now.
     NotNow {
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// The later start can run requests: all that is new is to be its own.
+    /// The later process can run requests, and asks for ownership of all new ones.
     Begin,
-    /// A piece of the table of keys.
+    /// A piece of the key table.
     Table(Vec<Entry>),
-    /// From here on the later start owns all keys, and gets all that is new.
+    /// From here on the later process owns all keys, and gets all new requests.
     Yours {
-        /// What nobody can tell, in Unix seconds: other processes may have run tries that came before the first, and their
-        /// keys count until the second.
+        /// The uncertainty, in Unix seconds: other processes may have run tries that arrived before the first
+        /// time, and their keys are remembered until the second.
         doubt: Option<(f64, f64)>,
     },
-    /// The later start accepts connections: the earlier one is to accept no more, and to pass on those that are quiet.
+    /// The later process accepts connections: the earlier one stops accepting, and transfers its idle ones.
     Ready,
-    /// A try that reached the earlier start.
+    /// A try that reached the earlier process.
     Work {
-        /// What its reply is known by.
+        /// Identifies its reply.
         ticket: u64,
         /// The try.
-        work: Relayed,
+        work: RelayedWork,
     },
     /// The caller of such a try has gone.
     Gone {
@@ -68,29 +72,30 @@
         /// The try.
         ticket: u64,
         /// The reply.
-        reply: Told,
+        reply: RelayedReply,
     },
-    /// What became of a key that the earlier start had in hand.
+    /// The outcome of a key that was in flight in the earlier process.
     Ended(Entry),
-    /// A connection, with bytes that were read of it and belong to no whole record.
+    /// A connection, with the bytes of an incomplete record that were read from it.
     Connection {
         /// Those bytes.
         input: Vec<u8>,
-        /// It brought a request that makes sense.
+        /// It has sent a valid request before.
         used: bool,
-        /// For how many milliseconds a first such request, or the rest of one, has been waited for.
+        /// For how many milliseconds a first valid request, or the rest of one, has been awaited.
         waited_ms: Option<u64>,
     },
-    /// What the earlier start still takes of what both share.
+    /// The share of the common resources that the earlier process still uses.
     Load(Load),
-    /// Operators send clients away, or take them again.
+    /// Operators have new clients refused, or accepted again.
     Lameduck {
-        /// Whether they are sent away.
+        /// Whether they are refused.
         on: bool,
     },
-    /// The earlier start owes nothing any more, and ends.
+    /// The earlier process has no work left, and ends.
     Farewell,
-    /// A process that lost the right names itself, and wants to hand over what it has; its listener comes with this.
+    /// A process that lost ownership identifies itself and asks to hand over its work and connections; it
+    /// sends its listener.
     Yield {
         /// Its [`VERSION`].
         version: u32,
@@ -99,54 +104,54 @@
         /// Where balancers connect.
         listen: String,
     },
-    /// That was the whole table of a process that lost the right: all that is new there follows.
+    /// The key table of a process that lost ownership is complete; its new requests follow.
     Yielded,
-    /// Nothing, but that this process is there.
+    /// A heartbeat.
     Alive,
-    /// A further listener of balancers comes with this: one that this process got from another.
+    /// Carries a further listener for balancers, one that this process got from another.
     Listener,
 }
 
-/// What a process takes of what two that are one nodo share.
+/// What one process uses of the resources that two processes of one nodo share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Memory that its requests may yet take, in kilobytes: all of them as if they ran.
+    /// Memory that its requests may still take, in kilobytes, counted as if all of them ran.
     pub kb: f64,
-    /// Those that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Descriptors that it may hold.
+    /// The number of descriptors that it may use.
     pub descriptors: u32,
 }
 
-/// A key of the earlier start.
+/// An entry of the key table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// The key.
     pub key: Rc<str>,
-    /// What stands for class and body of all its tries.
-    pub print: u64,
-    /// Until when it is remembered, in Unix seconds.
+    /// The digest of class and body, equal for all its tries.
+    pub digest: u64,
+    /// When it expires, in Unix seconds.
     pub until: f64,
-    /// What became of it.
+    /// The outcome.
     pub state: State,
 }
 
 impl Entry {
-    /// Bytes that it takes in a message, about.
+    /// Estimates the bytes that it takes in a message.
     fn size(&self) -> usize {
         let result = if let State::Done(result) = &self.state { result.len() } else { 0 };
         self.key.len() + result + 32
     }
 }
 
-/// Cuts a table into pieces that each fit a message.
+/// Splits a table into pieces that each fit a message.
 pub fn pieces(entries: Vec<Entry>) -> Vec<Vec<Entry>> {
     let mut pieces: Vec<Vec<Entry>> = Vec::new();
     let mut bytes = 0;
     for entry in entries {
         bytes += entry.size();
         match pieces.last_mut() {
-            Some(piece) if piece.len() < PIECE && bytes <= PIECE_BYTES => piece.push(entry),
+            Some(piece) if piece.len() < MAX_PIECE_ENTRIES && bytes <= MAX_PIECE_BYTES => piece.push(entry),
             _ => {
                 bytes = entry.size();
                 pieces.push(vec![entry]);
@@ -156,22 +161,22 @@
     pieces
 }
 
-/// What became of a key.
+/// The outcome of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum State {
-    /// A try of it is held or runs: what it comes to will be told.
-    InHand,
-    /// It ran, with this result.
+    /// A try of it is queued or runs; the outcome follows in a later message.
+    InFlight,
+    /// A try ran, with this result.
     Done(Rc<[u8]>),
-    /// It ran and failed, or its result is not kept.
+    /// A try ran and failed, or its result is not kept.
     Failed,
     /// No try of it ran.
     NeverRan,
 }
 
-/// A try, with names in the place of what only one process knows.
+/// A try as it is sent: class and tenant by name instead of by the indices of one process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Relayed {
+pub struct RelayedWork {
     uid: Rc<str>,
     class: String,
     tenant: Option<String>,
@@ -186,10 +191,10 @@
     body: Vec<u8>,
 }
 
-impl Relayed {
-    /// A try as it is told; `class` and `tenant` are their names.
-    pub fn new(work: Work, class: &str, tenant: Option<&str>) -> Relayed {
-        Relayed {
+impl RelayedWork {
+    /// Converts a try; `class` and `tenant` are the names.
+    pub fn new(work: Work, class: &str, tenant: Option<&str>) -> RelayedWork {
+        RelayedWork {
             uid: work.uid,
             class: class.to_string(),
             tenant: tenant.map(str::to_string),
@@ -205,7 +210,7 @@
         }
     }
 
-    /// The try here; `None` if its class, or its tenant, is not known by that name.
+    /// Converts back; `None` if this process knows no class or no tenant of that name.
     pub fn work(
         self,
         class: impl Fn(&str) -> Option<usize>,
@@ -231,86 +236,86 @@
     }
 }
 
-/// A reply.
+/// A reply as it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
-    answer: ToldAnswer,
+pub struct RelayedReply {
+    answer: RelayedAnswer,
     say: Option<f64>,
     lacks: Vec<Rc<str>>,
     stale_ms: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-enum ToldAnswer {
+enum RelayedAnswer {
     Served(Rc<[u8]>),
     Refused { stay_away: f64, last: bool },
     Failed,
     Bad,
 }
 
-impl From<Reply> for Told {
-    fn from(reply: Reply) -> Told {
+impl From<Reply> for RelayedReply {
+    fn from(reply: Reply) -> RelayedReply {
         let label = reply.label.map(|label| *label).unwrap_or_default();
         let answer = match reply.answer {
-            Answer::Served(body) => ToldAnswer::Served(body),
-            Answer::Refused { stay_away, last } => ToldAnswer::Refused { stay_away, last },
-            // A health check is answered where it is read.
-            Answer::Failed | Answer::Health { .. } => ToldAnswer::Failed,
-            Answer::Bad => ToldAnswer::Bad,
+            Answer::Served(body) => RelayedAnswer::Served(body),
+            Answer::Refused { stay_away, last } => RelayedAnswer::Refused { stay_away, last },
+            // Health checks are never relayed: the process that reads one answers it.
+            Answer::Failed | Answer::Health { .. } => RelayedAnswer::Failed,
+            Answer::Bad => RelayedAnswer::Bad,
         };
-        Told { answer, say: reply.say, lacks: label.lacks, stale_ms: label.stale_ms }
+        RelayedReply { answer, say: reply.say, lacks: label.lacks, stale_ms: label.stale_ms }
     }
 }
 
-impl From<Told> for Reply {
-    fn from(told: Told) -> Reply {
+impl From<RelayedReply> for Reply {
+    fn from(told: RelayedReply) -> Reply {
         let label = Label { lacks: told.lacks, stale_ms: told.stale_ms };
         let answer = match told.answer {
-            ToldAnswer::Served(body) => Answer::Served(body),
-            ToldAnswer::Refused { stay_away, last } => Answer::Refused { stay_away, last },
-            ToldAnswer::Failed => Answer::Failed,
-            ToldAnswer::Bad => Answer::Bad,
+            RelayedAnswer::Served(body) => Answer::Served(body),
+            RelayedAnswer::Refused { stay_away, last } => Answer::Refused { stay_away, last },
+            RelayedAnswer::Failed => Answer::Failed,
+            RelayedAnswer::Bad => Answer::Bad,
         };
         Reply { answer, say: told.say, label: (label != Label::default()).then(|| Box::new(label)) }
     }
 }
 
-/// Bytes that are no message.
+/// The error for bytes that are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoMessage;
+pub struct InvalidMessage;
 
-/// Appends a message; whether it is short enough to be said.
+/// Appends an encoded message; returns false and appends nothing if it is too long.
 pub fn write(message: &Message, out: &mut Vec<u8>) -> bool {
     let from = out.len();
-    out.extend([0; HEAD]);
-    // Writing into memory fails for nothing that a message holds.
+    out.extend([0; LENGTH_BYTES]);
+    // Encoding into memory cannot fail for any of the message types.
     let written = postcard::to_extend(message, std::mem::take(out));
     *out = written.unwrap_or_default();
-    let length = out.len().saturating_sub(from + HEAD);
-    if out.len() < from + HEAD || length > MAX_MESSAGE {
+    let length = out.len().saturating_sub(from + LENGTH_BYTES);
+    if out.len() < from + LENGTH_BYTES || length > MAX_MESSAGE_BYTES {
         out.truncate(from);
         return false;
     }
-    out[from..from + HEAD].copy_from_slice(&(length as u32).to_le_bytes());
+    out[from..from + LENGTH_BYTES].copy_from_slice(&(length as u32).to_le_bytes());
     true
 }
 
-/// The next whole message, taken off `input`; `None` while it may still grow.
+/// Removes the next whole message from `input`; `None` while it is incomplete.
 ///
 /// # Errors
-/// It is too long, or not understood.
-pub fn next(input: &mut Vec<u8>) -> Result<Option<Message>, NoMessage> {
-    let Some(head) = input.first_chunk::<HEAD>() else { return Ok(None) };
+/// Fails if the message is too long or cannot be decoded.
+pub fn next(input: &mut Vec<u8>) -> Result<Option<Message>, InvalidMessage> {
+    let Some(head) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*head) as usize;
-    if length > MAX_MESSAGE {
-        return Err(NoMessage);
+    if length > MAX_MESSAGE_BYTES {
+        return Err(InvalidMessage);
     }
-    let Some(bytes) = input.get(HEAD..HEAD + length) else { return Ok(None) };
-    let (message, rest) = postcard::take_from_bytes(bytes).map_err(|_| NoMessage)?;
+    let Some(bytes) = input.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
+    let (message, rest) = postcard::take_from_bytes(bytes).map_err(|_| InvalidMessage)?;
     if !rest.is_empty() {
-        return Err(NoMessage);
+        return Err(InvalidMessage);
     }
-    input.drain(..HEAD + length);
+    input.drain(..LENGTH_BYTES + length);
     Ok(Some(message))
 }
 
--- a/crates/node/src/upgrade/wire/tests.rs
+++ b/crates/node/src/upgrade/wire/tests.rs
@@ -6,8 +6,8 @@
     ProptestConfig { rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() }
 }
 
-fn all() -> Vec<Message> {
-    let entry = |state| Entry { key: "k".into(), print: u64::MAX, until: 1.76e9, state };
+fn every_message() -> Vec<Message> {
+    let entry = |state| Entry { key: "k".into(), digest: u64::MAX, until: 1.76e9, state };
     let work = Work {
         uid: "0123456789abcdef".into(),
         class: 1,
@@ -28,13 +28,13 @@
         Message::NotNow { why: "no".to_string() },
         Message::Begin,
         Message::Table(vec![
-            entry(State::InHand),
+            entry(State::InFlight),
             entry(State::Done(vec![1; 4096].into())),
             entry(State::Failed),
         ]),
         Message::Yours { doubt: Some((1.76e9, 1.77e9)) },
         Message::Ready,
-        Message::Work { ticket: 9, work: Relayed::new(work, "sign", Some("acme")) },
+        Message::Work { ticket: 9, work: RelayedWork::new(work, "sign", Some("acme")) },
         Message::Gone { ticket: 9 },
         Message::Reply {
             ticket: 9,
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn messages_read_alike_wherever_they_are_cut() {
+fn messages_decode_equally_however_the_bytes_are_split() {
     let mut bytes = Vec::new();
-    assert!(all().iter().all(|message| write(message, &mut bytes)));
+    assert!(every_message().iter().all(|message| write(message, &mut bytes)));
     for step in [1, 7, 4099] {
         let (mut input, mut read) = (Vec::new(), Vec::new());
         for piece in bytes.chunks(step) {
@@ -64,16 +64,16 @@
                 read.push(message);
             }
         }
-        assert_eq!(read, all());
+        assert_eq!(read, every_message());
         assert!(input.is_empty());
     }
 }
 
 #[test]
-fn every_piece_of_a_table_fits_and_what_is_longer_is_not_said() {
+fn every_piece_of_a_table_fits_a_message_and_longer_messages_are_refused() {
     let entry = |bytes| Entry {
         key: "k".repeat(128).into(),
-        print: 1,
+        digest: 1,
         until: 2.0,
         state: State::Done(vec![0; bytes].into()),
     };
@@ -83,20 +83,21 @@
     assert_eq!(pieces.concat(), table);
     let mut bytes = Vec::new();
     for piece in pieces {
-        assert!(piece.len() <= PIECE && write(&Message::Table(piece), &mut bytes));
+        assert!(piece.len() <= MAX_PIECE_ENTRIES && write(&Message::Table(piece), &mut bytes));
     }
     let before = bytes.len();
-    assert!(!write(&Message::Table(vec![entry(MAX_MESSAGE)]), &mut bytes));
+    assert!(!write(&Message::Table(vec![entry(MAX_MESSAGE_BYTES)]), &mut bytes));
     assert_eq!(bytes.len(), before);
-    // A length that makes no sense is refused before anything is read for it.
-    assert_eq!(next(&mut u32::MAX.to_le_bytes().to_vec()), Err(NoMessage));
+    // An excessive length is refused before its bytes arrive.
+    assert_eq!(next(&mut u32::MAX.to_le_bytes().to_vec()), Err(InvalidMessage));
 }
 
 #[test]
-fn a_try_is_the_same_on_the_other_side_and_none_where_its_names_are_not_known() {
-    let Some(Message::Work { work, .. }) = all().into_iter().find(|m| matches!(m, Message::Work { .. }))
+fn a_relayed_try_is_unchanged_and_is_none_where_its_class_or_tenant_is_unknown() {
+    let Some(Message::Work { work, .. }) =
+        every_message().into_iter().find(|m| matches!(m, Message::Work { .. }))
     else {
-        panic!("no try among the messages")
+        panic!("no message with a try")
     };
     let there = work
         .clone()
@@ -114,7 +115,7 @@
     #![proptest_config(fixed())]
 
     #[test]
-    fn garbage_is_refused_or_waited_for_within_the_bound(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn random_bytes_are_refused_or_kept_and_never_grow(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let mut input = bytes.clone();
         while let Ok(Some(_)) = next(&mut input) {}
         prop_assert!(input.len() <= bytes.len());
