--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -10,7 +10,7 @@
 use crate::counts::Counts;
 use crate::steering::Steering;
 use crate::{fleet, log};
-use fleet::routes::MAX_SAID;
+use fleet::routes::MAX_REQUEST_BYTES;
 use jaspershunt_routes::trial::Tally;
 use line::{Answer, Call, MAX_LINE, NoCall, Routes};
 use std::cell::{Cell, RefCell};
@@ -77,13 +77,13 @@
     /// Told when that is found.
     pub lost_now: Notify,
     /// The way to this process's part of a fleet, while there is one.
-    pub fleet: RefCell<Option<fleet::Way>>,
+    pub fleet: RefCell<Option<fleet::MemberHandle>>,
     /// What is measured for steering, where the operator's file wants it.
     pub steering: RefCell<Option<Rc<Steering>>>,
     /// What a nodo that leaves held in the fleet is handed over.
     pub handed: Cell<bool>,
     /// The nodo's side of the route table, where the operator's file names teams that edit it.
-    pub routes: RefCell<Option<Rc<fleet::routes::Office>>>,
+    pub routes: RefCell<Option<Rc<fleet::routes::RouteTableService>>>,
     /// What was seen of the newest trial of a route table.
     pub tally: Rc<RefCell<Tally>>,
     /// Balancers' connections that are open.
@@ -203,8 +203,8 @@
     let Some(office) = office else { return Answer::No(NoCall::Unknown.to_string()) };
     let bytes = match what {
         Routes::Show => return office.show(way.as_ref()).await,
-        Routes::Say(bytes) if bytes > MAX_SAID => {
-            return Answer::No(format!("{bytes} bytes are said; {MAX_SAID} at most are read"));
+        Routes::Say(bytes) if bytes > MAX_REQUEST_BYTES => {
+            return Answer::No(format!("{bytes} bytes are said; {MAX_REQUEST_BYTES} at most are read"));
         }
         Routes::Say(bytes) => bytes,
     };
--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -23,7 +23,7 @@
         file: String,
         /// What the file is about.
         #[command(flatten)]
-        of: OfFile,
+        of: FileArgs,
         /// Where to ask.
         #[command(flatten)]
         asks: Asks,
@@ -35,7 +35,7 @@
         files: Vec<String>,
         /// What operators' files are about.
         #[command(flatten)]
-        of: OfFile,
+        of: FileArgs,
         /// Where to ask.
         #[command(flatten)]
         asks: Asks,
@@ -48,7 +48,7 @@
         conflict: String,
         /// What is kept: TEAM/NUMBER, both of a rename and an edit that is to follow it; nothing if all are withdrawn.
         #[arg(long, num_args = 0.., value_name = "TEAM/NUMBER")]
-        keep: Vec<OfTeam>,
+        keep: Vec<EditArg>,
         /// The team that says so: one of those that the conflict concerns.
         #[arg(long)]
         team: String,
@@ -64,7 +64,7 @@
         what: String,
         /// The new edit's team and number.
         #[arg(long = "as", value_name = "TEAM/NUMBER")]
-        as_edit: OfTeam,
+        as_edit: EditArg,
         /// Why.
         #[arg(long, default_value = "undone")]
         reason: String,
@@ -75,7 +75,7 @@
     /// Take an edit back that has not ended.
     Withdraw {
         /// The edit.
-        edit: OfTeam,
+        edit: EditArg,
         /// Where to ask.
         #[command(flatten)]
         asks: Asks,
@@ -83,7 +83,7 @@
     /// Give a team's word on an edit that touches its part.
     Word {
         /// The edit.
-        edit: OfTeam,
+        edit: EditArg,
         /// The team whose part it touches.
         #[arg(long)]
         team: String,
@@ -108,10 +108,10 @@
 
 /// What an operator's file lacks to be an edit.
 #[derive(Debug, clap::Args)]
-pub struct OfFile {
+pub struct FileArgs {
     /// The team and number of an edit that is an operator's file.
     #[arg(long = "as", value_name = "TEAM/NUMBER")]
-    as_edit: Option<OfTeam>,
+    as_edit: Option<EditArg>,
     /// Why, for an operator's file.
     #[arg(long, default_value = "as the file stands")]
     reason: String,
@@ -119,21 +119,21 @@
 
 /// An edit as TEAM/NUMBER, or TEAM/NUMBER@DIGEST where a team used a number twice.
 #[derive(Clone, Debug)]
-pub struct OfTeam(Named);
+pub struct EditArg(Named);
 
-impl FromStr for OfTeam {
+impl FromStr for EditArg {
     type Err = &'static str;
-    fn from_str(text: &str) -> Result<OfTeam, &'static str> {
+    fn from_str(text: &str) -> Result<EditArg, &'static str> {
         let (edit, digest) = text.split_once('@').map_or((text, None), |(edit, digest)| (edit, Some(digest)));
         let (team, number) = edit.split_once('/').ok_or(NOT_NAMED)?;
         let number = number.parse().map_err(|_| NOT_NAMED)?;
-        Ok(OfTeam(Named { team: team.to_string(), number, digest: digest.map(String::from) }))
+        Ok(EditArg(Named { team: team.to_string(), number, digest: digest.map(String::from) }))
     }
 }
 
 const NOT_NAMED: &str = "expected TEAM/NUMBER";
 
-impl OfTeam {
+impl EditArg {
     fn id(&self) -> EditId {
         EditId { team: self.0.team.clone(), number: self.0.number }
     }
@@ -165,7 +165,7 @@
             tell(asks, &Said::Settle { conflict: conflict.clone(), by: team.clone(), keep })
         }
         Tables::Undo { what, as_edit, reason, asks } => {
-            let what = match (what.parse(), what.parse::<OfTeam>()) {
+            let what = match (what.parse(), what.parse::<EditArg>()) {
                 (Ok(revision), _) => What::Revision(revision),
                 (Err(_), Ok(edit)) => What::Edit(edit.0),
                 (Err(_), Err(_)) => {
@@ -229,7 +229,7 @@
 }
 
 /// An edit from a file.
-fn edit(path: &str, of: &OfFile, asks: &Asks) -> Result<Edit, Not> {
+fn edit(path: &str, of: &FileArgs, asks: &Asks) -> Result<Edit, Not> {
     let unusable = |what: String| (what, UNREACHABLE);
     let text = std::fs::read_to_string(path).map_err(|e| unusable(format!("{path}: cannot be read: {e}")))?;
     if std::path::Path::new(path).extension().is_some_and(|ext| ext == "json") {
@@ -460,9 +460,9 @@
 
     #[test]
     fn edits_are_named_by_team_and_number() {
-        let named: OfTeam = "pagos/17@00ab".parse().unwrap();
+        let named: EditArg = "pagos/17@00ab".parse().unwrap();
         assert_eq!((named.id().number, named.0.digest.as_deref()), (17, Some("00ab")));
-        assert!("pagos".parse::<OfTeam>().is_err() && "pagos/x".parse::<OfTeam>().is_err());
+        assert!("pagos".parse::<EditArg>().is_err() && "pagos/x".parse::<EditArg>().is_err());
     }
 
     #[test]
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -238,7 +238,7 @@
         if !file.dependency.is_empty() {
             self.bounds.kept -= file.kept.bytes.0 as usize;
         }
-        self.bounds.connections -= crate::fleet::sockets(&file, &self.name);
+        self.bounds.connections -= crate::fleet::descriptors_needed(&file, &self.name);
         if let Some(capture) = &file.capture {
             self.bounds.kept -= capture.ring.0 as usize;
         }
@@ -283,7 +283,7 @@
             return wrong;
         }
         wrong.extend(crate::fleet::against(file));
-        let sockets = crate::fleet::sockets(file, &self.name);
+        let sockets = crate::fleet::descriptors_needed(file, &self.name);
         if sockets > 0 && sockets + LEAST_CONNECTIONS > self.bounds.connections {
             let left = self.bounds.connections;
             wrong.push(format!(
--- a/crates/node/src/engine/handover.rs
+++ b/crates/node/src/engine/handover.rs
@@ -207,7 +207,7 @@
         let questions = handover.questions.clone();
         self.later(async move {
             let one = questions.acquire().await;
-            let told = fleet::ask(resource, &path, &key, token, within).await;
+            let told = fleet::query_resource(resource, &path, &key, token, within).await;
             if told == QueryResult::AnswerLost {
                 sleep(AGAIN).await;
             }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,7 +1,8 @@
-//! The nodo as a member of a fleet, where the operator's file says so: what [`jaspershunt_member`] needs of the nodo, and what operators
-//! are shown and may have done. It runs on a thread of its own, so that neither holds the other up.
+//! The nodo as a member of a fleet, if the operator's file configures one: the nodo's side of
+//! [`jaspershunt_member`], and the operators' view and commands. The member runs on a thread of its own, so
+//! that neither blocks the other.
 
-pub mod held;
+pub mod pending_edits;
 pub mod routes;
 
 use crate::admin::line::{Answer, Fleet as Wanted};
@@ -38,27 +39,28 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// The way to the member: what operators and the nodo want of it.
+/// A handle to the member, for requests of operators and of the nodo.
 #[derive(Clone, Debug)]
-pub struct Way {
+pub struct MemberHandle {
     pub(crate) orders: mpsc::Sender<Order>,
-    /// The start of the member that is there.
+    /// The incarnation of the running member.
     pub me: Holder,
-    /// What the parts of the agreed state show it, where the operator's file names any.
+    /// This member's views of the parts of the replicated state, if the operator's file configures any.
     pub seen: Option<watch::Receiver<Newest>>,
-    /// What of it concerns the route table, where the file names teams.
+    /// The view of the route table, if the file names teams.
     pub table: Option<routes::Tables>,
-    /// Where what is asked and heard is written down, where the operator's file wants that.
+    /// The history of requests and results, if the operator's file configures one.
     pub history: Option<History>,
 }
 
-/// Whether the file has anything that is agreed beside leases and tasks. All voters of a fleet have to say the same.
+/// Whether the file configures replicated parts beside leases and tasks. All voters of a fleet must agree on
+/// this.
 fn has_parts(file: &File) -> bool {
     !file.handover.is_empty() || !file.team.is_empty() || file.steering.is_some()
 }
 
-/// Tells the engine what the part of work shows this start, the newest alone.
-pub async fn watch_work(way: Way, engine: mpsc::WeakSender<Input>) {
+/// Sends the newest view of the part of work to the engine.
+pub async fn watch_work(way: MemberHandle, engine: mpsc::WeakSender<Input>) {
     let Some(mut seen) = way.seen else { return };
     let mut told = 0;
     while seen.changed().await.is_ok() {
@@ -72,7 +74,7 @@
     }
 }
 
-/// Writes down what the parts of the agreed state show this start.
+/// Records this member's views of the replicated state in the history.
 async fn watch_history(mut seen: watch::Receiver<Newest>, history: History) {
     let mut shown = history::Shown::default();
     while seen.changed().await.is_ok() {
@@ -80,29 +82,35 @@
     }
 }
 
-/// Orders that wait: operators' few, and the offers and ends of requests that are held by the fleet.
-const ORDERS: usize = 256;
-/// An operator's question is answered within this, or not at all: the answer is due within 1 s.
-const ANSWER_WITHIN: Duration = Duration::from_millis(800);
-/// How often it is seen whether this process has the nodo still.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// After a failure of the member it is begun again so much later, unless the nodo leaves.
-const BEGIN_AGAIN: Duration = Duration::from_secs(5);
-/// A member that leaves has so long to say so.
-const LEAVE_WITHIN: Duration = Duration::from_millis(500);
-/// Descriptors of the member beside its connections: its thread's own, the disk, the folder.
-const OTHER: usize = 12;
+/// The most orders that wait: a few of operators, and the offers and ends of requests handed over to the
+/// fleet.
+const MAX_QUEUED_ORDERS: usize = 256;
+/// How long an operator's request may take: the answer is due within 1 s.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+/// How often this process checks whether it still serves.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long after a failure the member is restarted, unless the nodo leaves.
+const RESTART_DELAY: Duration = Duration::from_secs(5);
+/// How long a leaving member has to announce that.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Descriptors of the member beside its connections: its runtime's, the disk, the folder.
+const FIXED_DESCRIPTORS: usize = 12;
 
-/// Descriptors that a member of the fleet needs.
-pub fn sockets(file: &File, name: &str) -> usize {
+/// Returns the number of descriptors that the member needs.
+pub fn descriptors_needed(file: &File, name: &str) -> usize {
     let Some(fleet) = &file.fleet else { return 0 };
     let guests = if fleet.voter.contains_key(name) { fleet.links + 1 } else { 0 };
     let asks = file.handover.values().any(|handover| handover.resource.is_some());
     let questions = if asks { MAX_QUESTIONS } else { 0 };
-    OTHER + guests + fleet.voter.len() + file.task.len() + usize::from(file.history.is_some()) + questions
+    FIXED_DESCRIPTORS
+        + guests
+        + fleet.voter.len()
+        + file.task.len()
+        + usize::from(file.history.is_some())
+        + questions
 }
 
-/// What of the file cannot be used, with the way to the key.
+/// Returns the problems of the file's tasks, each with the path of its key.
 pub fn against(file: &File) -> Vec<String> {
     let wrong = file.task.iter().filter_map(|(name, task)| {
         let why = when(task).err()?;
@@ -119,7 +127,7 @@
     }
 }
 
-/// How safe the calls of a task are.
+/// Returns the grade of a task's lease.
 pub fn grade(task: &operator::Task) -> Grade {
     match task.grade {
         operator::Grade::Checked => Grade::Checked,
@@ -144,7 +152,7 @@
     })
 }
 
-/// What this member proposes for parts while it leads.
+/// Returns the function that proposes entries for the parts while this member is leader.
 fn lead(file: &File, trial: operator::Trial) -> Lead {
     match trial {
         _ if !has_parts(file) => no_lead,
@@ -155,36 +163,36 @@
     }
 }
 
-/// What all members have agreed on beforehand.
-pub fn terms(fleet: &operator::Fleet) -> LeaseTiming {
+/// Returns the lease timing, which must be equal on all members.
+pub fn lease_timing(fleet: &operator::Fleet) -> LeaseTiming {
     LeaseTiming { ttl: fleet.ttl.0, drift_permille: (fleet.drift.0 * 1000.0).round() as u32 }
 }
 
-/// Runs the member while this process `serves`, and leaves the fleet when it does not any more; ends once the nodo `leaves`. Whoever
-/// asks for the way to the member is told it by `publish`.
-pub async fn keep(
+/// Runs the member while this process `serves`, and leaves the fleet when it no longer does; ends once the
+/// nodo `leaves`. Publishes the handle to the member by `publish`, and `None` when the member has ended.
+pub async fn run_member(
     file: Rc<File>,
     name: String,
     serves: impl Fn() -> bool,
     leaves: impl Fn() -> bool,
-    publish: impl Fn(Option<Way>),
+    publish: impl Fn(Option<MemberHandle>),
 ) {
     let ends = async || {
         while serves() || !leaves() {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
-    // Whether it is tried again: a nodo that leaves does not wait for that.
+    // Whether to retry: a nodo that leaves does not wait for that.
     let again = async |e: &io::Error| {
-        log!(ERROR, "fleet: {e}; tried again later, requests are served as ever");
-        timeout(BEGIN_AGAIN, ends()).await.is_err()
+        log!(ERROR, "fleet: {e}; retrying later, requests are served as before");
+        timeout(RESTART_DELAY, ends()).await.is_err()
     };
     loop {
         while !serves() {
             if leaves() {
                 return;
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         let mut starting = match start(&file, &name) {
             Ok(Some(starting)) => starting,
@@ -192,60 +200,62 @@
             Err(e) if again(&e).await => continue,
             Err(_) => return,
         };
-        // Guards against a disk that stalls: the member's thread alone waits for it, and no other is begun meanwhile.
-        let numbered = tokio::select! {
-            numbered = &mut starting.numbered => numbered,
+        // Guards against a stalled disk: only the member's thread waits for it, and no other is started
+        // meanwhile.
+        let prepared = tokio::select! {
+            prepared = &mut starting.prepared => prepared,
             () = ends() => return,
         };
-        let (me, history) = match numbered.unwrap_or_else(|e| Err(io::Error::other(e))) {
-            Ok(numbered) => numbered,
+        let (me, history) = match prepared.unwrap_or_else(|e| Err(io::Error::other(e))) {
+            Ok(prepared) => prepared,
             Err(e) if again(&e).await => continue,
             Err(_) => return,
         };
-        // Guards against a number from before another process took over: a thread that is not told to go on ends.
+        // Guards against an incarnation from before another process took over: a thread that gets no start
+        // signal ends.
         if !serves() {
             continue;
         }
         let (way, thread) = starting.go(me, history);
         publish(Some(way.clone()));
         while serves() && !thread.is_finished() {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         let failed = serves();
         publish(None);
         let _ = way.orders.try_send(Order::Leave);
-        // Another start needs the address and the disk that this one has.
+        // Another process needs the address and the disk that this one has.
         let left = async {
             while !thread.is_finished() {
-                sleep(LOOK_EVERY / 10).await;
+                sleep(POLL_INTERVAL / 10).await;
             }
         };
-        // One that does not leave in time has said all that it could; its leases run out.
-        let left = timeout(LEAVE_WITHIN, left).await.is_ok();
+        // The leases of a member that does not leave in time expire.
+        let left = timeout(LEAVE_TIMEOUT, left).await.is_ok();
         drop(way);
         if failed {
-            log!(ERROR, "fleet: this member has ended; it begins again, requests are served as ever");
-            if timeout(BEGIN_AGAIN, ends()).await.is_ok() {
+            log!(ERROR, "fleet: this member has ended; it is restarted, requests are served as before");
+            if timeout(RESTART_DELAY, ends()).await.is_ok() {
                 return;
             }
         } else if !left {
-            log!(WARN, "fleet: this member leaves without an answer; what it held runs out");
+            log!(WARN, "fleet: this member leaves without an acknowledgement; its leases expire");
         }
     }
 }
 
-/// What a start of the member reads and writes before it may say anything: its number, and the file of its history.
-type Numbered = (Holder, Option<History>);
+/// What a member reads and writes on disk before it may send anything: its incarnation, and its history file.
+type Prepared = (Holder, Option<History>);
 
-fn numbered(folder: &Path, name: &str, wanted: Option<&operator::History>) -> io::Result<Numbered> {
+fn prepared(folder: &Path, name: &str, wanted: Option<&operator::History>) -> io::Result<Prepared> {
     let me = Holder::new(name, driver::incarnation(folder)?);
     let history = wanted.map(|wanted| History::start(wanted, &me.member, me.incarnation));
     Ok((me, history.transpose()?))
 }
 
-/// A member whose thread waits for its disk, and then for the word to go on.
+/// A member whose thread waits for its disk, and then for the start signal.
 struct Starting {
-    numbered: oneshot::Receiver<io::Result<Numbered>>,
+    prepared: oneshot::Receiver<io::Result<Prepared>>,
     go: oneshot::Sender<()>,
     orders: mpsc::Sender<Order>,
     seen: Option<watch::Receiver<Newest>>,
@@ -254,25 +264,25 @@
 }
 
 impl Starting {
-    fn go(self, me: Holder, history: Option<History>) -> (Way, JoinHandle<()>) {
+    fn go(self, me: Holder, history: Option<History>) -> (MemberHandle, JoinHandle<()>) {
         let Starting { go, orders, seen, table, thread, .. } = self;
         if let (Some(seen), Some(history)) = (&seen, &history) {
             spawn_local(watch_history(seen.clone(), history.clone()));
         }
-        // An error means that the thread has ended, which is seen by that.
+        // An error means that the thread has ended, which the caller polls for.
         let _ = go.send(());
-        (Way { orders, me, seen, table, history }, thread)
+        (MemberHandle { orders, me, seen, table, history }, thread)
     }
 }
 
-/// Starts the member on a thread of its own.
+/// Starts the member's thread.
 fn start(file: &File, name: &str) -> io::Result<Option<Starting>> {
     let Some(fleet) = &file.fleet else { return Ok(None) };
     let folder = PathBuf::from(&fleet.folder);
     let tasks = file.task.iter().map(|(name, task)| spec(name, task)).collect::<Result<Vec<_>, _>>();
     let tasks = tasks.map_err(io::Error::other)?;
     let (name, wanted, fleet_name) = (name.to_string(), file.history.clone(), fleet.name.clone());
-    let (has_parts, terms, lead) = (has_parts(file), terms(fleet), lead(file, fleet.trial));
+    let (has_parts, terms, lead) = (has_parts(file), lease_timing(fleet), lead(file, fleet.trial));
     let voters: BTreeMap<String, SocketAddr> =
         fleet.voter.iter().map(|(name, voter)| (name.clone(), voter.address)).collect();
     let listen = fleet.listen.or_else(|| voters.get(&name).copied());
@@ -282,14 +292,14 @@
     let place = Place { listen, voters, folder, links: fleet.links, newest, heard };
     let targets: BTreeMap<String, (SocketAddr, String)> =
         file.task.iter().map(|(name, task)| (name.clone(), (task.address, task.path.clone()))).collect();
-    let (orders, from_nodo) = mpsc::channel(ORDERS);
+    let (orders, from_nodo) = mpsc::channel(MAX_QUEUED_ORDERS);
     let (tell, told) = oneshot::channel();
     let (go, goes) = oneshot::channel();
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let run = move || {
-        let numbered = numbered(&place.folder, &name, wanted.as_ref());
-        let me = numbered.as_ref().ok().map(|(me, _)| me.clone());
-        let waits = tell.send(numbered).is_ok();
+        let prepared = prepared(&place.folder, &name, wanted.as_ref());
+        let me = prepared.as_ref().ok().map(|(me, _)| me.clone());
+        let waits = tell.send(prepared).is_ok();
         let Some(me) = me.filter(|_| waits && goes.blocking_recv().is_ok()) else { return };
         let setup = Setup {
             fleet: fleet_name,
@@ -305,7 +315,7 @@
             let targets = targets.clone();
             async move {
                 match targets.get(&call.task) {
-                    Some((address, path)) => act(*address, path, &holder, &call).await,
+                    Some((address, path)) => call_task(*address, path, &holder, &call).await,
                     None => CallOutcome::Failed("the task is not in this nodo's file".into()),
                 }
             }
@@ -327,11 +337,11 @@
         }
     };
     let thread = std::thread::Builder::new().name("fleet".to_string()).spawn(run)?;
-    Ok(Some(Starting { numbered: told, go, orders, seen, table, thread }))
+    Ok(Some(Starting { prepared: told, go, orders, seen, table, thread }))
 }
 
-/// One call of a task.
-async fn act(address: SocketAddr, path: &str, holder: &Holder, call: &Call) -> CallOutcome {
+/// Makes one call of a task.
+async fn call_task(address: SocketAddr, path: &str, holder: &Holder, call: &Call) -> CallOutcome {
     let called = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -346,7 +356,7 @@
             call.cursor.len()
         );
         let request = [head.as_bytes(), &call.cursor].concat();
-        // Guards against a pause since the look at the lease: beyond this another may act.
+        // Guards against a pause since the lease was checked: after this time another holder may call.
         if now() > call.send_by {
             return Err(io::Error::other("too late to be sent"));
         }
@@ -366,8 +376,9 @@
     }
 }
 
-/// Has an entry on work agreed, and tells what came of it within so long. Where a history is written, its begin is there first.
-pub async fn propose(way: &Way, entry: &jaspershunt_work::Entry, within: Duration) -> Came {
+/// Proposes an entry on work, and returns its result within the given time. If a history is written, the
+/// begin is recorded before the proposal.
+pub async fn propose(way: &MemberHandle, entry: &jaspershunt_work::Entry, within: Duration) -> Came {
     let Some(history) = &way.history else { return send(way, entry, within).await };
     let began = Instant::now();
     let asked = history.begin(entry).await;
@@ -376,13 +387,13 @@
     came
 }
 
-async fn send(way: &Way, entry: &jaspershunt_work::Entry, within: Duration) -> Came {
+async fn send(way: &MemberHandle, entry: &jaspershunt_work::Entry, within: Duration) -> Came {
     let (answer, outcome) = oneshot::channel();
     let entry = Entry::Part { part: jaspershunt_work::part::NAME.to_string(), bytes: entry.to_bytes() };
     let until = Instant::now() + within;
     match timeout_at(until, way.orders.send(Order::Propose { entry, answer })).await {
         Ok(Ok(())) => {}
-        // The member has ended, or has no room for it: it was not proposed.
+        // The member has ended, or its queue is full: the entry was not proposed.
         Ok(Err(_)) | Err(_) => return Came::NotSent,
     }
     match timeout_at(until, outcome).await {
@@ -393,15 +404,22 @@
                 None => Came::Nobody,
             }
         }
-        // Those that lead know nothing of work.
+        // The leader does not have the part of work.
         Ok(Ok(Settled { outcome: Some(Outcome::Refused(_)), again: false })) => Came::NotSent,
         _ => Came::Nobody,
     }
 }
 
-/// Asks the resource of a class what became of an operation key: `x-ask: 1` says that nothing is to be done. Status 200 says that it was
-/// done and brings the result, 404 that it was not and will not be under a lower token than the one shown.
-pub async fn ask(address: SocketAddr, path: &str, key: &str, token: u64, within: Duration) -> QueryResult {
+/// Queries the resource of a class for the outcome of an operation key; the header `x-ask: 1` marks a query
+/// that must have no effect. Status 200 means that the operation was done and carries its result; 404 means
+/// that it was not, and will not be under a lower token than the one sent.
+pub async fn query_resource(
+    address: SocketAddr,
+    path: &str,
+    key: &str,
+    token: u64,
+    within: Duration,
+) -> QueryResult {
     let asked = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -420,13 +438,13 @@
     }
 }
 
-/// Answers an operator.
-pub async fn answer(way: &Way, what: Wanted) -> Answer {
+/// Answers an operator's request.
+pub async fn answer(way: &MemberHandle, what: Wanted) -> Answer {
     let late = || Answer::No("the fleet does not answer in time; say it again".to_string());
     if what == Wanted::Show {
         let (answer, shown) = oneshot::channel();
         let asked = way.orders.try_send(Order::Show { answer }).is_ok();
-        return match timeout(ANSWER_WITHIN, shown).await {
+        return match timeout(ANSWER_TIMEOUT, shown).await {
             Ok(Ok(shown)) if asked => Answer::Figures(show(&shown).to_string()),
             _ => late(),
         };
@@ -440,14 +458,14 @@
     };
     let (answer, outcome) = oneshot::channel();
     let asked = way.orders.try_send(Order::Propose { entry, answer }).is_ok();
-    match timeout(ANSWER_WITHIN, outcome).await {
+    match timeout(ANSWER_TIMEOUT, outcome).await {
         Ok(Ok(Settled { outcome: Some(Outcome::Refused(why)), .. })) => Answer::No(why.to_string()),
         Ok(Ok(Settled { outcome: Some(_), .. })) if asked => Answer::Done("agreed".to_string()),
         _ => late(),
     }
 }
 
-/// The work in hand for operators.
+/// Formats the in-flight work for operators.
 fn items(work: &Work) -> Vec<Value> {
     let item = |item: &jaspershunt_work::Item| {
         let end = item.ended.as_ref().map(|ended| match &ended.end {
@@ -466,7 +484,7 @@
     work.items().map(item).collect()
 }
 
-/// The agreed state for operators.
+/// Formats the replicated state for operators.
 fn show(shown: &Shown) -> Value {
     let fleet = Fleet::load(&shown.fleet).unwrap_or_default();
     let heard: BTreeMap<&str, u64> = shown.heard_ms.iter().map(|(name, ms)| (name.as_str(), *ms)).collect();
--- a/crates/node/src/fleet/routes.rs
+++ b/crates/node/src/fleet/routes.rs
@@ -1,15 +1,17 @@
-//! The nodo's side of the route table: the snapshot that traffic goes by, and what operators see, say and have done.
+//! The nodo's side of the route table: the snapshot that routes requests, and the operators' view and
+//! requests.
 //!
-//! What the fleet shows this start is read on the member's thread ([`Reads`]) and handed over whole; nobody who serves requests waits for
-//! it. What costs time in proportion to the table is done on a thread of its own, and only when somebody asks.
+//! The member's view is decoded on the member's thread ([`TableReader`]) and handed over whole, so that
+//! requests never wait for it. Work in proportion to the size of the table runs on a blocking thread, only on
+//! an operator's request.
 
-use super::held::Held;
-use super::{ANSWER_WITHIN, Way, terms};
+use super::pending_edits::PendingEdits;
+use super::{ANSWER_TIMEOUT, MemberHandle, lease_timing};
 use crate::admin::line::Answer;
 use crate::engine::input::Input;
 use crate::log;
 use jaspershunt_fleet::parts::ReplicatedState;
-use jaspershunt_fleet::{Entry as OfFleet, Fleet, Outcome as OfAgreed};
+use jaspershunt_fleet::{Entry as FleetEntry, Fleet, Outcome as FleetOutcome};
 use jaspershunt_member::driver::{Newest, Order, Settled, now};
 use jaspershunt_member::frame::Shown;
 use jaspershunt_operator::{CutOff, File};
@@ -33,42 +35,43 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// The longest that is said in one call: an edit of 7 KiB is three times that as JSON.
-pub const MAX_SAID: usize = 32 * 1024;
-/// For the fleet to agree, so that what it does not answer is on disk within the second in which an answer is due.
-const AGREED_WITHIN: Duration = Duration::from_millis(500);
-/// For the disk.
-const HELD_WITHIN: Duration = Duration::from_millis(300);
-/// How often held edits are sent on.
-const SEND_EVERY: Duration = Duration::from_millis(500);
-/// How often the fleet is told what was seen of a trial.
-const TELL_EVERY: Duration = Duration::from_secs(2);
-/// Edits that have ended and are shown, of each team.
-const ENDED_SHOWN: usize = 16;
-
-/// The table as the member hands it over.
+/// The longest request of an operator: an edit of 7 KiB is three times that as JSON.
+pub const MAX_REQUEST_BYTES: usize = 32 * 1024;
+/// How long a commit may take, so that an unanswered edit is on disk within the second in which an answer is
+/// due.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long the disk may take.
+const DISK_TIMEOUT: Duration = Duration::from_millis(300);
+/// How often pending edits are resent.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
+/// How often the counts of a trial are reported to the fleet.
+const REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// The most ended edits that are shown of each team.
+const MAX_ENDED_SHOWN: usize = 16;
+
+/// The newest table of the member.
 #[derive(Clone, Debug)]
 pub struct Tables {
     newest: watch::Receiver<Option<Snapshot>>,
-    /// When the one that leads last answered this start, in milliseconds of [`now`]; 0: never.
+    /// When the leader last answered this member, in milliseconds of [`now`]; 0: never.
     pub heard: Arc<AtomicU64>,
 }
 
-/// What reads the table on the member's thread.
-pub struct Reads {
+/// Decodes the table on the member's thread.
+pub struct TableReader {
     seen: watch::Receiver<Newest>,
     to: watch::Sender<Option<Snapshot>>,
 }
 
-/// Both, where the file names teams.
-pub fn tables(file: &File, seen: Option<watch::Receiver<Newest>>) -> Option<(Reads, Tables)> {
+/// Creates both ends, if the file names teams.
+pub fn tables(file: &File, seen: Option<watch::Receiver<Newest>>) -> Option<(TableReader, Tables)> {
     let seen = seen.filter(|_| !file.team.is_empty())?;
     let (to, newest) = watch::channel(None);
-    Some((Reads { seen, to }, Tables { newest, heard: Arc::default() }))
+    Some((TableReader { seen, to }, Tables { newest, heard: Arc::default() }))
 }
 
-impl Reads {
-    /// Reads what is shown until the member ends.
+impl TableReader {
+    /// Decodes new views until the member ends.
     pub async fn run(mut self) {
         let mut told = 0;
         while self.seen.changed().await.is_ok() {
@@ -76,7 +79,7 @@
             let Some((epoch, bytes)) = newest.filter(|(epoch, _)| *epoch > told) else { continue };
             told = epoch;
             let Some(seen) = MemberView::from_bytes(&bytes) else { continue };
-            // Most of what is shown is news of conflicts, and not of the table.
+            // Most views change conflicts only, not the table.
             let same = |was: &Snapshot| {
                 (was.revision, was.on_trial, was.trial) == (seen.revision, seen.on_trial, seen.trial)
             };
@@ -87,66 +90,66 @@
     }
 }
 
-/// What operators say.
+/// A request of an operator.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Said {
     /// An edit.
     Edit(Edit),
-    /// What would become of these, together with what is open. Nothing is sent.
+    /// Computes the outcome of these edits together with the open ones. Sends nothing.
     Merge(Vec<Edit>),
-    /// A team takes an edit of its own back.
+    /// A team withdraws its own edit.
     Withdraw {
         /// The edit.
         edit: Named,
     },
-    /// A team's word on an edit that touches its part.
+    /// A team grants or denies its consent to an edit that touches its things.
     Word {
         /// The edit.
         edit: Named,
         /// The team.
         by: String,
-        /// Whether it may.
+        /// Whether consent is granted.
         yes: bool,
     },
     /// A conflict is settled.
     Settle {
         /// Its number, in digits as it is shown.
         conflict: String,
-        /// The team that says so.
+        /// The team that settles it.
         by: String,
-        /// What is kept.
+        /// The edits to keep.
         keep: Vec<Named>,
     },
     /// An edit that undoes what was published.
     Undo {
-        /// What.
+        /// What to undo.
         what: What,
         /// The new edit's team and number.
         id: EditId,
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
 
-/// What is undone.
+/// The target of an undo.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum What {
-    /// All that came with a revision.
+    /// All edits of a revision.
     Revision(u64),
     /// One edit.
     Edit(Named),
 }
 
-/// An edit as people name it. Its digest is only needed where a team used a number twice.
+/// The name of an edit. The digest is needed only if a team used a number twice.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Named {
     /// The team.
     pub team: String,
     /// Its number.
     pub number: u64,
-    /// What stands in it, in short, in hexadecimal digits.
+    /// The digest of its content, in hexadecimal digits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub digest: Option<String>,
 }
@@ -169,32 +172,38 @@
     }
 }
 
-/// The nodo's side of the table. It stays while members come and go.
+/// The nodo's side of the route table. It outlives the members, which may be restarted.
 #[derive(Debug)]
-pub struct Office {
+pub struct RouteTableService {
     file: Rc<File>,
-    /// The table that requests begin with.
+    /// The table for new requests.
     table: RefCell<Option<Snapshot>>,
-    held: Held,
-    /// What the engine sees of trials.
+    held: PendingEdits,
+    /// The engine's counts of trials.
     tally: Rc<RefCell<Tally>>,
 }
 
-impl Office {
-    /// With what an earlier start was told and could not pass on, once that is read: nothing waits for its disk. Needs a local set.
-    pub fn new(file: &Rc<File>, tally: &Rc<RefCell<Tally>>) -> Rc<Office> {
+impl RouteTableService {
+    /// Creates the service, and starts reading back the pending edits of an earlier process without waiting
+    /// for the disk. Needs a local set.
+    pub fn new(file: &Rc<File>, tally: &Rc<RefCell<Tally>>) -> Rc<RouteTableService> {
         let folder = file.fleet.as_ref().map_or_else(String::new, |fleet| fleet.folder.clone());
-        let (held, turn) = Held::new(Path::new(&folder));
-        let office =
-            Rc::new(Office { file: file.clone(), table: RefCell::default(), held, tally: tally.clone() });
-        let reads = office.clone();
+        let (held, turn) = PendingEdits::new(Path::new(&folder));
+        let service = Rc::new(RouteTableService {
+            file: file.clone(),
+            table: RefCell::default(),
+            held,
+            tally: tally.clone(),
+        });
+        let reads = service.clone();
         spawn_local(async move { reads.held.read_back(turn).await });
-        office
+        service
     }
 
-    /// While a member is there: takes over its tables, has the engine go by them, and sends on what is held.
-    pub async fn attend(self: Rc<Office>, way: Way, engine: mpsc::WeakSender<Input>) {
-        let Some(mut newest) = way.table.as_ref().map(|table| table.newest.clone()) else { return };
+    /// Runs while a member runs: forwards its tables to the engine, resends pending edits, and reports trial
+    /// counts.
+    pub async fn attend(self: Rc<RouteTableService>, handle: MemberHandle, engine: mpsc::WeakSender<Input>) {
+        let Some(mut newest) = handle.table.as_ref().map(|table| table.newest.clone()) else { return };
         let (mut send, mut tell) = (Instant::now(), Instant::now());
         let mut told = None;
         loop {
@@ -211,72 +220,74 @@
                     }
                 }
                 () = sleep(send.saturating_duration_since(Instant::now())) => {
-                    send = Instant::now() + SEND_EVERY;
-                    if self.send_on(&way).await {
+                    send = Instant::now() + RESEND_INTERVAL;
+                    if self.resend_pending(&handle).await {
                         send = Instant::now();
                     }
                 }
                 () = sleep(tell.saturating_duration_since(Instant::now())) => {
-                    tell = Instant::now() + TELL_EVERY;
-                    self.tell(&way, &mut told).await;
+                    tell = Instant::now() + REPORT_INTERVAL;
+                    self.report_counts(&handle, &mut told).await;
                 }
             }
         }
     }
 
-    /// Tells the fleet what was seen of the present trial since it began, if that is news. What is lost is told again with the next.
-    async fn tell(&self, way: &Way, told: &mut Option<(u64, Counts)>) {
+    /// Reports the counts of the present trial since its start, if they changed. The next report covers a
+    /// lost one.
+    async fn report_counts(&self, handle: &MemberHandle, told: &mut Option<(u64, Counts)>) {
         let Some(trial) = self.table.borrow().as_ref().and_then(|table| table.trial) else { return };
         let seen = self.tally.borrow().counts_for(trial);
         let Some((revision, counts)) = seen.filter(|(_, counts)| *told != Some((trial, *counts))) else {
             return;
         };
-        let entry = Entry::ReportCounts { by: way.me.clone(), trial, revision, counts };
-        if agree(way, &entry, AGREED_WITHIN).await == Some(Outcome::Done) {
+        let entry = Entry::ReportCounts { by: handle.me.clone(), trial, revision, counts };
+        if propose_entry(handle, &entry, COMMIT_TIMEOUT).await == Some(Outcome::Done) {
             *told = Some((trial, counts));
         }
     }
 
-    /// Sends on the first of what is held; whether the fleet has it.
-    async fn send_on(&self, way: &Way) -> bool {
+    /// Resends the first pending edit; returns whether the fleet has decided on it.
+    async fn resend_pending(&self, handle: &MemberHandle) -> bool {
         let Some((key, edit)) = self.held.first() else { return false };
-        match propose(way, &edit).await {
-            // What makes room for it may come.
+        match propose(handle, &edit).await {
+            // Room may become free later.
             None | Some(Outcome::Refused(Refusal::Full(_) | Refusal::TooManyOnField(..))) => false,
             Some(Outcome::Refused(why)) => {
                 self.held.refuse(&key, why.to_string()).await;
                 true
             }
             Some(outcome) => {
-                log!("routes: edit {key}, which was held here, is {outcome}");
-                self.held.let_go(&key).await;
+                log!("routes: edit {key}, which was pending here, is {outcome}");
+                self.held.remove(&key).await;
                 true
             }
         }
     }
 
-    /// The table that requests begin with, and what the fleet has beyond that.
-    pub async fn show(&self, way: Option<&Way>) -> Answer {
+    /// Returns the table for new requests, and the fleet's state of the route table.
+    pub async fn show(&self, handle: Option<&MemberHandle>) -> Answer {
         let here = self.table.borrow().clone();
-        let heard = way.and_then(|way| way.table.as_ref()).map(|table| table.heard.load(Ordering::Relaxed));
+        let heard =
+            handle.and_then(|handle| handle.table.as_ref()).map(|table| table.heard.load(Ordering::Relaxed));
         let millis = u64::try_from(now().as_millis()).unwrap_or(u64::MAX);
         let age = heard.filter(|heard| *heard > 0).map(|heard| millis.saturating_sub(heard));
         let shown = async {
-            match way {
-                Some(way) => shown(way).await,
+            match handle {
+                Some(handle) => shown(handle).await,
                 None => None,
             }
         };
-        // What is held is known once it is read, which a disk that stalls puts off.
-        let (shown, _) = tokio::join!(shown, timeout(HELD_WITHIN, self.held.turn()));
-        let member = way.map(|way| way.me.member.clone());
+        // Pending edits are known once they are read back, which a stalled disk delays.
+        let (shown, _) = tokio::join!(shown, timeout(DISK_TIMEOUT, self.held.turn()));
+        let member = handle.map(|handle| handle.me.member.clone());
         let (held, not_taken) = self.held.shown();
         let file = self.file.clone();
         let not_here: Vec<String> =
             here.iter().flat_map(|here| without_address(&file, here.table())).map(String::from).collect();
         let text = spawn_blocking(move || {
             let here = here.unwrap_or_default();
-            let fleet = shown.and_then(|shown| agreed_of(&shown).map(|routes| fleet(&shown, &routes)));
+            let fleet = shown.and_then(|shown| routes_of(&shown).map(|routes| fleet(&shown, &routes)));
             json!({"member": member, "held": held, "not_taken": not_taken, "fleet": fleet,
                 "here": {"revision": here.revision, "on_trial": here.on_trial, "trial": here.trial, "age_ms": age, "table": here.table(),
                     "not_here": not_here}})
@@ -285,26 +296,26 @@
         text.await.map_or_else(|_| late(), Answer::Figures)
     }
 
-    /// Does what an operator says.
-    pub async fn say(&self, way: Option<&Way>, said: &[u8]) -> Answer {
+    /// Carries out an operator's request.
+    pub async fn say(&self, handle: Option<&MemberHandle>, said: &[u8]) -> Answer {
         let said = match serde_json::from_slice::<Said>(said) {
             Ok(said) => said,
             Err(e) => return Answer::No(format!("cannot be read: {e}")),
         };
         let done = match said {
-            Said::Edit(edit) => self.edit(way, edit).await,
-            Said::Merge(edits) => merge(way, edits).await,
-            Said::Undo { what, id, reason } => match undone(way, what, id, reason).await {
-                Ok(edit) => self.edit(way, edit).await,
+            Said::Edit(edit) => self.edit(handle, edit).await,
+            Said::Merge(edits) => merge(handle, edits).await,
+            Said::Undo { what, id, reason } => match undo_edit(handle, what, id, reason).await {
+                Ok(edit) => self.edit(handle, edit).await,
                 Err(why) => Err(why),
             },
-            Said::Withdraw { edit } => self.withdraw(way, edit).await,
-            Said::Word { edit, by, yes } => match open(way, edit).await {
-                Ok(edit) => entry(way, &Entry::Consent { by, edit, granted: yes }).await,
+            Said::Withdraw { edit } => self.withdraw(handle, edit).await,
+            Said::Word { edit, by, yes } => match open(handle, edit).await {
+                Ok(edit) => entry(handle, &Entry::Consent { by, edit, granted: yes }).await,
                 Err(why) => Err(why),
             },
-            Said::Settle { conflict, by, keep } => match settlement(way, conflict, by, keep).await {
-                Ok(settle) => entry(way, &settle).await,
+            Said::Settle { conflict, by, keep } => match settle_entry(handle, conflict, by, keep).await {
+                Ok(settle) => entry(handle, &settle).await,
                 Err(why) => Err(why),
             },
         };
@@ -314,31 +325,32 @@
         }
     }
 
-    /// Has an edit agreed; where nobody answers it is held here until somebody does.
-    async fn edit(&self, way: Option<&Way>, edit: Edit) -> Result<Value, String> {
+    /// Proposes an edit; if the fleet does not answer, the edit is kept pending on this nodo's disk.
+    async fn edit(&self, handle: Option<&MemberHandle>, edit: Edit) -> Result<Value, String> {
         edit.check().map_err(|wrong| format!("the edit {wrong}"))?;
         self.may(&edit)?;
         let key = edit.key();
         let refuses = self.file.team.get(&key.id.team).is_some_and(|team| team.cut_off == CutOff::Refuse);
-        // Guards against an edit that comes into force after its team was told no: the member goes on with what it was once given.
-        if refuses && !way.is_some_and(|way| self.is_heard(way)) {
+        // Guards against an edit that is published after its team got a refusal: the member keeps proposing
+        // it.
+        if refuses && !handle.is_some_and(|handle| self.is_heard(handle)) {
             let team = &key.id.team;
             return Err(format!(
                 "the fleet does not answer, and team.{team}.cut_off has edits refused then: nothing of it was sent"
             ));
         }
-        let outcome = match way {
-            Some(way) => propose(way, &edit).await,
+        let outcome = match handle {
+            Some(handle) => propose(handle, &edit).await,
             None => None,
         };
         if let Some(outcome) = outcome {
-            return told(&key, &outcome);
+            return edit_result(&key, &outcome);
         }
         if refuses {
             return Err("the fleet has not answered in time, and the edit is not held here: it may be agreed or not; say it again"
                 .to_string());
         }
-        match timeout(HELD_WITHIN, self.held.keep(edit)).await {
+        match timeout(DISK_TIMEOUT, self.held.keep(edit)).await {
             Ok(Ok(())) => Ok(json!({"edit": name(&key), "state": "held",
                 "words": "held on this nodo's disk: the fleet does not answer, and is told as soon as it does"})),
             Ok(Err(e)) => Err(format!("the fleet does not answer, and the edit cannot be held here: {e}")),
@@ -346,15 +358,16 @@
         }
     }
 
-    /// Whether the one that leads answers: one question without an answer may be chance, two in a row are a cut.
-    fn is_heard(&self, way: &Way) -> bool {
-        let (Some(fleet), Some(table)) = (&self.file.fleet, &way.table) else { return false };
+    /// Whether the leader answers: one unanswered renewal may be chance, two in a row mean a partition.
+    fn is_heard(&self, handle: &MemberHandle) -> bool {
+        let (Some(fleet), Some(table)) = (&self.file.fleet, &handle.table) else { return false };
         let heard = table.heard.load(Ordering::Relaxed);
         let ago = now().saturating_sub(Duration::from_millis(heard));
-        heard > 0 && ago <= 2 * terms(fleet).renewal_interval()
+        heard > 0 && ago <= 2 * lease_timing(fleet).renewal_interval()
     }
 
-    /// Whether the file of this nodo lets a team say this. What the agreed table says of owners is for the fleet to judge.
+    /// Checks an edit against the teams of this nodo's file. The fleet checks the owners in the replicated
+    /// table.
     fn may(&self, edit: &Edit) -> Result<(), String> {
         let team = &edit.id.team;
         if !self.file.team.contains_key(team) {
@@ -382,14 +395,17 @@
         Ok(())
     }
 
-    async fn withdraw(&self, way: Option<&Way>, edit: Named) -> Result<Value, String> {
-        let _ = timeout(HELD_WITHIN, self.held.turn()).await;
+    async fn withdraw(&self, handle: Option<&MemberHandle>, edit: Named) -> Result<Value, String> {
+        let _ = timeout(DISK_TIMEOUT, self.held.turn()).await;
         if let Ok(key) = edit.among(self.held.called(&edit.team, edit.number)) {
-            // It may have been agreed and its answer lost: the fleet is told as well, if it can be.
-            self.held.let_go(&key).await;
+            // The edit may have been committed and the answer lost, so it is withdrawn in the fleet too, if
+            // possible.
+            self.held.remove(&key).await;
             let by = key.id.team.clone();
-            let agreed = match way {
-                Some(way) => agree(way, &Entry::Withdraw { by, edit: key.clone() }, AGREED_WITHIN).await,
+            let agreed = match handle {
+                Some(handle) => {
+                    propose_entry(handle, &Entry::Withdraw { by, edit: key.clone() }, COMMIT_TIMEOUT).await
+                }
                 None => None,
             };
             let words = match agreed {
@@ -400,8 +416,8 @@
             };
             return Ok(json!({"edit": name(&key), "state": "withdrawn", "words": words}));
         }
-        let edit = open(way, edit).await?;
-        entry(way, &Entry::Withdraw { by: edit.id.team.clone(), edit }).await
+        let edit = open(handle, edit).await?;
+        entry(handle, &Entry::Withdraw { by: edit.id.team.clone(), edit }).await
     }
 }
 
@@ -411,77 +427,77 @@
 
 const LATE: &str = "the fleet does not answer in time; say it again";
 
-/// An edit in the words of operators.
+/// Returns an edit's name for operators.
 fn name(key: &EditKey) -> String {
     format!("{}/{}", key.id.team, key.id.number)
 }
 
-/// Has an entry agreed; `None` if nobody knows what became of it.
-async fn agree(way: &Way, entry: &Entry, within: Duration) -> Option<Outcome> {
+/// Proposes an entry; `None` if its outcome is unknown.
+async fn propose_entry(handle: &MemberHandle, entry: &Entry, within: Duration) -> Option<Outcome> {
     let (answer, outcome) = oneshot::channel();
-    let entry = OfFleet::Part { part: NAME.to_string(), bytes: entry.to_bytes() };
-    way.orders.try_send(Order::Propose { entry, answer }).ok()?;
+    let entry = FleetEntry::Part { part: NAME.to_string(), bytes: entry.to_bytes() };
+    handle.orders.try_send(Order::Propose { entry, answer }).ok()?;
     match timeout_at(Instant::now() + within, outcome).await {
-        Ok(Ok(Settled { outcome: Some(OfAgreed::Part(bytes)), .. })) => Outcome::from_bytes(&bytes),
+        Ok(Ok(Settled { outcome: Some(FleetOutcome::Part(bytes)), .. })) => Outcome::from_bytes(&bytes),
         _ => None,
     }
 }
 
-/// Has an edit agreed. Where a history is written, its begin is there first, and what came of it afterwards.
-async fn propose(way: &Way, edit: &Edit) -> Option<Outcome> {
+/// Proposes an edit. If a history is written, records the begin before and the outcome after the proposal.
+async fn propose(handle: &MemberHandle, edit: &Edit) -> Option<Outcome> {
     let entry = Entry::Edit(edit.clone());
-    let Some(history) = &way.history else { return agree(way, &entry, AGREED_WITHIN).await };
+    let Some(history) = &handle.history else { return propose_entry(handle, &entry, COMMIT_TIMEOUT).await };
     let asked = history.begin_edit(name(&edit.key())).await;
-    let outcome = agree(way, &entry, AGREED_WITHIN).await;
+    let outcome = propose_entry(handle, &entry, COMMIT_TIMEOUT).await;
     history.end_edit(asked, outcome.as_ref());
     outcome
 }
 
-/// The agreed state as a voter has it.
-async fn shown(way: &Way) -> Option<Box<Shown>> {
+/// Returns the replicated state of a voter.
+async fn shown(handle: &MemberHandle) -> Option<Box<Shown>> {
     let (answer, shown) = oneshot::channel();
-    way.orders.try_send(Order::Show { answer }).ok()?;
-    timeout(ANSWER_WITHIN, shown).await.ok()?.ok()
+    handle.orders.try_send(Order::Show { answer }).ok()?;
+    timeout(ANSWER_TIMEOUT, shown).await.ok()?.ok()
 }
 
-fn agreed_of(shown: &Shown) -> Option<Routes> {
+fn routes_of(shown: &Shown) -> Option<Routes> {
     let agreed =
         ReplicatedState::load_parts(Fleet::default(), &shown.parts, jaspershunt_agreed::parts()).ok()?;
     jaspershunt_agreed::routes(&agreed).cloned()
 }
 
-/// Looks at the agreed table elsewhere than where requests are served.
+/// Reads the replicated table on a blocking thread, apart from the thread that serves requests.
 async fn look<T: Send + 'static>(
-    way: Option<&Way>,
+    handle: Option<&MemberHandle>,
     look: impl FnOnce(&Routes) -> T + Send + 'static,
 ) -> Result<T, String> {
-    let shown = match way {
-        Some(way) => shown(way).await,
+    let shown = match handle {
+        Some(handle) => shown(handle).await,
         None => None,
     };
     let Some(shown) = shown else { return Err(LATE.to_string()) };
-    let looked = spawn_blocking(move || agreed_of(&shown).map(|routes| look(&routes))).await;
+    let looked = spawn_blocking(move || routes_of(&shown).map(|routes| look(&routes))).await;
     looked.ok().flatten().ok_or_else(|| "the fleet has no route table".to_string())
 }
 
-async fn open(way: Option<&Way>, edit: Named) -> Result<EditKey, String> {
-    look(way, move |routes| {
+async fn open(handle: Option<&MemberHandle>, edit: Named) -> Result<EditKey, String> {
+    look(handle, move |routes| {
         edit.among(routes.open_keys(&EditId { team: edit.team.clone(), number: edit.number }))
     })
     .await?
 }
 
-async fn entry(way: Option<&Way>, entry: &Entry) -> Result<Value, String> {
-    let Some(way) = way else { return Err(LATE.to_string()) };
-    match agree(way, entry, AGREED_WITHIN).await {
+async fn entry(handle: Option<&MemberHandle>, entry: &Entry) -> Result<Value, String> {
+    let Some(handle) = handle else { return Err(LATE.to_string()) };
+    match propose_entry(handle, entry, COMMIT_TIMEOUT).await {
         Some(Outcome::Refused(why)) => Err(why.to_string()),
         Some(outcome) => Ok(json!({"state": state(&outcome), "words": outcome.to_string()})),
         None => Err(LATE.to_string()),
     }
 }
 
-async fn settlement(
-    way: Option<&Way>,
+async fn settle_entry(
+    handle: Option<&MemberHandle>,
     conflict: String,
     by: String,
     keep: Vec<Named>,
@@ -490,7 +506,7 @@
         return Err(format!("{conflict:?} is no number of a conflict: 16 digits as conflicts shows them"));
     };
     let conflict = ConflictId(number);
-    look(way, move |routes| {
+    look(handle, move |routes| {
         let known = routes.merged().conflicts.get(&conflict).map(|known| known.members.clone());
         let members = known.ok_or_else(|| format!("there is no conflict {conflict}, or it is settled"))?;
         let keep = keep.iter().map(|edit| edit.among(members.iter().cloned()));
@@ -499,9 +515,14 @@
     .await?
 }
 
-/// The edit that undoes something.
-async fn undone(way: Option<&Way>, what: What, id: EditId, reason: String) -> Result<Edit, String> {
-    look(way, move |routes| {
+/// Builds the edit that undoes published edits.
+async fn undo_edit(
+    handle: Option<&MemberHandle>,
+    what: What,
+    id: EditId,
+    reason: String,
+) -> Result<Edit, String> {
+    look(handle, move |routes| {
         let is = |line: &&jaspershunt_routes::part::PublishedEdit| match &what {
             What::Revision(revision) => line.revision == *revision,
             What::Edit(edit) => edit.is(&line.edit),
@@ -513,7 +534,7 @@
         if lines.iter().any(|line| line.reverted) {
             return Err(format!("revision {} was taken back already", last.revision));
         }
-        // What was published together commutes, and so does what undoes it.
+        // Edits that were published together commute, and so do their inverses.
         let changes = lines.iter().flat_map(|line| line.inverse.clone()).collect();
         let edit = Edit { id, base: routes.revision(), reason, changes };
         let together =
@@ -523,14 +544,14 @@
     .await?
 }
 
-/// What would become of edits.
-async fn merge(way: Option<&Way>, edits: Vec<Edit>) -> Result<Value, String> {
-    look(way, move |routes| {
+/// Computes the outcome that edits would have.
+async fn merge(handle: Option<&MemberHandle>, edits: Vec<Edit>) -> Result<Value, String> {
+    look(handle, move |routes| {
         let mut tried = routes.clone();
         let keys: Vec<EditKey> = edits.iter().map(Edit::key).collect();
         let first: Vec<Outcome> =
             edits.into_iter().map(|edit| tried.apply_entry(Entry::Edit(edit))).collect();
-        // Those that come later may have changed what becomes of one.
+        // A later edit may have changed the outcome of an earlier one.
         let became = keys.iter().zip(first).map(|(key, first)| {
             let outcome = tried.outcome_of(key).unwrap_or(first);
             json!({"edit": name(key), "state": state(&outcome), "words": outcome.to_string()})
@@ -544,7 +565,7 @@
     .await
 }
 
-/// What an outcome is, in one word.
+/// Returns the short name of an outcome.
 fn state(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Open(EditState::Accepted) => "taken",
@@ -559,7 +580,7 @@
     }
 }
 
-fn told(key: &EditKey, outcome: &Outcome) -> Result<Value, String> {
+fn edit_result(key: &EditKey, outcome: &Outcome) -> Result<Value, String> {
     let conflicts: Vec<String> = match outcome {
         Outcome::Refused(why) => return Err(why.to_string()),
         Outcome::Open(EditState::InConflict(ids)) => ids.iter().map(ConflictId::to_string).collect(),
@@ -585,7 +606,7 @@
             of.revision, of.permille, of.with, of.without)})
 }
 
-/// The table as it is agreed.
+/// Formats the replicated table for operators.
 fn fleet(shown: &Shown, routes: &Routes) -> Value {
     let open = routes.open().map(|(key, edit)| {
         let outcome = routes.outcome_of(key);
@@ -595,7 +616,7 @@
     });
     let open: Vec<Value> = open.collect();
     let ended: BTreeMap<String, String> = routes
-        .ended(ENDED_SHOWN)
+        .ended(MAX_ENDED_SHOWN)
         .map(|(id, end)| (format!("{}/{}", id.team, id.number), end.to_string()))
         .collect();
     let line = |line: &jaspershunt_routes::part::PublishedEdit| json!({"revision": line.revision, "edit": name(&line.edit), "reason": line.reason, "back": line.reverted});
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -1,16 +1,17 @@
-//! The history of this start of the nodo, where the operator's file wants one: what it asked of the agreed state and what came back, in
-//! the format of `jaspershunt-histories`, for checkers that read it after the fact. Without its block there is no thread and no file.
+//! The history of this process, if the operator's file configures one: its operations on the replicated state
+//! and their results, in the format of `jaspershunt-histories`, for checkers that read it afterwards. Without
+//! its block there is no thread and no file.
 //!
-//! A thread of its own writes. Nothing of the engine waits for it: what is asked of the fleet waits for the fleet anyhow, in a task of
-//! its own, and that task has its `begin` written first. It waits so for the disk no longer than [`WRITTEN_WITHIN`]; what comes
-//! too late or finds no room on the way cuts the history short, which says so itself.
+//! A thread of its own writes. The engine never waits for it: an operation waits for the fleet in a task of
+//! its own, and that task first has its `begin` written. It waits for the disk no longer than
+//! [`WRITE_TIMEOUT`]; if a line is late or the queue is full, the history is marked as cut short.
 
 use crate::engine::input::Came;
 use crate::log;
 use jaspershunt_histories::format::{self, Op, Table, Ticket, Told, Value, Who, WorkEnd, Writer};
 use jaspershunt_member::driver::Newest;
 use jaspershunt_operator as operator;
-use jaspershunt_routes::Outcome as OfEdit;
+use jaspershunt_routes::Outcome as EditOutcome;
 use jaspershunt_work::{End, Entry, Outcome, Refusal};
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,13 +27,13 @@
 
 /// The route table's name in histories.
 const ROUTES: &str = "routes";
-/// Lines that wait for the thread.
-const LINES: usize = 1024;
-/// Operations that are begun and not ended, for which the thread keeps what it needs to end them.
-const OPEN: usize = 4096;
-/// What is to be asked waits so long for its line: far longer than a busy machine keeps a thread from running. Beyond that it is asked, and
-/// the history is cut short.
-const WRITTEN_WITHIN: Duration = Duration::from_secs(2);
+/// The most lines that wait for the thread.
+const MAX_QUEUED_LINES: usize = 1024;
+/// The most open operations for which the thread keeps what it needs to end them.
+const MAX_OPEN: usize = 4096;
+/// How long an operation waits for its line: far longer than a busy machine keeps a thread from running.
+/// After that it proceeds, and the history is cut short.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 enum Line {
     Begin { id: u64, at: u64, op: Op, written: oneshot::Sender<()> },
@@ -40,16 +41,16 @@
     Note { at: u64, op: Op, told: Told, written: Option<oneshot::Sender<()>> },
 }
 
-/// The way to the thread that writes. It ends when the last one is gone.
+/// A handle to the writing thread, which ends when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct History {
     to: SyncSender<Line>,
-    /// Something is lost.
+    /// A line was lost.
     cut: Arc<AtomicBool>,
     next: Arc<AtomicU64>,
 }
 
-/// Nanoseconds of the clock that all histories of a machine share.
+/// Returns the monotonic clock in nanoseconds, which all histories of a machine share.
 fn now() -> u64 {
     let time = clock_gettime(ClockId::Monotonic);
     let (seconds, nanos) = (u64::try_from(time.tv_sec), u64::try_from(time.tv_nsec));
@@ -57,16 +58,16 @@
 }
 
 impl History {
-    /// Begins the file of this start.
+    /// Creates the file of this process and starts the thread.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// Fails if the file cannot be written.
     pub fn start(wanted: &operator::History, process: &str, incarnation: u64) -> io::Result<History> {
         let folder = Path::new(&wanted.folder);
         std::fs::create_dir_all(folder)?;
         let writer = Writer::create(folder, &Who::new(process, incarnation), wanted.bytes.0);
         let writer = writer.map_err(|e| io::Error::other(format!("{}: {e}", folder.display())))?;
-        let (to, lines) = sync_channel(LINES);
+        let (to, lines) = sync_channel(MAX_QUEUED_LINES);
         let (cut, lost) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(1)));
         let history = History { to, cut: cut.clone(), next: lost };
         std::thread::Builder::new().name("history".to_string()).spawn(move || write(writer, &lines, &cut))?;
@@ -81,40 +82,40 @@
         put
     }
 
-    /// Waits until a line has been handed to the system, within bounds.
+    /// Waits until a line has been written, at most [`WRITE_TIMEOUT`].
     async fn until(&self, put: bool, written: oneshot::Receiver<()>) {
-        if put && !matches!(timeout(WRITTEN_WITHIN, written).await, Ok(Ok(()))) {
+        if put && !matches!(timeout(WRITE_TIMEOUT, written).await, Ok(Ok(()))) {
             self.cut.store(true, Ordering::Relaxed);
         }
     }
 
-    /// An entry is about to be proposed. Only once this has returned may it be.
-    pub async fn begin(&self, entry: &Entry) -> Option<Asked> {
-        Some(self.begin_op(asked(entry)?).await)
+    /// Records that an entry is about to be proposed. It may be proposed only after this has returned.
+    pub async fn begin(&self, entry: &Entry) -> Option<Begun> {
+        Some(self.begin_op(operation_of_entry(entry)?).await)
     }
 
-    /// An edit of the route table is about to be proposed, under the name by which people know it.
-    pub async fn begin_edit(&self, edit: String) -> Asked {
+    /// Records that an edit of the route table is about to be proposed, by its team and number.
+    pub async fn begin_edit(&self, edit: String) -> Begun {
         self.begin_op(Op::Edit { table: ROUTES.to_string(), edit }).await
     }
 
-    /// And this came of it; `None` where nobody knows.
-    pub fn end_edit(&self, Asked { id }: Asked, came: Option<&OfEdit>) {
-        self.put(Line::End { id, at: now(), came: heard_of_edit(came) });
+    /// Records the result of an edit; `None` if it is unknown.
+    pub fn end_edit(&self, Begun { id }: Begun, came: Option<&EditOutcome>) {
+        self.put(Line::End { id, at: now(), came: result_of_edit(came) });
     }
 
-    async fn begin_op(&self, op: Op) -> Asked {
+    async fn begin_op(&self, op: Op) -> Begun {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (written, seen) = oneshot::channel();
         let put = self.put(Line::Begin { id, at: now(), op, written });
         self.until(put, seen).await;
-        Asked { id }
+        Begun { id }
     }
 
-    /// And this came of it. A run that it begins is written before it is run.
-    pub async fn end(&self, asked: Option<Asked>, entry: &Entry, came: &Came) {
-        let Some(Asked { id }) = asked else { return };
-        self.put(Line::End { id, at: now(), came: heard(entry, came) });
+    /// Records the result of an entry. If it begins a run, returns only after that is written.
+    pub async fn end(&self, asked: Option<Begun>, entry: &Entry, came: &Came) {
+        let Some(Begun { id }) = asked else { return };
+        self.put(Line::End { id, at: now(), came: result_of_entry(entry, came) });
         if let (Entry::Offer { offer, begin: true, .. }, Came::Agreed(Outcome::Yours { token })) =
             (entry, came)
         {
@@ -130,29 +131,34 @@
     }
 }
 
-/// Something that was asked.
+/// An operation that was begun.
 #[derive(Debug)]
-pub struct Asked {
+pub struct Begun {
     id: u64,
 }
 
-/// What is written of what came of an edit. One that is open may still come to anything, and one whose revision was taken back was in it.
-fn heard_of_edit(came: Option<&OfEdit>) -> format::Came {
+/// Converts the result of an edit. An open edit may still have any result, and one whose revision was rolled
+/// back had been in that revision.
+fn result_of_edit(came: Option<&EditOutcome>) -> format::Came {
     use jaspershunt_routes::{FinalState, merge::RefusalReason};
     match came {
-        Some(OfEdit::Ended(FinalState::Published(revision))) => format::Came::Ok(Told::Revision(*revision)),
-        Some(OfEdit::Ended(FinalState::Refused(RefusalReason::RolledBack { .. }))) => format::Came::Unknown,
-        Some(OfEdit::Ended(_) | OfEdit::Refused(_)) => format::Came::Failed,
+        Some(EditOutcome::Ended(FinalState::Published(revision))) => {
+            format::Came::Ok(Told::Revision(*revision))
+        }
+        Some(EditOutcome::Ended(FinalState::Refused(RefusalReason::RolledBack { .. }))) => {
+            format::Came::Unknown
+        }
+        Some(EditOutcome::Ended(_) | EditOutcome::Refused(_)) => format::Came::Failed,
         _ => format::Came::Unknown,
     }
 }
 
-/// What is written of an entry; nothing of those that ask for nothing which a checker knows.
-fn asked(entry: &Entry) -> Option<Op> {
+/// Converts an entry; `None` for those that no checker uses.
+fn operation_of_entry(entry: &Entry) -> Option<Op> {
     match entry {
         Entry::Offer { offer, .. } => {
             let unix = UNIX_EPOCH.elapsed().map_or(0, |unix| unix.as_millis() as u64);
-            // Begun work has its end when its window has passed, at the latest.
+            // Begun work ends when its window has passed, at the latest.
             let due = now() + offer.window_ends_ms.saturating_sub(unix).saturating_mul(1_000_000);
             Some(Op::Offer { key: offer.key.clone(), due, leaves_effect: false })
         }
@@ -162,8 +168,8 @@
     }
 }
 
-/// What is written of what came of it.
-fn heard(entry: &Entry, came: &Came) -> format::Came {
+/// Converts the result of an entry.
+fn result_of_entry(entry: &Entry, came: &Came) -> format::Came {
     let token = match entry {
         Entry::End { token, .. } => Some(*token),
         _ => None,
@@ -176,10 +182,10 @@
         (Entry::Begin { .. }, Came::Agreed(Outcome::Yours { .. })) => format::Came::Ok(Told::Nothing),
         (Entry::Begin { .. }, Came::Agreed(_)) => format::Came::Failed,
         (_, Came::Agreed(Outcome::Yours { .. } | Outcome::Waits)) => format::Came::Ok(Told::Nothing),
-        // An offer hears it of what was turned away and may be offered anew: nothing of this one ran, and no more is known.
+        // The offer was refused and may be offered again: this one did not run, and no more is known.
         (Entry::Offer { .. }, Came::Agreed(Outcome::Known(End::NeverRan))) => format::Came::Failed,
         (_, Came::Agreed(Outcome::Known(end))) => format::Came::Ok(Told::Work { end: ended(end), token }),
-        // The entry itself is agreed, and what was said with it is so.
+        // The entry is committed, but its result is not known.
         (_, Came::Agreed(Outcome::Done)) => format::Came::Unknown,
         (Entry::Offer { .. }, Came::Agreed(Outcome::Refused(Refusal::Dropped))) => format::Came::Unknown,
         (_, Came::Agreed(Outcome::Refused(_))) => format::Came::Failed,
@@ -195,16 +201,16 @@
     }
 }
 
-/// Writes down what parts of the agreed state show this start, the newest alone.
+/// Records the newest views of the parts of the replicated state.
 #[derive(Debug, Default)]
 pub struct Shown {
     epochs: BTreeMap<String, u64>,
-    /// Work whose end was shown with the last.
+    /// Keys of the work whose end the last view contained.
     ended: BTreeSet<String>,
 }
 
 impl Shown {
-    /// Writes down what is new.
+    /// Records the views that changed.
     pub fn note(&mut self, newest: &Newest, history: &History) {
         for (part, (epoch, bytes)) in newest {
             if self.epochs.get(part).is_some_and(|before| before == epoch) {
@@ -217,7 +223,7 @@
                     let Some(seen) = jaspershunt_routes::part::MemberView::from_bytes(bytes) else {
                         continue;
                     };
-                    // As operators are shown it.
+                    // In the form that operators see.
                     let content = Value::of(serde_json::json!(seen.table).to_string());
                     let table = Table { revision: seen.revision, content, edits: Vec::new() };
                     history.note(Op::SeenTable { table: ROUTES.to_string() }, Told::Table(table));
@@ -235,7 +241,7 @@
         let Some(seen) = jaspershunt_work::MemberView::from_bytes(bytes) else { return };
         let before = std::mem::take(&mut self.ended);
         for heard in seen.ended {
-            // What was turned away may be offered anew, and of which offer this is said nobody can tell here.
+            // Refused work may be offered again, and the view does not tell to which offer this end belongs.
             if heard.end != End::NeverRan && !before.contains(&heard.key) {
                 let told = Told::Work { end: ended(&heard.end), token: None };
                 history.note(Op::Answered { key: heard.key.clone() }, told);
@@ -245,7 +251,7 @@
     }
 }
 
-/// Writes what comes, until nobody is left to say anything.
+/// Writes the lines of the queue until all handles are dropped.
 fn write(mut writer: Writer<File>, lines: &Receiver<Line>, cut: &AtomicBool) {
     let mut open: BTreeMap<u64, Ticket> = BTreeMap::new();
     let mut told = false;
@@ -259,10 +265,10 @@
             Line::Begin { id, at, op, written } => match writer.begin(at, op) {
                 Ok(ticket) => {
                     open.insert(id, ticket);
-                    // Whoever waited has gone on, and has said so.
+                    // An error means that the operation timed out and marked the history as cut short.
                     let _ = written.send(());
-                    if open.len() > OPEN {
-                        // It stays unknown, which is true of everything.
+                    if open.len() > MAX_OPEN {
+                        // The operation stays unknown in the history, which is always correct.
                         open.pop_first();
                     }
                 }
--- a/crates/node/src/history/tests.rs
+++ b/crates/node/src/history/tests.rs
@@ -39,7 +39,7 @@
     read(&file[..]).unwrap().records
 }
 
-/// Waits for the thread: it ends once nobody can say anything more.
+/// Waits for the thread, which ends once all handles are dropped.
 async fn ended(folder: &Path, history: History, whole: impl Fn(&[Record]) -> bool) -> Vec<Record> {
     drop(history);
     for _ in 0..2000 {
@@ -52,9 +52,10 @@
     panic!("{:?}", records(folder));
 }
 
-/// What is asked is in the file before it may be asked, and so is a run before it is run, so that a kill at that moment leaves it there.
+/// An operation is in the file before it may be proposed, and a run before it starts, so that a kill at that
+/// moment leaves them in the history.
 #[tokio::test]
-async fn a_begin_is_written_before_it_is_asked_and_a_run_before_it_runs() {
+async fn a_begin_is_written_before_the_proposal_and_a_run_before_it_starts() {
     let folder = folder("begin");
     let history = History::start(&wanted(&folder), "n1", 7).unwrap();
     let entry = offer("op-1");
@@ -68,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn what_came_back_is_written_as_checkers_know_it() {
+async fn results_are_written_in_the_format_of_the_checkers() {
     let folder = folder("came");
     let history = History::start(&wanted(&folder), "n1", 7).unwrap();
     let (done, by) = (End::Done(b"acta 9".to_vec()), Holder::new("n1", 7));
@@ -93,7 +94,7 @@
         let asked = history.begin(entry).await;
         history.end(asked, entry, came).await;
     }
-    // Nothing is written of what no checker knows.
+    // Entries that no checker uses are not written.
     assert!(history.begin(&Entry::Answered { key: "k".into(), by }).await.is_none());
     let whole =
         |records: &[Record]| records.iter().filter(|record| record.end.is_some()).count() == cases.len();
@@ -104,19 +105,19 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// The disk does not take a line, and more comes than may wait: what is asked goes on within its bound, and the file says that it is
-/// cut, so that no checker says that it is fine.
+/// The disk stalls and the queue overflows: an operation proceeds within its time limit, and the file is
+/// marked as cut short, so that no checker accepts it.
 #[tokio::test(start_paused = true)]
-async fn a_disk_that_stalls_holds_nothing_up_and_cuts_the_history_short() {
-    let (to, lines) = sync_channel(LINES);
+async fn a_stalled_disk_blocks_nothing_and_cuts_the_history_short() {
+    let (to, lines) = sync_channel(MAX_QUEUED_LINES);
     let (cut, next) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(1)));
     let history = History { to, cut: cut.clone(), next };
-    // Nobody reads: a thread that waits for its disk.
+    // Nothing reads the queue, as when the thread waits for its disk.
     let before = tokio::time::Instant::now();
     let asked = history.begin(&offer("op-1")).await;
-    assert!(asked.is_some() && before.elapsed() <= WRITTEN_WITHIN + Duration::from_millis(1));
+    assert!(asked.is_some() && before.elapsed() <= WRITE_TIMEOUT + Duration::from_millis(1));
     assert!(cut.load(Ordering::Relaxed));
-    for _ in 0..2 * LINES {
+    for _ in 0..2 * MAX_QUEUED_LINES {
         history.note(Op::Answered { key: "k".into() }, Told::Work { end: WorkEnd::Unknown, token: None });
     }
     drop(history);
@@ -130,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn ends_that_are_shown_are_written_once_and_tables_with_their_epochs() {
+async fn ends_in_views_are_written_once_and_tables_with_their_epochs() {
     let folder = folder("shown");
     let history = History::start(&wanted(&folder), "n1", 7).unwrap();
     let mut shown = Shown::default();
@@ -154,23 +155,25 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Guards against an edit that is said never to have been in a table while it was on trial, or is still open.
+/// Guards against an edit that is recorded as failed although it was in a table on trial, or is still open.
 #[tokio::test]
-async fn edits_are_written_with_what_is_known_of_them_and_tables_as_operators_see_them() {
+async fn edits_are_written_with_their_known_results_and_tables_as_operators_see_them() {
     use jaspershunt_routes::merge::RefusalReason;
     use jaspershunt_routes::trial::{Counts, RollbackReason};
-    use jaspershunt_routes::{EditState, FinalState as OfEnd, Outcome as OfEdit, Refusal as Not, Routes};
+    use jaspershunt_routes::{
+        EditState, FinalState as OfEnd, Outcome as EditOutcome, Refusal as Not, Routes,
+    };
     let folder = folder("edits");
     let history = History::start(&wanted(&folder), "n1", 7).unwrap();
     let counts = Counts::default();
     let back =
         RefusalReason::RolledBack { revision: 4, why: RollbackReason::TooFew, without: counts, with: counts };
     let came = [
-        (Some(OfEdit::Ended(OfEnd::Published(3))), format::Came::Ok(Told::Revision(3))),
-        (Some(OfEdit::Ended(OfEnd::Refused(back))), format::Came::Unknown),
-        (Some(OfEdit::Ended(OfEnd::Withdrawn("brio".into()))), format::Came::Failed),
-        (Some(OfEdit::Refused(Not::NotAuthorized)), format::Came::Failed),
-        (Some(OfEdit::Open(EditState::Accepted)), format::Came::Unknown),
+        (Some(EditOutcome::Ended(OfEnd::Published(3))), format::Came::Ok(Told::Revision(3))),
+        (Some(EditOutcome::Ended(OfEnd::Refused(back))), format::Came::Unknown),
+        (Some(EditOutcome::Ended(OfEnd::Withdrawn("brio".into()))), format::Came::Failed),
+        (Some(EditOutcome::Refused(Not::NotAuthorized)), format::Came::Failed),
+        (Some(EditOutcome::Open(EditState::Accepted)), format::Came::Unknown),
         (None, format::Came::Unknown),
     ];
     for (n, (came, _)) in came.iter().enumerate() {
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -241,13 +241,14 @@
         let serves = move || !leaving() && !others.lost.get() && !idle.borrow().passing;
         let leaves = move || lost.leaves.get();
         let to_engine = engine_in.downgrade();
-        let office = (!file.team.is_empty()).then(|| fleet::routes::Office::new(&file, &desk.tally));
-        *desk.routes.borrow_mut() = office.clone();
+        let service =
+            (!file.team.is_empty()).then(|| fleet::routes::RouteTableService::new(&file, &desk.tally));
+        *desk.routes.borrow_mut() = service.clone();
         let (numbered, number) = (Rc::new(Notify::new()), Instant::now() + NUMBER_WITHIN);
         let has_number = numbered.clone();
-        let publish = move |way: Option<fleet::Way>| {
-            if let (Some(office), Some(way)) = (&office, &way) {
-                spawn_local(office.clone().attend(way.clone(), to_engine.clone()));
+        let publish = move |way: Option<fleet::MemberHandle>| {
+            if let (Some(service), Some(way)) = (&service, &way) {
+                spawn_local(service.clone().attend(way.clone(), to_engine.clone()));
             }
             if let Some(way) = way.clone().filter(|_| holds) {
                 spawn_local(fleet::watch_work(way, to_engine.clone()));
@@ -258,7 +259,7 @@
             *at.fleet.borrow_mut() = way;
             has_number.notify_one();
         };
-        member = Some(spawn_local(fleet::keep(file, config.name.clone(), serves, leaves, publish)))
+        member = Some(spawn_local(fleet::run_member(file, config.name.clone(), serves, leaves, publish)))
             .filter(|_| holds);
         if holds {
             // Guards against a repeat that is refused by a nodo which starts, though the fleet knows what became of its key.
--- a/crates/node/src/steering.rs
+++ b/crates/node/src/steering.rs
@@ -4,7 +4,7 @@
 pub mod kernel;
 
 use crate::admin::line::Answer;
-use crate::fleet::Way;
+use crate::fleet::MemberHandle;
 use crate::log;
 use jaspershunt_fleet::Entry;
 use jaspershunt_member::driver::Order;
@@ -100,7 +100,7 @@
     region: String,
     figures: Arc<Figures>,
     /// The way to the member while there is one.
-    way: Arc<Mutex<Option<Way>>>,
+    way: Arc<Mutex<Option<MemberHandle>>>,
     samples: Samples,
     /// Until the nodo's address is known.
     starts: RefCell<Option<(Thread, Receiver<Seen>)>>,
@@ -165,7 +165,7 @@
     }
 
     /// The member is there, or not any more.
-    pub fn publish(&self, way: Option<Way>) {
+    pub fn publish(&self, way: Option<MemberHandle>) {
         *self.way.lock().unwrap_or_else(PoisonError::into_inner) = way;
     }
 
@@ -194,7 +194,7 @@
 }
 
 /// The table that the member has, with its epoch.
-fn tables(way: &Way) -> Option<(u64, Tables)> {
+fn tables(way: &MemberHandle) -> Option<(u64, Tables)> {
     let seen = way.seen.as_ref()?.borrow().get(NAME).cloned();
     let (epoch, bytes) = seen?;
     Some((epoch, Shown::from_bytes(&bytes)?.tables))
@@ -222,7 +222,7 @@
     over: BTreeMap<SocketAddr, Over>,
     /// Requests in this window.
     asked: u64,
-    way: Arc<Mutex<Option<Way>>>,
+    way: Arc<Mutex<Option<MemberHandle>>>,
     figures: Arc<Figures>,
 }
 
