--- a/crates/node/src/capture.rs
+++ b/crates/node/src/capture.rs
@@ -1,6 +1,6 @@
-//! Records what the module is told and asks for, where the operator's file wants it. The engine hands pieces over and never
-//! waits; a thread of its own makes blocks of them, keeps the last ones and writes files. What is decided of all that is in
-//! `jaspershunt-capture`: [`Tap`] on this side, [`Sink`] on that.
+//! Records the events and actions of the module, if the operator's file configures it. The engine enqueues
+//! pieces and never waits; a thread of its own builds blocks of them, keeps the last ones and writes files.
+//! The decisions are made in `jaspershunt-capture`: by [`Tap`] in the engine, by [`Sink`] in the thread.
 
 use crate::log;
 use jaspershunt::{Action, Event};
@@ -17,16 +17,16 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 
-/// Pieces are handed over so many at a time: each time wakes the thread, which costs the engine more than what it copies.
-const BATCH: usize = 64;
-/// Batches that wait for the thread. Their bytes have a bound of their own.
-const BATCHES: usize = 1024;
-/// The part of the capture's memory that waits for the thread, at most; the ring has the rest.
-const WAITING_PART: usize = 4;
-/// While the nodo is pressed for memory the ring keeps this part of its bound.
-const PRESSED_PART: usize = 8;
+/// Pieces per batch: each batch wakes the thread, which costs the engine more than copying the pieces.
+const BATCH_PIECES: usize = 64;
+/// The most batches that wait for the thread. Their bytes are limited separately.
+const MAX_QUEUED_BATCHES: usize = 1024;
+/// The queue gets at most one such part of the capture's memory; the ring has the rest.
+const QUEUE_DIVISOR: usize = 4;
+/// Under memory pressure the ring is limited to one such part of its size.
+const PRESSURE_DIVISOR: usize = 8;
 
-/// A capture under way.
+/// A running capture.
 pub struct Capture {
     /// `None` once it has ended.
     to: Option<SyncSender<Vec<Piece>>>,
@@ -36,32 +36,32 @@
     ring: usize,
     tap: Tap,
     jump: Jump,
-    /// The round that is under way is handed over when it is made.
+    /// The present round is enqueued when it is complete.
     open: bool,
     pressed: bool,
-    /// All is written, what is kept at the end too.
+    /// Everything is written, also what the ring contains at the end.
     all: bool,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Capture {
-    /// Begins to record.
+    /// Starts recording.
     ///
     /// # Errors
-    /// The folder cannot be written, or the thread not be started.
+    /// Fails if the folder cannot be written or the thread cannot be started.
     pub fn start(wanted: &Wanted, head: Head) -> io::Result<Capture> {
         let folder = Folder(PathBuf::from(&wanted.folder));
         fs::create_dir_all(&folder.0)?;
         folder.sweep()?;
         // The cast loses nothing: the size is checked against the memory limit.
         let bytes = wanted.ring.0 as usize;
-        let most_waiting = bytes / WAITING_PART;
+        let most_waiting = bytes / QUEUE_DIVISOR;
         let ring = bytes - most_waiting;
         let bounds = Bounds { ring, files: wanted.files, all: wanted.all };
         let every = wanted.snapshot.0.as_secs_f64();
         let limits = Limits { snapshot_every: every, ..Limits::default() };
         let sink = Sink::new(head, limits, bounds, folder);
-        let (to, pieces) = sync_channel(BATCHES);
+        let (to, pieces) = sync_channel(MAX_QUEUED_BATCHES);
         let waiting = Arc::new(AtomicUsize::new(0));
         let counted = waiting.clone();
         let thread = std::thread::Builder::new()
@@ -82,7 +82,7 @@
         })
     }
 
-    /// The engine begins to take things in; `states` are the states as they stand.
+    /// Begins a round of the engine; `states` returns the present states.
     pub fn begin(&mut self, now: f64, states: impl FnOnce() -> (Vec<u8>, SideStates)) {
         let Capture { batch, waiting, most_waiting, tap, .. } = self;
         let states = || {
@@ -92,7 +92,7 @@
         self.open = tap.begin(now, states, |piece| put(batch, waiting, *most_waiting, piece));
     }
 
-    /// A round was made.
+    /// Records a complete round.
     pub fn round(
         &mut self,
         now: f64,
@@ -109,25 +109,26 @@
         }
     }
 
-    /// What was asked beside the module, since the engine began to take things in.
+    /// Records the steps beside the module since the round began.
     pub fn sides(&mut self, sides: Sides) {
         if !sides.keys.is_empty() || !sides.below.is_empty() {
             self.offer(Piece::Sides(sides.encode()));
         }
     }
 
-    /// Hands over what stands on what came before it; behind a hole nothing does until the state has gone along again.
+    /// Enqueues a piece that depends on those before it; after a gap it is dropped until a state has been
+    /// recorded again.
     fn offer(&mut self, piece: Piece) {
         if !self.open || !put(&mut self.batch, &self.waiting, self.most_waiting, piece) {
             self.tap.missed();
             self.open = false;
         }
-        if self.batch.len() >= BATCH {
+        if self.batch.len() >= BATCH_PIECES {
             self.hand_over();
         }
     }
 
-    /// Hands over what has gathered. Where even that finds no room, all of it is missing.
+    /// Sends the batch to the thread. If the queue is full, all its pieces count as missing.
     fn hand_over(&mut self) {
         let batch = std::mem::take(&mut self.batch);
         if batch.is_empty() {
@@ -150,19 +151,19 @@
         }
     }
 
-    /// Has what is kept written out.
+    /// Requests that the ring is written to a file.
     pub fn write_out(&mut self, reason: Reason) {
         if put(&mut self.batch, &self.waiting, self.most_waiting, Piece::WriteOut(reason)) {
             self.hand_over();
         } else {
-            log!(WARN, "capture: too much waits; nothing is written out");
+            log!(WARN, "capture: the queue is full; nothing is written out");
         }
     }
 
-    /// Keeps less while the nodo is pressed for memory, and as much as it may when it is not.
+    /// Shrinks the ring under memory pressure, and restores its size afterwards.
     pub fn press(&mut self, pressed: bool) {
         if pressed != self.pressed {
-            let most = if pressed { self.ring / PRESSED_PART } else { self.ring };
+            let most = if pressed { self.ring / PRESSURE_DIVISOR } else { self.ring };
             if put(&mut self.batch, &self.waiting, self.most_waiting, Piece::Shrink(most)) {
                 self.pressed = pressed;
                 self.hand_over();
@@ -172,7 +173,7 @@
 }
 
 impl Drop for Capture {
-    /// Waits until all that was handed over is taken in, and what was asked for is written.
+    /// Waits until the thread has processed all batches and written the requested files.
     fn drop(&mut self) {
         if self.all {
             self.write_out(Reason::End);
@@ -180,16 +181,16 @@
         self.hand_over();
         self.to = None;
         if let Some(thread) = self.thread.take() {
-            // An error means that it panicked, which it has told of itself.
+            // An error means that it panicked, which has been logged.
             let _ = thread.join();
         }
     }
 }
 
-/// Puts a piece to those that are handed over next, if there is room for it on the way.
+/// Adds a piece to the batch, if the limit of queued bytes allows it.
 fn put(batch: &mut Vec<Piece>, waiting: &AtomicUsize, most: usize, piece: Piece) -> bool {
     let weight = piece.weight();
-    // Only this side adds, so that what it reads is never too low.
+    // Only this thread adds, so the value read is never too low.
     if waiting.load(Ordering::Relaxed) + weight > most {
         return false;
     }
@@ -215,15 +216,18 @@
 /// A folder of the file system.
 struct Folder(PathBuf);
 
-/// What the name of a file ends with while it is written.
-const HALF: &str = ".half";
+/// The suffix of a file that is being written.
+const PARTIAL_SUFFIX: &str = ".half";
 
 impl Folder {
-    /// Removes what a process that died left half-written.
+    /// Removes partial files that a killed process left.
     fn sweep(&self) -> io::Result<()> {
         for entry in fs::read_dir(&self.0)? {
             let path = entry?.path();
-            if path.to_string_lossy().ends_with(&format!("{}{HALF}", jaspershunt_capture::sink::ENDING)) {
+            if path
+                .to_string_lossy()
+                .ends_with(&format!("{}{PARTIAL_SUFFIX}", jaspershunt_capture::sink::ENDING))
+            {
                 fs::remove_file(path)?;
             }
         }
@@ -241,10 +245,10 @@
 
 impl Disk for Folder {
     fn write(&mut self, name: &str, parts: &[&[u8]]) -> io::Result<()> {
-        let half = self.0.join(format!("{name}{HALF}"));
+        let half = self.0.join(format!("{name}{PARTIAL_SUFFIX}"));
         let written = self.put(&half, parts).and_then(|()| fs::rename(&half, self.0.join(name)));
         if written.is_err() {
-            // Nothing is left of what was not written whole; where even that fails, the next start sweeps.
+            // Removes the partial file; if that fails too, the next process does.
             let _ = fs::remove_file(&half);
         }
         written
--- a/crates/node/src/steering.rs
+++ b/crates/node/src/steering.rs
@@ -1,5 +1,6 @@
-//! What this nodo sees of its clients' delays in passing, where the operator's file has a `steering` block. It runs on a thread of its own,
-//! which tells the fleet; traffic hands over what it sees without a wait, and what finds no room is dropped and counted.
+//! Passive measurement of the delays of this nodo's clients, if the operator's file has a `steering` block. A
+//! thread of its own reports them to the fleet. Connections enqueue their observations without waiting; those
+//! that find the queue full are dropped and counted.
 
 pub mod kernel;
 
@@ -10,7 +11,7 @@
 use jaspershunt_member::driver::Order;
 use jaspershunt_operator::{By, Delays, File};
 use jaspershunt_steering::part::{MemberView as Shown, NAME};
-use jaspershunt_steering::{Client, Edge, EdgeReport, Entry as OfSteering, Observation, Tables};
+use jaspershunt_steering::{Client, Edge, EdgeReport, Entry as SteeringEntry, Observation, Tables};
 use kernel::Kernel;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -23,34 +24,34 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 
-/// What traffic saw and the thread has not taken yet: some 200 KiB.
-const QUEUE: usize = 2048;
-/// Looks at the connections in a window.
-const LOOKS: u32 = 10;
-/// Connections of which something is kept from one look to the next.
+/// The most observations in the queue: some 200 KiB.
+const MAX_QUEUED: usize = 2048;
+/// How often per window the connections are sampled.
+const SAMPLES_PER_WINDOW: u32 = 10;
+/// The most connections tracked between two samples.
 const MAX_PEERS: usize = 1024;
-/// Groups that one connection brings requests of, between two looks.
-const MAX_OVER: usize = 8;
+/// The most clients tracked per connection between two samples.
+const MAX_CLIENTS_PER_PEER: usize = 8;
 
-/// What traffic sees.
+/// An observation of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    /// A request came.
+    /// A request arrived.
     Asked {
-        /// Over which connection.
+        /// The peer of its connection.
         peer: SocketAddr,
-        /// Whose.
+        /// Its client.
         client: Client,
-        /// Since the last answer on this connection was written, if it was owed no other one then.
+        /// The time since the last answer on this connection, if no other answer was outstanding then.
         gap: Option<Duration>,
     },
-    /// The connection ended with the request open.
+    /// The connection was reset while a request was in flight.
     Reset(Client),
-    /// Its caller gave it up.
+    /// The caller of a request timed out.
     TimedOut(Client),
 }
 
-/// Traffic's side.
+/// The side of the connections, which sends observations.
 #[derive(Clone, Debug)]
 pub struct Samples {
     way: SyncSender<Seen>,
@@ -60,7 +61,7 @@
 }
 
 impl Samples {
-    /// The client of a request, by what the file says; `None` if the request does not say.
+    /// Returns the client of a request as the file defines it; `None` if the request does not name one.
     pub fn client<'a>(
         &self,
         peer: SocketAddr,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Hands over what was seen, or drops it: requests never wait for this.
+    /// Enqueues an observation, or drops it: requests never wait for this.
     pub fn tell(&self, seen: Seen) {
         if self.way.try_send(seen).is_err() {
             self.figures.dropped.fetch_add(1, Ordering::Relaxed);
@@ -82,36 +83,36 @@
     }
 }
 
-/// What operators are shown of it.
+/// Figures for operators.
 #[derive(Debug, Default)]
 struct Figures {
     dropped: AtomicU64,
     samples: AtomicU64,
     untold: AtomicU64,
     windows: AtomicU64,
-    /// The system tells round trips.
+    /// Whether the system reports round trips.
     kernel: AtomicBool,
 }
 
-/// What both sides and operators have.
+/// The measurement, as shared by connections, thread and operators.
 #[derive(Debug)]
 pub struct Steering {
     name: String,
     region: String,
     figures: Arc<Figures>,
-    /// The way to the member while there is one.
+    /// The handle to the member while one runs.
     way: Arc<Mutex<Option<MemberHandle>>>,
     samples: Samples,
-    /// Until the nodo's address is known.
+    /// The thread's state and queue, until the nodo's address is known.
     starts: RefCell<Option<(Thread, Receiver<Seen>)>>,
 }
 
 impl Steering {
-    /// What the file wants; nothing is started yet.
+    /// Creates the measurement if the file configures one; starts nothing yet.
     pub fn new(file: &File, name: &str) -> Option<Rc<Steering>> {
         let steering = file.steering.as_ref()?;
         let region = file.fleet.as_ref()?.region.clone()?;
-        let (way, queue) = sync_channel(QUEUE);
+        let (way, queue) = sync_channel(MAX_QUEUED);
         let figures = Arc::new(Figures::default());
         let samples = Samples {
             way,
@@ -120,7 +121,7 @@
             figures: figures.clone(),
         };
         let way = Arc::new(Mutex::new(None));
-        // Higher than that of any start before, as long as the clock is.
+        // Higher than the window numbers of earlier processes, provided that the clock does not go back.
         let window = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let thread = Thread {
             name: name.to_string(),
@@ -131,7 +132,7 @@
             gaps: steering.delays == Delays::Gaps,
             edge: Edge::new(name, &region, window).splitting_all(),
             epoch: 0,
-            over: BTreeMap::new(),
+            clients_by_peer: BTreeMap::new(),
             asked: 0,
             way: way.clone(),
             figures: figures.clone(),
@@ -140,19 +141,22 @@
         Some(Rc::new(Steering { name: name.to_string(), region, figures, way, samples, starts }))
     }
 
-    /// Traffic's side.
+    /// Returns the side of the connections.
     pub fn samples(&self) -> Samples {
         self.samples.clone()
     }
 
-    /// Begins, now that balancers connect here.
+    /// Starts the thread, once the address for balancers is known.
     pub fn start(&self, listens: SocketAddr) {
         let Some((mut thread, queue)) = self.starts.borrow_mut().take() else { return };
         if !thread.gaps {
             match Kernel::new(listens) {
                 Ok(kernel) => thread.kernel = Some(kernel),
                 Err(e) => {
-                    log!(WARN, "steering: the system tells no round trips: {e}; no delays are measured here")
+                    log!(
+                        WARN,
+                        "steering: the system reports no round trips: {e}; no delays are measured here"
+                    )
                 }
             }
         }
@@ -160,11 +164,11 @@
         let started =
             std::thread::Builder::new().name("steering".to_string()).spawn(move || thread.run(&queue));
         if let Err(e) = started {
-            log!(ERROR, "steering: {e}; nothing is measured, requests are served as ever");
+            log!(ERROR, "steering: {e}; nothing is measured, requests are served as before");
         }
     }
 
-    /// The member is there, or not any more.
+    /// Sets the handle to the member; `None` when the member has ended.
     pub fn publish(&self, way: Option<MemberHandle>) {
         *self.way.lock().unwrap_or_else(PoisonError::into_inner) = way;
     }
@@ -174,7 +178,7 @@
         way.as_ref().and_then(tables).map(|(_, tables)| tables).unwrap_or_default()
     }
 
-    /// Answers an operator, from what this nodo has: nobody else is asked.
+    /// Answers an operator from this nodo's own state.
     pub fn answer(&self) -> Answer {
         let tables = self.tables();
         let figure = |of: &AtomicU64| of.load(Ordering::Relaxed);
@@ -187,26 +191,26 @@
     }
 }
 
-/// The table as operators' calls have it: groups by name.
+/// Formats the table for operators, with groups by name.
 fn rows(tables: &Tables) -> Vec<Value> {
     let row = |(group, row): (&jaspershunt_steering::Group, &jaspershunt_steering::Row)| json!({"group": group.to_string(), "row": row});
     tables.rows.iter().map(row).collect()
 }
 
-/// The table that the member has, with its epoch.
+/// Returns the member's table, with its epoch.
 fn tables(way: &MemberHandle) -> Option<(u64, Tables)> {
     let seen = way.seen.as_ref()?.borrow().get(NAME).cloned();
     let (epoch, bytes) = seen?;
     Some((epoch, Shown::from_bytes(&bytes)?.tables))
 }
 
-/// What came over a connection since the last look.
+/// The clients of a connection since the last sample.
 #[derive(Debug, Default)]
-struct Over {
+struct PeerClients {
     clients: Vec<(Client, Option<Duration>)>,
 }
 
-/// The thread's side.
+/// The state of the thread.
 #[derive(Debug)]
 struct Thread {
     name: String,
@@ -214,12 +218,12 @@
     every: Duration,
     capacity_milli: u32,
     kernel: Option<Kernel>,
-    /// Round trips are what lies between an answer and the next request.
+    /// Round trips are measured as the gap between an answer and the next request.
     gaps: bool,
     edge: Edge,
-    /// Of the table that the edge goes by.
+    /// The epoch of the table that the edge follows.
     epoch: u64,
-    over: BTreeMap<SocketAddr, Over>,
+    clients_by_peer: BTreeMap<SocketAddr, PeerClients>,
     /// Requests in this window.
     asked: u64,
     way: Arc<Mutex<Option<MemberHandle>>>,
@@ -227,27 +231,27 @@
 }
 
 impl Thread {
-    /// Until nobody hands over anything any more.
+    /// Runs until all senders are dropped.
     fn run(mut self, queue: &Receiver<Seen>) {
-        let look = self.every / LOOKS;
+        let look = self.every / SAMPLES_PER_WINDOW;
         let mut next = Instant::now() + look;
         let mut looks = 0;
         loop {
             match queue.recv_timeout(next.saturating_duration_since(Instant::now())) {
-                Ok(seen) => self.take(seen),
+                Ok(seen) => self.record(seen),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             if Instant::now() < next {
                 continue;
             }
-            // Guards against many looks in a row after a freeze.
+            // Guards against a burst of samples after a pause.
             next = Instant::now() + look;
-            self.look();
+            self.sample_delays();
             looks += 1;
-            if looks == LOOKS {
+            if looks == SAMPLES_PER_WINDOW {
                 looks = 0;
-                self.tell();
+                self.report_window();
             }
         }
     }
@@ -257,18 +261,18 @@
         self.edge.record(client, what);
     }
 
-    fn take(&mut self, seen: Seen) {
+    fn record(&mut self, seen: Seen) {
         match seen {
             Seen::Asked { peer, client, gap } => {
                 self.asked += 1;
                 self.sample(&client, Observation::Request);
-                if self.over.len() >= MAX_PEERS && !self.over.contains_key(&peer) {
+                if self.clients_by_peer.len() >= MAX_PEERS && !self.clients_by_peer.contains_key(&peer) {
                     return;
                 }
-                let clients = &mut self.over.entry(peer).or_default().clients;
+                let clients = &mut self.clients_by_peer.entry(peer).or_default().clients;
                 if let Some((_, least)) = clients.iter_mut().find(|(other, _)| *other == client) {
                     *least = (*least).into_iter().chain(gap).min();
-                } else if clients.len() < MAX_OVER {
+                } else if clients.len() < MAX_CLIENTS_PER_PEER {
                     clients.push((client, gap));
                 }
             }
@@ -277,14 +281,15 @@
         }
     }
 
-    /// The delays of connections over which something came since the last look.
-    fn look(&mut self) {
-        let over = std::mem::take(&mut self.over);
+    /// Samples the delays of the connections with requests since the last sample.
+    fn sample_delays(&mut self) {
+        let over = std::mem::take(&mut self.clients_by_peer);
         if over.is_empty() {
             return;
         }
         let us = |time: Duration| u32::try_from(time.as_micros()).unwrap_or(u32::MAX).max(1);
-        // The file says that clients ask again as soon as they are answered. What they think is in it: the shortest has least of that.
+        // The file states that clients send the next request as soon as they are answered. The gap includes
+        // their think time, of which the shortest gap has least.
         if self.gaps {
             for (client, gap) in over.into_values().flat_map(|over| over.clients) {
                 if let Some(gap) = gap {
@@ -297,10 +302,10 @@
             None => BTreeMap::new(),
             Some(Ok(told)) => told.into_iter().collect(),
             Some(Err(e)) => {
-                // Once: what failed fails again.
+                // Logged once; not retried.
                 self.kernel = None;
                 self.figures.kernel.store(false, Ordering::Relaxed);
-                return log!(WARN, "steering: the system tells no round trips any more: {e}");
+                return log!(WARN, "steering: the system no longer reports round trips: {e}");
             }
         };
         for (peer, over) in over {
@@ -315,8 +320,9 @@
         }
     }
 
-    /// Ends the window, and tells the fleet of it. One that does not come through is lost: the next one comes soon.
-    fn tell(&mut self) {
+    /// Closes the window and reports it to the fleet. A lost report is not repeated: the next one follows
+    /// soon.
+    fn report_window(&mut self) {
         let way = self.way.lock().unwrap_or_else(PoisonError::into_inner).clone();
         if let Some((epoch, tables)) = way.as_ref().and_then(tables)
             && epoch != self.epoch
@@ -337,8 +343,8 @@
             summary: summary.to_bytes(),
         };
         let Some(way) = way else { return };
-        let entry = Entry::Part { part: NAME.to_string(), bytes: OfSteering::Report(told).to_bytes() };
-        // Nobody waits for what comes of it.
+        let entry = Entry::Part { part: NAME.to_string(), bytes: SteeringEntry::Report(told).to_bytes() };
+        // The outcome is not awaited.
         let (answer, _) = oneshot::channel();
         if way.orders.try_send(Order::Propose { entry, answer }).is_ok() {
             self.figures.windows.fetch_add(1, Ordering::Relaxed);
--- a/crates/node/src/steering/kernel.rs
+++ b/crates/node/src/steering/kernel.rs
@@ -1,7 +1,8 @@
-//! What the system knows of balancers' connections: the smoothed round trip of each, as it has it from their traffic anyway.
+//! The kernel's smoothed round-trip times of the balancers' connections.
 //!
-//! Asked over a socket of the kind `sock_diag`, for all connections to the nodo's port in one question. The usual way, `getsockopt` with
-//! `TCP_INFO`, has no safe call in any library here. Linux's layout, in the machine's order of bytes but for ports and addresses.
+//! Queried over a `sock_diag` netlink socket, for all connections to the nodo's port in one request. The
+//! usual `getsockopt` with `TCP_INFO` has no safe call in any library used here. The layout is Linux's, in
+//! native byte order except for ports and addresses.
 
 use rustix::net::netlink::SOCK_DIAG;
 use rustix::net::sockopt::{Timeout, set_socket_timeout};
@@ -11,28 +12,28 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// Connections of which a look tells: as many as a nodo may have, and more.
-pub const MOST: usize = 4096;
-/// The system answers at once; this only keeps a thread from waiting for ever.
-const WITHIN: Duration = Duration::from_millis(500);
-/// Read at once; what the system sends in one go is smaller.
-const CHUNK: usize = 64 * 1024;
+/// The most connections in one result: more than a nodo may have.
+pub const MAX_CONNECTIONS: usize = 4096;
+/// The kernel answers at once; this only keeps a thread from waiting forever.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Bytes per read; one datagram of the kernel is smaller.
+const CHUNK_BYTES: usize = 64 * 1024;
 
-const HEAD: usize = 16;
-const BY_FAMILY: u16 = 20;
-const ASKS_FOR_ALL: u16 = 0x301;
-const ENDS: [u16; 2] = [2, 3];
+const HEADER_BYTES: usize = 16;
+const SOCK_DIAG_BY_FAMILY: u16 = 20;
+const REQUEST_DUMP: u16 = 0x301;
+const FINAL_KINDS: [u16; 2] = [2, 3];
 const V4: u8 = 2;
 const V6: u8 = 10;
 const TCP: u8 = 6;
 const ESTABLISHED: u32 = 1 << 1;
-/// The attribute that holds a connection's figures, and where in them the round trip is, in microseconds.
+/// The attribute with a connection's `tcp_info`, and the offset of the round trip in it, in microseconds.
 const INFO: u16 = 2;
-const ROUND_TRIP: usize = 68;
-/// Where a connection's attributes begin.
-const ATTRIBUTES: usize = 72;
+const ROUND_TRIP_OFFSET: usize = 68;
+/// The offset of a connection's attributes.
+const ATTRIBUTES_OFFSET: usize = 72;
 
-/// The way to ask.
+/// A netlink socket for queries about connections.
 #[derive(Debug)]
 pub struct Kernel {
     socket: OwnedFd,
@@ -40,44 +41,44 @@
 }
 
 impl Kernel {
-    /// Asks for connections to this address.
+    /// Opens the socket, for connections to this address.
     ///
     /// # Errors
-    /// The system has no such way, or not for this program.
+    /// Fails if the system does not support it or denies permission.
     pub fn new(listens: SocketAddr) -> io::Result<Kernel> {
         let socket =
             socket_with(AddressFamily::NETLINK, SocketType::RAW, SocketFlags::CLOEXEC, Some(SOCK_DIAG))?;
-        set_socket_timeout(&socket, Timeout::Recv, Some(WITHIN))?;
+        set_socket_timeout(&socket, Timeout::Recv, Some(RECEIVE_TIMEOUT))?;
         Ok(Kernel { socket, listens })
     }
 
-    /// The other ends of connections with their round trips, in microseconds.
+    /// Returns the peers of connections with their round trips in microseconds.
     ///
     /// # Errors
-    /// The system does not answer, or says no.
+    /// Fails if the kernel does not answer, or answers with an error.
     pub fn round_trips(&self) -> io::Result<Vec<(SocketAddr, u32)>> {
-        send(&self.socket, &question(self.listens), SendFlags::empty())?;
-        let (mut all, mut buffer) = (Vec::new(), vec![0; CHUNK]);
+        send(&self.socket, &request(self.listens), SendFlags::empty())?;
+        let (mut all, mut buffer) = (Vec::new(), vec![0; CHUNK_BYTES]);
         loop {
             let (n, _) = recv(&self.socket, &mut buffer[..], RecvFlags::empty())?;
-            if n == 0 || take(&buffer[..n], &mut all)? {
+            if n == 0 || decode_datagram(&buffer[..n], &mut all)? {
                 return Ok(all);
             }
         }
     }
 }
 
-fn question(listens: SocketAddr) -> Vec<u8> {
+fn request(listens: SocketAddr) -> Vec<u8> {
     let family = if listens.is_ipv4() { V4 } else { V6 };
     let mut body = vec![family, TCP, 1 << (INFO - 1), 0];
     body.extend(ESTABLISHED.to_ne_bytes());
     body.extend(listens.port().to_be_bytes());
-    // No other port, addresses, interface or cookie is asked for.
+    // The filter has no peer port, addresses, interface or cookie.
     body.resize(56, 0);
-    let mut message = Vec::with_capacity(HEAD + body.len());
-    message.extend((HEAD as u32 + body.len() as u32).to_ne_bytes());
-    message.extend(BY_FAMILY.to_ne_bytes());
-    message.extend(ASKS_FOR_ALL.to_ne_bytes());
+    let mut message = Vec::with_capacity(HEADER_BYTES + body.len());
+    message.extend((HEADER_BYTES as u32 + body.len() as u32).to_ne_bytes());
+    message.extend(SOCK_DIAG_BY_FAMILY.to_ne_bytes());
+    message.extend(REQUEST_DUMP.to_ne_bytes());
     message.extend([0; 8]);
     message.extend(body);
     message
@@ -91,17 +92,17 @@
     bytes.get(at..at + 4)?.try_into().ok().map(u32::from_ne_bytes)
 }
 
-/// Takes in what the system sent in one go; whether that was the end of its answer.
-fn take(mut bytes: &[u8], all: &mut Vec<(SocketAddr, u32)>) -> io::Result<bool> {
+/// Decodes one datagram of the kernel; returns whether it ends the answer.
+fn decode_datagram(mut bytes: &[u8], all: &mut Vec<(SocketAddr, u32)>) -> io::Result<bool> {
     while let (Some(length), Some(kind)) = (u32_at(bytes, 0), u16_at(bytes, 4)) {
         let length = length as usize;
-        if ENDS.contains(&kind) {
-            let error = u32_at(bytes, HEAD).unwrap_or(0) as i32;
-            // Both say what went wrong, as a number below 0.
+        if FINAL_KINDS.contains(&kind) {
+            let error = u32_at(bytes, HEADER_BYTES).unwrap_or(0) as i32;
+            // Both kinds carry an error as a negative number.
             return if error < 0 { Err(io::Error::from_raw_os_error(-error)) } else { Ok(true) };
         }
-        let Some(body) = bytes.get(HEAD..length) else { return Ok(true) };
-        if kind == BY_FAMILY && all.len() < MOST {
+        let Some(body) = bytes.get(HEADER_BYTES..length) else { return Ok(true) };
+        if kind == SOCK_DIAG_BY_FAMILY && all.len() < MAX_CONNECTIONS {
             all.extend(connection(body));
         }
         bytes = bytes.get(length.next_multiple_of(4)..).unwrap_or_default();
@@ -109,7 +110,7 @@
     Ok(false)
 }
 
-/// The other end of a connection, and its round trip; nothing where there was no traffic yet.
+/// Decodes the peer of a connection and its round trip; `None` before its first traffic.
 fn connection(body: &[u8]) -> Option<(SocketAddr, u32)> {
     let port = u16::from_be_bytes(body.get(6..8)?.try_into().ok()?);
     let address: [u8; 16] = body.get(24..40)?.try_into().ok()?;
@@ -117,14 +118,14 @@
         V4 => IpAddr::V4(Ipv4Addr::new(address[0], address[1], address[2], address[3])),
         _ => IpAddr::V6(Ipv6Addr::from(address)),
     };
-    let mut attributes = body.get(ATTRIBUTES..)?;
+    let mut attributes = body.get(ATTRIBUTES_OFFSET..)?;
     while let (Some(length), Some(kind)) = (u16_at(attributes, 0), u16_at(attributes, 2)) {
         let length = usize::from(length);
         if length < 4 {
             return None;
         }
         if kind == INFO {
-            let us = u32_at(attributes.get(4..length)?, ROUND_TRIP)?;
+            let us = u32_at(attributes.get(4..length)?, ROUND_TRIP_OFFSET)?;
             return (us > 0).then_some((SocketAddr::new(ip, port), us));
         }
         attributes = attributes.get(length.next_multiple_of(4)..)?;
@@ -139,7 +140,7 @@
     use std::net::{TcpListener, TcpStream};
 
     #[test]
-    fn the_system_tells_the_round_trip_of_connections_to_one_port() {
+    fn the_kernel_reports_the_round_trips_of_connections_to_one_port() {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let other = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
@@ -156,7 +157,7 @@
             }
             ends.push((near, far));
         }
-        // A machine may forbid it; then there is nothing to see, and the nodo says so.
+        // A machine may deny it; then there is nothing to measure, and the nodo logs that.
         let Ok(kernel) = Kernel::new(at) else { return };
         let Ok(told) = kernel.round_trips() else { return };
         let mut told: Vec<SocketAddr> =
@@ -169,12 +170,12 @@
     }
 
     #[test]
-    fn what_is_cut_or_odd_is_no_connection() {
+    fn truncated_or_malformed_answers_yield_no_connection() {
         let mut body = vec![V4, 1, 0, 0, 0, 0, 0x1f, 0x90];
-        body.resize(ATTRIBUTES, 0);
+        body.resize(ATTRIBUTES_OFFSET, 0);
         body[24..28].copy_from_slice(&[10, 3, 7, 9]);
         let mut info = vec![0; 100];
-        info[ROUND_TRIP..ROUND_TRIP + 4].copy_from_slice(&1500u32.to_ne_bytes());
+        info[ROUND_TRIP_OFFSET..ROUND_TRIP_OFFSET + 4].copy_from_slice(&1500u32.to_ne_bytes());
         for (length, kind, content) in [(5u16, 8u16, vec![0; 4]), (104, INFO, info)] {
             body.extend(length.to_ne_bytes());
             body.extend(kind.to_ne_bytes());
@@ -182,13 +183,15 @@
         }
         assert_eq!(connection(&body), Some(("10.3.7.9:8080".parse().unwrap(), 1500)));
         for end in 0..body.len() - 1 {
-            // Not whole: the figures are behind all else.
+            // Truncated: the attribute with the round trip is last.
             assert_eq!(connection(&body[..end]), None, "{end}");
         }
         let (mut all, ended) =
             (Vec::new(), [&20u32.to_ne_bytes()[..], &3u16.to_ne_bytes(), &[0; 14]].concat());
-        assert!(take(&ended, &mut all).unwrap() && !take(&[1, 2, 3], &mut all).unwrap());
+        assert!(
+            decode_datagram(&ended, &mut all).unwrap() && !decode_datagram(&[1, 2, 3], &mut all).unwrap()
+        );
         let no = [&20u32.to_ne_bytes()[..], &2u16.to_ne_bytes(), &[0; 10], &(-1i32).to_ne_bytes()].concat();
-        assert_eq!(take(&no, &mut all).unwrap_err().raw_os_error(), Some(1));
+        assert_eq!(decode_datagram(&no, &mut all).unwrap_err().raw_os_error(), Some(1));
     }
 }
--- a/crates/node/src/steering/tests.rs
+++ b/crates/node/src/steering/tests.rs
@@ -23,24 +23,24 @@
 }
 
 #[test]
-fn without_a_block_there_is_nothing() {
+fn without_a_block_nothing_is_measured() {
     assert!(Steering::new(&File::default(), "n0").is_none());
 }
 
 #[test]
-fn what_finds_no_room_is_dropped_and_counted() {
-    // Nobody takes anything: the thread is frozen.
+fn observations_beyond_the_queue_are_dropped_and_counted() {
+    // Nothing reads the queue, as when the thread is paused.
     let (steering, _thread, queue) = ready("");
     let samples = steering.samples();
-    for _ in 0..QUEUE + 7 {
+    for _ in 0..MAX_QUEUED + 7 {
         samples.tell(Seen::Reset(client(1)));
     }
     assert_eq!(steering.figures.dropped.load(Ordering::Relaxed), 7);
-    assert_eq!(queue.try_iter().count(), QUEUE);
+    assert_eq!(queue.try_iter().count(), MAX_QUEUED);
 }
 
 #[test]
-fn the_file_says_what_makes_a_group() {
+fn the_file_defines_the_client_of_a_request() {
     let field = |name: &str| (name == "X-Org").then_some(" norte/salta ");
     for (rest, wanted) in [
         ("", Client::Balancer(7)),
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn gaps_are_delays_only_where_the_file_says_so() {
+fn gaps_count_as_delays_only_if_the_file_enables_it() {
     for (rest, delays) in [("", 0), ("  delays = \"gaps\"\n", 1)] {
         let (_steering, mut thread, _queue) = ready(rest);
         for ms in [30, 9, 50] {
             let gap = Some(Duration::from_millis(ms));
-            thread.take(Seen::Asked { peer: peer(1), client: client(7), gap });
+            thread.record(Seen::Asked { peer: peer(1), client: client(7), gap });
         }
-        thread.look();
+        thread.sample_delays();
         let summary = thread.edge.close_window();
         let (_, cells) = summary.by_source().next().unwrap();
         let cell = cells.values().next().unwrap();
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn what_is_kept_between_two_looks_has_a_bound() {
+fn the_clients_tracked_between_two_samples_are_bounded() {
     let (_steering, mut thread, _queue) = ready("");
     for n in 0..3 * MAX_PEERS as u32 {
-        thread.take(Seen::Asked { peer: peer(n as u16), client: client(n), gap: None });
-        thread.take(Seen::Asked { peer: peer(1), client: client(n), gap: None });
+        thread.record(Seen::Asked { peer: peer(n as u16), client: client(n), gap: None });
+        thread.record(Seen::Asked { peer: peer(1), client: client(n), gap: None });
     }
-    assert_eq!(thread.over.len(), MAX_PEERS);
-    assert!(thread.over.values().all(|over| over.clients.len() <= MAX_OVER));
-    thread.look();
-    assert!(thread.over.is_empty());
+    assert_eq!(thread.clients_by_peer.len(), MAX_PEERS);
+    assert!(thread.clients_by_peer.values().all(|over| over.clients.len() <= MAX_CLIENTS_PER_PEER));
+    thread.sample_delays();
+    assert!(thread.clients_by_peer.is_empty());
 }
