--- a/crates/node/src/upgrade/claims/tests.rs
+++ b/crates/node/src/upgrade/claims/tests.rs
@@ -13,7 +13,7 @@
     static MUTANT: Cell<Option<Mutant>> = const { Cell::new(None) };
 }
 
-/// Whether the rules are wrong in this way in the test that runs.
+/// Whether the running test has activated this mutant.
 pub(super) fn mutant(one: Mutant) -> bool {
     MUTANT.get() == Some(one)
 }
@@ -26,16 +26,16 @@
     assert_eq!(claims.give(), None);
     assert_eq!(claims.place(5.0, Try { known: KeyKnowledge::Local, ..first }), Placement::Remote);
     claims.broke();
-    assert_eq!(claims.place(5.0, first), Placement::Rejected, "the right is not back yet");
+    assert_eq!(claims.place(5.0, first), Placement::Rejected, "ownership is not back yet");
     assert_eq!(claims.place(5.0, Try { known: KeyKnowledge::NoKey, ..first }), Placement::Local);
     claims.taken(10.0, WINDOW);
-    assert_eq!(claims.place(10.0, first), Placement::Rejected, "it may have reached the other");
+    assert_eq!(claims.place(10.0, first), Placement::Rejected, "it may have reached the other process");
     assert_eq!(claims.place(11.0, Try { arrived: 10.5, ..first }), Placement::Local);
     let again = Try { may_repeat: true, arrived: 10.5, ..first };
     assert_eq!(claims.place(11.0, again), Placement::Rejected, "its first try may have run there");
     assert_eq!(claims.place(11.0, Try { known: KeyKnowledge::Local, ..again }), Placement::Local);
     assert_eq!(claims.place(11.0, Try { known: KeyKnowledge::NoKey, ..again }), Placement::Local);
-    // What is doubted is doubted by whoever gets the keys next.
+    // The uncertainty is transferred with the keys.
     let doubt = claims.clone().give();
     let mut next = Claims::start(false);
     next.given(doubt);
@@ -45,12 +45,12 @@
     claims.lost();
     assert_eq!(claims.place(71.0, Try { arrived: 71.0, ..first }), Placement::Rejected);
     claims.broke();
-    assert_eq!(claims, Claims::Lost, "a link that breaks gives nothing back");
+    assert_eq!(claims, Claims::Lost, "a broken link returns no keys");
 }
 
-/// What a process does that looks for the one that serves: every case.
+/// Every case of a process that looks for the owner.
 #[test]
-fn the_right_is_taken_from_the_silent_and_the_dead_alone() {
+fn ownership_is_taken_only_from_silent_and_ended_processes() {
     let takes = |alone| TakeoverAction::Acquire { alone };
     for (response, up, others, steady, action) in [
         (PeerResponse::Answers, false, true, false, TakeoverAction::Connect),
@@ -63,7 +63,7 @@
         (PeerResponse::Nobody, true, true, false, TakeoverAction::Retry),
         (PeerResponse::Nobody, false, true, true, TakeoverAction::Retry),
         (PeerResponse::Nobody, true, false, false, takes(true)),
-        // The first start listens before its interpreter is up.
+        // The first process listens before its interpreter is up.
         (PeerResponse::Nobody, false, false, false, takes(true)),
     ] {
         let context = TakeoverContext { up, others, steady };
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_right_is_steady_once_nobody_has_taken_it_for_longer_than_a_taking_needs() {
+fn ownership_is_stable_once_it_is_unchanged_for_longer_than_a_takeover_takes() {
     let (mut steady, ms) = (StabilityWatch::default(), Duration::from_millis);
     assert!(!steady.see(1, ms(0)));
     assert!(!steady.see(1, ms(299)));
@@ -83,39 +83,39 @@
 }
 
 #[test]
-fn a_partner_is_silent_after_a_second_and_a_pause_of_ones_own_says_nothing() {
+fn a_partner_is_silent_after_a_second_and_an_own_pause_does_not_count() {
     let at = |n: u32| HEARTBEAT_INTERVAL * n;
     let mut silence = SilenceDetector::default();
     assert!((0..MAX_MISSED_HEARTBEATS).all(|n| !silence.tick(at(n))));
     assert!(silence.tick(at(MAX_MISSED_HEARTBEATS)));
     silence.heard();
     assert!(!silence.tick(at(5)));
-    // Frozen here for a minute: what the other said meanwhile has not been read yet.
+    // This process was paused for a minute: messages of the other are still unread.
     let after = at(5) + Duration::from_secs(60);
     assert!((0..=MAX_MISSED_HEARTBEATS).all(|n| !silence.tick(after + at(n))));
     assert!(silence.tick(after + at(MAX_MISSED_HEARTBEATS + 1)));
 }
 
 #[test]
-fn a_look_is_good_for_less_than_the_wait_of_one_that_takes_the_right() {
+fn a_check_expires_before_the_takeover_delay_of_a_new_owner() {
     assert!(CHECK_VALIDITY < TAKEOVER_DELAY);
-    let looked = Duration::from_secs(5);
-    assert!(!check_due(looked, looked + CHECK_VALIDITY - Duration::from_millis(1)));
-    assert!(check_due(looked, looked + CHECK_VALIDITY));
+    let checked = Duration::from_secs(5);
+    assert!(!check_due(checked, checked + CHECK_VALIDITY - Duration::from_millis(1)));
+    assert!(check_due(checked, checked + CHECK_VALIDITY));
 }
 
-/// One key, three starts of one nodo, and all that may happen to it, in every order, up to a bound. Any of them may be slow,
-/// frozen and woken between any two steps, so any may be taken for silent at any moment. Time stands still but for the taking
-/// of the right, so that all is within the window.
+/// A state of the model: one key and up to three processes of one nodo, explored over every order of events
+/// up to a bound. Any process may be slow, or paused and resumed between any two steps, so any may count as
+/// silent at any moment. Time advances only at a takeover, so that everything happens within the window.
 #[derive(Clone, Debug)]
 struct World {
     now: f64,
     starts: Vec<Start>,
-    /// Which right is the present one; whoever holds another has lost it.
+    /// The number of the present ownership; a process with a lower one has lost it.
     right: u32,
     link: Option<Link>,
     first: First,
-    /// Further tries that were read.
+    /// The number of repeated tries that were read.
     tries: u32,
     takes: u32,
     deaths: u32,
@@ -123,7 +123,7 @@
     log: Option<Rc<Past>>,
 }
 
-/// The first try, the only one that is not marked. Others may be read before it: it may lie unread at a listener.
+/// The first try, the only unmarked one. Others may be read before it, while it waits unread at a listener.
 #[derive(Clone, Copy, Debug)]
 enum First {
     ToCome,
@@ -131,7 +131,7 @@
     Read,
 }
 
-/// What has happened, the last of it first.
+/// The past events, the latest first.
 #[derive(Debug)]
 struct Past {
     at: usize,
@@ -139,7 +139,7 @@
     before: Option<Rc<Past>>,
 }
 
-/// How far the search goes.
+/// The bounds of the search.
 #[derive(Clone, Copy)]
 struct Bounds {
     starts: usize,
@@ -151,14 +151,14 @@
 #[derive(Clone, Debug)]
 struct Start {
     claims: Claims,
-    /// What it has on record.
+    /// What it knows of the key.
     known: Option<State>,
     right: Option<u32>,
-    /// Its last look at that is still good.
+    /// Its last ownership check is still valid.
     sure: bool,
-    /// A try that was read and looked at the right for, and is not placed yet: a pause may fall here.
+    /// A try that was read, with an ownership check, and is not placed yet: a pause may occur here.
     read: Option<Try>,
-    /// The right that it takes, while it waits.
+    /// The number of the ownership that it acquires, during the takeover delay.
     takes: Option<u32>,
     dead: bool,
 }
@@ -168,30 +168,30 @@
     giver: usize,
     taker: usize,
     given: bool,
-    /// What the giver has said and the taker has not heard, in order.
-    said: Vec<Said>,
+    /// The messages from the giver that the taker has not received, in order.
+    messages: Vec<Sent>,
 }
 
 #[derive(Clone, Copy, PartialEq, Hash, Debug)]
 enum State {
-    Held,
+    Queued,
     Runs,
     Ended,
-    /// Another process has it in hand.
-    Away,
+    /// It is in flight in another process.
+    Remote,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Said {
+enum Sent {
     Entry(Option<State>),
     Yours(u32, Option<Uncertainty>),
     Try,
     Ended(Option<State>),
 }
 
-/// What must never be.
+/// A violation of the rules, with the events that led to it.
 #[derive(Debug)]
-#[expect(dead_code, reason = "told when a test fails")]
+#[expect(dead_code, reason = "printed when a test fails")]
 struct Broken(&'static str, Vec<(usize, &'static str)>);
 
 impl Broken {
@@ -232,7 +232,7 @@
         }
     }
 
-    fn look(&mut self, at: usize) {
+    fn check(&mut self, at: usize) {
         let right = self.right;
         let start = &mut self.starts[at];
         let Some(mine) = start.right else { return };
@@ -251,13 +251,13 @@
 
     fn has_right(&mut self, at: usize, right: u32) {
         self.starts[at].right = Some(right);
-        // The first look is made on arrival.
+        // The first check is made on arrival.
         self.starts[at].sure = mutant(Mutant::TransferredOwnershipIsNotChecked);
-        self.look(at);
+        self.check(at);
     }
 
     fn reads(&mut self, at: usize, a_try: Try) {
-        self.look(at);
+        self.check(at);
         self.starts[at].read = Some(a_try);
     }
 
@@ -267,25 +267,25 @@
         let Some(a_try) = start.read.take() else { return };
         let known = if start.known.is_some() { KeyKnowledge::Local } else { KeyKnowledge::Unknown };
         match start.claims.place(now, Try { known, ..a_try }) {
-            Placement::Local => self.take(at),
+            Placement::Local => self.accept(at),
             Placement::Remote => {
                 if let Some(link) = &mut self.link {
-                    link.said.push(Said::Try);
+                    link.messages.push(Sent::Try);
                 }
             }
             Placement::Rejected => {}
         }
     }
 
-    /// A try is taken on where it may: it is held, unless something of its key is there already.
-    fn take(&mut self, at: usize) {
-        self.starts[at].known.get_or_insert(State::Held);
+    /// Accepts a try: it is queued, unless the key is already known.
+    fn accept(&mut self, at: usize) {
+        self.starts[at].known.get_or_insert(State::Queued);
     }
 
-    fn tell(&mut self, at: usize) {
+    fn send_outcome(&mut self, at: usize) {
         let known = self.starts[at].known;
         if let Some(link) = self.link.as_mut().filter(|link| link.giver == at && link.given) {
-            link.said.push(Said::Ended(known));
+            link.messages.push(Sent::Ended(known));
         }
     }
 
@@ -293,8 +293,8 @@
         let Some(link) = self.link.take() else { return };
         self.starts[link.giver].claims.broke();
         self.starts[link.taker].claims.broke();
-        // What the other had in hand may have run.
-        if self.starts[link.taker].known == Some(State::Away) {
+        // What was in flight in the other process may have run.
+        if self.starts[link.taker].known == Some(State::Remote) {
             self.starts[link.taker].known = Some(State::Ended);
         }
     }
@@ -303,7 +303,7 @@
         self.link.as_ref().is_some_and(|link| link.giver == at || link.taker == at)
     }
 
-    /// All that may happen next.
+    /// Returns all states that may follow.
     fn next(&self, bounds: Bounds) -> Result<Vec<World>, Broken> {
         let mut worlds = Vec::new();
         let mut step = |at: usize, name, act: &dyn Fn(&mut World)| {
@@ -318,9 +318,9 @@
         let may_die = self.deaths < bounds.deaths;
         for (at, start) in self.starts.iter().enumerate().filter(|(_, start)| !start.dead) {
             if start.sure {
-                step(at, "its look gets old", &|w| w.starts[at].sure = false);
+                step(at, "its check expires", &|w| w.starts[at].sure = false);
             }
-            // Within a round it does nothing else.
+            // Within a round the process does nothing else.
             if start.read.is_some() {
                 step(at, "the try is placed", &|w| w.places(at));
                 if may_die {
@@ -328,7 +328,7 @@
                 }
                 continue;
             }
-            // One that never had the right takes no clients.
+            // A process that never had ownership accepts no clients.
             let takes_clients = at == 0 || start.claims != Claims::Lost || start.known.is_some();
             let unknown = Try { known: KeyKnowledge::Unknown, may_repeat: true, arrived: self.now };
             if let (First::Sent(arrived), true) = (self.first, takes_clients) {
@@ -344,32 +344,32 @@
                 });
             }
             match start.known {
-                Some(State::Held) => {
+                Some(State::Queued) => {
                     step(at, "it runs", &|w| {
                         w.starts[at].known = Some(State::Runs);
                         w.runs += 1;
                     });
                     if self.runs > 0 {
                         return Err(Broken::new(
-                            "held beside a run, to be run or refused",
+                            "queued while another try ran, to be run or refused",
                             self.log.as_ref(),
                         ));
                     }
                     step(at, "it is refused", &|w| {
                         w.starts[at].known = None;
-                        w.tell(at);
+                        w.send_outcome(at);
                     });
                 }
                 Some(State::Runs) => step(at, "its run ends", &|w| {
                     w.starts[at].known = Some(State::Ended);
-                    w.tell(at);
+                    w.send_outcome(at);
                 }),
                 _ => {}
             }
             if start.claims == Claims::Lost && !self.is_linked(at) {
                 match start.takes {
                     None if self.takes < bounds.takes => {
-                        step(at, "it takes the right from the silent", &|w| {
+                        step(at, "it takes ownership from a silent process", &|w| {
                             w.right += 1;
                             w.takes += 1;
                             w.starts[at].takes = Some(w.right);
@@ -381,7 +381,7 @@
                         if others.clone().all(|(_, other)| waited(other))
                             || mutant(Mutant::NewOwnerDoesNotWait)
                         {
-                            step(at, "it has waited", &|w| {
+                            step(at, "its takeover delay is over", &|w| {
                                 w.now += 1.0;
                                 w.starts[at].takes = None;
                                 w.starts[at].claims.taken(w.now, WINDOW);
@@ -399,9 +399,9 @@
                     for (owner, _) in owners {
                         let links = |giver, taker| {
                             move |w: &mut World| {
-                                w.look(owner);
+                                w.check(owner);
                                 if w.starts[owner].claims.owns() {
-                                    w.link = Some(Link { giver, taker, given: false, said: vec![] });
+                                    w.link = Some(Link { giver, taker, given: false, messages: vec![] });
                                 }
                             }
                         };
@@ -418,37 +418,37 @@
             };
             if link.giver == at && !link.given {
                 step(at, "it gives the keys", &|w| {
-                    w.look(at);
+                    w.check(at);
                     let Some(link) = &mut w.link else { return };
                     let start = &mut w.starts[at];
                     let right = start.right.take();
                     link.given = true;
                     let doubt = start.claims.give();
-                    link.said.push(Said::Entry(start.known));
-                    link.said.extend(right.map(|right| Said::Yours(right, doubt)));
+                    link.messages.push(Sent::Entry(start.known));
+                    link.messages.extend(right.map(|right| Sent::Yours(right, doubt)));
                 });
             }
-            if link.taker == at && !link.said.is_empty() {
-                step(at, "it hears a message", &|w| {
-                    let Some(said) = w.link.as_mut().map(|link| link.said.remove(0)) else { return };
-                    w.look(at);
+            if link.taker == at && !link.messages.is_empty() {
+                step(at, "it receives a message", &|w| {
+                    let Some(message) = w.link.as_mut().map(|link| link.messages.remove(0)) else { return };
+                    w.check(at);
                     let start = &mut w.starts[at];
-                    match said {
-                        Said::Entry(state) | Said::Ended(state) => {
+                    match message {
+                        Sent::Entry(state) | Sent::Ended(state) => {
                             let away = |state| match state {
                                 State::Ended => State::Ended,
-                                _ => State::Away,
+                                _ => State::Remote,
                             };
-                            if matches!(start.known, None | Some(State::Away)) {
+                            if matches!(start.known, None | Some(State::Remote)) {
                                 start.known = state.map(away);
                             }
                         }
-                        Said::Yours(right, doubt) => {
+                        Sent::Yours(right, doubt) => {
                             start.claims.given(doubt);
                             w.has_right(at, right);
                         }
-                        // Where it goes is decided as for any other.
-                        Said::Try => {
+                        // Placed like any other try.
+                        Sent::Try => {
                             start.read =
                                 Some(Try { known: KeyKnowledge::Unknown, may_repeat: true, arrived: w.now });
                         }
@@ -459,8 +459,8 @@
             if may_die {
                 step(at, "it dies", &|w| w.dies(at));
             }
-            let in_hand = matches!(start.known, Some(State::Held | State::Runs));
-            if link.giver == at && link.given && !in_hand && link.said.is_empty() {
+            let in_flight = matches!(start.known, Some(State::Queued | State::Runs));
+            if link.giver == at && link.given && !in_flight && link.messages.is_empty() {
                 step(at, "it has ended its work", &|w| {
                     w.starts[at].dead = true;
                     w.link = None;
@@ -478,13 +478,13 @@
             self.break_link();
         }
         self.deaths += 1;
-        // Nothing else of it matters any more.
+        // The rest of its state no longer matters.
         self.starts[at] = Start { dead: true, ..Start::new(at) };
         self.starts[at].sure = false;
     }
 
-    /// Worlds that differ in their past alone go on alike.
-    fn mark(&self) -> u64 {
+    /// Returns a hash of the state without its past, which has no influence on what follows.
+    fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         let World { now, starts, right, link, first, tries, takes, deaths, runs, log: _ } = self;
         (now.to_bits(), right, tries, takes, deaths, runs).hash(&mut hasher);
@@ -503,16 +503,16 @@
             let read = read.map(|read| (read.may_repeat, read.arrived.to_bits()));
             (claims, known, right, sure, read, takes, dead).hash(&mut hasher);
         }
-        if let Some(Link { giver, taker, given, said }) = link {
+        if let Some(Link { giver, taker, given, messages }) = link {
             (giver, taker, given).hash(&mut hasher);
-            for one in said {
+            for one in messages {
                 match one {
-                    Said::Entry(state) => (0, state).hash(&mut hasher),
-                    Said::Yours(right, doubt) => {
+                    Sent::Entry(state) => (0, state).hash(&mut hasher),
+                    Sent::Yours(right, doubt) => {
                         (1, right, doubt.map(|doubt| doubt.since.to_bits())).hash(&mut hasher);
                     }
-                    Said::Try => 2.hash(&mut hasher),
-                    Said::Ended(state) => (3, state).hash(&mut hasher),
+                    Sent::Try => 2.hash(&mut hasher),
+                    Sent::Ended(state) => (3, state).hash(&mut hasher),
                 }
             }
         }
@@ -520,13 +520,13 @@
     }
 }
 
-/// Goes through all worlds within the bounds; returns how many there are.
+/// Explores all states within the bounds; returns their number.
 fn explore(bounds: Bounds) -> Result<usize, Broken> {
     let mut worlds = vec![World::new(bounds.starts)];
     let mut seen = HashSet::new();
     while let Some(world) = worlds.pop() {
         for next in world.next(bounds)? {
-            if seen.insert(next.mark()) {
+            if seen.insert(next.state_hash()) {
                 worlds.push(next);
             }
         }
@@ -537,18 +537,18 @@
 const TWO: Bounds = Bounds { starts: 2, tries: 2, takes: 2, deaths: 2 };
 const THREE: Bounds = Bounds { starts: 3, tries: 1, takes: 1, deaths: 0 };
 
-/// Never two runs of one key, and never a refusal once it may have run, over every order in which tries, looks, runs, ends,
-/// refusals, messages, breaks, deaths and takings of the right can come.
+/// A key never runs twice, and is never refused once it may have run, in any order of tries, checks, runs,
+/// ends, refusals, messages, broken links, deaths and takeovers.
 #[test]
 fn no_order_of_events_runs_a_key_twice_or_refuses_what_ran() {
     for bounds in [TWO, THREE] {
         let worlds = explore(bounds).unwrap_or_else(|broken| panic!("{broken:?}"));
         println!("{} starts: {worlds} worlds", bounds.starts);
-        assert!(worlds > 50_000, "only {worlds} worlds: the bound is too low to say anything");
+        assert!(worlds > 50_000, "only {worlds} worlds: the bounds are too low for a meaningful search");
     }
 }
 
-/// The search is worth what it can refute: each way in which the rules could be wrong is found.
+/// The search detects each deliberate error in the rules.
 #[test]
 fn every_mutant_of_the_rules_is_killed() {
     for one in [
@@ -566,7 +566,7 @@
         let found = explore(TWO).err().or_else(|| explore(THREE).err());
         MUTANT.set(None);
         println!("{one:?}: {found:?}");
-        assert!(found.is_some(), "{one:?} lives");
+        assert!(found.is_some(), "{one:?} is not detected");
     }
 }
 
@@ -574,9 +574,9 @@
     Key::from("k")
 }
 
-/// The table of keys on the side that takes over: what the other had in hand is followed, never run.
+/// The key table of the process that takes over: keys in flight in the other process are tracked, never run.
 #[test]
-fn adopted_keys_do_not_run_and_news_of_them_is_taken_in() {
+fn adopted_keys_do_not_run_and_their_outcomes_are_recorded() {
     let mark = digest("sign", b"x");
     for (news, left) in [
         (Some(RunState::Done(vec![9].into())), Some(RunState::Done(vec![9].into()))),
@@ -589,7 +589,7 @@
         assert_eq!(keys.register_try(&key(), mark, RequestId(1), 1.0, |_| false), Ok(Some(other(0))));
         assert!(keys.adopt(&key(), mark, other(1), 60.0, news));
         assert_eq!(keys.run_state(&key()), left.as_ref());
-        // Old news change nothing any more.
+        // A stale outcome changes nothing.
         keys.adopt(&key(), mark, other(2), 60.0, left.clone());
         assert_eq!(keys.run_state(&key()), left.as_ref());
         keys.expire(61.0);
@@ -598,7 +598,7 @@
 }
 
 #[test]
-fn keys_whose_other_process_is_gone_have_failed_and_stay_known() {
+fn keys_in_flight_in_an_ended_process_fail_and_stay_known() {
     let mut keys = KeyTable::new(100_000);
     keys.adopt(&key(), 7, FIRST_ADOPTED_ID, 50.0, Some(RunState::Running));
     assert_eq!(keys.fail_runs_from(FIRST_ADOPTED_ID), [key()]);
@@ -606,9 +606,10 @@
     assert!(keys.fail_runs_from(FIRST_ADOPTED_ID).is_empty());
 }
 
-/// The other process may say twice that no try of a key ran there. By then one may run here, which stays known.
+/// The other process may report twice that no try of a key ran there. By then one may run here, which must
+/// stay known.
 #[test]
-fn old_news_of_a_key_do_not_undo_a_run_of_this_process() {
+fn a_stale_outcome_does_not_undo_a_run_of_this_process() {
     let mut keys = KeyTable::new(100_000);
     keys.adopt(&key(), 7, FIRST_ADOPTED_ID, 50.0, Some(RunState::Running));
     assert!(keys.adopt(&key(), 7, RequestId(FIRST_ADOPTED_ID.0 + 1), 50.0, None));
