--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -13,28 +13,28 @@
 use std::process::ExitCode;
 use tracing::Level;
 
-/// Decides, inside one server of a fleet, what it takes, runs and turns away.
+/// Overload control for one server of a fleet: decides which requests it accepts, runs and refuses.
 ///
-/// Without a command it serves balancers as the platform starts it: NODE_CONFIG names the platform's JSON file, and
-/// NODE_NAME and NODE_LISTEN, where they are set, go before what that file says.
+/// Without a command it serves balancers as the platform starts it: NODE_CONFIG names the platform's JSON
+/// file, and NODE_NAME and NODE_LISTEN, if set, override that file.
 #[derive(Debug, Parser)]
 #[command(name = "jaspershunt", version, about, long_about)]
 pub struct Cli {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What the program does.
+/// The commands of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve balancers until SIGTERM; SIGHUP reads the files again.
     Serve(Serve),
-    /// Check an operator's file and say what is wrong with it.
+    /// Check an operator's file and print its problems.
     ///
-    /// Every message names file, line, column, the key and what was expected. With a platform's file, named here or by
-    /// NODE_CONFIG, what does not fit its settings and limits is told as well. Exits with 0 if the file can be used, 1
-    /// if not, and 2 if a file cannot be read.
+    /// Every message names file, line, column, the key and what was expected. With a platform's file, named
+    /// here or by NODE_CONFIG, conflicts with its settings and limits are printed as well. Exits with 0 if
+    /// the file can be used, 1 if not, and 2 if a file cannot be read.
     Check {
         /// The operator's file, in HCL.
         file: String,
@@ -42,46 +42,46 @@
         #[arg(long, value_name = "FILE", env = "NODE_CONFIG")]
         config: Option<String>,
     },
-    /// Look at captures: replay them, sum them up, tell the story of a request.
+    /// Analyse captures: replay them, summarise them, explain what became of a request.
     #[command(subcommand)]
     Capture(capture::Captures),
-    /// Look at the fleet and its tasks, and have something done in it.
+    /// Show the fleet and its tasks, and change their state.
     #[command(subcommand)]
     Fleet(fleet::Fleets),
-    /// Look at the work in hand that the fleet holds.
+    /// Show the in-flight work of the fleet.
     #[command(subcommand)]
     Work(work::Works),
-    /// Look at the fleet's route table, and edit it.
+    /// Show the fleet's route table, and edit it.
     #[command(subcommand)]
     Routes(routes::Tables),
-    /// Look at which region serves which group of clients.
+    /// Show which region serves which group of clients.
     #[command(subcommand)]
     Steering(steering::Steerings),
-    /// Write an operator's file out with every default filled in.
+    /// Print an operator's file with every default filled in.
     Explain {
         /// The operator's file, in HCL.
         file: String,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// How to serve.
+/// Options of `serve`.
 #[derive(Clone, Debug, Default, clap::Args)]
 pub struct Serve {
-    /// The operator's own file, in HCL. Without it nothing but the platform's file counts.
+    /// The operator's own file, in HCL. Without it only the platform's file applies.
     #[arg(long, value_name = "FILE")]
     pub operator: Option<String>,
-    /// How lines are written to standard error.
+    /// The format of log lines on standard error.
     #[arg(long, value_name = "FORM", default_value = "text")]
     pub log_format: Form,
-    /// The least level of lines that are written: error, warn, info, debug or trace.
+    /// The lowest level of log lines that are written: error, warn, info, debug or trace.
     #[arg(long, value_name = "LEVEL", default_value = "info")]
     pub log_level: LogLevel,
 }
 
-/// A level of lines.
+/// A level of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogLevel(pub Level);
 
@@ -98,12 +98,12 @@
     }
 }
 
-/// The file cannot be used.
+/// The exit code if the file has problems.
 const WRONG: u8 = 1;
-/// A file cannot be read.
+/// The exit code if a file cannot be read.
 const UNREADABLE: u8 = 2;
 
-fn tell(problems: &[Problem]) -> ExitCode {
+fn report(problems: &[Problem]) -> ExitCode {
     for problem in problems {
         eprintln!("{problem}");
     }
@@ -115,7 +115,7 @@
         eprintln!("{path}: cannot be read: {e}");
         ExitCode::from(UNREADABLE)
     })?;
-    jaspershunt_operator::read(path, &text).map_err(|problems| tell(&problems))
+    jaspershunt_operator::read(path, &text).map_err(|problems| report(&problems))
 }
 
 /// Carries out `check`.
@@ -143,7 +143,7 @@
         };
         let wrong = platform.against(&file);
         if !wrong.is_empty() {
-            // These stand between two files: what is named is the key in the operator's.
+            // These are conflicts between two files: each names the key in the operator's.
             wrong.iter().for_each(|what| eprintln!("{path}: {what}"));
             return ExitCode::from(WRONG);
         }
@@ -165,7 +165,7 @@
         },
         Ok(file) => {
             print!("{}", explain::explain(&file));
-            // What a grade promises is told where it is chosen, and so is what becomes of work that is handed over.
+            // Explains the guarantees of the chosen grades and handovers.
             for (name, task) in &file.task {
                 println!("# task {name}: {}", crate::fleet::grade(task).explain());
             }
@@ -178,7 +178,7 @@
     ExitCode::SUCCESS
 }
 
-/// Begins to write lines as it was asked for.
+/// Starts logging as the options specify.
 pub fn start_log(serve: &Serve) {
     log::start(serve.log_format, serve.log_level.0);
 }
--- a/crates/node/src/cli/capture.rs
+++ b/crates/node/src/cli/capture.rs
@@ -1,4 +1,4 @@
-//! `jaspershunt capture …`: what an operator does with captures afterwards.
+//! `jaspershunt capture …`: analyses captures.
 
 use clap::Subcommand;
 use jaspershunt::Action;
@@ -12,45 +12,45 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// What is not as it should be.
+/// The exit code if a check fails or a difference is found.
 const WRONG: u8 = 1;
-/// A file cannot be read or written.
+/// The exit code if a file cannot be read or written.
 const UNREADABLE: u8 = 2;
 
-/// What to do with captures.
+/// The `capture` commands.
 #[derive(Debug, Subcommand)]
 pub enum Captures {
-    /// Run the present decision code against what was told, and stop at the first decision that differs.
+    /// Run the present decision code on the recorded events, and stop at the first decision that differs.
     Replay {
         /// The capture.
         file: PathBuf,
-        /// So many times.
+        /// The number of replays.
         #[arg(long, default_value_t = 1)]
         times: u32,
-        /// From so many seconds after its beginning.
+        /// The start, in seconds after its beginning.
         #[arg(long, value_name = "SECONDS")]
         from: Option<f64>,
     },
-    /// Say what it holds, in figures.
+    /// Print a summary in figures.
     Summary {
         /// The capture.
         file: PathBuf,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Tell the story of one request in plain words.
+    /// Explain what became of one request.
     Why {
         /// The capture.
         file: PathBuf,
         /// The request: its correlation id, or its number.
         request: String,
     },
-    /// Say what would have been decided with other settings, or in this build: open loop.
+    /// Show the decisions with other settings or in this build, for the same events (open loop).
     WhatIf {
         /// The capture.
         file: PathBuf,
-        /// Cores.
+        /// The number of cores.
         #[arg(long)]
         cores: Option<u32>,
         /// Memory for requests, in kilobytes.
@@ -59,56 +59,56 @@
         /// Requests on the cores, for each core, that the server survives.
         #[arg(long)]
         crowd_multiple: Option<f64>,
-        /// Its part of the calls that the one dependency survives.
+        /// Its share of the calls that the one dependency survives.
         #[arg(long)]
         fair_calls: Option<f64>,
     },
-    /// Shrink it to the few requests that still show a broken rule, or the refusal of one request.
+    /// Shrink it to few requests that still show a broken rule, or the refusal of one request.
     Minimise {
         /// The capture.
         file: PathBuf,
-        /// The request whose refusal is looked for: its correlation id, or its number; a broken rule if left out.
+        /// The request whose refusal is to be shown, by correlation id or number; a broken rule if omitted.
         #[arg(long, value_name = "REQUEST")]
         refused: Option<String>,
-        /// Where it goes.
+        /// The output file.
         #[arg(short, long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Hold it against the four rules, apart from the code that decided.
+    /// Check it against the four rules, independently of the decision code.
     Rules {
         /// The capture.
         file: PathBuf,
     },
-    /// Say in what two captures differ.
+    /// Show the differences of two captures.
     Diff {
-        /// One.
+        /// The first capture.
         one: PathBuf,
-        /// The other.
+        /// The second capture.
         other: PathBuf,
     },
-    /// Write a part of it to a file of its own.
+    /// Write a part of it to a file.
     Cut {
         /// The capture.
         file: PathBuf,
-        /// From so many seconds after its beginning.
+        /// The start, in seconds after its beginning.
         #[arg(long, value_name = "SECONDS", default_value_t = 0.0)]
         from: f64,
-        /// To so many seconds after its beginning.
+        /// The end, in seconds after its beginning.
         #[arg(long, value_name = "SECONDS", default_value_t = f64::INFINITY)]
         to: f64,
         /// Replace the names of requests.
         #[arg(long)]
         redact: bool,
-        /// Where it goes.
+        /// The output file.
         #[arg(short, long, value_name = "FILE")]
         out: PathBuf,
     },
 }
 
-/// A message, and what the program ends with.
-type Ends = (String, u8);
+/// A message and an exit code.
+type Exit = (String, u8);
 
-/// Does it.
+/// Runs a `capture` command.
 pub fn run(what: &Captures) -> ExitCode {
     let done = match what {
         Captures::Replay { file, times, from } => {
@@ -153,17 +153,17 @@
     }
 }
 
-fn read(file: &Path) -> Result<Vec<u8>, Ends> {
+fn read(file: &Path) -> Result<Vec<u8>, Exit> {
     std::fs::read(file).map_err(|e| (format!("{}: cannot be read: {e}\n", file.display()), UNREADABLE))
 }
 
-fn all(file: &Path) -> Result<Vec<Part>, Ends> {
+fn all(file: &Path) -> Result<Vec<Part>, Exit> {
     let bytes = read(file)?;
     let parts = parts(&bytes).map_err(|e| (format!("{}: {e}\n", file.display()), UNREADABLE))?;
     Ok(parts.collect())
 }
 
-/// The module's clock at the first round.
+/// Returns the module's clock at the first round.
 fn begins(parts: &[Part]) -> f64 {
     let first = parts.iter().find_map(|part| match part {
         Part::Block { head, .. } => Some(head.from),
@@ -172,14 +172,14 @@
     first.unwrap_or(0.0)
 }
 
-fn wrong(e: impl std::fmt::Display) -> Ends {
+fn wrong(e: impl std::fmt::Display) -> Exit {
     (format!("{e}\n"), UNREADABLE)
 }
 
-fn replay_it(bytes: &[u8], times: u32, from: Option<f64>) -> Result<Ends, Ends> {
+fn replay_it(bytes: &[u8], times: u32, from: Option<f64>) -> Result<Exit, Exit> {
     let whole: Vec<Part> = parts(bytes).map_err(wrong)?.collect();
     let from = from.map_or(f64::NEG_INFINITY, |seconds| begins(&whole) + seconds);
-    // The state at or before the time is where it begins.
+    // The replay begins with the last state at or before the start.
     let state = |part: &Part| matches!(part, Part::Block { head, .. } if head.snapshot && head.from <= from);
     let first = whole.iter().rposition(state).unwrap_or(0);
     let mut text = String::new();
@@ -209,9 +209,9 @@
     Ok((text, if good { 0 } else { WRONG }))
 }
 
-fn sum_up(summary: &Summary, json: bool) -> Ends {
+fn sum_up(summary: &Summary, json: bool) -> Exit {
     if json {
-        // Nothing in it is a number that is not finite, unless the capture has such clocks.
+        // Serialization fails only on non-finite numbers, which only a capture with such clocks has.
         return (serde_json::to_string_pretty(summary).unwrap_or_default() + "\n", 0);
     }
     let mut text = String::new();
@@ -264,7 +264,7 @@
     (text, 0)
 }
 
-fn differ(one: &Summary, other: &Summary) -> Ends {
+fn differ(one: &Summary, other: &Summary) -> Exit {
     let mut text = String::new();
     let per_second = |count: u64, summary: &Summary| count as f64 / summary.seconds.max(1e-9);
     let _ = writeln!(
@@ -297,8 +297,8 @@
     (text, 0)
 }
 
-/// The last state before what is looked for, and the rounds from there on.
-fn shrink(parts: &[Part], refused: Option<&str>, out: &Path) -> Result<Ends, Ends> {
+/// Finds a state and the rounds after it that show the finding, and minimises them.
+fn shrink(parts: &[Part], refused: Option<&str>, out: &Path) -> Result<Exit, Exit> {
     let wanted = match refused {
         None => None,
         Some(request) => match story::story(parts, request) {
@@ -313,7 +313,7 @@
             .any(|action| matches!(action, Action::Refuse { id, .. } if *id == wanted)),
         None => !rules::check_rounds(&head.settings, rounds).is_empty(),
     };
-    // Each state with the rounds up to the next gap.
+    // Each state, with the rounds up to the next state or gap.
     let mut runs: Vec<(Head, Vec<u8>, Vec<Round>)> = Vec::new();
     let mut head = None;
     for part in parts {
@@ -330,7 +330,7 @@
                         runs.push((head.clone(), state.clone(), Vec::new()));
                     }
                 }
-                // The module alone is played when a capture is shrunk.
+                // Only the module is replayed when a capture is minimised.
                 Record::SideStates(_) | Record::Sides(_) => {}
                 Record::Round(round) => {
                     if let (Some(run), true) = (runs.last_mut(), head.is_some()) {
@@ -351,7 +351,7 @@
     Err(("nothing between two states shows it\n".to_string(), WRONG))
 }
 
-fn cut(bytes: &[u8], from: f64, to: f64, redact: bool, out: &Path) -> Result<Ends, Ends> {
+fn cut(bytes: &[u8], from: f64, to: f64, redact: bool, out: &Path) -> Result<Exit, Exit> {
     let whole: Vec<Part> = parts(bytes).map_err(wrong)?.collect();
     let began = begins(&whole);
     let Some(mut cut) = edit::cut(bytes, began + from, began + to).map_err(wrong)? else {
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -1,4 +1,4 @@
-//! `jaspershunt fleet …`: what an operator sees of the fleet, and has done in it, by any nodo's address for operators.
+//! `jaspershunt fleet …`: shows and changes the state of the fleet, through any nodo's address for operators.
 
 use clap::{Args, Subcommand};
 use jaspershunt_member::driver::{Folder, random};
@@ -12,51 +12,52 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The nodo, or the fleet, said no.
-pub(super) const NO: u8 = 1;
-/// Nobody answered, or a file cannot be used.
+/// The exit code if the nodo or the fleet refused.
+pub(super) const REFUSED: u8 = 1;
+/// The exit code if nobody answered or a file cannot be used.
 pub(super) const UNREACHABLE: u8 = 2;
-/// For the connection and for the answer.
-const WITHIN: Duration = Duration::from_secs(2);
+/// The time limit of the connection and of each read and write.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest answer that is read.
-const MOST: u64 = 32 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 32 * 1024 * 1024;
 
-/// Where to ask, and in which form to answer.
+/// The nodo to ask, and the output format.
 #[derive(Debug, Args)]
-pub struct Asks {
+pub struct Target {
     /// Any nodo's address for operators.
     #[arg(long, value_name = "ADDRESS", env = "NODE_ADMIN")]
     pub at: SocketAddr,
-    /// As JSON.
+    /// Print JSON.
     #[arg(long)]
     pub json: bool,
 }
 
-/// What to see or do.
+/// The `fleet` commands.
 #[derive(Debug, Subcommand)]
 pub enum Fleets {
-    /// Who leads, who votes, and how old this is.
-    Status(Asks),
-    /// The members.
-    Members(Asks),
-    /// The leases, with their holders and those that wait.
-    Leases(Asks),
-    /// The tasks, with what is under way.
-    Tasks(Asks),
-    /// Have something done with a task.
+    /// Show the leader, the voters, and the age of this view.
+    Status(Target),
+    /// Show the members.
+    Members(Target),
+    /// Show the leases, with their holders and candidates.
+    Leases(Target),
+    /// Show the tasks and their runs.
+    Tasks(Target),
+    /// Run, pause or resume a task.
     #[command(subcommand)]
     Task(Tasks),
-    /// Take a lease back from its holder, who has it no more once its time has run out.
+    /// Revoke a lease from its holder, which has it until it expires.
     Release {
         /// The lease, such as task/NAME.
         lease: String,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
-    /// Found a new fleet on the folder of its first voter, before that is started. The others join by themselves.
+    /// Create a new fleet in the folder of its first voter, before that voter is started. The others join by
+    /// themselves.
     ///
-    /// Exits with 2 where the folder belongs to a fleet already.
+    /// Exits with 2 if the folder belongs to a fleet already.
     Found {
         /// The folder of the operator's file, fleet.folder.
         folder: PathBuf,
@@ -69,46 +70,46 @@
     },
 }
 
-/// What to do with a task.
+/// The `fleet task` commands.
 #[derive(Debug, Subcommand)]
 pub enum Tasks {
     /// Run it now.
     Run {
         /// Its name.
         name: String,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
-    /// Stop it: nothing of it begins.
+    /// Pause it: no run begins.
     Pause {
         /// Its name.
         name: String,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
-    /// Let it go on, also where it was put aside.
+    /// Resume it, also if it was disabled.
     Resume {
         /// Its name.
         name: String,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
 }
 
-/// Carries it out.
+/// Runs the command.
 pub fn run(what: &Fleets) -> ExitCode {
     match what {
-        Fleets::Status(asks) => show(asks, status),
-        Fleets::Members(asks) => show(asks, members),
-        Fleets::Leases(asks) => show(asks, leases),
-        Fleets::Tasks(asks) => show(asks, tasks),
-        Fleets::Task(Tasks::Run { name, asks }) => order(asks, &format!("FLEET RUN {name}")),
-        Fleets::Task(Tasks::Pause { name, asks }) => order(asks, &format!("FLEET PAUSE {name}")),
-        Fleets::Task(Tasks::Resume { name, asks }) => order(asks, &format!("FLEET RESUME {name}")),
-        Fleets::Release { lease, asks } => order(asks, &format!("FLEET RELEASE {lease}")),
+        Fleets::Status(target) => show(target, status),
+        Fleets::Members(target) => show(target, members),
+        Fleets::Leases(target) => show(target, leases),
+        Fleets::Tasks(target) => show(target, tasks),
+        Fleets::Task(Tasks::Run { name, target }) => order(target, &format!("FLEET RUN {name}")),
+        Fleets::Task(Tasks::Pause { name, target }) => order(target, &format!("FLEET PAUSE {name}")),
+        Fleets::Task(Tasks::Resume { name, target }) => order(target, &format!("FLEET RESUME {name}")),
+        Fleets::Release { lease, target } => order(target, &format!("FLEET RELEASE {lease}")),
         Fleets::Found { folder, fleet, member } => match found(folder, fleet, member) {
             Ok(disk) => {
                 println!(
@@ -139,19 +140,19 @@
     Ok(disk)
 }
 
-/// What a nodo answers to a line.
+/// Sends a line to a nodo and returns its answer.
 pub(super) fn ask(at: SocketAddr, line: &str) -> io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&at, WITHIN)?;
-    stream.set_read_timeout(Some(WITHIN))?;
-    stream.set_write_timeout(Some(WITHIN))?;
+    let mut stream = TcpStream::connect_timeout(&at, IO_TIMEOUT)?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
     stream.write_all(format!("{line}\r\n").as_bytes())?;
     let mut answer = String::new();
-    stream.take(MOST).read_to_string(&mut answer)?;
+    stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer)?;
     Ok(answer)
 }
 
-fn order(asks: &Asks, line: &str) -> ExitCode {
-    match ask(asks.at, line) {
+fn order(target: &Target, line: &str) -> ExitCode {
+    match ask(target.at, line) {
         Ok(answer) => match answer.strip_prefix("+OK ") {
             Some(done) => {
                 println!("{}", done.trim_end());
@@ -159,41 +160,41 @@
             }
             None => {
                 eprintln!("{}", answer.trim_end().trim_start_matches("-ERR "));
-                ExitCode::from(NO)
+                ExitCode::from(REFUSED)
             }
         },
         Err(e) => {
-            eprintln!("{}: {e}", asks.at);
+            eprintln!("{}: {e}", target.at);
             ExitCode::from(UNREACHABLE)
         }
     }
 }
 
-pub(super) fn show(asks: &Asks, text: impl Fn(&Value) -> String) -> ExitCode {
-    show_what(asks, "FLEET SHOW", text)
+pub(super) fn show(target: &Target, text: impl Fn(&Value) -> String) -> ExitCode {
+    show_what(target, "FLEET SHOW", text)
 }
 
-pub(super) fn show_what(asks: &Asks, what: &str, text: impl Fn(&Value) -> String) -> ExitCode {
-    let answer = match ask(asks.at, what) {
+pub(super) fn show_what(target: &Target, what: &str, text: impl Fn(&Value) -> String) -> ExitCode {
+    let answer = match ask(target.at, what) {
         Ok(answer) => answer,
         Err(e) => {
-            eprintln!("{}: {e}", asks.at);
+            eprintln!("{}: {e}", target.at);
             return ExitCode::from(UNREACHABLE);
         }
     };
     let shown = answer.strip_suffix("\r\n.\r\n").and_then(|json| serde_json::from_str::<Value>(json).ok());
     match shown {
-        Some(shown) if asks.json => println!("{shown}"),
+        Some(shown) if target.json => println!("{shown}"),
         Some(shown) => print!("{}", text(&shown)),
         None => {
             eprintln!("{}", answer.trim_end().trim_start_matches("-ERR "));
-            return ExitCode::from(NO);
+            return ExitCode::from(REFUSED);
         }
     }
     ExitCode::SUCCESS
 }
 
-/// A value as a person reads it.
+/// Formats a value for people.
 pub(super) fn plain(value: &Value) -> String {
     match value {
         Value::Null => "-".to_string(),
@@ -204,13 +205,13 @@
     }
 }
 
-/// How old what is shown is, in the words of an operator.
+/// Describes the source and age of what is shown.
 pub(super) fn age(shown: &Value) -> String {
     match shown["age_ms"].as_u64() {
-        Some(0) => format!("told by {}, which leads", plain(&shown["by"])),
-        Some(ms) => format!("told by {}, which heard of the one that leads {ms} ms ago", plain(&shown["by"])),
+        Some(0) => format!("told by {}, the leader", plain(&shown["by"])),
+        Some(ms) => format!("told by {}, which heard from the leader {ms} ms ago", plain(&shown["by"])),
         None => {
-            format!("told by {}, which has heard of nobody that leads: this may be old", plain(&shown["by"]))
+            format!("told by {}, which has not heard from a leader: this may be old", plain(&shown["by"]))
         }
     }
 }
@@ -289,14 +290,14 @@
     use serde_json::json;
 
     #[test]
-    fn what_is_shown_is_a_table_that_says_how_old_it_is() {
+    fn the_state_is_shown_as_tables_with_its_age() {
         let shown = json!({"by": "n2", "leader": "n1", "age_ms": 40, "term": 3, "applied": 90, "tokens": 7,
             "seats": [{"member": "n1", "votes": true, "disk": "00ab"}],
             "members": [{"name": "n1", "incarnation": "1", "seat": "votes", "heard_ms": null}],
             "leases": [{"name": "task/cierre", "holder": "n1", "token": 7, "revoked": false, "waiters": ["n2", "n3"]}],
             "tasks": [{"name": "cierre", "holder": "n1", "paused": false, "aside": null, "run": null, "last_due": 5,
                 "result": "ok"}]});
-        assert!(status(&shown).contains("heard of the one that leads 40 ms ago"));
+        assert!(status(&shown).contains("heard from the leader 40 ms ago"));
         let leases = leases(&shown);
         assert!(leases.contains("task/cierre  n1      7      false       n2 n3\n"), "{leases}");
         assert!(tasks(&shown).contains("cierre  n1      waits  5         ok\n"), "{}", tasks(&shown));
--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -1,6 +1,6 @@
-//! `jaspershunt routes …`: the fleet's route table, by any nodo's address for operators.
+//! `jaspershunt routes …`: shows and edits the fleet's route table, through any nodo's address for operators.
 
-use super::fleet::{Asks, NO, UNREACHABLE, ask, columns, plain};
+use super::fleet::{REFUSED, Target, UNREACHABLE, ask, columns, plain};
 use crate::fleet::routes::{Named, Said, What};
 use clap::Subcommand;
 use jaspershunt_routes::{Edit, EditId, Snapshot, Table, parse_edit};
@@ -8,111 +8,112 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
-/// What was sent is in conflict with others.
+/// The exit code if a sent edit conflicts with others.
 const IN_CONFLICT: u8 = 3;
 
-/// What to see or do. Exits with 0, with 1 where the fleet or the nodo says no, with 2 where nobody answers or a file cannot be used, and
-/// with 3 where an edit is in conflict.
+/// The `routes` commands. They exit with 0 on success, 1 if the fleet or the nodo refuses, 2 if nobody
+/// answers or a file cannot be used, and 3 if an edit is in conflict.
 #[derive(Debug, Subcommand)]
 pub enum Tables {
-    /// The table that this nodo goes by, and what has become of edits.
-    Show(Asks),
-    /// Send an edit and say what has become of it. Sent again it is the same edit.
+    /// Show the table that this nodo uses, and the state of edits.
+    Show(Target),
+    /// Send an edit and print its state. Sending it again is idempotent.
     Edit {
-        /// The edit as JSON (.json), or an operator's file whose dependencies and routes the table is to have.
+        /// The edit as JSON (.json), or an operator's file whose dependencies and routes the table is to get.
         file: String,
-        /// What the file is about.
+        /// How an operator's file becomes an edit.
         #[command(flatten)]
         of: FileArgs,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
-    /// Say what would become of edits, and send nothing.
+    /// Print the state that edits would have, and send nothing.
     Merge {
         /// The edits.
         #[arg(required = true)]
         files: Vec<String>,
-        /// What operators' files are about.
+        /// How operators' files become edits.
         #[command(flatten)]
         of: FileArgs,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
-    /// The smallest sets of edits that cannot be taken together.
-    Conflicts(Asks),
-    /// Settle a conflict, once for all: what is not kept is withdrawn.
+    /// Show the smallest sets of edits that cannot be accepted together.
+    Conflicts(Target),
+    /// Settle a conflict for good: the edits that are not kept are withdrawn.
     Settle {
         /// Its number, as conflicts shows it.
         conflict: String,
-        /// What is kept: TEAM/NUMBER, both of a rename and an edit that is to follow it; nothing if all are withdrawn.
+        /// The edits to keep, as TEAM/NUMBER: of a rename and an edit that is to follow it, both; none to
+        /// withdraw all.
         #[arg(long, num_args = 0.., value_name = "TEAM/NUMBER")]
         keep: Vec<EditArg>,
-        /// The team that says so: one of those that the conflict concerns.
+        /// The team that settles it: one of those that the conflict concerns.
         #[arg(long)]
         team: String,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
-    /// What was published, by whom and why.
-    Log(Asks),
-    /// Send an edit that undoes what was published.
+    /// Show what was published, by which team and why.
+    Log(Target),
+    /// Send an edit that undoes published edits.
     Undo {
         /// A revision, or one edit as TEAM/NUMBER.
         what: String,
         /// The new edit's team and number.
         #[arg(long = "as", value_name = "TEAM/NUMBER")]
         as_edit: EditArg,
-        /// Why.
+        /// The reason.
         #[arg(long, default_value = "undone")]
         reason: String,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
-    /// Take an edit back that has not ended.
+    /// Withdraw an edit that has not ended.
     Withdraw {
         /// The edit.
         edit: EditArg,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
-    /// Give a team's word on an edit that touches its part.
+    /// Grant or deny a team's consent to an edit that touches its things.
     Word {
         /// The edit.
         edit: EditArg,
-        /// The team whose part it touches.
+        /// The team whose things it touches.
         #[arg(long)]
         team: String,
-        /// It may not.
+        /// Deny consent.
         #[arg(long)]
         no: bool,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
-    /// Where the calls of a class and tenant go, and why.
+    /// Explain where the calls of a class and tenant go.
     Why {
         /// The class.
         class: String,
-        /// The tenant; "" where there are none.
+        /// The tenant; "" if there are none.
         tenant: String,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
 }
 
-/// What an operator's file lacks to be an edit.
+/// What an operator's file needs in addition to become an edit.
 #[derive(Debug, clap::Args)]
 pub struct FileArgs {
     /// The team and number of an edit that is an operator's file.
     #[arg(long = "as", value_name = "TEAM/NUMBER")]
     as_edit: Option<EditArg>,
-    /// Why, for an operator's file.
+    /// The reason, for an operator's file.
     #[arg(long, default_value = "as the file stands")]
     reason: String,
 }
@@ -139,7 +140,7 @@
     }
 }
 
-/// Carries it out.
+/// Runs the command.
 pub fn run(what: &Tables) -> ExitCode {
     done(what).unwrap_or_else(|(why, code)| {
         eprintln!("{why}");
@@ -147,24 +148,24 @@
     })
 }
 
-type Not = (String, u8);
+type Failure = (String, u8);
 
-fn done(what: &Tables) -> Result<ExitCode, Not> {
+fn done(what: &Tables) -> Result<ExitCode, Failure> {
     match what {
-        Tables::Show(asks) => see(asks, show),
-        Tables::Conflicts(asks) => see(asks, conflicts),
-        Tables::Log(asks) => see(asks, log),
-        Tables::Why { class, tenant, asks } => see(asks, |shown| why(shown, class, tenant)),
-        Tables::Edit { file, of, asks } => tell(asks, &Said::Edit(edit(file, of, asks)?)),
-        Tables::Merge { files, of, asks } => {
-            let edits = files.iter().map(|file| edit(file, of, asks)).collect::<Result<_, Not>>()?;
-            tell(asks, &Said::Merge(edits))
+        Tables::Show(target) => see(target, show),
+        Tables::Conflicts(target) => see(target, conflicts),
+        Tables::Log(target) => see(target, log),
+        Tables::Why { class, tenant, target } => see(target, |shown| why(shown, class, tenant)),
+        Tables::Edit { file, of, target } => tell(target, &Said::Edit(edit(file, of, target)?)),
+        Tables::Merge { files, of, target } => {
+            let edits = files.iter().map(|file| edit(file, of, target)).collect::<Result<_, Failure>>()?;
+            tell(target, &Said::Merge(edits))
         }
-        Tables::Settle { conflict, keep, team, asks } => {
+        Tables::Settle { conflict, keep, team, target } => {
             let keep = keep.iter().map(|edit| edit.0.clone()).collect();
-            tell(asks, &Said::Settle { conflict: conflict.clone(), by: team.clone(), keep })
+            tell(target, &Said::Settle { conflict: conflict.clone(), by: team.clone(), keep })
         }
-        Tables::Undo { what, as_edit, reason, asks } => {
+        Tables::Undo { what, as_edit, reason, target } => {
             let what = match (what.parse(), what.parse::<EditArg>()) {
                 (Ok(revision), _) => What::Revision(revision),
                 (Err(_), Ok(edit)) => What::Edit(edit.0),
@@ -172,29 +173,29 @@
                     return Err((format!("{what:?}: expected a revision or TEAM/NUMBER"), UNREACHABLE));
                 }
             };
-            tell(asks, &Said::Undo { what, id: as_edit.id(), reason: reason.clone() })
+            tell(target, &Said::Undo { what, id: as_edit.id(), reason: reason.clone() })
         }
-        Tables::Withdraw { edit, asks } => tell(asks, &Said::Withdraw { edit: edit.0.clone() }),
-        Tables::Word { edit, team, no, asks } => {
-            tell(asks, &Said::Word { edit: edit.0.clone(), by: team.clone(), yes: !no })
+        Tables::Withdraw { edit, target } => tell(target, &Said::Withdraw { edit: edit.0.clone() }),
+        Tables::Word { edit, team, no, target } => {
+            tell(target, &Said::Word { edit: edit.0.clone(), by: team.clone(), yes: !no })
         }
     }
 }
 
-/// Asks, and reads the figures that come back.
-fn asked(asks: &Asks, line: &str) -> Result<Value, Not> {
-    let answer = ask(asks.at, line).map_err(|e| (format!("{}: {e}", asks.at), UNREACHABLE))?;
+/// Sends a line and decodes the JSON of the answer.
+fn asked(target: &Target, line: &str) -> Result<Value, Failure> {
+    let answer = ask(target.at, line).map_err(|e| (format!("{}: {e}", target.at), UNREACHABLE))?;
     let figures = answer.strip_suffix("\r\n.\r\n").and_then(|json| serde_json::from_str(json).ok());
-    figures.ok_or_else(|| (answer.trim_end().trim_start_matches("-ERR ").to_string(), NO))
+    figures.ok_or_else(|| (answer.trim_end().trim_start_matches("-ERR ").to_string(), REFUSED))
 }
 
-fn shown(asks: &Asks) -> Result<Value, Not> {
-    asked(asks, "ROUTES SHOW")
+fn shown(target: &Target) -> Result<Value, Failure> {
+    asked(target, "ROUTES SHOW")
 }
 
-fn see(asks: &Asks, text: impl Fn(&Value) -> String) -> Result<ExitCode, Not> {
-    let shown = shown(asks)?;
-    if asks.json {
+fn see(target: &Target, text: impl Fn(&Value) -> String) -> Result<ExitCode, Failure> {
+    let shown = shown(target)?;
+    if target.json {
         println!("{shown}");
     } else {
         print!("{}", text(&shown));
@@ -202,34 +203,34 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Says something, and tells what came of it.
-fn tell(asks: &Asks, said: &Said) -> Result<ExitCode, Not> {
+/// Sends a request and prints its result.
+fn tell(target: &Target, said: &Said) -> Result<ExitCode, Failure> {
     let body = serde_json::to_string(said).map_err(|e| (e.to_string(), UNREACHABLE))?;
-    let mut told = asked(asks, &format!("ROUTES SAY {}\r\n{body}", body.len()))?;
-    // What the numbers stand for, as far as the fleet still answers.
+    let mut told = asked(target, &format!("ROUTES SAY {}\r\n{body}", body.len()))?;
+    // Replaces conflict numbers by their descriptions, if the fleet still answers.
     let numbers: Vec<Value> = told["conflicts"].as_array().into_iter().flatten().cloned().collect();
     if numbers.iter().any(Value::is_string)
-        && let Ok(shown) = shown(asks)
+        && let Ok(shown) = shown(target)
     {
         let all = shown["fleet"]["conflicts"].as_array().cloned().unwrap_or_default();
         told["conflicts"] = all.into_iter().filter(|conflict| numbers.contains(&conflict["id"])).collect();
     }
-    if asks.json {
+    if target.json {
         println!("{told}");
     } else {
-        print!("{}", became(&told));
+        print!("{}", format_result(&told));
     }
     let states = told["edits"].as_array().into_iter().flatten().chain([&told]).map(|of| of["state"].as_str());
     let states: Vec<&str> = states.flatten().collect();
     Ok(match () {
-        () if states.contains(&"refused") => ExitCode::from(NO),
+        () if states.contains(&"refused") => ExitCode::from(REFUSED),
         () if states.contains(&"in conflict") => ExitCode::from(IN_CONFLICT),
         () => ExitCode::SUCCESS,
     })
 }
 
 /// An edit from a file.
-fn edit(path: &str, of: &FileArgs, asks: &Asks) -> Result<Edit, Not> {
+fn edit(path: &str, of: &FileArgs, target: &Target) -> Result<Edit, Failure> {
     let unusable = |what: String| (what, UNREACHABLE);
     let text = std::fs::read_to_string(path).map_err(|e| unusable(format!("{path}: cannot be read: {e}")))?;
     if std::path::Path::new(path).extension().is_some_and(|ext| ext == "json") {
@@ -241,13 +242,13 @@
     let Some(as_edit) = &of.as_edit else {
         return Err(unusable(format!("{path}: an operator's file needs --as TEAM/NUMBER to be an edit")));
     };
-    let shown = shown(asks)?;
-    // What is agreed, or as much of it as this nodo has.
+    let shown = shown(target)?;
+    // The replicated table, or this nodo's copy of it.
     let from = if shown["fleet"].is_null() { &shown["here"] } else { &shown["fleet"] };
-    let table = table_of(from).map_err(|e| (e, NO))?;
+    let table = table_of(from).map_err(|e| (e, REFUSED))?;
     let id = as_edit.id();
     let changes = jaspershunt_routes::from_file::changes(&file, &table, &id.team)
-        .map_err(|wrong| (format!("{path}: {wrong}"), NO))?;
+        .map_err(|wrong| (format!("{path}: {wrong}"), REFUSED))?;
     let base = from["revision"].as_u64().unwrap_or(0);
     let edit = Edit { id, base, reason: of.reason.clone(), changes };
     edit.check().map_err(|wrong| unusable(format!("{path}: the edit {wrong}")))?;
@@ -258,7 +259,7 @@
     serde_json::from_value(from["table"].clone()).map_err(|e| format!("the nodo shows no table: {e}"))
 }
 
-/// How old what the nodo goes by is, in the words of an operator.
+/// Describes the revision that the nodo uses, and its age.
 fn here(shown: &Value) -> String {
     let here = &shown["here"];
     let trial = if here["on_trial"] == true { ", on trial here" } else { "" };
@@ -322,7 +323,7 @@
     keys.iter().map(|key| plain(&of[*key])).collect()
 }
 
-/// A field's value as the table has it: a value is written under its type.
+/// Formats a field's value; the table writes a value under its type.
 fn of_value(value: &Value) -> String {
     match value.as_object().and_then(|of| of.iter().next()) {
         Some((kind, call)) if kind == "call" => {
@@ -403,8 +404,8 @@
     text
 }
 
-/// What came of what was said.
-fn became(told: &Value) -> String {
+/// Formats the result of a request.
+fn format_result(told: &Value) -> String {
     let mut text = String::new();
     for edit in list(&told["edits"]).chain([told]).filter(|edit| edit["words"].is_string()) {
         let name = edit["edit"].as_str().map_or(String::new(), |name| format!("{name}: "));
@@ -469,7 +470,7 @@
     fn what_came_of_an_edit_is_told_with_its_conflicts() {
         let conflict = json!({"id": "00ab", "words": "brio#1, casa#1 cannot be taken together", "teams": ["brio", "casa"]});
         let told = json!({"edit": "brio/1", "words": "in conflict 00ab", "conflicts": [conflict]});
-        let text = became(&told);
+        let text = format_result(&told);
         assert_eq!(
             text,
             "brio/1: in conflict 00ab\n00ab  brio#1, casa#1 cannot be taken together\n  for brio casa to settle\n"
--- a/crates/node/src/cli/steering.rs
+++ b/crates/node/src/cli/steering.rs
@@ -1,36 +1,36 @@
-//! `jaspershunt steering …`: which region serves which group of clients, as the nodo that is asked has it.
+//! `jaspershunt steering …`: which region serves which group of clients, as the queried nodo has it.
 
-use super::fleet::{Asks, columns, plain, show_what};
+use super::fleet::{Target, columns, plain, show_what};
 use clap::Subcommand;
 use jaspershunt_steering::{Group, Row, Tables};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 
-/// What to see.
+/// The `steering` commands.
 #[derive(Debug, Subcommand)]
 pub enum Steerings {
-    /// The table in force, and what this nodo has measured.
-    Show(Asks),
-    /// Why a group is served where it is: an address prefix, balancer:NUMBER, or field:VALUE.
+    /// Show the table in force, and this nodo's measurements.
+    Show(Target),
+    /// Explain why a group is served where it is: an address prefix, balancer:NUMBER, or field:VALUE.
     Why {
         /// The group.
         group: String,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
 }
 
-/// Carries it out.
+/// Runs the command.
 pub fn run(what: &Steerings) -> ExitCode {
     match what {
-        Steerings::Show(asks) => show_what(asks, "STEERING SHOW", show),
-        Steerings::Why { group, asks } => show_what(asks, "STEERING SHOW", |shown| why(shown, group)),
+        Steerings::Show(target) => show_what(target, "STEERING SHOW", show),
+        Steerings::Why { group, target } => show_what(target, "STEERING SHOW", |shown| why(shown, group)),
     }
 }
 
-/// The table that was shown.
+/// Decodes the table of an answer.
 fn tables(shown: &Value) -> Tables {
     let row = |entry: &Value| {
         let row: Row = serde_json::from_value(entry["row"].clone()).ok()?;
@@ -56,9 +56,9 @@
     };
     let edge = &shown["edge"];
     let kernel = if edge["kernel"] == true {
-        "the system tells round trips"
+        "the system reports round trips"
     } else {
-        "the system tells no round trips"
+        "the system reports no round trips"
     };
     format!(
         "table {} as {} has it, in {}\n{} windows told, {} samples, {} of groups too many, {} dropped; {kernel}\n\n{}",
--- a/crates/node/src/cli/work.rs
+++ b/crates/node/src/cli/work.rs
@@ -1,30 +1,30 @@
-//! `jaspershunt work …`: the work in hand that the fleet holds, by any nodo's address for operators.
+//! `jaspershunt work …`: shows the in-flight work of the fleet, through any nodo's address for operators.
 
-use super::fleet::{Asks, age, columns, plain, show};
+use super::fleet::{Target, age, columns, plain, show};
 use clap::Subcommand;
 use serde_json::Value;
 use std::process::ExitCode;
 
-/// What to see.
+/// The `work` commands.
 #[derive(Debug, Subcommand)]
 pub enum Works {
-    /// All work of which anything is known.
-    List(Asks),
-    /// What became of one operation key, and why.
+    /// List all known work.
+    List(Target),
+    /// Explain the state of one operation key.
     Why {
         /// The key.
         key: String,
-        /// Where to ask.
+        /// The nodo to ask.
         #[command(flatten)]
-        asks: Asks,
+        target: Target,
     },
 }
 
-/// Carries it out.
+/// Runs the command.
 pub fn run(what: &Works) -> ExitCode {
     match what {
-        Works::List(asks) => show(asks, list),
-        Works::Why { key, asks } => show(asks, |shown| why(shown, key)),
+        Works::List(target) => show(target, list),
+        Works::Why { key, target } => show(target, |shown| why(shown, key)),
     }
 }
 
@@ -56,21 +56,25 @@
     let before = item["tokens_before"].as_array().map_or(0, Vec::len);
     lines.push(match before {
         0 => {
-            format!("{} has it, under token {}; it was never another's", plain(&item["owner"]), item["token"])
+            format!(
+                "{} owns it, under token {}; no other nodo owned it before",
+                plain(&item["owner"]),
+                item["token"]
+            )
         }
         1 => format!(
-            "{} took it over, under token {}: the nodo before was lost or left",
+            "{} took it over, under token {}: the earlier owner was lost or left",
             plain(&item["owner"]),
             item["token"]
         ),
         n => format!(
-            "{} has it, under token {}: {n} nodos before were lost or left",
+            "{} owns it, under token {}: {n} earlier owners were lost or left",
             plain(&item["owner"]),
             item["token"]
         ),
     });
     lines.push(match (&item["end"], item["effect"].as_str()) {
-        (Value::Null, Some("asks")) => "if its nodo is lost, what it acts on is asked first".to_string(),
+        (Value::Null, Some("asks")) => "if its nodo is lost, the resource is queried first".to_string(),
         (Value::Null, Some("fenced")) => {
             "if its nodo is lost, it runs again under a higher token".to_string()
         }
