--- a/crates/node/src/capture.rs
+++ b/crates/node/src/capture.rs
@@ -217,17 +217,14 @@
 struct Folder(PathBuf);
 
 /// The suffix of a file that is being written.
-const PARTIAL_SUFFIX: &str = ".half";
+const HALF: &str = ".half";
 
 impl Folder {
     /// Removes partial files that a killed process left.
     fn sweep(&self) -> io::Result<()> {
         for entry in fs::read_dir(&self.0)? {
             let path = entry?.path();
-            if path
-                .to_string_lossy()
-                .ends_with(&format!("{}{PARTIAL_SUFFIX}", jaspershunt_capture::sink::ENDING))
-            {
+            if path.to_string_lossy().ends_with(&format!("{}{HALF}", jaspershunt_capture::sink::ENDING)) {
                 fs::remove_file(path)?;
             }
         }
@@ -245,7 +242,7 @@
 
 impl Disk for Folder {
     fn write(&mut self, name: &str, parts: &[&[u8]]) -> io::Result<()> {
-        let half = self.0.join(format!("{name}{PARTIAL_SUFFIX}"));
+        let half = self.0.join(format!("{name}{HALF}"));
         let written = self.put(&half, parts).and_then(|()| fs::rename(&half, self.0.join(name)));
         if written.is_err() {
             // Removes the partial file; if that fails too, the next process does.
