--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -10,7 +10,7 @@
 use crate::counts::Counts;
 use crate::steering::Steering;
 use crate::{fleet, log};
-use fleet::routes::MAX_SAID;
+use fleet::routes::MAX_REQUEST_BYTES;
 use jaspershunt_routes::trial::Tally;
 use line::{Answer, Call, MAX_LINE, NoCall, Routes};
 use std::cell::{Cell, RefCell};
@@ -78,13 +78,13 @@
     /// Notified when `lost` is set.
     pub lost_now: Notify,
     /// Sends to this process's fleet member, if it runs one.
-    pub fleet: RefCell<Option<fleet::Way>>,
+    pub fleet: RefCell<Option<fleet::MemberHandle>>,
     /// Measurements for steering, if the operator's file enables it.
     pub steering: RefCell<Option<Rc<Steering>>>,
     /// Whether the work recorded in the fleet for a leaving nodo has been handed over.
     pub handed: Cell<bool>,
     /// The nodo's part of route table editing, if the operator's file names teams.
-    pub routes: RefCell<Option<Rc<fleet::routes::Office>>>,
+    pub routes: RefCell<Option<Rc<fleet::routes::RouteTableService>>>,
     /// Tally of the newest trial of a route table.
     pub tally: Rc<RefCell<Tally>>,
     /// Number of open connections of balancers.
@@ -209,8 +209,8 @@
     let Some(office) = office else { return Answer::No(NoCall::Unknown.to_string()) };
     let bytes = match what {
         Routes::Show => return office.show(way.as_ref()).await,
-        Routes::Say(bytes) if bytes > MAX_SAID => {
-            return Answer::No(format!("{bytes} bytes are said; {MAX_SAID} at most are read"));
+        Routes::Say(bytes) if bytes > MAX_REQUEST_BYTES => {
+            return Answer::No(format!("{bytes} bytes are said; {MAX_REQUEST_BYTES} at most are read"));
         }
         Routes::Say(bytes) => bytes,
     };
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -37,7 +37,7 @@
 mod settings;
 mod upgrade;
 use crate::upgrade::claims::Claims;
-use crate::upgrade::right::Right;
+use crate::upgrade::ownership::Ownership;
 use dependencies::Dependencies;
 use handover::Handover;
 pub(crate) use handover::MAX_CONCURRENT_QUERIES;
@@ -223,8 +223,8 @@
     owed: usize,
     /// Which process owns the keys.
     claims: Claims,
-    /// The right to run new requests, where there can be more than one process.
-    right: Option<Right>,
+    /// Ownership of new requests, where there can be more than one process.
+    right: Option<Ownership>,
     /// The other process of an upgrade.
     partner: Partner,
     /// Whether health is to be reported to the directory once this process has the right.
--- a/crates/node/src/engine/arrivals.rs
+++ b/crates/node/src/engine/arrivals.rs
@@ -8,7 +8,7 @@
 use crate::keys::{TryRejected, digest};
 use crate::log;
 use crate::request::{Answer, Label, Reply, ReplyTo, Work};
-use crate::upgrade::claims::{Claims, Goes};
+use crate::upgrade::claims::{Claims, Placement};
 use jaspershunt::{Event, Outcome, Request, RequestId};
 use jaspershunt_routes::trial::RequestEnd as Tried;
 
@@ -19,14 +19,14 @@
 impl Engine {
     pub(super) fn arrive(&mut self, id: RequestId, mut work: Work, reply: ReplyTo) {
         self.adjust_late_arrival(&mut work);
-        let goes = if self.claims == Claims::Mine { Goes::Here } else { self.route_try(&work) };
-        if goes == Goes::There {
+        let goes = if self.claims == Claims::Owned { Placement::Local } else { self.route_try(&work) };
+        if goes == Placement::Remote {
             return self.relay(id, work, reply);
         }
         let class = work.class;
         self.channels.desk.counts.borrow_mut().taken(&self.settings.classes[class].name);
         let admitted = match goes {
-            Goes::Nowhere => Err((reply, Answer::Failed)),
+            Placement::Rejected => Err((reply, Answer::Failed)),
             // Checked before the request is recorded in the fleet: work taken over from another nodo is
             // always run.
             _ if self.exceeds_route_limits(&work) => {
--- a/crates/node/src/engine/handover.rs
+++ b/crates/node/src/engine/handover.rs
@@ -215,7 +215,7 @@
         let query_permits = handover.query_permits.clone();
         self.spawn_fleet_task(async move {
             let permit = query_permits.acquire().await;
-            let result = fleet::ask(resource, &path, &key, token, within).await;
+            let result = fleet::query_resource(resource, &path, &key, token, within).await;
             if result == QueryResult::AnswerLost {
                 sleep(RETRY_DELAY).await;
             }
@@ -230,7 +230,7 @@
         handover.set_holder(&me);
         // Guards against two processes of an upgrade that both act for the nodo: the earlier one takes over
         // no work.
-        if self.claims != Claims::Mine {
+        if self.claims != Claims::Owned {
             seen.owned.retain(|owned| !owned.taken_over);
         }
         self.with_local_work(|own, now_ms| own.on_view(&seen, now_ms));
--- a/crates/node/src/engine/input.rs
+++ b/crates/node/src/engine/input.rs
@@ -3,8 +3,8 @@
 
 use crate::request::{Key, ReplyTo, Work};
 use crate::upgrade::link::Out;
-use crate::upgrade::right::Right;
-use crate::upgrade::wire::{Entry, Load, Relayed, Told};
+use crate::upgrade::ownership::Ownership;
+use crate::upgrade::wire::{Entry, Load, RelayedReply, RelayedWork};
 use jaspershunt::{Outcome, RequestId};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
@@ -156,9 +156,9 @@
         lameduck: Option<bool>,
     },
     /// The right to run new requests was free, and no other process is alive.
-    Found(Right),
+    Found(Ownership),
     /// The right was taken from an unresponsive process, which can no longer run new requests.
-    Taken(Right),
+    Taken(Ownership),
     /// A query whether this process has the right.
     RightQuery {
         /// Gets the answer.
@@ -176,14 +176,14 @@
         /// The try.
         ticket: u64,
         /// The reply.
-        reply: Told,
+        reply: RelayedReply,
     },
     /// A chunk of the earlier process's key table.
     Table(Vec<Entry>),
     /// The end of the key table, with the right.
     Yours {
         /// The right.
-        right: Right,
+        right: Ownership,
         /// The period whose keys remain in doubt, in Unix seconds.
         doubt: Option<(f64, f64)>,
     },
@@ -194,7 +194,7 @@
         /// Its id there.
         ticket: u64,
         /// The try.
-        work: Relayed,
+        work: RelayedWork,
         /// The channel for its reply.
         to: mpsc::Sender<Out>,
     },
--- a/crates/node/src/engine/upgrade.rs
+++ b/crates/node/src/engine/upgrade.rs
@@ -7,10 +7,10 @@
 use crate::keys::{FIRST_ADOPTED_ID, RunState};
 use crate::log;
 use crate::request::{Answer, Key, Reply, ReplyTo, Work};
-use crate::upgrade::claims::{Claims, Doubt, Goes, Known, Try};
+use crate::upgrade::claims::{Claims, KeyKnowledge, Placement, Try, Uncertainty};
 use crate::upgrade::link::Out;
-use crate::upgrade::right::Right;
-use crate::upgrade::wire::{self, Load, Message, Relayed, State};
+use crate::upgrade::ownership::Ownership;
+use crate::upgrade::wire::{self, Load, Message, RelayedWork, State};
 use jaspershunt::{Class, Event, Repeat, RequestId, Settings};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -109,8 +109,9 @@
             Peer::Table(entries) => entries.into_iter().for_each(|entry| self.adopt(entry)),
             Peer::Yours { right, doubt } => {
                 let epoch = self.epoch;
-                self.claims
-                    .given(doubt.map(|(since, until)| Doubt { since: since - epoch, until: until - epoch }));
+                self.claims.given(
+                    doubt.map(|(since, until)| Uncertainty { since: since - epoch, until: until - epoch }),
+                );
                 log!("upgrade: {} keys were taken over", self.partner.adopted);
                 self.set_right(right);
             }
@@ -130,7 +131,7 @@
             Peer::Lameduck { on } => self.set_lameduck(on),
             Peer::Farewell => self.partner_lost(),
             Peer::Broke => {
-                let gave = self.claims == Claims::Theirs;
+                let gave = self.claims == Claims::Transferred;
                 self.claims.broke();
                 if gave {
                     self.stop_reporting();
@@ -160,7 +161,7 @@
     }
 
     /// Sets the right of this process, unless another one has taken it meanwhile.
-    fn set_right(&mut self, right: Right) {
+    fn set_right(&mut self, right: Ownership) {
         self.right = Some(right);
         self.channels.desk.lost.set(false);
         self.check_right();
@@ -186,12 +187,12 @@
         let expires_in_flight =
             self.now + longest(&self.settings, |class| class.deadline) + longest_window(&self.settings);
         let epoch = self.epoch;
-        let entries = self.keys.entries().map(|(key, print, run)| {
+        let entries = self.keys.entries().map(|(key, digest, run)| {
             let (until, state) = match run {
-                None => (expires_in_flight, State::InHand),
+                None => (expires_in_flight, State::InFlight),
                 Some((until, run)) => (until, state_of(run)),
             };
-            wire::Entry { key: key.clone(), print, until: until + epoch, state }
+            wire::Entry { key: key.clone(), digest, until: until + epoch, state }
         });
         let all = Vec::from_iter(entries);
         let count = all.len();
@@ -202,7 +203,11 @@
         let last = match self.right.take() {
             Some(right) if fits => {
                 let doubt = self.claims.give().map(|doubt| (doubt.since + epoch, doubt.until + epoch));
-                Out { message: Message::Yours { doubt }, beside: Some(right.into_file()), left: None }
+                Out {
+                    message: Message::Yours { doubt },
+                    descriptor: Some(right.into_descriptor()),
+                    sent: None,
+                }
             }
             None if fits => {
                 self.claims.give();
@@ -237,7 +242,7 @@
 
     /// Reports this process's load to the later process at intervals.
     pub(super) fn report_load(&mut self) {
-        if self.claims != Claims::Theirs || self.now < self.partner.load_due {
+        if self.claims != Claims::Transferred || self.now < self.partner.load_due {
             return;
         }
         self.partner.load_due = self.now + LOAD_REPORT_INTERVAL_SECONDS;
@@ -249,11 +254,11 @@
     }
 
     /// Where a try is handled, as far as that depends on keys.
-    pub(super) fn route_try(&mut self, work: &Work) -> Goes {
+    pub(super) fn route_try(&mut self, work: &Work) -> Placement {
         let known = match &work.key {
-            None => Known::NoKey,
-            Some(key) if self.keys.contains(key) => Known::Here,
-            Some(_) => Known::Nothing,
+            None => KeyKnowledge::NoKey,
+            Some(key) if self.keys.contains(key) => KeyKnowledge::Local,
+            Some(_) => KeyKnowledge::Unknown,
         };
         let may_repeat = work.resent || !self.settings.marks_retry;
         let arrived = work.arrived.map_or(self.now, |unix| unix - self.epoch);
@@ -264,7 +269,7 @@
     /// process, and, while that owns the keys, runs of keys whose callers have left, since their results must
     /// be reported.
     pub(super) fn in_flight(&self) -> usize {
-        let partner_owns_keys = self.claims == Claims::Theirs;
+        let partner_owns_keys = self.claims == Claims::Transferred;
         let runs = |e: &&Entry| e.reply.is_none() && e.key.is_some() && e.runs();
         let unreported_runs = if partner_owns_keys { self.requests.values().filter(runs).count() } else { 0 };
         // Guards against a nodo that ends once all callers are answered while it has a run that it could hand
@@ -280,7 +285,7 @@
         let tenant =
             work.tenant.and_then(|tenant| self.settings.tenants.get(tenant)).map(|t| t.name.as_str());
         let keyed = work.key.is_some();
-        let message = Message::Work { ticket: id.0, work: Relayed::new(work, class, tenant) };
+        let message = Message::Work { ticket: id.0, work: RelayedWork::new(work, class, tenant) };
         if self.partner.relays.len() < MAX_RELAYS && self.partner.send(message) {
             self.partner.relays.insert(id.0, reply);
             return;
@@ -302,18 +307,18 @@
 
     /// Reports to the later process the result of a key that was in flight here.
     pub(super) fn report_key_to_partner(&mut self, key: &Key) {
-        if self.partner.to.is_none() || self.claims != Claims::Theirs {
+        if self.partner.to.is_none() || self.claims != Claims::Transferred {
             return;
         }
-        let Some((print, until, state)) = (match self.keys.run_entry(key) {
+        let Some((digest, until, state)) = (match self.keys.run_entry(key) {
             Some((_, _, RunState::Running)) => None,
-            Some((print, until, run)) => Some((print, until, state_of(run))),
+            Some((digest, until, run)) => Some((digest, until, state_of(run))),
             None if self.keys.contains(key) => None,
             None => Some((0, self.now, State::NeverRan)),
         }) else {
             return;
         };
-        let entry = wire::Entry { key: key.clone(), print, until: until + self.epoch, state };
+        let entry = wire::Entry { key: key.clone(), digest, until: until + self.epoch, state };
         if !self.partner.send(Message::Ended(entry)) {
             log!(ERROR, "upgrade: the link is full; the result of a key was not sent");
         }
@@ -343,13 +348,13 @@
         self.partner.adopted += 1;
         let id = RequestId(FIRST_ADOPTED_ID.0 + self.partner.adopted);
         let (run, result) = match entry.state {
-            State::InHand => (Some(RunState::Running), None),
+            State::InFlight => (Some(RunState::Running), None),
             State::Done(result) => (Some(RunState::Done(result.clone())), Some(result)),
             State::Failed => (Some(RunState::Failed), None),
             State::NeverRan => (None, None),
         };
         let running = run == Some(RunState::Running);
-        let news = self.keys.adopt(&entry.key, entry.print, id, until, run);
+        let news = self.keys.adopt(&entry.key, entry.digest, id, until, run);
         if news && !running {
             self.serve_followers(&entry.key, result);
         }
@@ -366,7 +371,7 @@
     /// half of its share.
     pub(super) fn share(&self) -> Settings {
         let (load, set) = (self.partner.load, &self.settings);
-        if self.claims == Claims::Theirs || load == Load::default() {
+        if self.claims == Claims::Transferred || load == Load::default() {
             return set.clone();
         }
         let crowd = set.crowd_multiple - f64::from(load.running) / f64::from(set.cores);
@@ -415,7 +420,7 @@
 
 fn state_of(run: &RunState) -> State {
     match run {
-        RunState::Running => State::InHand,
+        RunState::Running => State::InFlight,
         RunState::Done(result) => State::Done(result.clone()),
         RunState::Failed => State::Failed,
     }
--- a/crates/node/src/fastcgi/connection.rs
+++ b/crates/node/src/fastcgi/connection.rs
@@ -242,7 +242,7 @@
     pub async fn send_farewell(&self, until: Instant) {
         let Some(successor) = self.successor.borrow().clone() else { return };
         let (left, gone) = oneshot::channel();
-        let out = Out { message: Message::Farewell, beside: None, left: Some(left) };
+        let out = Out { message: Message::Farewell, descriptor: None, sent: Some(left) };
         if successor.try_send(out).is_ok() {
             let _ = timeout_at(until, gone).await;
         }
@@ -440,7 +440,7 @@
         let Ok(beside) = stream.try_clone() else { return };
         let (left, passed) = oneshot::channel();
         let message = Message::Connection { input: input.clone(), used, waited_ms };
-        let out = Out { message, beside: Some(beside.into()), left: Some(left) };
+        let out = Out { message, descriptor: Some(beside.into()), sent: Some(left) };
         let sent = match &successor {
             Some(successor) => successor.send(out).await.is_ok(),
             None => false,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -71,7 +71,7 @@
             let folder = config.admin.and(variable("TMPDIR").filter(|folder| !folder.is_empty()));
             let upgrade = folder.and_then(|folder| {
                 let place = Place::new(Path::new(&folder), &config.name);
-                match place.show_alive() {
+                match place.mark_alive() {
                     Ok(alive) => Some((place, alive)),
                     // Without the file two processes could serve at one address without knowing of each
                     // other.
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -8,7 +8,7 @@
 use crate::fastcgi::connection::Connections;
 use crate::steering::Steering;
 use crate::upgrade::link::Place;
-use crate::upgrade::right::Alive;
+use crate::upgrade::ownership::AliveMarker;
 use crate::upgrade::{Keeper, Listeners};
 use crate::{database, directory, fleet, interpreter, log};
 use jaspershunt_operator::File;
@@ -126,7 +126,7 @@
     /// Operators' orders to the engine.
     pub orders: (mpsc::Sender<Order>, mpsc::Receiver<Order>),
     /// For several processes of the program that may be one nodo: where they settle which one serves.
-    pub upgrade: Option<(Place, Alive)>,
+    pub upgrade: Option<(Place, AliveMarker)>,
 }
 
 impl Endpoints {
@@ -246,13 +246,14 @@
         let serves = move || !leaving() && !others.lost.get() && !idle.borrow().hand_over;
         let leaves = move || lost.leaves.get();
         let to_engine = engine_in.downgrade();
-        let office = (!file.team.is_empty()).then(|| fleet::routes::Office::new(&file, &desk.tally));
-        *desk.routes.borrow_mut() = office.clone();
+        let service =
+            (!file.team.is_empty()).then(|| fleet::routes::RouteTableService::new(&file, &desk.tally));
+        *desk.routes.borrow_mut() = service.clone();
         let (numbered, number) = (Rc::new(Notify::new()), Instant::now() + INCARNATION_TIMEOUT);
         let has_number = numbered.clone();
-        let publish = move |way: Option<fleet::Way>| {
-            if let (Some(office), Some(way)) = (&office, &way) {
-                spawn_local(office.clone().attend(way.clone(), to_engine.clone()));
+        let publish = move |way: Option<fleet::MemberHandle>| {
+            if let (Some(service), Some(way)) = (&service, &way) {
+                spawn_local(service.clone().attend(way.clone(), to_engine.clone()));
             }
             if let Some(way) = way.clone().filter(|_| holds) {
                 spawn_local(fleet::watch_work(way, to_engine.clone()));
@@ -263,7 +264,7 @@
             *at.fleet.borrow_mut() = way;
             has_number.notify_one();
         };
-        member = Some(spawn_local(fleet::keep(file, config.name.clone(), serves, leaves, publish)))
+        member = Some(spawn_local(fleet::run_member(file, config.name.clone(), serves, leaves, publish)))
             .filter(|_| holds);
         if holds {
             // Without this wait a starting nodo would refuse repeats although the fleet knows the outcome of
@@ -295,7 +296,7 @@
         return Ok(());
     }
     let end = notified_at + config.stop.saturating_sub(EXIT_MARGIN);
-    let _ = engine_in.send(Input::Leave { since: told: notified_at }).await;
+    let _ = engine_in.send(Input::Leave { since: notified_at }).await;
     let grace = Duration::from_secs_f64(facts.borrow().settings.drain_grace.min(1e6));
     sleep_until((notified_at + grace + EXTRA_GRACE).min(end)).await;
     // From here on new connections are refused, which proves to balancers that nothing ran.
