--- a/crates/lab/src/fleet/demo.rs
+++ b/crates/lab/src/fleet/demo.rs
@@ -1,6 +1,6 @@
-//! Five nodos as a fleet with two tasks, while a holder is killed, the one that leads is frozen, and a link is cut.
+//! Five nodos as a fleet with two tasks, while a holder is killed, the one that leads is paused, and a link is cut.
 
-use super::torment::{TTL, resources};
+use super::fault_injection::{TTL, resources};
 use crate::site::on_one_thread;
 use jaspershunt_stand_ins::fleet::Fleet;
 use jaspershunt_stand_ins::link::Fault;
@@ -10,9 +10,9 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// From each event to the next.
-const EACH: Duration = Duration::from_secs(5);
+const EVENT_INTERVAL: Duration = Duration::from_secs(5);
 /// Between two lines of the table.
-const LINE_EVERY: Duration = Duration::from_millis(500);
+const LINE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Shows it; whether no two acted at once.
 pub fn run(nodo: &Path) -> io::Result<bool> {
@@ -22,13 +22,13 @@
         println!("five nodos, three of them vote; a lease lasts {TTL:?}; each task is due every second\n");
         fleet.start_all().await?;
         // One that takes longer shows it in the table.
-        let _ = timeout(4 * EACH, fleet.wait_for_votes()).await;
+        let _ = timeout(4 * EVENT_INTERVAL, fleet.wait_for_votes()).await;
         println!(
             "{:>6}  {:<26} {:<8} {:<8} {:<8} {:>6} {:>9}",
             "s", "", "leads", "checked", "timed", "acts", "overlaps"
         );
         let began = Instant::now();
-        let (mut killed, mut frozen) = (None, None);
+        let (mut killed, mut paused) = (None, None);
         for event in 0..7 {
             let what = match event {
                 1 => {
@@ -45,17 +45,17 @@
                     killed.map(|n| format!("n{n} is back"))
                 }
                 3 => {
-                    frozen = fleet.leader().await;
-                    if let Some(n) = frozen {
+                    paused = fleet.leader().await;
+                    if let Some(n) = paused {
                         fleet.process(n).pause();
                     }
-                    frozen.map(|n| format!("n{n}, which leads, is frozen"))
+                    paused.map(|n| format!("n{n}, which leads, is frozen"))
                 }
                 4 => {
-                    if let Some(n) = frozen {
+                    if let Some(n) = paused {
                         fleet.process(n).resume();
                     }
-                    frozen.map(|n| format!("n{n} goes on"))
+                    paused.map(|n| format!("n{n} goes on"))
                 }
                 5 => {
                     let holder = fleet.holder("task/timed").await;
@@ -71,7 +71,7 @@
                 _ => None,
             };
             let mut what = what.unwrap_or_default();
-            let until = Instant::now() + EACH;
+            let until = Instant::now() + EVENT_INTERVAL;
             while Instant::now() < until {
                 let name = |n: Option<usize>| n.map_or("–".to_string(), |n| format!("n{n}"));
                 let (leader, one, two) = (
@@ -89,7 +89,7 @@
                     cannot.overlaps().len() + checks.stale_token_acts().len()
                 );
                 what.clear();
-                sleep(LINE_EVERY).await;
+                sleep(LINE_INTERVAL).await;
             }
         }
         let acts = checks.acts().iter().chain(&cannot.acts()).filter(|act| !act.turned_away).count();
--- a/crates/lab/src/fleet/load.rs
+++ b/crates/lab/src/fleet/load.rs
@@ -1,7 +1,7 @@
 //! A nodo at twice its load, with the fleet on and off: the one that leads is crowded, and what it is asked takes no longer for that, no
 //! lease is lost and nobody else comes to lead. Both sides of a pair run at once, so that what else the machine does costs both alike.
 
-use super::torment::{TTL, resources};
+use super::fault_injection::{TTL, resources};
 use crate::report::{Figure, table, verdict};
 use crate::site::on_one_thread;
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
@@ -19,15 +19,15 @@
 
 /// Pairs of runs, and the length of the load of each.
 const PAIRS: u64 = 5;
-const LASTS: Duration = Duration::from_secs(8);
+const LOAD_TIME: Duration = Duration::from_secs(8);
 /// Requests a second: twice what the nodo's interpreter does, eight cores with 8 ms for each.
-const RATE: f64 = 2000.0;
-const PATIENCE: Duration = Duration::from_secs(4);
-const GENEROUS: Duration = Duration::from_secs(30);
+const RATE_PER_SECOND: f64 = 2000.0;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Of the median ratio.
-const MOST: f64 = 1.05;
+const MAX_P99_RATIO: f64 = 1.05;
 
-/// What one side came to.
+/// What one side side to.
 #[derive(Clone, Debug, Default)]
 struct Side {
     /// Milliseconds until each answer.
@@ -46,7 +46,7 @@
     }
 }
 
-async fn side(nodo: &Path, seed: u64, on: bool) -> io::Result<Side> {
+async fn run_side(nodo: &Path, seed: u64, on: bool) -> io::Result<Side> {
     let (checks, cannot, tasks) = resources().await;
     let name = format!("load-{seed}-{on}");
     let mut fleet = Fleet::new(nodo, &name, (3, 3), TTL, &tasks).await?;
@@ -59,7 +59,7 @@
             fleet.wait_for_votes().await;
             tokio::join!(wait_for_acts(&checks, 2), wait_for_acts(&cannot, 2));
         };
-        timeout(GENEROUS, ready).await.map_err(|_| io::Error::other(fleet.logs()))?;
+        timeout(READY_TIMEOUT, ready).await.map_err(|_| io::Error::other(fleet.logs()))?;
     }
     let leads = if on { fleet.leader().await.unwrap_or(0) } else { 0 };
     let lost = |fleet: &Fleet| -> usize {
@@ -69,25 +69,25 @@
     let (lost_before, acts_before) = (lost(&fleet), acts());
     let term = if on { term(&fleet, leads).await } else { 0 };
     let balancer = Rc::new(Balancer::new(fleet.nodos[leads].address, 1, None));
-    let came: Rc<RefCell<Side>> = Rc::default();
+    let side: Rc<RefCell<Side>> = Rc::default();
     let mut rng = StdRng::seed_from_u64(seed);
     let began = Instant::now();
     let (mut at, mut sent) = (0.0, Vec::new());
-    while at < LASTS.as_secs_f64() {
+    while at < LOAD_TIME.as_secs_f64() {
         sleep_until(began + Duration::from_secs_f64(at)).await;
-        let (balancer, came) = (balancer.clone(), came.clone());
+        let (balancer, side) = (balancer.clone(), side.clone());
         sent.push(spawn_local(async move {
-            let answer = balancer.send(&Request::new("read", b"x"), PATIENCE).await;
-            let mut came = came.borrow_mut();
-            came.took.push(answer.took.as_secs_f64() * 1000.0);
-            came.served += usize::from(answer.status == 200);
+            let answer = balancer.send(&Request::new("read", b"x"), ANSWER_TIMEOUT).await;
+            let mut side = side.borrow_mut();
+            side.took.push(answer.took.as_secs_f64() * 1000.0);
+            side.served += usize::from(answer.status == 200);
         }));
-        at += -(1.0 - rng.random_range(0.0..1.0f64)).ln() / RATE;
+        at += -(1.0 - rng.random_range(0.0..1.0f64)).ln() / RATE_PER_SECOND;
     }
     for one in sent {
         let _ = one.await;
     }
-    let mut came = came.take();
+    let mut side = side.take();
     if on {
         // One that is too crowded to show it is asked again.
         let shown = async {
@@ -97,11 +97,11 @@
                 }
             }
         };
-        let now = timeout(GENEROUS, shown).await.unwrap_or(u64::MAX);
-        (came.lost, came.elections) = (lost(&fleet) - lost_before, now.saturating_sub(term));
-        came.acts = acts() - acts_before;
+        let now = timeout(READY_TIMEOUT, shown).await.unwrap_or(u64::MAX);
+        (side.lost, side.elections) = (lost(&fleet) - lost_before, now.saturating_sub(term));
+        side.acts = acts() - acts_before;
     }
-    Ok(came)
+    Ok(side)
 }
 
 async fn term(fleet: &Fleet, n: usize) -> u64 {
@@ -112,7 +112,7 @@
 pub fn measure(nodo: &Path, out: Option<&Path>, seed: u64) -> io::Result<bool> {
     let (mut rows, mut ratios, mut with) = (Vec::new(), Vec::new(), Vec::new());
     for pair in 0..PAIRS {
-        let play = |on| on_one_thread(side(nodo, seed * 100 + pair, on));
+        let play = |on| on_one_thread(run_side(nodo, seed * 100 + pair, on));
         let (on, off) = thread::scope(|scope| {
             let off = scope.spawn(|| play(false));
             (play(true), off.join().unwrap_or_else(|_| Err(io::Error::other("a run panicked"))))
@@ -139,7 +139,7 @@
             "p99 with the fleet against without, median of the pairs",
             format!("{median:.3}"),
             "≤ 1.05",
-            median <= MOST,
+            median <= MAX_P99_RATIO,
         ),
     ];
     let (bounds, last, holds) = verdict("fleet-load", &figures);
@@ -149,7 +149,7 @@
     );
     let acts: usize = with.iter().map(|side| side.acts).sum();
     let text = format!(
-        "The one that leads is asked {RATE:.0} times a second, twice what it can; {acts} acts of tasks meanwhile.\n\n{bounds}\n\n{pairs}\n"
+        "The one that leads is asked {RATE_PER_SECOND:.0} times a second, twice what it can; {acts} acts of tasks meanwhile.\n\n{bounds}\n\n{pairs}\n"
     );
     println!("{text}");
     if let Some(out) = out {
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -1,9 +1,9 @@
 //! The measurement of leases: seeded schedules, real nodos, and what the busiest voter has to say.
 
-use super::schedule::Sketch;
-use super::torment::{self, Torment};
-use super::world::{Came, World};
-use super::{Sum, mutants, soak};
+use super::fault_injection::{self, InjectionOutcome};
+use super::schedule::Scenario;
+use super::simulation::{Outcome, Simulation};
+use super::{Totals, mutants, soak};
 use crate::report::{Figure, table, verdict};
 use crate::site::on_one_thread;
 use std::fmt::Write;
@@ -13,18 +13,18 @@
 use tokio::task::spawn_local;
 
 /// Seeded schedules are played for so long, on so many threads.
-const SOAK: Duration = Duration::from_secs(10);
+const SOAK_TIME: Duration = Duration::from_secs(10);
 const THREADS: usize = 6;
 /// Fleets of real nodos at once, and for how long.
 const FLEETS: u64 = 10;
-const TORMENT: Duration = Duration::from_secs(24);
+const FAULTS_LAST: Duration = Duration::from_secs(24);
 /// Fleets at once in which nothing but the one that leads is killed.
-const FLEETS_OF_LEADERS: u64 = 4;
+const LEADER_KILL_FLEETS: u64 = 4;
 /// Schedules for each rule left out.
-const FOR_EACH: u64 = 100;
+const SCHEDULES_PER_RULE: u64 = 100;
 /// Leases of the large fleets, and the virtual time for which these are played.
 const LEASES: usize = 50;
-const LARGE: Duration = Duration::from_secs(20);
+const LARGE_FLEET_TIME: Duration = Duration::from_secs(20);
 
 /// The value below which this part of them is.
 pub fn percentile(values: &[f64], part: f64) -> f64 {
@@ -35,39 +35,39 @@
 }
 
 /// A calm fleet of this size with many leases.
-fn large(members: usize) -> Came {
-    let mut sketch = Sketch::calm(1, members, 3);
-    sketch.ttl = Duration::from_secs(10);
-    sketch.tasks = LEASES;
-    sketch.length = LARGE;
-    sketch.settles = Duration::from_secs(1);
-    World::new(sketch, false).play()
+fn large_fleet(members: usize) -> Outcome {
+    let mut scenario = Scenario::without_faults(1, members, 3);
+    scenario.ttl = Duration::from_secs(10);
+    scenario.tasks = LEASES;
+    scenario.fault_window = LARGE_FLEET_TIME;
+    scenario.recovery_timeout = Duration::from_secs(1);
+    Simulation::new(scenario, false).play()
 }
 
 /// Plays this many fleets at once, each on tasks of this one thread.
-fn at_once<F: Future<Output = io::Result<Torment>> + 'static>(
+fn at_once<F: Future<Output = io::Result<InjectionOutcome>> + 'static>(
     fleets: u64,
     play: impl Fn(u64) -> F,
-) -> io::Result<Vec<Torment>> {
+) -> io::Result<Vec<InjectionOutcome>> {
     on_one_thread(async {
-        let mut torments = Vec::new();
+        let mut outcomes = Vec::new();
         for play in (0..fleets).map(|n| spawn_local(play(n))).collect::<Vec<_>>() {
-            torments.push(play.await.map_err(io::Error::other)??);
+            outcomes.push(play.await.map_err(io::Error::other)??);
         }
-        Ok(torments)
+        Ok(outcomes)
     })
 }
 
 /// Only kills of the one that leads, so many in all.
 pub fn leaders(nodo: &Path, seed: u64, kills: usize) -> io::Result<bool> {
-    let each = kills.div_ceil(FLEETS_OF_LEADERS as usize);
-    let torments = at_once(FLEETS_OF_LEADERS, |n| {
+    let each = kills.div_ceil(LEADER_KILL_FLEETS as usize);
+    let outcomes = at_once(LEADER_KILL_FLEETS, |n| {
         let nodo = nodo.to_path_buf();
-        async move { torment::leaders(&nodo, seed * 100 + n, each).await }
+        async move { fault_injection::leaders(&nodo, seed * 100 + n, each).await }
     })?;
-    torments.iter().filter(|torment| !torment.logs.is_empty()).for_each(|t| eprintln!("{}", t.logs));
-    let add = |of: fn(&Torment) -> usize| torments.iter().map(of).sum::<usize>();
-    let (played, acts) = (add(|t| t.leaders), add(|t| t.acts));
+    outcomes.iter().filter(|outcome| !outcome.logs.is_empty()).for_each(|t| eprintln!("{}", t.logs));
+    let add = |of: fn(&InjectionOutcome) -> usize| outcomes.iter().map(of).sum::<usize>();
+    let (played, acts) = (add(|t| t.leader_kills), add(|t| t.acts));
     let figures = [
         Figure::new(
             "the one that leads is killed, the holder lives",
@@ -76,12 +76,12 @@
             played >= kills,
         ),
         Figure::none("times missed that were due", add(|t| t.missed)),
-        Figure::none("acts at once, nothing checking tokens", add(|t| t.at_once)),
-        Figure::none("a lower token taken after a higher", add(|t| t.lower)),
-        Figure::none("fleets that do not go on", add(|t| usize::from(!t.goes_on))),
+        Figure::none("acts at once, nothing checking tokens", add(|t| t.overlaps)),
+        Figure::none("a lower token taken after a higher", add(|t| t.stale_token_acts)),
+        Figure::none("fleets that do not go on", add(|t| usize::from(!t.recovered))),
     ];
     let (rows, last, holds) = verdict("leases, the one that leads", &figures);
-    println!("{FLEETS_OF_LEADERS} fleets of five, {acts} acts.\n\n{rows}\n\n{last}");
+    println!("{LEADER_KILL_FLEETS} fleets of five, {acts} acts.\n\n{rows}\n\n{last}");
     Ok(holds)
 }
 
@@ -89,36 +89,36 @@
 pub fn measure(nodo: &Path, out: Option<&Path>, seed: u64) -> io::Result<bool> {
     let from = seed * 1_000_000;
     let began = Instant::now();
-    let sum: Sum = soak(from..from + 100_000, THREADS, |_| began.elapsed() > SOAK);
-    let left_out = mutants(FOR_EACH, THREADS, "");
-    let torments = at_once(FLEETS, |n| {
+    let totals: Totals = soak(from..from + 100_000, THREADS, |_| began.elapsed() > SOAK_TIME);
+    let mutant_results = mutants(SCHEDULES_PER_RULE, THREADS, "");
+    let outcomes = at_once(FLEETS, |n| {
         let nodo = nodo.to_path_buf();
-        async move { torment::play(&nodo, seed * 100 + n, TORMENT).await }
+        async move { fault_injection::play(&nodo, seed * 100 + n, FAULTS_LAST).await }
     })?;
-    let (small, big) = (large(30), large(300));
-    let a_second = |came: &Came| {
-        let time = came.played.as_secs_f64().max(0.001);
-        (came.busiest.0 as f64 / time, came.busiest.1 as f64 / time / 1024.0)
+    let (small, big) = (large_fleet(30), large_fleet(300));
+    let a_second = |outcome: &Outcome| {
+        let time = outcome.duration.as_secs_f64().max(0.001);
+        (outcome.busiest.0 as f64 / time, outcome.busiest.1 as f64 / time / 1024.0)
     };
     let (few, many) = (a_second(&small), a_second(&big));
-    let add = |of: fn(&Torment) -> usize| torments.iter().map(of).sum::<usize>();
-    let faults = add(|t| t.kills) + add(|t| t.freezes) + add(|t| t.cuts);
-    let gaps: Vec<f64> = torments.iter().flat_map(|torment| torment.gaps.clone()).collect();
+    let add = |of: fn(&InjectionOutcome) -> usize| outcomes.iter().map(of).sum::<usize>();
+    let faults = add(|t| t.kills) + add(|t| t.pauses) + add(|t| t.cuts);
+    let gaps: Vec<f64> = outcomes.iter().flat_map(|outcome| outcome.gaps.clone()).collect();
     let (p50, p99) = (percentile(&gaps, 0.5), percentile(&gaps, 0.99));
-    let quorum = torments.iter().map(|t| t.quorum.unwrap_or(f64::INFINITY)).fold(0.0, f64::max);
-    let baseline: usize = left_out.iter().filter(|(.., found)| found.is_some()).count();
+    let quorum = outcomes.iter().map(|t| t.quorum_recovery.unwrap_or(f64::INFINITY)).fold(0.0, f64::max);
+    let baseline: usize = mutant_results.iter().filter(|(.., found)| found.is_some()).count();
     let figures = [
-        Figure::none("seeded schedules with something that must never be", sum.violations.len()),
+        Figure::none("seeded schedules with something that must never be", totals.violations.len()),
         Figure::new(
             "rules left out, found within 100 schedules (the baseline: not 0)",
-            format!("{baseline} of {}", left_out.len()),
+            format!("{baseline} of {}", mutant_results.len()),
             "> 0",
             baseline > 0,
         ),
         Figure::new("real processes: kills, freezes and cuts", faults, "≥ 500", faults >= 500),
-        Figure::none("acts at once, nothing checking tokens", add(|t| t.at_once)),
-        Figure::none("a lower token taken after a higher", add(|t| t.lower)),
-        Figure::none("fleets that do not go on at the end", add(|t| usize::from(!t.goes_on))),
+        Figure::none("acts at once, nothing checking tokens", add(|t| t.overlaps)),
+        Figure::none("a lower token taken after a higher", add(|t| t.stale_token_acts)),
+        Figure::none("fleets that do not go on at the end", add(|t| usize::from(!t.recovered))),
         Figure::new(
             "a holder is killed, until the next act, p50, leases' time",
             format!("{p50:.2}"),
@@ -151,7 +151,7 @@
         ),
     ];
     let (rows, last, holds) = verdict("leases", &figures);
-    let mutants = left_out.iter().map(|(mutant, played, found)| {
+    let mutants = mutant_results.iter().map(|(mutant, played, found)| {
         let found =
             found.as_ref().map_or(("–".to_string(), "not within these".to_string()), |(seed, what)| {
                 (seed.to_string(), what.clone())
@@ -163,24 +163,24 @@
     let mut text = format!(
         "{} schedules: {} acts, {} turned away, {} leases granted, {} changes of the one that leads. Real nodos, ten fleets of five: \
          {} kills, {} freezes, {} cuts; {} acts, {} turned away; {} times a holder was killed, {} times the one that leads while the holder lived.\n\n{rows}\n\n{mutants}\n",
-        sum.schedules,
-        sum.acts,
-        sum.turned_away,
-        sum.tokens,
-        sum.leaders,
+        totals.schedules,
+        totals.acts,
+        totals.turned_away,
+        totals.leases_granted,
+        totals.leader_changes,
         add(|t| t.kills),
-        add(|t| t.freezes),
+        add(|t| t.pauses),
         add(|t| t.cuts),
         add(|t| t.acts),
         add(|t| t.turned_away),
         gaps.len(),
-        add(|t| t.leaders),
+        add(|t| t.leader_kills),
     );
-    for (seed, what) in sum.violations.iter().take(10) {
+    for (seed, what) in totals.violations.iter().take(10) {
         let _ = writeln!(text, "seed {seed}: {what}");
     }
-    for torment in torments.iter().filter(|torment| !torment.logs.is_empty()) {
-        eprintln!("{}", torment.logs);
+    for outcome in outcomes.iter().filter(|outcome| !outcome.logs.is_empty()) {
+        eprintln!("{}", outcome.logs);
     }
     println!("{text}");
     if let Some(out) = out {
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,23 +1,23 @@
 //! The fleet under seeded faults of all kinds at once: plays schedules, tells the story of one, and shrinks one that fails.
 
 pub mod demo;
+pub mod fault_injection;
 pub mod load;
 pub mod measure;
 pub mod schedule;
-pub mod torment;
-pub mod world;
+pub mod simulation;
 
 use jaspershunt_fleet::mutants::{ALL, Mutant, activate};
-use schedule::{AIMED, Sketch};
+use schedule::{FIRST_TARGETED_SEED, Scenario};
+use simulation::{Outcome, Simulation};
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
-use world::{Came, World};
 
 /// What many schedules came to.
 #[derive(Clone, Debug, Default)]
-pub struct Sum {
+pub struct Totals {
     /// How many were played.
     pub schedules: u64,
     /// Seeds of those in which something was that must never be, with what.
@@ -27,29 +27,29 @@
     /// See there.
     pub turned_away: u64,
     /// Leases granted.
-    pub tokens: u64,
+    pub leases_granted: u64,
     /// Changes of the one that leads.
-    pub leaders: u64,
+    pub leader_changes: u64,
     /// Times from the last act of one holder to the first of the next, in leases' time.
     pub gaps: Vec<f64>,
 }
 
-impl Sum {
-    fn add(&mut self, seed: u64, came: Came) {
+impl Totals {
+    fn add(&mut self, seed: u64, outcome: Outcome) {
         self.schedules += 1;
-        self.acts += came.acts;
-        self.turned_away += came.turned_away;
-        self.tokens += came.tokens;
-        self.leaders += came.leaders;
-        self.gaps.extend(came.gaps);
-        if let Some(violation) = came.violation {
+        self.acts += outcome.acts;
+        self.turned_away += outcome.turned_away;
+        self.leases_granted += outcome.leases_granted;
+        self.leader_changes += outcome.leader_changes;
+        self.gaps.extend(outcome.gaps);
+        if let Some(violation) = outcome.violation {
             self.violations.push((seed, violation.what));
         }
     }
 }
 
 /// Plays the schedules of these seeds, on so many threads, until `stop` says so.
-pub fn soak(seeds: Range<u64>, threads: usize, stop: impl Fn(&Sum) -> bool + Sync) -> Sum {
+pub fn soak(seeds: Range<u64>, threads: usize, stop: impl Fn(&Totals) -> bool + Sync) -> Totals {
     play(seeds, |seed| seed, threads, stop)
 }
 
@@ -57,10 +57,10 @@
     numbers: Range<u64>,
     seed: impl Fn(u64) -> u64 + Sync,
     threads: usize,
-    stop: impl Fn(&Sum) -> bool + Sync,
-) -> Sum {
+    stop: impl Fn(&Totals) -> bool + Sync,
+) -> Totals {
     let next = AtomicU64::new(numbers.start);
-    let sum = Mutex::new(Sum::default());
+    let totals = Mutex::new(Totals::default());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
@@ -70,99 +70,99 @@
                         return;
                     }
                     let seed = seed(number);
-                    let came = World::new(Sketch::draw(seed), false).play();
+                    let outcome = Simulation::new(Scenario::from_seed(seed), false).play();
                     // A panic in a schedule ends the soak anyhow.
-                    let mut sum = sum.lock().unwrap_or_else(PoisonError::into_inner);
-                    sum.add(seed, came);
-                    if stop(&sum) {
+                    let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
+                    totals.add(seed, outcome);
+                    if stop(&totals) {
                         next.store(numbers.end, Ordering::Relaxed);
                     }
                 }
             });
         }
     });
-    let mut sum = sum.into_inner().unwrap_or_else(PoisonError::into_inner);
-    sum.violations.sort();
-    sum
+    let mut totals = totals.into_inner().unwrap_or_else(PoisonError::into_inner);
+    totals.violations.sort();
+    totals
 }
 
 /// How often a long soak says how far it is.
-const SAY_EVERY: Duration = Duration::from_secs(10);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Plays so many schedules, every second one aimed, tells how far it is and each seed that fails as soon as it does; whether none did.
 pub fn long_soak(from: u64, schedules: u64, threads: usize, most: Option<Duration>) -> bool {
     let began = Instant::now();
     let said = Mutex::new((began, 0));
-    let seed = |n: u64| from + n / 2 + if n.is_multiple_of(2) { 0 } else { AIMED };
-    let sum = play(0..schedules, seed, threads, |sum| {
+    let seed = |n: u64| from + n / 2 + if n.is_multiple_of(2) { 0 } else { FIRST_TARGETED_SEED };
+    let totals = play(0..schedules, seed, threads, |totals| {
         let mut said = said.lock().unwrap_or_else(PoisonError::into_inner);
-        for (seed, what) in sum.violations.iter().skip(said.1) {
+        for (seed, what) in totals.violations.iter().skip(said.1) {
             println!("seed {seed}: {what}");
         }
-        said.1 = sum.violations.len();
-        if said.0.elapsed() > SAY_EVERY {
+        said.1 = totals.violations.len();
+        if said.0.elapsed() > PROGRESS_INTERVAL {
             said.0 = Instant::now();
-            let rate = sum.schedules as f64 / began.elapsed().as_secs_f64();
-            eprintln!("{} of {schedules}, {rate:.1} a second, {} failed", sum.schedules, said.1);
+            let rate = totals.schedules as f64 / began.elapsed().as_secs_f64();
+            eprintln!("{} of {schedules}, {rate:.1} a second, {} failed", totals.schedules, said.1);
         }
         most.is_some_and(|most| began.elapsed() > most)
     });
     let took = began.elapsed().as_secs_f64();
     println!(
         "{} schedules in {took:.0} s, {:.1} a second: {} acts, {} turned away, {} leases granted, {} changes of the one that leads; {} failed",
-        sum.schedules,
-        sum.schedules as f64 / took,
-        sum.acts,
-        sum.turned_away,
-        sum.tokens,
-        sum.leaders,
-        sum.violations.len()
+        totals.schedules,
+        totals.schedules as f64 / took,
+        totals.acts,
+        totals.turned_away,
+        totals.leases_granted,
+        totals.leader_changes,
+        totals.violations.len()
     );
-    sum.violations.is_empty()
+    totals.violations.is_empty()
 }
 
 /// Leaves out faults as long as the schedule still fails.
-pub fn shrink(mut sketch: Sketch) -> Sketch {
-    let fails = |sketch: &Sketch| World::new(sketch.clone(), false).play().violation.is_some();
+pub fn shrink(mut scenario: Scenario) -> Scenario {
+    let fails = |scenario: &Scenario| Simulation::new(scenario.clone(), false).play().violation.is_some();
     let mut place = 0;
-    while place < sketch.faults.len() {
-        let mut less = sketch.clone();
+    while place < scenario.faults.len() {
+        let mut less = scenario.clone();
         less.faults.remove(place);
         if fails(&less) {
-            sketch = less;
+            scenario = less;
         } else {
             place += 1;
         }
     }
-    let mut less = sketch.clone();
-    less.lost = 0.0;
-    if fails(&less) { less } else { sketch }
+    let mut less = scenario.clone();
+    less.loss_rate = 0.0;
+    if fails(&less) { less } else { scenario }
 }
 
 /// Tells the story of a seed; whether nothing was that must never be. With `all`, everything that happened in it.
 pub fn replay(seed: u64, shrinks: bool, all: bool) -> bool {
-    let mut sketch = Sketch::draw(seed);
-    let fails = World::new(sketch.clone(), false).play().violation.is_some();
+    let mut scenario = Scenario::from_seed(seed);
+    let fails = Simulation::new(scenario.clone(), false).play().violation.is_some();
     if fails && shrinks {
-        let before = sketch.faults.len();
-        sketch = shrink(sketch);
-        println!("{} of {before} faults are enough", sketch.faults.len());
+        let before = scenario.faults.len();
+        scenario = shrink(scenario);
+        println!("{} of {before} faults are enough", scenario.faults.len());
     }
     println!(
         "seed {seed}: {} members, {} of them voters, {} of a hundred messages lost",
-        sketch.members,
-        sketch.voters,
-        sketch.lost * 100.0
+        scenario.members,
+        scenario.voters,
+        scenario.loss_rate * 100.0
     );
-    sketch.faults.iter().for_each(|fault| println!("{fault}"));
-    let came = World::new(sketch, true).play();
-    let skip = if all { 0 } else { came.story.len().saturating_sub(80) };
-    came.story.iter().skip(skip).for_each(|line| println!("{line}"));
-    match &came.violation {
+    scenario.faults.iter().for_each(|fault| println!("{fault}"));
+    let outcome = Simulation::new(scenario, true).play();
+    let skip = if all { 0 } else { outcome.timeline.len().saturating_sub(80) };
+    outcome.timeline.iter().skip(skip).for_each(|line| println!("{line}"));
+    match &outcome.violation {
         Some(violation) => println!("seed {seed}: {} at {:?}", violation.what, violation.at),
-        None => println!("seed {seed}: nothing was that must never be; {} acts", came.acts),
+        None => println!("seed {seed}: nothing was that must never be; {} acts", outcome.acts),
     }
-    came.violation.is_none()
+    outcome.violation.is_none()
 }
 
 /// The first seed that failed, and with what.
@@ -172,15 +172,15 @@
 /// are not. Returns how many were played, the first seed that found it, and what was found.
 pub fn mutant(mutant: Mutant, schedules: u64, threads: usize) -> (u64, Found) {
     activate(Some(mutant));
-    let found = |sum: &Sum| !sum.violations.is_empty();
-    let mut sum = soak(AIMED..AIMED + schedules, threads, found);
-    let aimed = sum.schedules;
-    if !found(&sum) {
-        sum = soak(0..schedules, threads, found);
-        sum.schedules += aimed;
+    let found = |totals: &Totals| !totals.violations.is_empty();
+    let mut totals = soak(FIRST_TARGETED_SEED..FIRST_TARGETED_SEED + schedules, threads, found);
+    let aimed = totals.schedules;
+    if !found(&totals) {
+        totals = soak(0..schedules, threads, found);
+        totals.schedules += aimed;
     }
     activate(None);
-    (sum.schedules, sum.violations.first().cloned())
+    (totals.schedules, totals.violations.first().cloned())
 }
 
 /// The same for each rule in turn, or for those whose name has this in it.
--- a/crates/lab/src/fleet/schedule.rs
+++ b/crates/lab/src/fleet/schedule.rs
@@ -34,7 +34,7 @@
     Twin { member: usize, after: Duration, frozen: bool },
     /// Operators take a lease back.
     Revoke { task: usize },
-    /// The clock on the wall jumps, by so many seconds.
+    /// The clock on the wall jumping, by so many seconds.
     Jump { member: usize, by: i64 },
     /// Whoever leads then and one that holds a lease, this task's at best, do not reach each other: there, back, or both ways.
     Silence { task: usize, there: bool, back: bool, length: Duration, held: bool },
@@ -49,14 +49,14 @@
 
 /// A fault with its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct At {
+pub struct TimedFault {
     /// When.
     pub at: Duration,
     /// What.
     pub fault: Fault,
 }
 
-impl fmt::Display for At {
+impl fmt::Display for TimedFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:>7} ms  {:?}", self.at.as_millis(), self.fault)
     }
@@ -64,7 +64,7 @@
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Sketch {
+pub struct Scenario {
     /// What all else is drawn from.
     pub seed: u64,
     /// Members, and how many of them vote.
@@ -74,73 +74,73 @@
     /// Leases' time.
     pub ttl: Duration,
     /// How far clocks may be off, in thousandths.
-    pub drift: u32,
+    pub drift_permille: u32,
     /// Tasks, in turn of the timed and the checked grade.
     pub tasks: usize,
     /// The longest act of a timed task.
-    pub act: Duration,
+    pub max_act: Duration,
     /// The longest way to what is acted on.
-    pub way: Duration,
+    pub max_delay: Duration,
     /// From the first to the last fault.
-    pub length: Duration,
+    pub fault_window: Duration,
     /// After the last fault is over, until all goes on again at the latest.
-    pub settles: Duration,
+    pub recovery_timeout: Duration,
     /// The part of messages that are lost, and that come twice.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// Calls mostly end with a cursor or fail, and some acts and ways take nearly as long as they may.
-    pub hard: bool,
+    pub stress_calls: bool,
     /// The voters' clocks are as fast as they may be, and the others' as slow.
-    pub edge: bool,
+    pub extreme_drift: bool,
     /// What goes wrong.
-    pub faults: Vec<At>,
+    pub faults: Vec<TimedFault>,
 }
 
 /// What a schedule's story begins with: the fleet is founded and its voters have their votes by then.
-pub const FOUNDED: Duration = Duration::from_millis(1500);
+pub const FAULTS_START: Duration = Duration::from_millis(1500);
 
 /// Seeds from here on are of schedules that are aimed.
-pub const AIMED: u64 = 1_000_000_000;
+pub const FIRST_TARGETED_SEED: u64 = 1_000_000_000;
 
-impl Sketch {
+impl Scenario {
     /// A fleet in which nothing goes wrong.
-    pub fn calm(seed: u64, members: usize, voters: usize) -> Sketch {
-        Sketch {
+    pub fn without_faults(seed: u64, members: usize, voters: usize) -> Scenario {
+        Scenario {
             seed,
             members,
             voters,
             ttl: Duration::from_millis(500),
-            drift: 50,
+            drift_permille: 50,
             tasks: 2,
-            act: Duration::from_millis(60),
-            way: Duration::from_millis(40),
-            length: Duration::from_secs(4),
-            settles: Duration::from_secs(12),
-            lost: 0.0,
-            hard: false,
-            edge: false,
+            max_act: Duration::from_millis(60),
+            max_delay: Duration::from_millis(40),
+            fault_window: Duration::from_secs(4),
+            recovery_timeout: Duration::from_secs(12),
+            loss_rate: 0.0,
+            stress_calls: false,
+            extreme_drift: false,
             faults: Vec::new(),
         }
     }
 
-    /// Draws one. Those from [`AIMED`] on are aimed: what strikes members drawn blindly hardly ever meets the moment at which a rule is
+    /// Draws one. Those from [`FIRST_TARGETED_SEED`] on are aimed: what strikes members drawn blindly hardly ever meets the moment at which a rule is
     /// needed, so their faults strike whoever leads or holds then, for about a lease's time.
-    pub fn draw(seed: u64) -> Sketch {
+    pub fn from_seed(seed: u64) -> Scenario {
         let mut rng = StdRng::seed_from_u64(seed);
-        if seed >= AIMED {
-            return Sketch::aim(seed, &mut rng);
+        if seed >= FIRST_TARGETED_SEED {
+            return Scenario::targeted(seed, &mut rng);
         }
         let voters = if rng.random_bool(0.8) { 3 } else { 5 };
         let members = voters + rng.random_range(0..3);
-        let mut sketch = Sketch::calm(seed, members, voters);
-        sketch.lost = [0.0, 0.0, 0.01, 0.05][rng.random_range(0..4)];
+        let mut scenario = Scenario::without_faults(seed, members, voters);
+        scenario.loss_rate = [0.0, 0.0, 0.01, 0.05][rng.random_range(0..4)];
         // Fewer than half of the clocks: what most of them show is the time.
-        let jumps = rng.random_range(0..members);
-        let mut disks = 0;
+        let jumping = rng.random_range(0..members);
+        let mut disks_lost = 0;
         for _ in 0..rng.random_range(1..9) {
-            let at = FOUNDED + rng.random_range(Duration::ZERO..sketch.length);
-            let ttl = sketch.ttl;
-            let mut time = |least: f64, most: f64| ttl.mul_f64(rng.random_range(least..most));
-            let (short, long) = (time(0.02, 0.5), time(0.2, 4.0));
+            let at = FAULTS_START + rng.random_range(Duration::ZERO..scenario.fault_window);
+            let ttl = scenario.ttl;
+            let mut lease_times = |min: f64, max: f64| ttl.mul_f64(rng.random_range(min..max));
+            let (short, long) = (lease_times(0.02, 0.5), lease_times(0.2, 4.0));
             let (member, voter) = (rng.random_range(0..members), rng.random_range(0..voters));
             let other = (member + rng.random_range(1..members)) % members;
             let held = rng.random_bool(0.5);
@@ -155,53 +155,53 @@
                 22 => Fault::Full { member: voter, length: long },
                 23 => Fault::NoSync { member: voter },
                 // More than one at a time is beyond what a few voters can bear.
-                24 if disks == 0 => Fault::Empty { member: voter, down: short },
-                25 if disks == 0 => Fault::Older { member: voter, down: short },
+                24 if disks_lost == 0 => Fault::Empty { member: voter, down: short },
+                25 if disks_lost == 0 => Fault::Older { member: voter, down: short },
                 24..28 => Fault::Twin { member, after: long, frozen: held },
-                28 => Fault::Revoke { task: rng.random_range(0..sketch.tasks) },
-                _ => Fault::Jump { member: jumps, by: rng.random_range(-100_000..100_000) },
+                28 => Fault::Revoke { task: rng.random_range(0..scenario.tasks) },
+                _ => Fault::Jump { member: jumping, by: rng.random_range(-100_000..100_000) },
             };
-            disks += usize::from(matches!(fault, Fault::Empty { .. } | Fault::Older { .. }));
-            sketch.faults.push(At { at, fault });
+            disks_lost += usize::from(matches!(fault, Fault::Empty { .. } | Fault::Older { .. }));
+            scenario.faults.push(TimedFault { at, fault });
         }
-        sketch.faults.sort_by_key(|fault| fault.at);
-        sketch
+        scenario.faults.sort_by_key(|fault| fault.at);
+        scenario
     }
 
-    fn aim(seed: u64, rng: &mut StdRng) -> Sketch {
+    fn targeted(seed: u64, rng: &mut StdRng) -> Scenario {
         let voters = if rng.random_bool(0.8) { 3 } else { 5 };
-        let mut sketch = Sketch::calm(seed, voters + rng.random_range(1..3), voters);
-        (sketch.hard, sketch.edge) = (true, rng.random_bool(0.5));
-        sketch.lost = [0.0, 0.0, 0.0, 0.02][rng.random_range(0..4)];
-        sketch.way = Duration::from_millis(if seed.is_multiple_of(2) { 40 } else { 150 });
+        let mut scenario = Scenario::without_faults(seed, voters + rng.random_range(1..3), voters);
+        (scenario.stress_calls, scenario.extreme_drift) = (true, rng.random_bool(0.5));
+        scenario.loss_rate = [0.0, 0.0, 0.0, 0.02][rng.random_range(0..4)];
+        scenario.max_delay = Duration::from_millis(if seed.is_multiple_of(2) { 40 } else { 150 });
         // More of them than one member takes, so that those hold some that do not vote.
-        sketch.tasks = 4;
-        sketch.length = sketch.ttl * 14;
-        let ttl = sketch.ttl;
-        let mut at = FOUNDED;
-        while at < FOUNDED + sketch.length {
-            let mut time = |least: f64, most: f64| ttl.mul_f64(rng.random_range(least..most));
-            let (about, long) = (time(1.0, 1.4), time(1.2, 3.0));
-            let (frozen, next) = (time(0.2, 1.0), time(2.0, 4.0));
-            let task = rng.random_range(0..sketch.tasks);
+        scenario.tasks = 4;
+        scenario.fault_window = scenario.ttl * 14;
+        let ttl = scenario.ttl;
+        let mut at = FAULTS_START;
+        while at < FAULTS_START + scenario.fault_window {
+            let mut lease_times = |min: f64, max: f64| ttl.mul_f64(rng.random_range(min..max));
+            let (about, long) = (lease_times(1.0, 1.4), lease_times(1.2, 3.0));
+            let (frozen, next) = (lease_times(0.2, 1.0), lease_times(2.0, 4.0));
+            let task = rng.random_range(0..scenario.tasks);
             let (there, held) = (rng.random_bool(0.5), rng.random_bool(0.7));
             let back = !there || rng.random_bool(0.5);
-            let mut strike = |after: Duration, fault| sketch.faults.push(At { at: at + after, fault });
+            let mut add = |after: Duration, fault| scenario.faults.push(TimedFault { at: at + after, fault });
             match rng.random_range(0..8) {
-                0..2 => strike(Duration::ZERO, Fault::Silence { task, there, back, length: long, held }),
+                0..2 => add(Duration::ZERO, Fault::Silence { task, there, back, length: long, held }),
                 2..4 => {
                     let frozen = if held { frozen } else { Duration::ZERO };
-                    strike(Duration::ZERO, Fault::Parted { length: long, frozen });
+                    add(Duration::ZERO, Fault::Parted { length: long, frozen });
                 }
                 4..6 => {
                     let silence = Fault::Silence { task, there: true, back: false, length: about, held };
-                    strike(Duration::ZERO, silence);
-                    strike(ttl.mul_f64(0.9), Fault::Thin { length: ttl.mul_f64(0.9) });
+                    add(Duration::ZERO, silence);
+                    add(ttl.mul_f64(0.9), Fault::Thin { length: ttl.mul_f64(0.9) });
                 }
-                _ => strike(Duration::ZERO, Fault::Leave { task, late: long }),
+                _ => add(Duration::ZERO, Fault::Leave { task, late: long }),
             }
             at += next;
         }
-        sketch
+        scenario
     }
 }
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -1,7 +1,7 @@
 //! A fleet in virtual time, on one thread: the members are the program's own, the network, the disks, the clocks and what tasks act on
 //! are simulated. Invariants are held after every step.
 
-use super::schedule::{At, FOUNDED, Fault, Sketch};
+use super::schedule::{FAULTS_START, Fault, Scenario, TimedFault};
 use jaspershunt_fleet::client;
 use jaspershunt_fleet::holder::Grade;
 use jaspershunt_fleet::schedule::{Missed, Schedule};
@@ -22,18 +22,18 @@
 use std::time::Duration;
 
 /// The clock on the wall at the start, in Unix seconds.
-const UNIX: i64 = 1_764_600_000;
+const START_UNIX_SECONDS: i64 = 1_764_600_000;
 /// The fleet's name.
 const FLEET: &str = "sim";
 /// The quickest and the slowest way of a message.
-const QUICK: Duration = Duration::from_micros(200);
-const USUAL: Duration = Duration::from_millis(3);
+const MIN_DELAY: Duration = Duration::from_micros(200);
+const MAX_DELAY: Duration = Duration::from_millis(3);
 /// One that is told to leave has so long.
-const LEAVE_WITHIN: Duration = Duration::from_millis(500);
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Acts of a task one after another whose calls fail.
-const MOST_FAILURES: u32 = 8;
+const MAX_FAILURES_IN_A_ROW: u32 = 8;
 /// Steps of one world at most; more means that it never rests.
-const MOST_STEPS: u64 = 3_000_000;
+const MAX_STEPS: u64 = 3_000_000;
 
 /// Something that must never be.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,7 +46,7 @@
 
 /// What a world came to.
 #[derive(Clone, Debug, Default)]
-pub struct Came {
+pub struct Outcome {
     /// What must never be, and was.
     pub violation: Option<Violation>,
     /// Acts that had an effect.
@@ -54,21 +54,21 @@
     /// Acts that were turned away by their token.
     pub turned_away: u64,
     /// Leases granted.
-    pub tokens: u64,
+    pub leases_granted: u64,
     /// Changes of the one that leads.
-    pub leaders: u64,
+    pub leader_changes: u64,
     /// Times from the loss of a holder to the next act of its task, in leases' time.
     pub gaps: Vec<f64>,
     /// Messages and bytes that the busiest voter said and heard.
     pub busiest: (u64, u64),
     /// The time that was played.
-    pub played: Duration,
+    pub duration: Duration,
     /// What happened, if it was to be told.
-    pub story: Vec<String>,
+    pub timeline: Vec<String>,
 }
 
 enum Event {
-    Wake {
+    Tick {
         process: usize,
     },
     Deliver {
@@ -79,15 +79,15 @@
     Send {
         process: usize,
         call: Call,
-        looked: Duration,
+        decided_at: Duration,
     },
     /// It reaches what is acted on.
-    Land {
+    Arrive {
         process: usize,
         call: Call,
     },
     /// The act is over.
-    Over {
+    ActEnded {
         act: usize,
     },
     /// The answer to it comes back.
@@ -96,7 +96,7 @@
         call: Call,
         turned_away: bool,
     },
-    Thaw {
+    Resume {
         process: usize,
     },
     Start {
@@ -105,10 +105,10 @@
     Heal {
         cut: u64,
     },
-    Room {
+    FreeDisk {
         member: usize,
     },
-    End {
+    Terminate {
         process: usize,
     },
 }
@@ -124,28 +124,28 @@
 }
 
 struct Process {
-    place: usize,
+    host: usize,
     member: Member,
     alive: bool,
-    frozen: bool,
+    paused: bool,
     /// What comes while it is frozen.
-    waits: Vec<Event>,
+    deferred: Vec<Event>,
     /// Its clock: what it showed at its start, when that was, and its rate.
     start: Duration,
     rate: f64,
-    has_disk: bool,
+    owns_disk: bool,
     written: Vec<Written>,
 }
 
 /// A member's place: what outlives its processes.
-struct Seat {
+struct Host {
     name: String,
     disk: Disk,
     /// The disk as it was when the last process started.
-    earlier: Image,
+    disk_at_last_start: Image,
     incarnation: u64,
     rate: f64,
-    wall: i64,
+    wall_offset_seconds: i64,
     down_until: Duration,
 }
 
@@ -168,35 +168,35 @@
 }
 
 /// The world.
-pub struct World {
-    sketch: Sketch,
+pub struct Simulation {
+    scenario: Scenario,
     rng: StdRng,
     now: Duration,
     queue: BTreeMap<(Duration, u64), Event>,
-    count: u64,
-    seats: Vec<Seat>,
+    sequence: u64,
+    hosts: Vec<Host>,
     processes: Vec<Process>,
     cuts: Vec<Cut>,
     slow: Vec<(usize, usize, Duration, Duration)>,
     acts: Vec<Act>,
     /// The highest token that each checking resource has seen.
-    seen: Vec<u64>,
+    highest_tokens: Vec<u64>,
     /// What every voter has applied at each place.
-    agreed: BTreeMap<u64, (u64, u64)>,
+    committed: BTreeMap<u64, (u64, u64)>,
     /// Who was given each token, for which lease.
     tokens: BTreeMap<u64, (String, Holder)>,
     last_leader: Option<usize>,
     /// Acts of each task since the last call that did not fail.
-    failed: Vec<u32>,
+    failures_in_a_row: Vec<u32>,
     /// When each task was acted on last, and by which token.
     last_act: Vec<Option<(Duration, u64)>>,
     load: BTreeMap<usize, (u64, u64)>,
-    came: Came,
-    tells: bool,
+    outcome: Outcome,
+    records_timeline: bool,
     /// Until then no further fault strikes: a disk was put back, and the others have to be there to say so.
-    quiet_until: Duration,
+    no_faults_until: Duration,
     /// Until then no entries pass among voters.
-    thin_until: Duration,
+    entries_dropped_until: Duration,
 }
 
 struct SimDisk {
@@ -219,8 +219,8 @@
     }
 }
 
-fn name(place: usize) -> String {
-    format!("n{place}")
+fn name(host: usize) -> String {
+    format!("n{host}")
 }
 
 /// Every other resource checks tokens; the others cannot.
@@ -237,102 +237,102 @@
     format!("t{task}")
 }
 
-impl World {
+impl Simulation {
     /// A world as sketched. With `tells` it writes down what happens.
-    pub fn new(sketch: Sketch, tells: bool) -> World {
-        let mut rng = StdRng::seed_from_u64(sketch.seed ^ 0x5eed);
-        let drift = f64::from(sketch.drift) / 1000.0;
-        let mut rate = |place: usize| match sketch.edge {
+    pub fn new(scenario: Scenario, records_timeline: bool) -> Simulation {
+        let mut rng = StdRng::seed_from_u64(scenario.seed ^ 0x5eed);
+        let drift = f64::from(scenario.drift_permille) / 1000.0;
+        let mut rate = |host: usize| match scenario.extreme_drift {
             // Leases last longest for their holders, and shortest for the one that leads.
-            true => 1.0 + drift * if place < sketch.voters { 0.99 } else { -0.99 },
+            true => 1.0 + drift * if host < scenario.voters { 0.99 } else { -0.99 },
             // As far off as they may be, most of them.
             false => 1.0 + drift * [-0.99, 0.0, 0.99][rng.random_range(0..3)],
         };
-        let seats = (0..sketch.members).map(|place| Seat {
-            name: name(place),
+        let hosts = (0..scenario.members).map(|host| Host {
+            name: name(host),
             disk: Disk::default(),
-            earlier: Image::default(),
+            disk_at_last_start: Image::default(),
             incarnation: 0,
-            rate: rate(place),
-            wall: 0,
+            rate: rate(host),
+            wall_offset_seconds: 0,
             down_until: Duration::ZERO,
         });
-        let seats: Vec<Seat> = seats.collect();
-        let tasks = sketch.tasks;
-        let mut world = World {
-            sketch,
+        let hosts: Vec<Host> = hosts.collect();
+        let tasks = scenario.tasks;
+        let mut simulation = Simulation {
+            scenario,
             rng,
             now: Duration::ZERO,
             queue: BTreeMap::new(),
-            count: 0,
-            seats,
+            sequence: 0,
+            hosts,
             processes: Vec::new(),
             cuts: Vec::new(),
             slow: Vec::new(),
             acts: Vec::new(),
-            seen: vec![0; tasks],
-            agreed: BTreeMap::new(),
+            highest_tokens: vec![0; tasks],
+            committed: BTreeMap::new(),
             tokens: BTreeMap::new(),
             last_leader: None,
-            failed: vec![0; tasks],
+            failures_in_a_row: vec![0; tasks],
             last_act: vec![None; tasks],
             load: BTreeMap::new(),
-            came: Came::default(),
-            tells,
-            quiet_until: Duration::ZERO,
-            thin_until: Duration::ZERO,
+            outcome: Outcome::default(),
+            records_timeline,
+            no_faults_until: Duration::ZERO,
+            entries_dropped_until: Duration::ZERO,
         };
-        world.found();
-        for member in 0..world.seats.len() {
-            world.start(member);
+        simulation.create_fleet();
+        for member in 0..simulation.hosts.len() {
+            simulation.start(member);
         }
-        world
+        simulation
     }
 
     /// The first voter's disk begins the fleet.
-    fn found(&mut self) {
-        let disk = &self.seats[0].disk;
-        let opened = Store::open(disk.open(), FLEET, &self.seats[0].name, [77, 1]);
+    fn create_fleet(&mut self) {
+        let disk = &self.hosts[0].disk;
+        let opened = Store::open(disk.open(), FLEET, &self.hosts[0].name, [77, 1]);
         let (mut store, found) = opened.expect("an empty disk can be opened");
-        let state = Agreed::founded(found.identity.disk, &self.seats[0].name).save();
+        let state = Agreed::founded(found.identity.disk, &self.hosts[0].name).save();
         store.found(found.identity.disk, state).expect("a disk that works is written");
     }
 
-    fn spec(&self, task: usize) -> TaskSpec {
-        let Sketch { act, way, .. } = self.sketch;
+    fn task_spec(&self, task: usize) -> TaskSpec {
+        let Scenario { max_act, max_delay, .. } = self.scenario;
         TaskSpec {
             name: task_name(task),
             when: Schedule::Every(Duration::from_secs(1)),
             missed: Missed::Once,
-            grade: if checks(task) { Grade::Checked } else { Grade::Timed { max_act: act, max_delay: way } },
-            timeout: act,
+            grade: if checks(task) { Grade::Checked } else { Grade::Timed { max_act, max_delay } },
+            timeout: max_act,
             tries: 1000,
-            backoff: Duration::from_millis(if self.sketch.hard { 1 } else { 20 }),
+            backoff: Duration::from_millis(if self.scenario.stress_calls { 1 } else { 20 }),
             max_lateness: Duration::from_secs(1),
         }
     }
 
-    fn terms(&self) -> LeaseTiming {
-        LeaseTiming { ttl: self.sketch.ttl, drift_permille: self.sketch.drift }
+    fn lease_timing(&self) -> LeaseTiming {
+        LeaseTiming { ttl: self.scenario.ttl, drift_permille: self.scenario.drift_permille }
     }
 
-    fn tell(&mut self, what: impl FnOnce() -> String) {
-        if self.tells && self.came.story.len() < 20_000 {
+    fn record(&mut self, what: impl FnOnce() -> String) {
+        if self.records_timeline && self.outcome.timeline.len() < 20_000 {
             let line = format!("{:>9.3} ms  {}", self.now.as_secs_f64() * 1000.0, what());
-            self.came.story.push(line);
+            self.outcome.timeline.push(line);
         }
     }
 
-    fn violated(&mut self, what: String) {
-        if self.came.violation.is_none() {
-            self.tell(|| format!("VIOLATION: {what}"));
-            self.came.violation = Some(Violation { what, at: self.now });
+    fn report_violation(&mut self, what: String) {
+        if self.outcome.violation.is_none() {
+            self.record(|| format!("VIOLATION: {what}"));
+            self.outcome.violation = Some(Violation { what, at: self.now });
         }
     }
 
-    fn later(&mut self, after: Duration, event: Event) {
-        self.count += 1;
-        self.queue.insert((self.now + after, self.count), event);
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((self.now + after, self.sequence), event);
     }
 
     fn clock(&self, process: usize) -> Duration {
@@ -341,41 +341,42 @@
     }
 
     /// The true time until its clock shows this.
-    fn until(&self, process: usize, at: Duration) -> Duration {
+    fn time_until(&self, process: usize, at: Duration) -> Duration {
         at.saturating_sub(self.clock(process)).div_f64(self.processes[process].rate)
     }
 
-    fn wall(&self, place: usize) -> i64 {
-        UNIX + self.now.as_secs() as i64 + self.seats[place].wall
+    fn unix_seconds(&self, host: usize) -> i64 {
+        START_UNIX_SECONDS + self.now.as_secs() as i64 + self.hosts[host].wall_offset_seconds
     }
 
-    fn alive(&self, place: usize) -> impl Iterator<Item = usize> {
+    fn live_processes(&self, host: usize) -> impl Iterator<Item = usize> {
         let all = self.processes.iter().enumerate();
-        all.filter(move |(_, process)| process.alive && process.place == place).map(|(n, _)| n)
+        all.filter(move |(_, process)| process.alive && process.host == host).map(|(n, _)| n)
     }
 
     // Processes.
 
-    fn start(&mut self, place: usize) {
-        let votes = place < self.sketch.voters;
+    fn start(&mut self, host: usize) {
+        let votes = host < self.scenario.voters;
         // The first one that lives has the disk; a second start beside it finds it in use.
-        let in_use = Rc::new(Cell::new(self.alive(place).any(|process| self.processes[process].has_disk)));
-        let has_disk = votes && !in_use.get();
-        let seat = &mut self.seats[place];
-        seat.incarnation += 1;
-        let me = Holder::new(&seat.name, seat.incarnation);
-        if has_disk {
-            seat.earlier = seat.disk.image();
+        let in_use =
+            Rc::new(Cell::new(self.live_processes(host).any(|process| self.processes[process].owns_disk)));
+        let owns_disk = votes && !in_use.get();
+        let this_host = &mut self.hosts[host];
+        this_host.incarnation += 1;
+        let me = Holder::new(&this_host.name, this_host.incarnation);
+        if owns_disk {
+            this_host.disk_at_last_start = this_host.disk.image();
         }
         let disk: Option<Box<dyn MemberDisk>> =
-            votes.then(|| Box::new(SimDisk { disk: seat.disk.clone(), in_use }) as Box<dyn MemberDisk>);
-        let rate = seat.rate;
+            votes.then(|| Box::new(SimDisk { disk: this_host.disk.clone(), in_use }) as Box<dyn MemberDisk>);
+        let rate = this_host.rate;
         let setup = Setup {
             fleet: FLEET.to_string(),
             me: me.clone(),
-            voters: (0..self.sketch.voters).map(name).collect(),
-            terms: self.terms(),
-            tasks: (0..self.sketch.tasks).map(|task| self.spec(task)).collect(),
+            voters: (0..self.scenario.voters).map(name).collect(),
+            terms: self.lease_timing(),
+            tasks: (0..self.scenario.tasks).map(|task| self.task_spec(task)).collect(),
             parts: no_parts,
             lead: no_lead,
         };
@@ -384,61 +385,61 @@
         let member = Member::new(setup, disk, random, Duration::from_secs(1000));
         let start = self.now;
         self.processes.push(Process {
-            place,
+            host,
             member,
             alive: true,
-            frozen: false,
-            waits: Vec::new(),
+            paused: false,
+            deferred: Vec::new(),
             start,
             rate,
-            has_disk,
-            written: vec![None; self.sketch.tasks],
+            owns_disk,
+            written: vec![None; self.scenario.tasks],
         });
-        self.tell(|| format!("{} starts, incarnation {}", me.member, me.incarnation));
+        self.record(|| format!("{} starts, incarnation {}", me.member, me.incarnation));
         let process = self.processes.len() - 1;
-        self.later(Duration::ZERO, Event::Wake { process });
+        self.schedule(Duration::ZERO, Event::Tick { process });
     }
 
     fn kill(&mut self, process: usize) {
-        let Process { alive, waits, place, has_disk, .. } = &mut self.processes[process];
+        let Process { alive, deferred, host, owns_disk, .. } = &mut self.processes[process];
         if !std::mem::replace(alive, false) {
             return;
         }
-        waits.clear();
-        let place = *place;
-        if *has_disk {
-            self.seats[place].disk.kill();
+        deferred.clear();
+        let host = *host;
+        if *owns_disk {
+            self.hosts[host].disk.kill();
         }
-        self.tell(|| format!("{} is killed", name(place)));
+        self.record(|| format!("{} is killed", name(host)));
     }
 
-    fn kill_all(&mut self, place: usize, down: Duration) {
-        let all: Vec<usize> = self.alive(place).collect();
+    fn kill_host(&mut self, host: usize, down: Duration) {
+        let all: Vec<usize> = self.live_processes(host).collect();
         all.into_iter().for_each(|process| self.kill(process));
         let until = self.now + down;
-        self.seats[place].down_until = self.seats[place].down_until.max(until);
-        self.later(down, Event::Start { member: place });
+        self.hosts[host].down_until = self.hosts[host].down_until.max(until);
+        self.schedule(down, Event::Start { member: host });
     }
 
-    fn freeze(&mut self, process: usize, length: Duration) {
-        if self.processes[process].frozen || !self.processes[process].alive {
+    fn pause(&mut self, process: usize, length: Duration) {
+        if self.processes[process].paused || !self.processes[process].alive {
             return;
         }
-        self.processes[process].frozen = true;
-        let place = self.processes[process].place;
-        self.tell(|| format!("{} is frozen for {length:?}", name(place)));
-        self.later(length, Event::Thaw { process });
+        self.processes[process].paused = true;
+        let host = self.processes[process].host;
+        self.record(|| format!("{} is frozen for {length:?}", name(host)));
+        self.schedule(length, Event::Resume { process });
     }
 
     // Messages.
 
     /// The process that something reaches, if any does.
-    fn reached(&self, to: &To) -> Option<usize> {
+    fn recipient(&self, to: &To) -> Option<usize> {
         match to {
             // Its listener is the first one's that lives.
             To::Voter(name) => {
-                let place = self.seats.iter().position(|seat| seat.name == *name)?;
-                self.alive(place).next()
+                let host = self.hosts.iter().position(|host| host.name == *name)?;
+                self.live_processes(host).next()
             }
             To::Holder(holder) => {
                 self.processes.iter().position(|process| process.alive && process.member.me() == holder)
@@ -447,17 +448,17 @@
     }
 
     fn send(&mut self, from: usize, to: &To, said: frame::Said) {
-        let Some(to) = self.reached(to) else { return };
+        let Some(to) = self.recipient(to) else { return };
         let from_member = self.processes[from].member.me().clone();
         let envelope = Envelope { fleet: FLEET.to_string(), from: from_member, said };
         let bytes: Rc<[u8]> = frame::encode(&envelope).into();
-        let (one, other) = (self.processes[from].place, self.processes[to].place);
-        for place in [one, other] {
-            let load = self.load.entry(place).or_default();
+        let (one, other) = (self.processes[from].host, self.processes[to].host);
+        for host in [one, other] {
+            let load = self.load.entry(host).or_default();
             *load = (load.0 + 1, load.1 + bytes.len() as u64);
         }
         let has_entries = matches!(&envelope.said, frame::Said::Raft(message) if message.has_entries());
-        if has_entries && self.now < self.thin_until {
+        if has_entries && self.now < self.entries_dropped_until {
             return;
         }
         if let Some(cut) = self.cuts.iter_mut().find(|cut| (cut.from, cut.to) == (one, other)) {
@@ -466,21 +467,21 @@
             }
             return;
         }
-        if self.sketch.lost > 0.0 && self.rng.random_bool(self.sketch.lost) {
+        if self.scenario.loss_rate > 0.0 && self.rng.random_bool(self.scenario.loss_rate) {
             return;
         }
         let now = self.now;
         let slow = self.slow.iter().find(|slow| (slow.0, slow.1) == (one, other) && slow.2 > now);
         let by = slow.map_or(Duration::ZERO, |slow| slow.3);
-        let way = self.rng.random_range(QUICK..USUAL) + by;
-        if self.sketch.lost > 0.0 && self.rng.random_bool(self.sketch.lost) {
-            let again = self.rng.random_range(QUICK..self.sketch.ttl);
-            self.later(again, Event::Deliver { to, bytes: bytes.clone() });
+        let way = self.rng.random_range(MIN_DELAY..MAX_DELAY) + by;
+        if self.scenario.loss_rate > 0.0 && self.rng.random_bool(self.scenario.loss_rate) {
+            let again = self.rng.random_range(MIN_DELAY..self.scenario.ttl);
+            self.schedule(again, Event::Deliver { to, bytes: bytes.clone() });
         }
-        self.later(way, Event::Deliver { to, bytes });
+        self.schedule(way, Event::Deliver { to, bytes });
     }
 
-    fn carry_out(&mut self, process: usize, outputs: Vec<Output>) {
+    fn apply_outputs(&mut self, process: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Say { to, said } => self.send(process, &to, said),
@@ -490,40 +491,42 @@
                     let call = Call { task, number, token, key, send_by, until };
                     // The program is not at once where it sends, and may be paused on the way.
                     let after = self.rng.random_range(Duration::ZERO..Duration::from_millis(2));
-                    let looked = self.now;
-                    self.later(after, Event::Send { process, call, looked });
+                    let decided_at = self.now;
+                    self.schedule(after, Event::Send { process, call, decided_at });
                 }
                 Output::Log(what, _) => {
-                    let place = self.processes[process].place;
+                    let host = self.processes[process].host;
                     let incarnation = self.processes[process].member.me().incarnation;
-                    self.tell(|| format!("{}/{incarnation}: {what}", name(place)));
+                    self.record(|| format!("{}/{incarnation}: {what}", name(host)));
                 }
-                Output::Left => self.later(Duration::ZERO, Event::End { process }),
+                Output::Left => self.schedule(Duration::ZERO, Event::Terminate { process }),
                 Output::Settled { .. } | Output::Shown { .. } | Output::Part { .. } => {}
             }
         }
-        self.look_at(process);
+        self.check_invariants(process);
     }
 
     fn step(&mut self, process: usize, input: Input) {
-        let (clock, place) = (self.clock(process), self.processes[process].place);
-        let unix = self.wall(place);
+        let (clock, host) = (self.clock(process), self.processes[process].host);
+        let unix = self.unix_seconds(host);
         let outputs =
             self.processes[process].member.step(clock, Duration::from_secs(unix.unsigned_abs()), input);
-        self.carry_out(process, outputs);
+        self.apply_outputs(process, outputs);
     }
 
     // What must never be.
 
     /// Holds what a process believes and has applied against all others.
-    fn look_at(&mut self, process: usize) {
+    fn check_invariants(&mut self, process: usize) {
         if let Some(voter) = self.processes[process].member.voter_mut() {
             voter.keep_trace();
             for (index, term, print) in voter.take_trace() {
-                let known = *self.agreed.entry(index).or_insert((term, print));
+                let known = *self.committed.entry(index).or_insert((term, print));
                 if known != (term, print) {
-                    let name = name(self.processes[process].place);
-                    self.violated(format!("{name} applies another entry at {index} than was applied there"));
+                    let name = name(self.processes[process].host);
+                    self.report_violation(format!(
+                        "{name} applies another entry at {index} than was applied there"
+                    ));
                 }
             }
         }
@@ -535,12 +538,12 @@
             for (token, whose) in granted {
                 match self.tokens.get(&token) {
                     Some(known) if *known != whose => {
-                        self.violated(format!("token {token} is {whose:?}'s and was {known:?}'s"));
+                        self.report_violation(format!("token {token} is {whose:?}'s and was {known:?}'s"));
                     }
                     Some(_) => {}
                     None => {
-                        self.came.tokens += 1;
-                        self.tell(|| {
+                        self.outcome.leases_granted += 1;
+                        self.record(|| {
                             format!("{} is granted to {} under token {token}", whose.0, whose.1.member)
                         });
                         self.tokens.insert(token, whose);
@@ -549,12 +552,12 @@
             }
             if leads && self.last_leader != Some(process) {
                 self.last_leader = Some(process);
-                self.came.leaders += 1;
-                let place = self.processes[process].place;
-                self.tell(|| format!("{} leads", name(place)));
+                self.outcome.leader_changes += 1;
+                let host = self.processes[process].host;
+                self.record(|| format!("{} leads", name(host)));
             }
         }
-        self.look_at_cursors(process);
+        self.check_cursors(process);
         let clock = self.clock(process);
         let held: Vec<(String, u64)> = {
             let leases = self.processes[process].member.client().leases();
@@ -568,22 +571,22 @@
                 let clock = self.clock(other);
                 let theirs = self.processes[other].member.client().leases().held(clock, &lease);
                 if let Some(theirs) = theirs {
-                    let (one, two) = (self.processes[process].place, self.processes[other].place);
+                    let (one, two) = (self.processes[process].host, self.processes[other].host);
                     let what = format!(
                         "{} and {} hold {lease} at once, under {token} and {}",
                         name(one),
                         name(two),
                         theirs.token
                     );
-                    self.violated(what);
+                    self.report_violation(what);
                 }
             }
         }
     }
 
     /// A cursor names the token under which it came: it counts only while that one works on the run.
-    fn look_at_cursors(&mut self, process: usize) {
-        let Process { place, member, written, .. } = &mut self.processes[process];
+    fn check_cursors(&mut self, process: usize) {
+        let Process { host, member, written, .. } = &mut self.processes[process];
         let Some(voter) = member.voter() else { return };
         let mut wrong = None;
         for (task, written) in written.iter_mut().enumerate() {
@@ -596,82 +599,82 @@
             {
                 wrong = Some(format!(
                     "{} lets a cursor of {} count while {token} works on {}",
-                    name(*place),
+                    name(*host),
                     String::from_utf8_lossy(cursor_now),
                     task_name(task)
                 ));
             }
             *written = now;
         }
-        wrong.into_iter().for_each(|wrong| self.violated(wrong));
+        wrong.into_iter().for_each(|wrong| self.report_violation(wrong));
     }
 
     // What is acted on.
 
-    fn land(&mut self, process: usize, call: Call) {
+    fn handle_call(&mut self, process: usize, call: Call) {
         let task = call.task;
         let checks = checks(task);
-        if checks && call.token < self.seen[task] {
-            self.came.turned_away += 1;
-            let back = self.rng.random_range(QUICK..USUAL);
-            self.later(back, Event::Reply { process, call, turned_away: true });
+        if checks && call.token < self.highest_tokens[task] {
+            self.outcome.turned_away += 1;
+            let back = self.rng.random_range(MIN_DELAY..MAX_DELAY);
+            self.schedule(back, Event::Reply { process, call, turned_away: true });
             return;
         }
-        self.seen[task] = self.seen[task].max(call.token);
+        self.highest_tokens[task] = self.highest_tokens[task].max(call.token);
         if !checks {
             let at_once =
                 self.acts.iter().find(|act| act.task == task && !act.over && act.token != call.token);
             if let Some(other) = at_once {
                 let what = format!(
                     "{} acts on {} under {} while {} does under {}",
-                    name(self.processes[process].place),
+                    name(self.processes[process].host),
                     task_name(task),
                     call.token,
                     name(other.holder),
                     other.token
                 );
-                self.violated(what);
+                self.report_violation(what);
             }
         }
-        self.came.acts += 1;
-        self.failed[task] += 1;
+        self.outcome.acts += 1;
+        self.failures_in_a_row[task] += 1;
         if let Some((last, token)) = self.last_act[task]
             && token != call.token
         {
-            self.came.gaps.push((self.now - last).as_secs_f64() / self.sketch.ttl.as_secs_f64());
+            self.outcome.gaps.push((self.now - last).as_secs_f64() / self.scenario.ttl.as_secs_f64());
         }
         self.last_act[task] = Some((self.now, call.token));
-        let place = self.processes[process].place;
-        self.tell(|| {
-            format!("{} acts on {} under {}, key {}", name(place), task_name(task), call.token, call.key)
+        let host = self.processes[process].host;
+        self.record(|| {
+            format!("{} acts on {} under {}, key {}", name(host), task_name(task), call.token, call.key)
         });
-        let length = self.time_of(&call, self.sketch.act);
+        let length = self.draw_duration(&call, self.scenario.max_act);
         let act = self.acts.len();
-        self.acts.push(Act { task, token: call.token, holder: place, over: false });
-        self.later(length, Event::Over { act });
+        self.acts.push(Act { task, token: call.token, holder: host, over: false });
+        self.schedule(length, Event::ActEnded { act });
         if self.rng.random_bool(0.95) {
-            let back = length + self.rng.random_range(QUICK..USUAL);
-            self.later(back, Event::Reply { process, call, turned_away: false });
+            let back = length + self.rng.random_range(MIN_DELAY..MAX_DELAY);
+            self.schedule(back, Event::Reply { process, call, turned_away: false });
         }
     }
 
     /// Whether this schedule is one in which calls fail so often that one which hears nothing more of the fleet goes on with its acts to
     /// the end of its lease.
-    fn is_stubborn(&self) -> bool {
-        self.sketch.hard && !self.sketch.seed.is_multiple_of(2)
+    fn calls_mostly_fail(&self) -> bool {
+        self.scenario.stress_calls && !self.scenario.seed.is_multiple_of(2)
     }
 
     /// The time of a call's way, or of its act, up to this one.
-    fn time_of(&mut self, call: &Call, most: Duration) -> Duration {
-        if !self.sketch.hard {
+    fn draw_duration(&mut self, call: &Call, most: Duration) -> Duration {
+        if !self.scenario.stress_calls {
             return self.rng.random_range(Duration::ZERO..most);
         }
         // Nearly all of it, or so little that all of the call is within its time-out. The first of another holder comes soon, and tries
         // do not fail for ever, as they wait twice as long each time.
         let first = self.last_act[call.task].is_none_or(|(_, token)| token != call.token);
-        let long = if first || self.failed[call.task] >= MOST_FAILURES {
+        let long = if first || self.failures_in_a_row[call.task] >= MAX_FAILURES_IN_A_ROW {
             0.0
-        } else if self.is_stubborn() {
+        } else if self.calls_mostly_fail() {
             0.9
         } else {
             0.3
@@ -681,15 +684,15 @@
     }
 
     /// What an act comes to: where that is hard mostly a cursor, which has to be agreed, or a failure.
-    fn came_of(&mut self, call: &Call) -> CallOutcome {
-        if !self.sketch.hard {
+    fn draw_outcome(&mut self, call: &Call) -> CallOutcome {
+        if !self.scenario.stress_calls {
             return CallOutcome::Done(b"ok".to_vec());
         }
-        let fails = if self.is_stubborn() { 0.8 } else { 0.2 };
-        if self.rng.random_bool(fails) && self.failed[call.task] < MOST_FAILURES {
+        let fails = if self.calls_mostly_fail() { 0.8 } else { 0.2 };
+        if self.rng.random_bool(fails) && self.failures_in_a_row[call.task] < MAX_FAILURES_IN_A_ROW {
             return CallOutcome::Failed("it fails".into());
         }
-        self.failed[call.task] = 0;
+        self.failures_in_a_row[call.task] = 0;
         if self.rng.random_bool(0.2) {
             CallOutcome::Done(b"ok".to_vec())
         } else {
@@ -699,30 +702,30 @@
 
     // Faults.
 
-    fn strike(&mut self, fault: Fault) {
-        if self.now < self.quiet_until {
+    fn inject(&mut self, fault: Fault) {
+        if self.now < self.no_faults_until {
             return;
         }
         match fault {
-            Fault::Kill { member, down } => self.kill_all(member, down),
+            Fault::Kill { member, down } => self.kill_host(member, down),
             Fault::Crash { member, down } => {
                 let seed = self.rng.random();
-                self.kill_all(member, down);
-                self.seats[member].disk.crash(seed);
+                self.kill_host(member, down);
+                self.hosts[member].disk.crash(seed);
             }
             Fault::KillAll { down } => {
-                for member in 0..self.sketch.members {
-                    self.kill_all(member, down);
+                for member in 0..self.scenario.members {
+                    self.kill_host(member, down);
                 }
             }
             Fault::Freeze { member, length } => {
-                if let Some(process) = self.alive(member).last() {
-                    self.freeze(process, length);
+                if let Some(process) = self.live_processes(member).last() {
+                    self.pause(process, length);
                 }
             }
             Fault::Cut { from, to, length, held } => self.cut(from, to, length, held),
             Fault::Alone { member, length, held } => {
-                for other in (0..self.sketch.members).filter(|other| *other != member) {
+                for other in (0..self.scenario.members).filter(|other| *other != member) {
                     self.cut(member, other, length, held);
                     self.cut(other, member, length, held);
                 }
@@ -732,53 +735,54 @@
                 self.slow.push((from, to, until, by));
             }
             Fault::Full { member, length } => {
-                self.seats[member].disk.set_capacity(Some(0));
-                self.later(length, Event::Room { member });
+                self.hosts[member].disk.set_capacity(Some(0));
+                self.schedule(length, Event::FreeDisk { member });
             }
-            Fault::NoSync { member } => self.seats[member].disk.fail_syncs_after(Some(0)),
+            Fault::NoSync { member } => self.hosts[member].disk.fail_syncs_after(Some(0)),
             Fault::Empty { member, down } => {
-                self.kill_all(member, down);
-                self.seats[member].disk.restore(Image::default());
-                self.seats[member].disk.set_capacity(None);
+                self.kill_host(member, down);
+                self.hosts[member].disk.restore(Image::default());
+                self.hosts[member].disk.set_capacity(None);
             }
-            Fault::Older { member, down } => self.put_back(member, down),
+            Fault::Older { member, down } => self.roll_back_disk(member, down),
             Fault::Twin { member, after, frozen } => {
-                if self.now < self.seats[member].down_until {
+                if self.now < self.hosts[member].down_until {
                     return;
                 }
-                let Some(first) = self.alive(member).next() else { return };
-                if self.alive(member).count() > 1 {
+                let Some(first) = self.live_processes(member).next() else { return };
+                if self.live_processes(member).count() > 1 {
                     return;
                 }
                 self.start(member);
                 if frozen {
-                    self.freeze(first, after);
-                    self.later(after * 2, Event::End { process: first });
+                    self.pause(first, after);
+                    self.schedule(after * 2, Event::Terminate { process: first });
                 } else {
-                    self.later(after, Event::End { process: first });
+                    self.schedule(after, Event::Terminate { process: first });
                 }
             }
             Fault::Revoke { task } => {
                 let lease = lease_of_task(&task_name(task));
                 let entry = Entry::Revoke { lease };
-                if let Some(process) = (0..self.sketch.members).find_map(|place| self.alive(place).next())
-                    && !self.processes[process].frozen
+                if let Some(process) =
+                    (0..self.scenario.members).find_map(|host| self.live_processes(host).next())
+                    && !self.processes[process].paused
                 {
                     self.step(process, Input::Propose { ticket: 0, entry });
                 }
             }
-            Fault::Jump { member, by } => self.seats[member].wall += by,
+            Fault::Jump { member, by } => self.hosts[member].wall_offset_seconds += by,
             Fault::Silence { task, there, back, length, held } => {
-                let Some(leader) = self.leader().map(|leader| self.processes[leader].place) else { return };
+                let Some(leader) = self.leader().map(|leader| self.processes[leader].host) else { return };
                 // The lease of one that does not lead, and best of one that does not vote, whose clock may be the slow one.
-                let holders = (0..self.sketch.tasks).map(|n| (task + n) % self.sketch.tasks);
+                let holders = (0..self.scenario.tasks).map(|n| (task + n) % self.scenario.tasks);
                 let holders = holders.filter_map(|task| self.holder(task));
-                let holders = holders.map(|holder| self.processes[holder].place);
+                let holders = holders.map(|holder| self.processes[holder].host);
                 let holder =
-                    holders.filter(|holder| *holder != leader).max_by_key(|n| *n >= self.sketch.voters);
+                    holders.filter(|holder| *holder != leader).max_by_key(|n| *n >= self.scenario.voters);
                 let Some(holder) = holder else {
                     // It passes on, and the next time there is one.
-                    return self.strike(Fault::Revoke { task });
+                    return self.inject(Fault::Revoke { task });
                 };
                 if there {
                     self.cut(holder, leader, length, held);
@@ -789,30 +793,30 @@
             }
             Fault::Parted { length, frozen } => {
                 let Some(process) = self.leader() else { return };
-                let leader = self.processes[process].place;
-                for other in (0..self.sketch.voters).filter(|other| *other != leader) {
-                    for near in (self.sketch.voters..self.sketch.members).chain([leader]) {
+                let leader = self.processes[process].host;
+                for other in (0..self.scenario.voters).filter(|other| *other != leader) {
+                    for near in (self.scenario.voters..self.scenario.members).chain([leader]) {
                         self.cut(near, other, length, false);
                         self.cut(other, near, length, false);
                     }
                 }
                 if !frozen.is_zero() {
-                    self.freeze(process, frozen);
+                    self.pause(process, frozen);
                 }
             }
-            Fault::Thin { length } => self.thin_until = self.now + length,
+            Fault::Thin { length } => self.entries_dropped_until = self.now + length,
             Fault::Leave { task, late } => {
                 let Some((holder, leader)) = self.holder(task).zip(self.leader()) else { return };
-                if self.processes[holder].frozen {
+                if self.processes[holder].paused {
                     return;
                 }
-                let (from, to) = (self.processes[holder].place, self.processes[leader].place);
+                let (from, to) = (self.processes[holder].host, self.processes[leader].host);
                 if from != to {
                     self.cut(from, to, late, true);
                 }
-                self.tell(|| format!("{} is told to leave", name(from)));
+                self.record(|| format!("{} is told to leave", name(from)));
                 self.step(holder, Input::Leave);
-                self.later(LEAVE_WITHIN, Event::End { process: holder });
+                self.schedule(LEAVE_TIMEOUT, Event::Terminate { process: holder });
             }
         }
     }
@@ -835,20 +839,20 @@
     }
 
     /// A voter comes back with its disk as it was at its start before. That is known as long as the others are up: see `lives`.
-    fn put_back(&mut self, member: usize, down: Duration) {
-        for place in 0..self.sketch.voters {
-            let up = self.alive(place).any(|process| !self.processes[process].frozen);
-            if place != member && (!up || self.now < self.seats[place].down_until) {
+    fn roll_back_disk(&mut self, member: usize, down: Duration) {
+        for host in 0..self.scenario.voters {
+            let up = self.live_processes(host).any(|process| !self.processes[process].paused);
+            if host != member && (!up || self.now < self.hosts[host].down_until) {
                 return;
             }
         }
         self.heal_all();
-        self.sketch.lost = 0.0;
-        self.quiet_until = self.now + down + self.sketch.ttl;
-        let earlier = std::mem::take(&mut self.seats[member].earlier);
-        self.kill_all(member, down);
-        self.tell(|| format!("{} gets an older disk", name(member)));
-        self.seats[member].disk.restore(earlier);
+        self.scenario.loss_rate = 0.0;
+        self.no_faults_until = self.now + down + self.scenario.ttl;
+        let disk_at_last_start = std::mem::take(&mut self.hosts[member].disk_at_last_start);
+        self.kill_host(member, down);
+        self.record(|| format!("{} gets an older disk", name(member)));
+        self.hosts[member].disk.restore(disk_at_last_start);
     }
 
     fn heal_all(&mut self) {
@@ -858,26 +862,26 @@
     }
 
     fn cut(&mut self, from: usize, to: usize, length: Duration, held: bool) {
-        self.count += 1;
-        let number = self.count;
+        self.sequence += 1;
+        let number = self.sequence;
         self.cuts.push(Cut { number, from, to, held, waiting: Vec::new() });
-        self.later(length, Event::Heal { cut: number });
+        self.schedule(length, Event::Heal { cut: number });
     }
 
     fn heal(&mut self, number: u64) {
-        let Some(place) = self.cuts.iter().position(|cut| cut.number == number) else { return };
-        let cut = self.cuts.swap_remove(place);
+        let Some(host) = self.cuts.iter().position(|cut| cut.number == number) else { return };
+        let cut = self.cuts.swap_remove(host);
         for (to, bytes) in cut.waiting {
-            let way = self.rng.random_range(QUICK..USUAL);
-            self.later(way, Event::Deliver { to, bytes });
+            let way = self.rng.random_range(MIN_DELAY..MAX_DELAY);
+            self.schedule(way, Event::Deliver { to, bytes });
         }
     }
 
     // The run.
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let whose = match &event {
-            Event::Wake { process }
+            Event::Tick { process }
             | Event::Deliver { to: process, .. }
             | Event::Send { process, .. }
             | Event::Reply { process, .. } => Some(*process),
@@ -887,25 +891,25 @@
             if !self.processes[process].alive {
                 return;
             }
-            if self.processes[process].frozen {
-                if self.processes[process].waits.len() < 20_000 {
-                    self.processes[process].waits.push(event);
+            if self.processes[process].paused {
+                if self.processes[process].deferred.len() < 20_000 {
+                    self.processes[process].deferred.push(event);
                 }
                 return;
             }
         }
         match event {
-            Event::Wake { process } => {
+            Event::Tick { process } => {
                 self.step(process, Input::Woke);
-                let after = tick(self.terms()).div_f64(self.processes[process].rate);
-                self.later(after, Event::Wake { process });
+                let after = tick(self.lease_timing()).div_f64(self.processes[process].rate);
+                self.schedule(after, Event::Tick { process });
             }
             Event::Deliver { to, bytes } => {
                 if let Ok(Envelope { from, said, .. }) = frame::decode(&bytes, FLEET) {
                     self.step(to, Input::Heard { from, said });
                 }
             }
-            Event::Send { process, call, looked } => {
+            Event::Send { process, call, decided_at } => {
                 // As the program does before the first byte leaves.
                 if self.clock(process) > call.send_by {
                     let (task, number) = (task_name(call.task), call.number);
@@ -913,48 +917,48 @@
                     return self.step(process, Input::Called { task, number, came });
                 }
                 // What is left of the longest way.
-                let left = (looked + self.sketch.way.div_f64(1.2)).saturating_sub(self.now);
-                let mut way = if left.is_zero() { left } else { self.time_of(&call, left) };
+                let left = (decided_at + self.scenario.max_delay.div_f64(1.2)).saturating_sub(self.now);
+                let mut way = if left.is_zero() { left } else { self.draw_duration(&call, left) };
                 if checks(call.task) && self.rng.random_bool(0.1) {
                     // What checks tokens may be reached however late.
-                    way = self.rng.random_range(Duration::ZERO..self.sketch.ttl * 6);
+                    way = self.rng.random_range(Duration::ZERO..self.scenario.ttl * 6);
                 }
-                self.later(way, Event::Land { process, call });
+                self.schedule(way, Event::Arrive { process, call });
             }
-            Event::Land { process, call } => self.land(process, call),
-            Event::Over { act } => self.acts[act].over = true,
+            Event::Arrive { process, call } => self.handle_call(process, call),
+            Event::ActEnded { act } => self.acts[act].over = true,
             Event::Reply { process, call, turned_away } => {
-                if self.until(process, call.until).is_zero() {
+                if self.time_until(process, call.until).is_zero() {
                     return;
                 }
-                let came = if turned_away { CallOutcome::OldToken } else { self.came_of(&call) };
+                let came = if turned_away { CallOutcome::OldToken } else { self.draw_outcome(&call) };
                 let (task, number) = (task_name(call.task), call.number);
                 self.step(process, Input::Called { task, number, came });
             }
-            Event::Thaw { process } => {
-                self.processes[process].frozen = false;
-                let place = self.processes[process].place;
-                self.tell(|| format!("{} goes on", name(place)));
-                for event in std::mem::take(&mut self.processes[process].waits) {
-                    self.later(Duration::ZERO, event);
+            Event::Resume { process } => {
+                self.processes[process].paused = false;
+                let host = self.processes[process].host;
+                self.record(|| format!("{} goes on", name(host)));
+                for event in std::mem::take(&mut self.processes[process].deferred) {
+                    self.schedule(Duration::ZERO, event);
                 }
             }
             Event::Start { member } => {
-                if self.now >= self.seats[member].down_until && self.alive(member).next().is_none() {
+                if self.now >= self.hosts[member].down_until && self.live_processes(member).next().is_none() {
                     self.start(member);
                 }
             }
             Event::Heal { cut } => self.heal(cut),
-            Event::Room { member } => self.seats[member].disk.set_capacity(None),
-            Event::End { process } => {
+            Event::FreeDisk { member } => self.hosts[member].disk.set_capacity(None),
+            Event::Terminate { process } => {
                 if self.processes[process].alive {
-                    let place = self.processes[process].place;
+                    let host = self.processes[process].host;
                     self.kill(process);
-                    if self.alive(place).next().is_none() {
-                        self.later(Duration::ZERO, Event::Start { member: place });
+                    if self.live_processes(host).next().is_none() {
+                        self.schedule(Duration::ZERO, Event::Start { member: host });
                     } else {
                         // The second start has the disk from here on.
-                        self.hand_disk_on(place);
+                        self.reopen_disk(host);
                     }
                 }
             }
@@ -962,105 +966,107 @@
     }
 
     /// A start that found the disk in use finds it free: as the system does with locks, by a new start of it here.
-    fn hand_disk_on(&mut self, place: usize) {
-        let next = self.alive(place).next();
+    fn reopen_disk(&mut self, host: usize) {
+        let next = self.live_processes(host).next();
         if let Some(next) = next
-            && !self.processes[next].has_disk
-            && place < self.sketch.voters
+            && !self.processes[next].owns_disk
+            && host < self.scenario.voters
         {
             self.kill(next);
-            self.later(Duration::ZERO, Event::Start { member: place });
+            self.schedule(Duration::ZERO, Event::Start { member: host });
         }
     }
 
     /// Plays until all faults are over and the fleet goes on again, or something is that must never be.
-    pub fn play(mut self) -> Came {
-        let faults: Vec<At> = self.sketch.faults.clone();
+    pub fn play(mut self) -> Outcome {
+        let faults: Vec<TimedFault> = self.scenario.faults.clone();
         let mut faults = faults.into_iter().peekable();
-        let last = FOUNDED + self.sketch.length;
-        let end = last + self.sketch.settles;
+        let last = FAULTS_START + self.scenario.fault_window;
+        let end = last + self.scenario.recovery_timeout;
         let mut steps = 0;
         let mut settled = None;
         let mut resumed = last;
         while let Some((&(at, _), _)) = self.queue.first_key_value() {
             if let Some(fault) = faults.next_if(|fault| fault.at <= at) {
                 self.now = self.now.max(fault.at);
-                self.tell(|| format!("{:?}", fault.fault));
-                if self.sketch.hard {
-                    self.let_go_on();
+                self.record(|| format!("{:?}", fault.fault));
+                if self.scenario.stress_calls {
+                    self.unpause_tasks();
                 }
-                self.strike(fault.fault);
+                self.inject(fault.fault);
                 continue;
             }
             let Some(((at, _), event)) = self.queue.pop_first() else { break };
             self.now = self.now.max(at);
-            self.take(event);
+            self.handle(event);
             steps += 1;
-            if self.came.violation.is_some() || self.now > end || steps > MOST_STEPS {
+            if self.outcome.violation.is_some() || self.now > end || steps > MAX_STEPS {
                 break;
             }
             if self.now > last && settled.is_none() {
                 // All that can be mended is.
-                self.mend();
-                settled = Some((self.now, self.came.acts));
+                self.repair_all();
+                settled = Some((self.now, self.outcome.acts));
             }
-            if self.sketch.hard && settled.is_some() && self.now > resumed + self.sketch.ttl {
+            if self.scenario.stress_calls && settled.is_some() && self.now > resumed + self.scenario.ttl {
                 // Long runs go through many holders, the last of them after all was mended.
                 resumed = self.now;
-                self.let_go_on();
+                self.unpause_tasks();
             }
             if let Some((since, _)) = settled
                 && steps % 64 == 0
-                && self.now > since + self.sketch.ttl
-                && self.goes_on(since)
+                && self.now > since + self.scenario.ttl
+                && self.has_recovered(since)
             {
                 break;
             }
         }
         let since = settled.map_or(self.now, |(since, _)| since);
-        if self.came.violation.is_none() && !self.goes_on(since) {
+        if self.outcome.violation.is_none() && !self.has_recovered(since) {
             for process in 0..self.processes.len() {
-                let Process { member, alive, place, .. } = &self.processes[process];
+                let Process { member, alive, host, .. } = &self.processes[process];
                 let (Some(voter), true) = (member.voter(), *alive) else { continue };
                 let line = format!(
                     "{} has disk {:016x}, {}term {}, sees {:x?}, last acts {:?}",
-                    name(*place),
+                    name(*host),
                     voter.disk(),
                     if voter.leads() { "leads, " } else { "" },
                     voter.term(),
                     voter.seats().disks,
                     self.last_act
                 );
-                self.tell(|| line);
+                self.record(|| line);
             }
-            let what = format!("it does not go on within {:?} after the last fault", self.sketch.settles);
-            self.violated(what);
+            let what =
+                format!("it does not go on within {:?} after the last fault", self.scenario.recovery_timeout);
+            self.report_violation(what);
         }
-        self.came.played = self.now;
-        self.came.busiest = self
+        self.outcome.duration = self.now;
+        self.outcome.busiest = self
             .load
             .iter()
-            .filter(|(place, _)| **place < self.sketch.voters)
+            .filter(|(host, _)| **host < self.scenario.voters)
             .fold((0, 0), |(messages, bytes), (_, load)| (messages.max(load.0), bytes.max(load.1)));
-        self.came
+        self.outcome
     }
 
-    fn mend(&mut self) {
+    fn repair_all(&mut self) {
         self.heal_all();
-        self.sketch.lost = 0.0;
-        self.thin_until = self.now;
-        self.let_go_on();
-        for member in 0..self.sketch.members {
-            self.seats[member].disk.set_capacity(None);
-            self.seats[member].disk.fail_syncs_after(None);
+        self.scenario.loss_rate = 0.0;
+        self.entries_dropped_until = self.now;
+        self.unpause_tasks();
+        for member in 0..self.scenario.members {
+            self.hosts[member].disk.set_capacity(None);
+            self.hosts[member].disk.fail_syncs_after(None);
         }
     }
 
     /// A task whose holders were killed one after another was put aside: operators let it go on.
-    fn let_go_on(&mut self) {
-        let here =
-            (0..self.sketch.members).flat_map(|place| self.alive(place)).find(|n| !self.processes[*n].frozen);
-        for task in 0..self.sketch.tasks {
+    fn unpause_tasks(&mut self) {
+        let here = (0..self.scenario.members)
+            .flat_map(|host| self.live_processes(host))
+            .find(|n| !self.processes[*n].paused);
+        for task in 0..self.scenario.tasks {
             let entry = Entry::Pause { task: task_name(task), paused: false };
             if let Some(process) = here {
                 self.step(process, Input::Propose { ticket: 0, entry });
@@ -1069,15 +1075,19 @@
     }
 
     /// Every task was acted on since, by one that holds its lease, and all voters have their votes.
-    fn goes_on(&self, since: Duration) -> bool {
+    fn has_recovered(&self, since: Duration) -> bool {
         let acted = self.last_act.iter().all(|act| act.is_some_and(|(at, _)| at > since));
-        let named: BTreeSet<String> = (0..self.sketch.voters).map(name).collect();
+        let named: BTreeSet<String> = (0..self.scenario.voters).map(name).collect();
         let voting = |process: &Process| {
             let Some(voter) = process.member.voter() else { return false };
-            let seats = voter.seats();
-            let members: BTreeSet<String> =
-                seats.voters().iter().filter_map(|disk| seats.member_of(*disk)).map(String::from).collect();
-            voter.leads() && members == named && seats.voters().len() == named.len()
+            let voter_slots = voter.seats();
+            let members: BTreeSet<String> = voter_slots
+                .voters()
+                .iter()
+                .filter_map(|disk| voter_slots.member_of(*disk))
+                .map(String::from)
+                .collect();
+            voter.leads() && members == named && voter_slots.voters().len() == named.len()
         };
         acted && self.processes.iter().any(|process| process.alive && voting(process))
     }
--- a/crates/lab/src/fleet/tests.rs
+++ b/crates/lab/src/fleet/tests.rs
@@ -11,18 +11,18 @@
 #[test]
 fn nothing_is_that_must_never_be_in_a_fixed_set_of_schedules() {
     let _whole = RULES.read().unwrap();
-    let sum = soak(0..400, THREADS, |_| false);
-    assert_eq!(sum.violations, [], "see `jaspershunt-lab fleet replay SEED`");
-    assert!(sum.acts > 1000 && sum.tokens > 500 && sum.leaders > 400, "{sum:?}");
+    let totals = soak(0..400, THREADS, |_| false);
+    assert_eq!(totals.violations, [], "see `jaspershunt-lab fleet replay SEED`");
+    assert!(totals.acts > 1000 && totals.leases_granted > 500 && totals.leader_changes > 400, "{totals:?}");
 }
 
 /// The same, of those that are aimed at who leads and who holds.
 #[test]
 fn nothing_is_that_must_never_be_in_a_fixed_set_of_aimed_schedules() {
     let _whole = RULES.read().unwrap();
-    let sum = soak(AIMED..AIMED + 60, THREADS, |_| false);
-    assert_eq!(sum.violations, [], "see `jaspershunt-lab fleet replay SEED`");
-    assert!(sum.acts > 6000 && sum.tokens > 500 && sum.leaders > 200, "{sum:?}");
+    let totals = soak(FIRST_TARGETED_SEED..FIRST_TARGETED_SEED + 60, THREADS, |_| false);
+    assert_eq!(totals.violations, [], "see `jaspershunt-lab fleet replay SEED`");
+    assert!(totals.acts > 6000 && totals.leases_granted > 500 && totals.leader_changes > 200, "{totals:?}");
 }
 
 /// Seeds in which something was once that must never be, or that did not go on.
@@ -30,8 +30,8 @@
 fn seeds_that_once_failed_do_not_fail_again() {
     let _whole = RULES.read().unwrap();
     for seed in [0, 8, 15, 107, 181, 229, 577, 1184, 1414, 1939, 3046, 1_000_758] {
-        let came = World::new(Sketch::draw(seed), false).play();
-        assert_eq!(came.violation, None, "seed {seed}");
+        let outcome = Simulation::new(Scenario::from_seed(seed), false).play();
+        assert_eq!(outcome.violation, None, "seed {seed}");
     }
 }
 
@@ -40,9 +40,9 @@
 fn a_seed_is_the_same_world_each_time() {
     let _whole = RULES.read().unwrap();
     for seed in 0..6 {
-        let play = || World::new(Sketch::draw(seed), true).play();
+        let play = || Simulation::new(Scenario::from_seed(seed), true).play();
         let (one, two) = (play(), play());
-        assert_eq!(one.story, two.story, "seed {seed}");
+        assert_eq!(one.timeline, two.timeline, "seed {seed}");
     }
 }
 
@@ -60,10 +60,12 @@
     ];
     for rule in rules {
         activate(Some(rule));
-        let sum = soak(AIMED..AIMED + 100, THREADS, |sum| !sum.violations.is_empty());
+        let totals = soak(FIRST_TARGETED_SEED..FIRST_TARGETED_SEED + 100, THREADS, |totals| {
+            !totals.violations.is_empty()
+        });
         activate(None);
-        println!("{rule:?}: {:?} after {} schedules", sum.violations.first(), sum.schedules);
-        assert!(!sum.violations.is_empty(), "{rule:?} was not found in {} schedules", sum.schedules);
+        println!("{rule:?}: {:?} after {} schedules", totals.violations.first(), totals.schedules);
+        assert!(!totals.violations.is_empty(), "{rule:?} was not found in {} schedules", totals.schedules);
     }
 }
 
@@ -73,9 +75,9 @@
     let _alone = RULES.write().unwrap();
     for mutant in [Mutant::SaidBeforeSynced, Mutant::SeatsNotWritten, Mutant::RevokedEndsAtOnce] {
         activate(Some(mutant));
-        let sum = soak(0..20_000, THREADS, |sum| !sum.violations.is_empty());
+        let totals = soak(0..20_000, THREADS, |totals| !totals.violations.is_empty());
         activate(None);
-        println!("{mutant:?}: {:?} after {} schedules", sum.violations.first(), sum.schedules);
-        assert!(!sum.violations.is_empty(), "{mutant:?} was not found in {} schedules", sum.schedules);
+        println!("{mutant:?}: {:?} after {} schedules", totals.violations.first(), totals.schedules);
+        assert!(!totals.violations.is_empty(), "{mutant:?} was not found in {} schedules", totals.schedules);
     }
 }
