--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -20,23 +20,23 @@
 const CAPTURES: u64 = 10;
 const REPLAYS: usize = 10;
 /// The length of a load, and the part of it in which the dependency is broken.
-const LASTS: f64 = 4.0;
-const BREAKS: f64 = 1.5;
-const HEALS: f64 = 2.5;
+const LOAD_SECONDS: f64 = 4.0;
+const BREAK_AT_SECONDS: f64 = 1.5;
+const HEAL_AT_SECONDS: f64 = 2.5;
 /// Requests a second of each of two classes: about twice what the cores can do.
-const RATE: f64 = 160.0;
-const PAIRS: u64 = 9;
+const RATE_PER_SECOND: f64 = 160.0;
+const COST_PAIRS: u64 = 9;
 const RING: &str = "2MiB";
 const RING_KIB: u64 = 2048;
 
 /// The bounds.
-const SPEED: f64 = 100.0;
-const CPU: f64 = 1.05;
-const BYTES: f64 = 200.0;
+const MIN_REPLAY_SPEED: f64 = 100.0;
+const MAX_CPU_RATIO: f64 = 1.05;
+const MAX_BYTES_PER_REQUEST: f64 = 200.0;
 /// Memory beyond the capture's own bound that does not count, in KiB: a thread, its stack and a block in the making.
 const SLACK_KIB: u64 = 1024;
 
-fn plan(folder: Option<&Path>) -> SitePlan {
+fn site_plan(folder: Option<&Path>) -> SitePlan {
     let registro = DependencyConfig::new("registro", 32, Duration::from_millis(5));
     let capture = folder.map_or(String::new(), |folder| {
         format!(
@@ -54,24 +54,25 @@
         classes: vec![("look", false), ("sign", true)],
         file: Some(file),
         cores: 2,
-        part: Duration::from_millis(6),
+        core_time: Duration::from_millis(6),
     }
 }
 
 fn streams(rate: f64) -> [Stream; 2] {
-    let look = Stream { class: "look", keyed: false, rate, repeats: 0.0, things: 500 };
+    let look = Stream { class: "look", keyed: false, rate, repeats: 0.0, distinct_bodies: 500 };
     [look.clone(), Stream { class: "sign", keyed: true, repeats: 0.2, ..look }]
 }
 
 /// Plays a load with captures on; returns the bytes of the capture.
-async fn captured(nodo: &Path, seed: u64) -> io::Result<Vec<u8>> {
+async fn record_capture(nodo: &Path, seed: u64) -> io::Result<Vec<u8>> {
     let folder = tempfile::tempdir()?;
-    let site = Site::start(nodo, &plan(Some(folder.path()))).await?;
-    let (from, until) = (Duration::from_secs_f64(BREAKS), Duration::from_secs_f64(HEALS));
+    let site = Site::start(nodo, &site_plan(Some(folder.path()))).await?;
+    let (from, until) = (Duration::from_secs_f64(BREAK_AT_SECONDS), Duration::from_secs_f64(HEAL_AT_SECONDS));
     let registro = site.dependencies[0].clone();
     spawn_local(async move { Script::fault(from, Mode::Failing, until).play(&registro).await });
-    play(&site, arrivals(&streams(RATE), Duration::from_secs_f64(LASTS), seed), |_, _| {}).await;
-    let process = site.process().ok_or_else(|| io::Error::other("the nodo has ended"))?;
+    play(&site, arrivals(&streams(RATE_PER_SECOND), Duration::from_secs_f64(LOAD_SECONDS), seed), |_, _| {})
+        .await;
+    let process = site.process_id().ok_or_else(|| io::Error::other("the nodo has ended"))?;
     let asked = tokio::process::Command::new("kill").args(["-USR1", &process.to_string()]).status().await?;
     if !asked.success() {
         return Err(io::Error::other("the nodo does not take SIGUSR1"));
@@ -92,12 +93,12 @@
 }
 
 /// CPU of the engine's thread for each request, and the most memory, with captures or without.
-async fn cost(nodo: &Path, seed: u64, on: bool) -> io::Result<(f64, u64)> {
+async fn measure_cost(nodo: &Path, seed: u64, on: bool) -> io::Result<(f64, u64)> {
     let folder = tempfile::tempdir()?;
-    let mut plan = plan(on.then(|| folder.path()));
+    let mut plan = site_plan(on.then(|| folder.path()));
     plan.cores = 16;
     let site = Site::start(nodo, &plan).await?;
-    let process = site.process().ok_or_else(|| io::Error::other("the nodo has ended"))?;
+    let process = site.process_id().ok_or_else(|| io::Error::other("the nodo has ended"))?;
     let before = cpu_seconds(process).unwrap_or(0.0);
     let played = play(&site, arrivals(&streams(400.0), Duration::from_secs(2), seed), |_, _| {}).await;
     let cpu = cpu_seconds(process).unwrap_or(0.0) - before;
@@ -107,17 +108,17 @@
 }
 
 /// What one capture showed.
-struct Shown {
+struct CaptureResult {
     rounds: u64,
-    alike: usize,
-    from_states: (usize, usize),
+    identical: usize,
+    from_snapshots: (usize, usize),
     refused: u64,
     broken_rules: usize,
     speed: f64,
-    bytes_a_request: f64,
+    bytes_per_request: f64,
 }
 
-fn look(bytes: &[u8]) -> io::Result<Shown> {
+fn evaluate(bytes: &[u8]) -> io::Result<CaptureResult> {
     let all: Vec<Part> = parts(bytes).map_err(io::Error::other)?.collect();
     let sum = summary(&all);
     let began = Instant::now();
@@ -129,20 +130,20 @@
             && replayed.same > 0
             && replayed.skipped == 0
     };
-    let alike = replays.iter().filter(|other| good(other) && **other == replays[0]).count();
-    let states: Vec<usize> = (0..all.len())
+    let identical = replays.iter().filter(|other| good(other) && **other == replays[0]).count();
+    let snapshots: Vec<usize> = (0..all.len())
         .filter(|n| matches!(&all[*n], Part::Block { header, .. } if header.snapshot))
         .collect();
-    let same = states.iter().filter(|from| good(&replay(&all[**from..]))).count();
+    let same = snapshots.iter().filter(|from| good(&replay(&all[**from..]))).count();
     let read: u64 = sum.classes.values().map(|class| class.read).sum();
-    Ok(Shown {
+    Ok(CaptureResult {
         rounds: sum.rounds,
-        alike,
-        from_states: (same, states.len()),
+        identical,
+        from_snapshots: (same, snapshots.len()),
         refused: sum.classes.values().map(|class| class.refused).sum(),
         broken_rules: rules::check(&all).len(),
         speed: sum.seconds / took.max(1e-9),
-        bytes_a_request: bytes.len() as f64 / read.max(1) as f64,
+        bytes_per_request: bytes.len() as f64 / read.max(1) as f64,
     })
 }
 
@@ -151,56 +152,57 @@
 /// # Errors
 /// A site does not come up, or no capture is written.
 pub fn measure(nodo: &Path, out: Option<&Path>, seed: u64) -> io::Result<bool> {
-    let mut shown = Vec::new();
+    let mut results = Vec::new();
     for batch in (0..CAPTURES).collect::<Vec<_>>().chunks(5) {
         let captures: Vec<io::Result<Vec<u8>>> = thread::scope(|scope| {
             let started: Vec<_> = batch
                 .iter()
-                .map(|n| scope.spawn(move || on_one_thread(captured(nodo, seed * 1000 + n))))
+                .map(|n| scope.spawn(move || on_one_thread(record_capture(nodo, seed * 1000 + n))))
                 .collect();
             let panicked = || Err(io::Error::other("a run panicked"));
             started.into_iter().map(|run| run.join().unwrap_or_else(|_| panicked())).collect()
         });
         for bytes in captures {
-            shown.push(look(&bytes?)?);
+            results.push(evaluate(&bytes?)?);
         }
     }
-    let (mut ratios, mut beyond) = (Vec::new(), 0);
-    for n in 0..PAIRS {
-        let side = |on: bool| on_one_thread(cost(nodo, seed * 1000 + n, on));
+    let (mut ratios, mut extra_memory_kib) = (Vec::new(), 0);
+    for n in 0..COST_PAIRS {
+        let side = |on: bool| on_one_thread(measure_cost(nodo, seed * 1000 + n, on));
         let (with, without) = thread::scope(|scope| {
             let other = scope.spawn(|| side(false));
             (side(true), other.join().unwrap_or_else(|_| Err(io::Error::other("a run panicked"))))
         });
         let (with, without) = (with?, without?);
         ratios.push(with.0 / without.0);
-        beyond = beyond.max(with.1.saturating_sub(without.1));
+        extra_memory_kib = extra_memory_kib.max(with.1.saturating_sub(without.1));
     }
     ratios.sort_by(f64::total_cmp);
     let cpu = ratios[ratios.len() / 2];
-    let least = |what: &dyn Fn(&Shown) -> f64| shown.iter().map(what).fold(f64::INFINITY, f64::min);
-    let most = |what: &dyn Fn(&Shown) -> f64| shown.iter().map(what).fold(0.0, f64::max);
-    let alike: usize = shown.iter().map(|one| one.alike).sum();
-    let states = shown.iter().fold((0, 0), |sum, one| (sum.0 + one.from_states.0, sum.1 + one.from_states.1));
-    let broken: usize = shown.iter().map(|one| one.broken_rules).sum();
+    let least = |what: &dyn Fn(&CaptureResult) -> f64| results.iter().map(what).fold(f64::INFINITY, f64::min);
+    let most = |what: &dyn Fn(&CaptureResult) -> f64| results.iter().map(what).fold(0.0, f64::max);
+    let identical: usize = results.iter().map(|one| one.identical).sum();
+    let snapshots =
+        results.iter().fold((0, 0), |sum, one| (sum.0 + one.from_snapshots.0, sum.1 + one.from_snapshots.1));
+    let broken_rules: usize = results.iter().map(|one| one.broken_rules).sum();
     let speed = least(&|one| one.speed);
-    let bytes = most(&|one| one.bytes_a_request);
+    let bytes = most(&|one| one.bytes_per_request);
     let refused = least(&|one| one.refused as f64);
     let whole = CAPTURES as usize * REPLAYS;
     let rows = [
         (
             "replays that decide the same, bit for bit",
-            format!("{alike} of {whole}"),
+            format!("{identical} of {whole}"),
             format!("{whole}"),
-            alike == whole,
+            identical == whole,
         ),
         (
             "the same from every state in them",
-            format!("{} of {}", states.0, states.1),
+            format!("{} of {}", snapshots.0, snapshots.1),
             "all".into(),
-            states.0 == states.1 && states.1 > 0,
+            snapshots.0 == snapshots.1 && snapshots.1 > 0,
         ),
-        ("rules broken, as far as captures show", broken.to_string(), "0".into(), broken == 0),
+        ("rules broken, as far as captures show", broken_rules.to_string(), "0".into(), broken_rules == 0),
         (
             "refused in each capture, at least",
             format!("{refused:.0}"),
@@ -210,33 +212,38 @@
         (
             "replay against the time captured",
             format!("{speed:.0} ×"),
-            format!("≥ {SPEED:.0} ×"),
-            speed >= SPEED,
+            format!("≥ {MIN_REPLAY_SPEED:.0} ×"),
+            speed >= MIN_REPLAY_SPEED,
         ),
         (
             "CPU of the engine a request, on against off, median of 9 pairs",
             format!("{cpu:.3}"),
-            format!("≤ {CPU}"),
-            cpu <= CPU,
+            format!("≤ {MAX_CPU_RATIO}"),
+            cpu <= MAX_CPU_RATIO,
+        ),
+        (
+            "bytes a request",
+            format!("{bytes:.0}"),
+            format!("≤ {MAX_BYTES_PER_REQUEST:.0}"),
+            bytes <= MAX_BYTES_PER_REQUEST,
         ),
-        ("bytes a request", format!("{bytes:.0}"), format!("≤ {BYTES:.0}"), bytes <= BYTES),
         (
             "memory beyond that without, KiB",
-            beyond.to_string(),
+            extra_memory_kib.to_string(),
             format!("≤ {} (ring) + {SLACK_KIB}", RING_KIB),
-            beyond <= RING_KIB + SLACK_KIB,
+            extra_memory_kib <= RING_KIB + SLACK_KIB,
         ),
     ];
     let figures = rows.map(|(what, measured, bound, holds)| Figure::new(what, measured, bound, holds));
     let (bounds, last, holds) = verdict("capture", &figures);
-    let rounds: u64 = shown.iter().map(|one| one.rounds).sum();
+    let rounds: u64 = results.iter().map(|one| one.rounds).sum();
     println!("{bounds}\n\n{rounds} rounds in {CAPTURES} captures\n\n{last}");
     if let Some(folder) = out {
         std::fs::create_dir_all(folder)?;
         let text = format!(
-            "# Captures, measured\n\n    make measure-capture OUT=docs/measured   # seed {seed}\n\n{CAPTURES} overloads of {LASTS} s, \
-             {RATE} requests a second of each of two classes on 2 cores, with the one dependency failing from second {BREAKS} to \
-             {HEALS}: {rounds} rounds. CPU and memory in pairs at one time, without an overload.\n\n{bounds}\n\n{last}\n"
+            "# Captures, measured\n\n    make measure-capture OUT=docs/measured   # seed {seed}\n\n{CAPTURES} overloads of {LOAD_SECONDS} s, \
+             {RATE_PER_SECOND} requests a second of each of two classes on 2 cores, with the one dependency failing from second {BREAK_AT_SECONDS} to \
+             {HEAL_AT_SECONDS}: {rounds} rounds. CPU and memory in pairs at one time, without an overload.\n\n{bounds}\n\n{last}\n"
         );
         std::fs::write(folder.join("capture.md"), text)?;
     }
--- a/crates/lab/src/cpu.rs
+++ b/crates/lab/src/cpu.rs
@@ -11,49 +11,52 @@
 use std::time::Duration;
 
 /// The ratio may be this at most.
-const MOST: f64 = 1.02;
+const MAX_CPU_RATIO: f64 = 1.02;
 
 /// Compares; whether the first takes no more than the second, but for a fiftieth.
-pub fn compare(nodo: &Path, against: &Path, runs: usize, rate: f64, lasting: Duration) -> io::Result<bool> {
+pub fn compare(nodo: &Path, against: &Path, runs: usize, rate: f64, duration: Duration) -> io::Result<bool> {
     let mut rows = Vec::new();
     let mut ratios = Vec::new();
     for run in 0..runs.max(1) {
-        let side = |nodo: &Path| on_one_thread(per_request(nodo, run as u64, rate, lasting));
-        let (ours, theirs) = thread::scope(|scope| {
-            let other = scope.spawn(|| side(against));
-            (side(nodo), other.join().unwrap_or_else(|_| Err(io::Error::other("a run panicked"))))
+        let measure_side = |nodo: &Path| on_one_thread(per_request(nodo, run as u64, rate, duration));
+        let (measured, reference) = thread::scope(|scope| {
+            let other = scope.spawn(|| measure_side(against));
+            (measure_side(nodo), other.join().unwrap_or_else(|_| Err(io::Error::other("a run panicked"))))
         });
-        let (ours, theirs) = (ours?, theirs?);
-        ratios.push(ours / theirs);
+        let (measured, reference) = (measured?, reference?);
+        ratios.push(measured / reference);
         rows.push(vec![
             (run + 1).to_string(),
-            format!("{ours:.1}"),
-            format!("{theirs:.1}"),
-            format!("{:.3}", ours / theirs),
+            format!("{measured:.1}"),
+            format!("{reference:.1}"),
+            format!("{:.3}", measured / reference),
         ]);
-        eprintln!("pair {} of {runs}: ratio {:.3}", run + 1, ours / theirs);
+        eprintln!("pair {} of {runs}: ratio {:.3}", run + 1, measured / reference);
     }
     ratios.sort_by(f64::total_cmp);
     let median = ratios[ratios.len() / 2];
     println!("{}", table(&["pair", "µs a request", "against", "ratio"], &rows));
-    let holds = median <= MOST;
-    println!("cpu: {}: median ratio {median:.3}, bound {MOST}", if holds { "holds" } else { "falls short" });
+    let holds = median <= MAX_CPU_RATIO;
+    println!(
+        "cpu: {}: median ratio {median:.3}, bound {MAX_CPU_RATIO}",
+        if holds { "holds" } else { "falls short" }
+    );
     Ok(holds)
 }
 
-async fn per_request(nodo: &Path, seed: u64, rate: f64, lasting: Duration) -> io::Result<f64> {
+async fn per_request(nodo: &Path, seed: u64, rate: f64, duration: Duration) -> io::Result<f64> {
     let plan = SitePlan {
         dependencies: vec![DependencyConfig::new("registro", 32, Duration::from_millis(5))],
         classes: vec![("consulta-estado", false)],
         file: None,
         cores: 16,
-        part: Duration::from_millis(1),
+        core_time: Duration::from_millis(1),
     };
     let site = Site::start(nodo, &plan).await?;
-    let process = site.process().ok_or_else(|| io::Error::other("the nodo has ended"))?;
-    let stream = Stream { class: "consulta-estado", keyed: false, rate, repeats: 0.0, things: 1000 };
+    let process = site.process_id().ok_or_else(|| io::Error::other("the nodo has ended"))?;
+    let stream = Stream { class: "consulta-estado", keyed: false, rate, repeats: 0.0, distinct_bodies: 1000 };
     let before = cpu_seconds(process).unwrap_or(0.0);
-    let played = play(&site, arrivals(&[stream], lasting, seed), |_, _| {}).await;
+    let played = play(&site, arrivals(&[stream], duration, seed), |_, _| {}).await;
     let cpu = cpu_seconds(process).unwrap_or(0.0) - before;
     site.stop().await;
     Ok(cpu * 1e6 / played.sent.len().max(1) as f64)
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,6 +1,6 @@
 //! A nodo with three dependencies under load, one of which breaks and heals on the way.
 
-use crate::load::{Played, Stream, arrivals, play, whole};
+use crate::load::{LoadResult, Stream, arrivals, play, served_in_full};
 use crate::report::table;
 use crate::site::{Site, SitePlan, cpu_seconds, memory_kib, on_one_thread};
 use hdrhistogram::Histogram;
@@ -12,16 +12,16 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-const LASTING: Duration = Duration::from_secs(20);
-const BREAKS: Duration = Duration::from_secs(5);
-const HEALS: Duration = Duration::from_secs(12);
+const DURATION: Duration = Duration::from_secs(20);
+const BREAK_AT: Duration = Duration::from_secs(5);
+const HEAL_AT: Duration = Duration::from_secs(12);
 /// Requests a second of each class.
-const RATE: f64 = 60.0;
+const RATE_PER_SECOND: f64 = 60.0;
 const CLASSES: [(&str, bool); 3] =
     [("consulta-estado", false), ("verificar-firma", false), ("registrar-firma", true)];
 const NAMES: [&str; 3] = ["padron", "certificados", "registro"];
 
-const FILE: &str = r#"
+const OPERATOR_FILE: &str = r#"
 dependency "padron" {
   addresses = ["{0}"]
   share     = "30%"
@@ -61,14 +61,14 @@
 pub fn run(nodo: &Path) -> io::Result<bool> {
     println!(
         "One nodo, three dependencies, {:.0} requests a second for {} s.",
-        RATE * 3.0,
-        LASTING.as_secs()
+        RATE_PER_SECOND * 3.0,
+        DURATION.as_secs()
     );
     println!(
         "\"{}\" hangs from second {} to {}; consulta-estado needs it, the other two classes do not.\n",
         NAMES[0],
-        BREAKS.as_secs(),
-        HEALS.as_secs()
+        BREAK_AT.as_secs(),
+        HEAL_AT.as_secs()
     );
     on_one_thread(demonstrate(nodo))
 }
@@ -80,20 +80,26 @@
             .map(|name| DependencyConfig::new(name, 6, Duration::from_millis(25)))
             .collect(),
         classes: CLASSES.to_vec(),
-        file: Some(FILE.to_string()),
+        file: Some(OPERATOR_FILE.to_string()),
         cores: 6,
-        part: Duration::from_millis(3),
+        core_time: Duration::from_millis(3),
     };
     let site = Site::start(nodo, &plan).await?;
     let streams: Vec<Stream> = CLASSES
         .iter()
-        .map(|(class, keyed)| Stream { class, keyed: *keyed, rate: RATE, repeats: 0.1, things: 40 })
+        .map(|(class, keyed)| Stream {
+            class,
+            keyed: *keyed,
+            rate: RATE_PER_SECOND,
+            repeats: 0.1,
+            distinct_bodies: 40,
+        })
         .collect();
     let broken = site.dependencies[0].clone();
     let script = spawn_local(async move {
-        sleep(BREAKS).await;
+        sleep(BREAK_AT).await;
         broken.set(Mode::Hanging);
-        sleep(HEALS - BREAKS).await;
+        sleep(HEAL_AT - BREAK_AT).await;
         broken.set(Mode::Good);
     });
     println!(
@@ -102,16 +108,16 @@
     );
     let mut seen = 0;
     let dependencies: Vec<Dependency> = site.dependencies.clone();
-    let played = play(&site, arrivals(&streams, LASTING, 1), |second, played| {
-        println!("{}", line(second, &played.sent[seen..], &dependencies));
-        seen = played.sent.len();
+    let load = play(&site, arrivals(&streams, DURATION, 1), |second, load| {
+        println!("{}", second_row(second, &load.sent[seen..], &dependencies));
+        seen = load.sent.len();
     })
     .await;
     let _ = script.await;
-    let process = site.process().unwrap_or(0);
+    let process = site.process_id().unwrap_or(0);
     let (cpu, memory) = (cpu_seconds(process).unwrap_or(0.0), memory_kib(process).unwrap_or(0));
-    summarise(&played);
-    let sent: Vec<_> = played.sent.iter().map(|(_, sent)| sent.clone()).collect();
+    print_summary(&load);
+    let sent: Vec<_> = load.sent.iter().map(|(_, sent)| sent.clone()).collect();
     let all: Vec<&Dependency> = site.dependencies.iter().collect();
     let faults = truth::check(&sent, &site.interpreter, &all);
     let per_request = cpu * 1e6 / sent.len().max(1) as f64;
@@ -134,7 +140,7 @@
 
 type SentAt = (Duration, truth::Sent);
 
-fn line(second: u64, sent: &[SentAt], dependencies: &[Dependency]) -> String {
+fn second_row(second: u64, sent: &[SentAt], dependencies: &[Dependency]) -> String {
     let count = |of: &dyn Fn(&truth::Sent) -> bool| sent.iter().filter(|(_, one)| of(one)).count();
     let in_flight: Vec<String> = dependencies.iter().map(|d| d.in_flight().to_string()).collect();
     let others = latency(sent.iter().filter(|(_, one)| one.request.class != CLASSES[0].0));
@@ -145,7 +151,7 @@
     format!(
         "{second:7}  {:7}  {:5}  {:4}  {:6}  {:7}  {:14.0} ms  {:>9}{state}",
         sent.len(),
-        count(&whole),
+        count(&served_in_full),
         count(&|one| one.answer.header("x-answer-stale-ms").is_some()),
         count(&|one| one.answer.status == 500),
         count(&|one| one.answer.status == 503),
@@ -165,19 +171,22 @@
     histogram
 }
 
-fn summarise(played: &Played) {
-    let phases =
-        [("before", Duration::ZERO, BREAKS), ("while it hangs", BREAKS, HEALS), ("after", HEALS, LASTING)];
+fn print_summary(load: &LoadResult) {
+    let phases = [
+        ("before", Duration::ZERO, BREAK_AT),
+        ("while it hangs", BREAK_AT, HEAL_AT),
+        ("after", HEAL_AT, DURATION),
+    ];
     let mut rows = Vec::new();
     for (class, _) in CLASSES {
         for (phase, from, to) in phases {
-            let of: Vec<&SentAt> = played
+            let of: Vec<&SentAt> = load
                 .sent
                 .iter()
                 .filter(|(at, one)| one.request.class == class && *at >= from && *at < to)
                 .collect();
-            let share = |of_them: &dyn Fn(&truth::Sent) -> bool| {
-                let count = of.iter().filter(|(_, one)| of_them(one)).count();
+            let share = |matches: &dyn Fn(&truth::Sent) -> bool| {
+                let count = of.iter().filter(|(_, one)| matches(one)).count();
                 format!("{:.1} %", count as f64 * 100.0 / of.len().max(1) as f64)
             };
             let took = latency(of.iter().copied());
@@ -186,7 +195,7 @@
                 class.to_string(),
                 phase.to_string(),
                 of.len().to_string(),
-                share(&whole),
+                share(&served_in_full),
                 share(&|one| one.answer.header("x-answer-stale-ms").is_some()),
                 share(&|one| one.answer.status == 500),
                 share(&|one| one.answer.status == 503),
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -17,7 +17,7 @@
 const THREADS: usize = 6;
 /// Fleets of real nodos at once, and for how long.
 const FLEETS: u64 = 10;
-const FAULTS_LAST: Duration = Duration::from_secs(24);
+const FAULT_TIME: Duration = Duration::from_secs(24);
 /// Fleets at once in which nothing but the one that leads is killed.
 const LEADER_KILL_FLEETS: u64 = 4;
 /// Schedules for each rule left out.
@@ -93,7 +93,7 @@
     let mutant_results = mutants(SCHEDULES_PER_RULE, THREADS, "");
     let outcomes = at_once(FLEETS, |n| {
         let nodo = nodo.to_path_buf();
-        async move { fault_injection::play(&nodo, seed * 100 + n, FAULTS_LAST).await }
+        async move { fault_injection::play(&nodo, seed * 100 + n, FAULT_TIME).await }
     })?;
     let (small, big) = (large_fleet(30), large_fleet(300));
     let a_second = |outcome: &Outcome| {
--- a/crates/lab/src/fleet/tests.rs
+++ b/crates/lab/src/fleet/tests.rs
@@ -60,9 +60,8 @@
     ];
     for rule in rules {
         activate(Some(rule));
-        let totals = soak(FIRST_TARGETED_SEED..FIRST_TARGETED_SEED + 100, THREADS, |totals| {
-            !totals.violations.is_empty()
-        });
+        let totals =
+            soak(FIRST_TARGETED_SEED..FIRST_TARGETED_SEED + 100, THREADS, |t| !t.violations.is_empty());
         activate(None);
         println!("{rule:?}: {:?} after {} schedules", totals.violations.first(), totals.schedules);
         assert!(!totals.violations.is_empty(), "{rule:?} was not found in {} schedules", totals.schedules);
@@ -75,7 +74,7 @@
     let _alone = RULES.write().unwrap();
     for mutant in [Mutant::SaidBeforeSynced, Mutant::SeatsNotWritten, Mutant::RevokedEndsAtOnce] {
         activate(Some(mutant));
-        let totals = soak(0..20_000, THREADS, |totals| !totals.violations.is_empty());
+        let totals = soak(0..20_000, THREADS, |t| !t.violations.is_empty());
         activate(None);
         println!("{mutant:?}: {:?} after {} schedules", totals.violations.first(), totals.schedules);
         assert!(!totals.violations.is_empty(), "{mutant:?} was not found in {} schedules", totals.schedules);
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep_until};
 
 /// An answer is waited for so long; longer than any deadline of the settings.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A request that is due.
 #[derive(Clone, Debug)]
@@ -35,24 +35,25 @@
     /// The share of them that is sent once more a little later, in keyed classes.
     pub repeats: f64,
     /// Requests are about one of so many things; what is about the same thing makes the same calls.
-    pub things: u64,
+    pub distinct_bodies: u64,
 }
 
 /// The arrivals of some streams for so long: for each a Poisson process of its own.
-pub fn arrivals(streams: &[Stream], lasting: Duration, seed: u64) -> Vec<Arrival> {
+pub fn arrivals(streams: &[Stream], duration: Duration, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
-    for (place, stream) in streams.iter().enumerate() {
-        let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(place as u64));
+    for (index, stream) in streams.iter().enumerate() {
+        let mut random = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(index as u64));
         let mut at = 0.0;
         let mut number = 0u64;
         loop {
             at += -(1.0 - random.random_range(0.0..1.0f64)).ln() / stream.rate;
-            if at >= lasting.as_secs_f64() {
+            if at >= duration.as_secs_f64() {
                 break;
             }
             number += 1;
-            let thing = if stream.keyed { number } else { random.random_range(0..stream.things.max(1)) };
-            let body = format!("{}-{thing}", stream.class);
+            let subject =
+                if stream.keyed { number } else { random.random_range(0..stream.distinct_bodies.max(1)) };
+            let body = format!("{}-{subject}", stream.class);
             let key = stream.keyed.then(|| format!("key-{body}"));
             let rank = random.random_range(0.0..1.0);
             let request = Request { key, rank, ..Request::new(stream.class, body.as_bytes()) };
@@ -69,15 +70,19 @@
 
 /// What became of a load.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
+pub struct LoadResult {
     /// Each request with when it was sent, from the beginning, and its answer.
     pub sent: Vec<(Duration, Sent)>,
 }
 
 /// Sends a load to a site; `each_second` is called with all that is known so far.
-pub async fn play(site: &Site, arrivals: Vec<Arrival>, mut each_second: impl FnMut(u64, &Played)) -> Played {
+pub async fn play(
+    site: &Site,
+    arrivals: Vec<Arrival>,
+    mut each_second: impl FnMut(u64, &LoadResult),
+) -> LoadResult {
     let began = Instant::now();
-    let played: Rc<RefCell<Played>> = Rc::default();
+    let played: Rc<RefCell<LoadResult>> = Rc::default();
     let mut tasks: Vec<JoinHandle<()>> = Vec::with_capacity(arrivals.len());
     let mut second = 1;
     for Arrival { at, request } in arrivals {
@@ -89,7 +94,7 @@
         sleep_until(began + at).await;
         let (balancer, played) = (site.balancer.clone(), played.clone());
         tasks.push(spawn_local(async move {
-            let answer = balancer.send(&request, PATIENCE).await;
+            let answer = balancer.send(&request, ANSWER_TIMEOUT).await;
             played.borrow_mut().sent.push((at, Sent { request, answer }));
         }));
     }
@@ -100,7 +105,7 @@
 }
 
 /// Whether a request was served whole, and not in part or from a kept reply.
-pub fn whole(sent: &Sent) -> bool {
+pub fn served_in_full(sent: &Sent) -> bool {
     let labelled =
         sent.answer.header("x-answer-lacks").is_some() || sent.answer.header("x-answer-stale-ms").is_some();
     sent.answer.status == 200 && !labelled
--- a/crates/lab/src/partial/mod.rs
+++ b/crates/lab/src/partial/mod.rs
@@ -6,7 +6,7 @@
 use crate::site::on_one_thread;
 use jaspershunt_stand_ins::partial::faults::{FaultInjector, KINDS};
 use jaspershunt_stand_ins::partial::{NODOS, Rig, TTL, Verdict};
-use killed::Killed;
+use killed::KillResults;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::fmt::Write;
@@ -17,16 +17,16 @@
 use tokio::time::{Instant, timeout};
 
 /// Fleets under torment at once.
-const FLEETS: u64 = 2;
+const PARALLEL_FLEETS: u64 = 2;
 /// Clients of each, and the pause between two keys of one.
 const CLIENTS: u64 = 12;
-const PAUSE: Duration = Duration::from_millis(150);
+const KEY_INTERVAL: Duration = Duration::from_millis(150);
 /// Once all is healed, each key is told of within this.
-const TOLD_WITHIN: Duration = Duration::from_secs(15);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Keys that are asked for at once at the end.
-const AT_ONCE: usize = 24;
+const PARALLEL_QUERIES: usize = 24;
 /// Faults that a round has at least; three rounds have 600.
-const FAULTS: usize = 200;
+const MIN_FAULTS_PER_ROUND: usize = 200;
 
 /// What is played.
 #[derive(Clone, Copy, Debug)]
@@ -40,36 +40,36 @@
 }
 
 /// What became of one fleet.
-struct Came {
+struct FleetOutcome {
     seed: u64,
     counts: [usize; KINDS.len()],
     verdict: Verdict,
     /// The fleet had its votes at the start and at the end.
-    goes_on: bool,
+    recovered: bool,
     /// Keys of which no client was told anything once all was healed.
-    untold: usize,
+    unanswered: usize,
     /// How often each status was answered: served, failed, turned away, nothing.
     statuses: [usize; 4],
     /// Edits in force, in conflict once, otherwise ended, and those of which nothing was heard.
     edits: [usize; 4],
     /// The revision that all nodos came to show, and how long that took once all was healed and all edits had ended.
     table: Result<(u64, Duration), String>,
-    broken: Option<String>,
+    write_error: Option<String>,
 }
 
 /// One fleet under the torment of a seed.
-async fn torment(nodo: &Path, seed: u64, length: Duration) -> io::Result<Came> {
+async fn run_with_faults(nodo: &Path, seed: u64, length: Duration) -> io::Result<FleetOutcome> {
     let mut rig =
         Rig::start(nodo, &format!("partial-{seed}"), true, (TTL, Duration::from_millis(100))).await?;
     let ready = rig.wait_for_votes().await;
-    let load = rig.clients.load(seed, CLIENTS, PAUSE, TOLD_WITHIN);
-    let teams = rig.editors.load(seed, PAUSE, TOLD_WITHIN);
-    let mut torment = FaultInjector::new(StdRng::seed_from_u64(seed));
-    torment.play(&mut rig, length).await?;
+    let load = rig.clients.load(seed, CLIENTS, KEY_INTERVAL, ANSWER_TIMEOUT);
+    let teams = rig.editors.load(seed, KEY_INTERVAL, ANSWER_TIMEOUT);
+    let mut injector = FaultInjector::new(StdRng::seed_from_u64(seed));
+    injector.play(&mut rig, length).await?;
     rig.editors.stop();
     let healed = rig.heal_all().await?;
     for team in teams {
-        let _ = timeout(TOLD_WITHIN, team).await;
+        let _ = timeout(ANSWER_TIMEOUT, team).await;
     }
     let ended = Instant::now();
     let table = rig.wait_for_one_table().await.map(|revision| (revision, ended.elapsed()));
@@ -77,9 +77,9 @@
     rig.resource.set_duration(Duration::from_millis(20));
     for client in load {
         // An error means that it panicked, which says so itself.
-        let _ = timeout(TOLD_WITHIN, client).await;
+        let _ = timeout(ANSWER_TIMEOUT, client).await;
     }
-    let untold = rig.clients.query_all(seed, AT_ONCE, TOLD_WITHIN).await;
+    let unanswered = rig.clients.query_all(seed, PARALLEL_QUERIES, ANSWER_TIMEOUT).await;
     let verdict = rig.verdict()?;
     let mut statuses = [0; 4];
     for one in rig.clients.tries().values().flatten() {
@@ -91,20 +91,21 @@
         };
         statuses[place] += 1;
     }
-    let broken = rig.clients.write_error().or(rig.editors.write_error());
-    let (counts, goes_on, edits) = (torment.counts, ready && healed, rig.editors.tally());
-    let came = Came { seed, counts, verdict, goes_on, untold, statuses, edits, table, broken };
-    if !came.verdict.is_fine() || came.untold > 0 || !came.goes_on || came.table.is_err() {
-        let kept = rig.save_artifacts(&seed.to_string())?;
-        let story: String = torment
+    let write_error = rig.clients.write_error().or(rig.editors.write_error());
+    let (counts, recovered, edits) = (injector.counts, ready && healed, rig.editors.tally());
+    let outcome =
+        FleetOutcome { seed, counts, verdict, recovered, unanswered, statuses, edits, table, write_error };
+    if !outcome.verdict.is_fine() || outcome.unanswered > 0 || !outcome.recovered || outcome.table.is_err() {
+        let artifacts = rig.save_artifacts(&seed.to_string())?;
+        let timeline: String = injector
             .timeline
             .iter()
             .map(|(at, fault)| format!("{:7.3} {fault}\n", at.as_secs_f64()))
             .collect();
-        std::fs::write(kept.join("faults"), story)?;
-        eprintln!("seed {seed}: histories, logs and faults are kept in {}", kept.display());
+        std::fs::write(artifacts.join("faults"), timeline)?;
+        eprintln!("seed {seed}: histories, logs and faults are kept in {}", artifacts.display());
     }
-    Ok(came)
+    Ok(outcome)
 }
 
 fn percentile(values: &[f64], part: f64) -> f64 {
@@ -116,33 +117,34 @@
 
 /// Plays all of it and prints what it showed; whether the bounds hold.
 pub fn measure(nodo: &Path, out: Option<&Path>, play: Play) -> io::Result<bool> {
-    let (mut fleets, mut killed, mut alone) = (Vec::new(), Killed::default(), Killed::default());
+    let (mut fleets, mut killed, mut without_handover) =
+        (Vec::new(), KillResults::default(), KillResults::default());
     for round in 0..play.rounds {
         let seed = (play.seed + round) * 100;
-        let (came, with, without) = on_one_thread(async move {
-            let torments: Vec<_> = (0..FLEETS)
+        let (outcomes, with, without) = on_one_thread(async move {
+            let runs: Vec<_> = (0..PARALLEL_FLEETS)
                 .map(|n| {
                     let nodo = nodo.to_path_buf();
-                    spawn_local(async move { torment(&nodo, seed + n, play.length).await })
+                    spawn_local(async move { run_with_faults(&nodo, seed + n, play.length).await })
                 })
                 .collect();
             let kills = [true, false].map(|handover| {
                 let nodo = nodo.to_path_buf();
                 spawn_local(async move { killed::play(&nodo, seed, handover, play.length).await })
             });
-            let mut came = Vec::new();
-            for torment in torments {
-                came.push(torment.await.map_err(io::Error::other)??);
+            let mut outcomes = Vec::new();
+            for run in runs {
+                outcomes.push(run.await.map_err(io::Error::other)??);
             }
-            let [with, without] = kills;
+            let [with, baseline] = kills;
             let with = with.await.map_err(io::Error::other)??;
-            Ok::<_, io::Error>((came, with, without.await.map_err(io::Error::other)??))
+            Ok::<_, io::Error>((outcomes, with, baseline.await.map_err(io::Error::other)??))
         })?;
-        fleets.extend(came);
+        fleets.extend(outcomes);
         killed.add(with);
-        alone.add(without);
+        without_handover.add(without);
     }
-    let (text, last, holds) = report(&fleets, &killed, &alone, play);
+    let (text, last, holds) = report(&fleets, &killed, &without_handover, play);
     print!("{text}");
     if let Some(out) = out {
         let head = format!(
@@ -155,32 +157,44 @@
     Ok(holds)
 }
 
-fn report(fleets: &[Came], killed: &Killed, alone: &Killed, play: Play) -> (String, String, bool) {
-    let add = |of: fn(&Came) -> usize| fleets.iter().map(of).sum::<usize>();
-    let faults = add(|came| came.counts.iter().sum()) + killed.kills;
-    let least = FAULTS * play.rounds as usize;
-    let doubled = add(|came| came.verdict.doubled.len()) + killed.doubled;
-    let without = add(|came| came.verdict.without_outcome.len()) + killed.without;
-    let refused = add(|came| usize::from(!came.verdict.unconfirmed().is_empty())) + killed.refused.len();
+fn report(
+    fleets: &[FleetOutcome],
+    killed: &KillResults,
+    without_handover: &KillResults,
+    play: Play,
+) -> (String, String, bool) {
+    let add = |of: fn(&FleetOutcome) -> usize| fleets.iter().map(of).sum::<usize>();
+    let faults = add(|outcome| outcome.counts.iter().sum()) + killed.kills;
+    let min_faults = MIN_FAULTS_PER_ROUND * play.rounds as usize;
+    let doubled = add(|outcome| outcome.verdict.doubled.len()) + killed.doubled;
+    let without = add(|outcome| outcome.verdict.without_outcome.len()) + killed.without_outcome;
+    let refused =
+        add(|outcome| usize::from(!outcome.verdict.unconfirmed().is_empty())) + killed.unconfirmed.len();
     let (p50, p99) = (percentile(&killed.times, 0.5), percentile(&killed.times, 0.99));
     let figures = [
-        Figure::new("faults injected", faults, format!("≥ {least}"), faults >= least),
+        Figure::new("faults injected", faults, format!("≥ {min_faults}"), faults >= min_faults),
         Figure::none("effects doubled", doubled),
         Figure::none("accepted work with no outcome", without),
         Figure::none("histories refused, work with two outcomes among them", refused),
-        Figure::none("fleets without their votes once all is healed", add(|came| usize::from(!came.goes_on))),
         Figure::none(
-            &format!("keys of which nobody is told within {} s of that", TOLD_WITHIN.as_secs()),
-            add(|came| came.untold) + killed.untold,
+            "fleets without their votes once all is healed",
+            add(|outcome| usize::from(!outcome.recovered)),
+        ),
+        Figure::none(
+            &format!("keys of which nobody is told within {} s of that", ANSWER_TIMEOUT.as_secs()),
+            add(|outcome| outcome.unanswered) + killed.unanswered,
+        ),
+        Figure::none(
+            "edits of four teams of which nothing is heard in that time",
+            add(|outcome| outcome.edits[3]),
         ),
-        Figure::none("edits of four teams of which nothing is heard in that time", add(|came| came.edits[3])),
         Figure::none(
             "fleets whose nodos do not come to show one route table",
-            add(|came| usize::from(came.table.is_err())),
+            add(|outcome| usize::from(outcome.table.is_err())),
         ),
         Figure::none(
             "histories of clients that could not be written",
-            add(|came| usize::from(came.broken.is_some())),
+            add(|outcome| usize::from(outcome.write_error.is_some())),
         ),
         Figure::new(
             "a nodo is killed: its begun work has an outcome, p50, leases' time",
@@ -191,34 +205,34 @@
         Figure::new("the same, p99", format!("{p99:.2}"), "≤ 3", p99 <= 3.0),
         Figure::new(
             "retry by the client alone, the same kills: effects doubled (the baseline: not 0)",
-            alone.doubled,
+            without_handover.doubled,
             "> 0",
-            alone.doubled > 0,
+            without_handover.doubled > 0,
         ),
     ];
     let (rows, last, holds) = verdict("partial", &figures);
     let kinds = KINDS.iter().enumerate().map(|(kind, name)| {
-        let count: usize = fleets.iter().map(|came| came.counts[kind]).sum();
+        let count: usize = fleets.iter().map(|outcome| outcome.counts[kind]).sum();
         vec![(*name).to_string(), count.to_string()]
     });
     let kinds = table(&["fault", "so many"], &kinds.collect::<Vec<_>>());
-    let each = fleets.iter().map(|came| {
-        let [served, failed, refused, nothing] = came.statuses;
-        let Verdict { files, keys, effects, doubled, without_outcome: without, .. } = &came.verdict;
+    let each = fleets.iter().map(|outcome| {
+        let [served, failed, refused, nothing] = outcome.statuses;
+        let Verdict { files, keys, effects, doubled, without_outcome: without, .. } = &outcome.verdict;
         vec![
-            came.seed.to_string(),
-            came.counts.iter().sum::<usize>().to_string(),
+            outcome.seed.to_string(),
+            outcome.counts.iter().sum::<usize>().to_string(),
             keys.to_string(),
             effects.to_string(),
             doubled.len().to_string(),
             without.len().to_string(),
             format!("{served} / {failed} / {refused} / {nothing}"),
             format!("{} / {}", files.all, files.records),
-            came.edits[..3].iter().map(usize::to_string).collect::<Vec<_>>().join(" / "),
-            came.table.as_ref().map_or("none".to_string(), |(revision, took)| {
+            outcome.edits[..3].iter().map(usize::to_string).collect::<Vec<_>>().join(" / "),
+            outcome.table.as_ref().map_or("none".to_string(), |(revision, took)| {
                 format!("{revision}, {:.2} s", took.as_secs_f64())
             }),
-            if came.verdict.unconfirmed().is_empty() { "fine" } else { "refused" }.to_string(),
+            if outcome.verdict.unconfirmed().is_empty() { "fine" } else { "refused" }.to_string(),
         ]
     });
     let each = table(
@@ -245,25 +259,31 @@
         play.length.as_secs(),
         TTL.as_secs(),
         play.rounds,
-        killed::LEASE.as_secs(),
+        killed::TTL.as_secs(),
         killed.kills,
         killed.times.len(),
-        alone.kills,
-        alone.doubled,
-        alone.keys,
-        alone.unserved,
+        without_handover.kills,
+        without_handover.doubled,
+        without_handover.keys,
+        without_handover.unserved,
     );
-    for came in fleets {
-        for what in came.verdict.unconfirmed().iter().chain(&came.broken).chain(came.table.as_ref().err()) {
-            let _ = writeln!(text, "\nseed {}: {what}", came.seed);
+    for outcome in fleets {
+        for what in outcome
+            .verdict
+            .unconfirmed()
+            .iter()
+            .chain(&outcome.write_error)
+            .chain(outcome.table.as_ref().err())
+        {
+            let _ = writeln!(text, "\nseed {}: {what}", outcome.seed);
         }
-        if came.verdict.doubled.len() + came.verdict.without_outcome.len() > 0 {
+        if outcome.verdict.doubled.len() + outcome.verdict.without_outcome.len() > 0 {
             let few = |keys: &[String]| keys.iter().take(5).cloned().collect::<Vec<_>>().join(", ");
-            let (twice, none) = (few(&came.verdict.doubled), few(&came.verdict.without_outcome));
-            let _ = writeln!(text, "\nseed {}: twice {twice}; no outcome {none}", came.seed);
+            let (twice, none) = (few(&outcome.verdict.doubled), few(&outcome.verdict.without_outcome));
+            let _ = writeln!(text, "\nseed {}: twice {twice}; no outcome {none}", outcome.seed);
         }
     }
-    for what in &killed.refused {
+    for what in &killed.unconfirmed {
         let _ = writeln!(text, "\nkills: {what}");
     }
     (text, last, holds)
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -43,8 +43,8 @@
 /// The table of an experiment's figures, the last line that sums it up, and whether all holds.
 pub fn verdict(name: &str, figures: &[Figure]) -> (String, String, bool) {
     let rows = figures.iter().map(|figure| {
-        let word = if figure.holds { "holds" } else { "falls short" };
-        vec![figure.what.clone(), figure.measured.clone(), figure.bound.clone(), word.to_string()]
+        let status = if figure.holds { "holds" } else { "falls short" };
+        vec![figure.what.clone(), figure.measured.clone(), figure.bound.clone(), status.to_string()]
     });
     let rows = table(&["figure", "measured", "bound", ""], &rows.collect::<Vec<_>>());
     let short: Vec<&str> =
@@ -87,17 +87,17 @@
     root.fill(&WHITE)?;
     for (area, panel) in root.split_evenly((panels.len().max(1), 1)).iter().zip(panels) {
         let points = || panel.lines.iter().flat_map(|line| &line.points);
-        let most_x = points().map(|(x, _)| *x).fold(1e-9, f64::max);
-        let most_y = points().map(|(_, y)| *y).fold(1e-9, f64::max) * 1.1;
+        let max_x = points().map(|(x, _)| *x).fold(1e-9, f64::max);
+        let max_y = points().map(|(_, y)| *y).fold(1e-9, f64::max) * 1.1;
         let mut chart = ChartBuilder::on(area)
             .caption(&panel.title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..most_x, 0.0..most_y)?;
+            .build_cartesian_2d(0.0..max_x, 0.0..max_y)?;
         chart.configure_mesh().x_desc(&panel.x).y_desc(&panel.y).draw()?;
-        for (place, line) in panel.lines.iter().enumerate() {
-            let colour = Palette99::pick(place).to_rgba();
+        for (index, line) in panel.lines.iter().enumerate() {
+            let colour = Palette99::pick(index).to_rgba();
             let drawn = LineSeries::new(line.points.iter().copied(), colour.stroke_width(2));
             chart
                 .draw_series(drawn)?
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -16,10 +16,10 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// How long a nodo may take until it is in the directory.
-const UP_WITHIN: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long it may take to leave: a little more than it is told.
-const LEFT_WITHIN: Duration = Duration::from_secs(4);
+const STOP_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// How a site is made.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     /// Cores of the interpreter, and the time of a run on one before and after its call.
     pub cores: usize,
     /// Half of the work of a run.
-    pub part: Duration,
+    pub core_time: Duration,
 }
 
 /// A nodo that is up.
@@ -77,16 +77,16 @@
         for one in &plan.dependencies {
             dependencies.push(Dependency::start(one.clone()).await);
         }
-        let work = Work { core_time: plan.part, calls: 1 };
+        let work = Work { core_time: plan.core_time, calls: 1 };
         let classes: Vec<(&str, Work)> = plan.classes.iter().map(|(name, _)| (*name, work.clone())).collect();
         let interpreter = Interpreter::start(plan.cores, &classes).await;
         let directory = Directory::start().await;
         let gateway = match plan.file {
             Some(_) => None,
             None => {
-                let ways: Vec<(&str, &Dependency)> =
+                let backends: Vec<(&str, &Dependency)> =
                     plan.classes.iter().map(|(name, _)| *name).zip(&dependencies).collect();
-                Some(Gateway::start(&ways).await)
+                Some(Gateway::start(&backends).await)
             }
         };
         let folder = tempfile::tempdir()?;
@@ -103,11 +103,11 @@
         std::fs::write(&config_path, config)?;
         let mut command = Command::new(nodo);
         if let Some(file) = &plan.file {
-            let at = |text: String, (place, one): (usize, &Dependency)| {
-                text.replace(&format!("{{{place}}}"), &one.address().to_string())
+            let fill_address = |text: String, (index, one): (usize, &Dependency)| {
+                text.replace(&format!("{{{index}}}"), &one.address().to_string())
             };
             let path = folder.path().join("site.hcl");
-            std::fs::write(&path, dependencies.iter().enumerate().fold(file.clone(), at))?;
+            std::fs::write(&path, dependencies.iter().enumerate().fold(file.clone(), fill_address))?;
             command.arg("serve").arg("--operator").arg(path);
         }
         let log = std::fs::File::create(folder.path().join("log"))?;
@@ -121,7 +121,7 @@
             .spawn()?;
         let began = Instant::now();
         while directory.mode().as_deref() != Some("open") {
-            if began.elapsed() > UP_WITHIN {
+            if began.elapsed() > START_TIMEOUT {
                 let log = std::fs::read_to_string(folder.path().join("log")).unwrap_or_default();
                 return Err(io::Error::other(format!("the nodo did not come up: {log}")));
             }
@@ -132,7 +132,7 @@
     }
 
     /// The id of the nodo's process.
-    pub fn process(&self) -> Option<u32> {
+    pub fn process_id(&self) -> Option<u32> {
         self.child.id()
     }
 
@@ -146,7 +146,7 @@
         if let Some(process) = self.child.id() {
             let _ = Command::new("kill").args(["-TERM", &process.to_string()]).status().await;
         }
-        if timeout(LEFT_WITHIN, self.child.wait()).await.is_err() {
+        if timeout(STOP_TIMEOUT, self.child.wait()).await.is_err() {
             let _ = self.child.kill().await;
         }
     }
