--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -1,5 +1,5 @@
-//! The experiment on captures: overloads against a nodo that records them, with one dependency broken in the middle, each
-//! replayed ten times and from every state in it; and what recording costs.
+//! The experiment on captures: a nodo records overloads during which a dependency fails. Each capture is
+//! replayed ten times and from each of its snapshots. The cost of recording is measured too.
 
 use crate::load::{Stream, arrivals, play};
 use crate::report::{Figure, verdict};
@@ -16,24 +16,24 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// Captures, and replays of each.
+/// Number of captures, and replays of each.
 const CAPTURES: u64 = 10;
 const REPLAYS: usize = 10;
-/// The length of a load, and the part of it in which the dependency is broken.
+/// Duration of a load, and the time in which the dependency fails.
 const LOAD_SECONDS: f64 = 4.0;
 const BREAK_AT_SECONDS: f64 = 1.5;
 const HEAL_AT_SECONDS: f64 = 2.5;
-/// Requests a second of each of two classes: about twice what the cores can do.
+/// Load of each of two classes: together about twice the capacity of the cores.
 const RATE_PER_SECOND: f64 = 160.0;
 const COST_PAIRS: u64 = 9;
 const RING: &str = "2MiB";
 const RING_KIB: u64 = 2048;
 
-/// The bounds.
+/// Bounds of the figures.
 const MIN_REPLAY_SPEED: f64 = 100.0;
 const MAX_CPU_RATIO: f64 = 1.05;
 const MAX_BYTES_PER_REQUEST: f64 = 200.0;
-/// Memory beyond the capture's own bound that does not count, in KiB: a thread, its stack and a block in the making.
+/// Allowance beyond the capture's ring: a thread, its stack and a block under construction.
 const SLACK_KIB: u64 = 1024;
 
 fn site_plan(folder: Option<&Path>) -> SitePlan {
@@ -63,7 +63,7 @@
     [look.clone(), Stream { class: "sign", keyed: true, repeats: 0.2, ..look }]
 }
 
-/// Plays a load with captures on; returns the bytes of the capture.
+/// Runs a load with captures on. Returns the bytes of the capture.
 async fn record_capture(nodo: &Path, seed: u64) -> io::Result<Vec<u8>> {
     let folder = tempfile::tempdir()?;
     let site = Site::start(nodo, &site_plan(Some(folder.path()))).await?;
@@ -92,7 +92,8 @@
     Err(io::Error::other(format!("no capture was written: {}", site.log())))
 }
 
-/// CPU of the engine's thread for each request, and the most memory, with captures or without.
+/// Measures the CPU of the engine's thread for each request, in microseconds, and the memory in KiB, with
+/// captures or without.
 async fn measure_cost(nodo: &Path, seed: u64, on: bool) -> io::Result<(f64, u64)> {
     let folder = tempfile::tempdir()?;
     let mut plan = site_plan(on.then(|| folder.path()));
@@ -107,7 +108,7 @@
     Ok((cpu * 1e6 / played.sent.len().max(1) as f64, memory))
 }
 
-/// What one capture showed.
+/// The evaluation of one capture.
 struct CaptureResult {
     rounds: u64,
     identical: usize,
@@ -147,10 +148,10 @@
     })
 }
 
-/// Measures; whether all bounds hold.
+/// Runs the measurement and prints its report. Returns whether all bounds hold.
 ///
 /// # Errors
-/// A site does not come up, or no capture is written.
+/// A site does not start, or no capture is written.
 pub fn measure(nodo: &Path, out: Option<&Path>, seed: u64) -> io::Result<bool> {
     let mut results = Vec::new();
     for batch in (0..CAPTURES).collect::<Vec<_>>().chunks(5) {
--- a/crates/lab/src/cpu.rs
+++ b/crates/lab/src/cpu.rs
@@ -1,5 +1,5 @@
-//! CPU of two nodos for the same requests, without an operator's file, in pairs of runs at the same time: what else the
-//! machine does then costs both alike.
+//! Compares the CPU of two nodo programs for the same requests, without an operator's file. Runs are in pairs
+//! at the same time, so that other load on the machine affects both alike.
 
 use crate::load::{Stream, arrivals, play};
 use crate::report::table;
@@ -10,10 +10,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// The ratio may be this at most.
+/// Bound on the median ratio.
 const MAX_CPU_RATIO: f64 = 1.02;
 
-/// Compares; whether the first takes no more than the second, but for a fiftieth.
+/// Compares two programs. Returns whether the first takes at most 2 % more CPU than the second.
 pub fn compare(nodo: &Path, against: &Path, runs: usize, rate: f64, duration: Duration) -> io::Result<bool> {
     let mut rows = Vec::new();
     let mut ratios = Vec::new();
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! A nodo with three dependencies under load, one of which breaks and heals on the way.
+//! A demonstration of a nodo with three dependencies under load, one of which hangs for a while.
 
 use crate::load::{LoadResult, Stream, arrivals, play, served_in_full};
 use crate::report::table;
@@ -15,7 +15,7 @@
 const DURATION: Duration = Duration::from_secs(20);
 const BREAK_AT: Duration = Duration::from_secs(5);
 const HEAL_AT: Duration = Duration::from_secs(12);
-/// Requests a second of each class.
+/// Load of each class.
 const RATE_PER_SECOND: f64 = 60.0;
 const CLASSES: [(&str, bool); 3] =
     [("consulta-estado", false), ("verificar-firma", false), ("registrar-firma", true)];
@@ -57,7 +57,7 @@
 }
 "#;
 
-/// Plays the demonstration; whether all answers were labelled truthfully.
+/// Runs the demonstration. Returns whether all answers were complete, labelled correctly and not duplicated.
 pub fn run(nodo: &Path) -> io::Result<bool> {
     println!(
         "One nodo, three dependencies, {:.0} requests a second for {} s.",
@@ -160,9 +160,9 @@
     )
 }
 
-/// Microseconds from the sending to the answer, of those that were served.
+/// Builds a histogram of the latency in microseconds of the served requests.
 fn latency<'a>(sent: impl Iterator<Item = &'a SentAt>) -> Histogram<u64> {
-    // Up to a minute, to three figures; both are within what the library takes.
+    // Up to a minute with three significant figures; the library accepts both.
     let mut histogram =
         Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|_| unreachable!("bounds are good"));
     for (_, one) in sent.filter(|(_, one)| one.answer.status == 200) {
--- a/crates/lab/src/dependencies.rs
+++ b/crates/lab/src/dependencies.rs
@@ -1,6 +1,7 @@
-//! The experiment on several dependencies. Each of three in turn is slowed, fails, refuses, hangs and flaps, under the
-//! same arrivals with the operator's file and, as the baseline, with the nodo's one pool and no budgets; and the learned
-//! limit is held against a sweep of fixed ones at three capacities that the nodo is not told.
+//! The experiment on several dependencies. Each of three in turn is slowed, fails, refuses, hangs and flaps,
+//! under the same arrivals with the operator's file and, as the baseline, with the nodo's one pool and no
+//! budgets. The learned limit is compared with a sweep of fixed limits at three capacities that the nodo does
+//! not know.
 
 use crate::load::{LoadResult, Stream, arrivals, play, served_in_full};
 use crate::report::{Line, Panel, chart, table};
@@ -18,32 +19,32 @@
 
 const CLASSES: [(&str, bool); 3] = [("look", false), ("find", false), ("sign", true)];
 const NAMES: [&str; 3] = ["a", "b", "c"];
-/// Requests a second of each class; the dependencies could take 200.
+/// Load of each class; each dependency has a capacity of 200 calls per second.
 const RATE_PER_SECOND: f64 = 80.0;
 const SLOTS: usize = 4;
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// Calls in hand that the file allows each dependency.
+/// Limit on in-flight calls of each dependency in the operator's file.
 const MAX_CALLS: usize = 8;
 
-/// The parts of a run; what comes before the first is not counted.
+/// Phases of a run; requests before the first are not counted.
 const CALM_FROM_SECONDS: f64 = 1.0;
 const BREAK_AT_SECONDS: f64 = 3.0;
 const HEAL_AT_SECONDS: f64 = 6.0;
 const END_SECONDS: f64 = 9.0;
-/// Runs at once: each is a process and a thread, and takes a tenth of a core.
+/// Parallel runs; each is a process and a thread, and takes a tenth of a core.
 const PARALLEL_RUNS: usize = 10;
 
-/// The bounds.
+/// Bounds of the figures.
 const MIN_OTHERS_GOODPUT: f64 = 0.97;
 const MAX_RETRY_SHARE: f64 = 0.10;
 const MIN_HEALED_GOODPUT: f64 = 0.95;
 const MIN_LEARNED_LIMIT_GOODPUT: f64 = 0.95;
 
-/// The limits of the sweep, and the slots that the nodo is not told.
+/// Fixed limits of the sweep, and the slots of a dependency that the nodo does not know.
 const FIXED_LIMITS: [usize; 9] = [2, 4, 6, 8, 10, 14, 20, 26, 34];
 const HIDDEN_SLOTS: [usize; 3] = [4, 10, 24];
 const HIDDEN_SERVICE_TIME: Duration = Duration::from_millis(40);
-/// The load on a hidden capacity, as a multiple of it.
+/// Load in the sweep, as a multiple of the dependency's capacity.
 const DEMAND_FACTOR: f64 = 1.3;
 const SWEEP_COUNTED_FROM_SECONDS: f64 = 2.0;
 const SWEEP_SECONDS: f64 = 5.0;
@@ -106,22 +107,24 @@
     text
 }
 
-/// What one run showed.
+/// The result of one run.
 #[derive(Clone, Debug, Default)]
 struct RunResult {
-    /// Shares of the requests served whole, of those that do not need what is broken: in the calm part, while it is.
+    /// Share of requests served in full among those that do not need the broken dependency: before the fault
+    /// and during it.
     others: (f64, f64),
-    /// Of all: in the calm part, and in the third second after healing.
+    /// Share of all requests served in full: before the fault, and in the third second after it.
     all: (f64, f64),
-    /// Calls beyond the first for the same run and place, and first ones, while it is broken.
+    /// Retries and first calls during the fault.
     retries: (usize, usize),
-    /// Moments at which a dependency had more in hand than its budget.
+    /// Calls at which a dependency had more in-flight calls than its budget.
     over_budget: usize,
     false_labels: usize,
     doubled: usize,
     partial: usize,
     other_faults: usize,
-    /// Of those that do not need what is broken, the share served whole in each quarter of a second.
+    /// Share of requests served in full among those that do not need the broken dependency, for each quarter
+    /// of a second.
     over_time: Vec<(f64, f64)>,
 }
 
@@ -201,7 +204,8 @@
     record.calls.iter().filter(|call| call.in_flight > MAX_CALLS).count()
 }
 
-/// Calls beyond the first for the same run and place, and first ones, that came while one was broken.
+/// Counts retries and first calls that arrived during the fault. A retry is a call with the uid and body of
+/// an earlier one.
 fn count_retries(dependencies: &[Dependency], offsets: &[f64]) -> (usize, usize) {
     let mut calls = Vec::new();
     for (dependency, offset) in dependencies.iter().zip(offsets) {
@@ -221,7 +225,7 @@
     (retries, first)
 }
 
-/// Calls a second that a dependency of hidden capacity did well, and that came back in time.
+/// Runs a load on a dependency of hidden capacity. Returns its successful calls per second.
 async fn limit_goodput(nodo: &Path, slots: usize, fixed: Option<usize>, seed: u64) -> io::Result<f64> {
     let limit = match fixed {
         Some(limit) => {
@@ -259,7 +263,7 @@
     Ok(succeeded as f64 / (SWEEP_SECONDS - SWEEP_COUNTED_FROM_SECONDS))
 }
 
-/// Does all of a list, so many at once, each on a thread of its own.
+/// Runs `run` for each item of a list, in parallel batches with a thread for each item.
 fn run_in_batches<I: Copy + Send + Sync, T: Send>(
     what: &str,
     list: &[I],
@@ -284,10 +288,10 @@
 }
 
 fn verdict(holds: bool) -> String {
-    if holds { "holds" } else { "falls missed" }.to_string()
+    if holds { "holds" } else { "falls short" }.to_string()
 }
 
-/// Measures, prints a table, and returns whether all bounds hold.
+/// Runs the measurement and prints its report. Returns whether all bounds hold.
 pub fn measure(nodo: &Path, out: Option<&Path>, seed: u64) -> io::Result<bool> {
     let mut runs: Vec<(Fault, usize, bool)> = Vec::new();
     for fault in FAULTS {
@@ -448,7 +452,7 @@
     let missed: Vec<&str> = bounds.iter().filter(|(_, (.., holds))| !holds).map(|(what, _)| *what).collect();
     let last = match missed.is_empty() {
         true => "dependencies: holds".to_string(),
-        false => format!("dependencies: falls missed: {}", missed.join("; ")),
+        false => format!("dependencies: falls short: {}", missed.join("; ")),
     };
     println!("{bounds_table}\n\n{faults_table}\n\n{limits_table}\n\n{last}");
     if let Some(folder) = out {
--- a/crates/lab/src/fleet/demo.rs
+++ b/crates/lab/src/fleet/demo.rs
@@ -1,4 +1,5 @@
-//! Five nodos as a fleet with two tasks, while a holder is killed, the one that leads is paused, and a link is cut.
+//! A demonstration of five nodos as a fleet with two tasks, while a holder is killed, the leader is paused,
+//! and a nodo's links are cut.
 
 use super::fault_injection::{TTL, resources};
 use crate::site::on_one_thread;
@@ -9,19 +10,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// From each event to the next.
 const EVENT_INTERVAL: Duration = Duration::from_secs(5);
-/// Between two lines of the table.
 const LINE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Shows it; whether no two acted at once.
+/// Runs the demonstration. Returns whether no two holders acted at once.
 pub fn run(nodo: &Path) -> io::Result<bool> {
     on_one_thread(async {
         let (checks, cannot, tasks) = resources().await;
         let mut fleet = Fleet::new(nodo, "demo", (5, 3), TTL, &tasks).await?;
         println!("five nodos, three of them vote; a lease lasts {TTL:?}; each task is due every second\n");
         fleet.start_all().await?;
-        // One that takes longer shows it in the table.
+        // If the votes take longer, the table shows it.
         let _ = timeout(4 * EVENT_INTERVAL, fleet.wait_for_votes()).await;
         println!(
             "{:>6}  {:<26} {:<8} {:<8} {:<8} {:>6} {:>9}",
--- a/crates/lab/src/fleet/fault_injection.rs
+++ b/crates/lab/src/fleet/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Fleets of real nodos under random faults of processes and links, one after another and on top of each other. What the tasks act on
-//! keeps the record.
+//! Fault-injection tests: fleets of real nodos under random, overlapping faults of processes and links. The
+//! resources that the tasks act on record every act.
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::fleet::{Fleet, Task, wait_for_acts};
@@ -14,52 +14,51 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Nodos of a fleet, and how many of them vote.
+/// Nodos of a fleet, and voters among them.
 const MEMBERS: usize = 5;
 const VOTERS: usize = 3;
-/// Leases' time.
+/// Lease TTL.
 pub const TTL: Duration = Duration::from_secs(2);
-/// Between two faults.
+/// Range of the time between two faults.
 const FAULT_INTERVAL_MS: (u64, u64) = (60, 200);
-/// The time that is watched after the one that leads was killed.
+/// Time in which acts are counted after the leader is killed.
 const WATCH_TIME: Duration = Duration::from_secs(5);
-/// Holders killed one after another, when nothing else is wrong.
+/// Holders that are killed one after another, without other faults.
 const HOLDER_KILLS: usize = 4;
-/// Requests to each nodo without a quorum.
+/// Requests to each nodo while there is no quorum.
 const REQUESTS_WITHOUT_QUORUM: usize = 10;
-/// Until the voters have their votes, and until all goes on at the end.
+/// Limit on the time until all voters are in the configuration, and until the fleet has recovered.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What one fleet went through.
+/// The result of one fleet.
 #[derive(Clone, Debug, Default)]
 pub struct InjectionOutcome {
-    /// Processes killed.
     pub kills: usize,
-    /// Processes frozen.
+    /// Processes paused.
     pub pauses: usize,
-    /// Links cut, one way or both, of one nodo or between two.
+    /// Cuts of links, in one or both directions, of one nodo or between two.
     pub cuts: usize,
-    /// Acts with an effect.
+    /// Acts that took effect.
     pub acts: usize,
-    /// Acts that were turned away by their token.
+    /// Acts that the resource refused because of an old token.
     pub turned_away: usize,
-    /// Acts of two holders that went on at one time, where nothing checks tokens.
+    /// Overlapping acts of two holders at the resource that does not check tokens.
     pub overlaps: usize,
-    /// Acts under a lower token after one under a higher.
+    /// Acts under a lower token after one under a higher token.
     pub stale_token_acts: usize,
-    /// From the kill of a holder to the next act by another, in leases' time.
+    /// Times from the kill of a holder to the next act by another one, as multiples of the lease TTL.
     pub gaps: Vec<f64>,
-    /// Times at which a task was due and nobody ran it, after the one that leads was killed and the holder lived.
+    /// Due times that were missed after the leader was killed while another nodo held the lease.
     pub missed: usize,
-    /// How often that was played.
+    /// Kills of a leader while another nodo held a lease.
     pub leader_kills: usize,
-    /// Requests of balancers that were not served while there was no quorum.
+    /// Balancer requests that were not served while there was no quorum.
     pub unserved: usize,
-    /// From the quorum's return until both tasks were acted on, in leases' time.
+    /// Time from the return of the quorum until both tasks were acted on, as a multiple of the lease TTL.
     pub quorum_recovery: Option<f64>,
-    /// All went on once all faults were over.
+    /// Whether all tasks were acted on again after the faults.
     pub recovered: bool,
-    /// What the nodos said, where something is wrong.
+    /// Logs of the nodos, if a check failed.
     pub logs: String,
 }
 
@@ -69,7 +68,7 @@
     Links,
 }
 
-/// Two tasks: one whose resource checks tokens, one whose cannot.
+/// Starts two resources, one that checks tokens and one that does not, with a task for each.
 pub async fn resources() -> (Resource, Resource, Vec<Task>) {
     let checks = Resource::start(true, Duration::from_millis(40)).await;
     let cannot = Resource::start(false, Duration::from_millis(80)).await;
@@ -85,7 +84,8 @@
     (checks, cannot, tasks)
 }
 
-/// Plays one fleet for so long.
+/// Runs one fleet with random faults for `length`, then the kills of holders and the leader, and the loss of
+/// the quorum.
 pub async fn play(program: &Path, seed: u64, length: Duration) -> io::Result<InjectionOutcome> {
     let mut rng = StdRng::seed_from_u64(seed);
     let (checks, cannot, tasks) = resources().await;
@@ -110,7 +110,7 @@
                 .any(|(_, repairs)| matches!(repairs, Repair::Start(m) | Repair::Resume(m) if *m == n))
         };
         let cut = repairs.iter().any(|(_, repairs)| matches!(repairs, Repair::Links));
-        // One voter at a time, so that something is there to go wrong: without a quorum nobody acts.
+        // Impair one voter at a time: without a quorum nobody acts, and nothing would be tested.
         let voter_impaired = cut || (0..VOTERS).any(impaired);
         let healthy: Vec<usize> =
             (0..MEMBERS).filter(|n| !impaired(*n) && (*n >= VOTERS || !voter_impaired)).collect();
@@ -176,7 +176,7 @@
     Ok(outcome)
 }
 
-/// The one that acted last is killed, and nothing else is wrong: how long until another one acts.
+/// Kills the nodo that acted last, without other faults, and measures the time until another one acts.
 async fn kill_holder(
     fleet: &mut Fleet,
     resource: &Resource,
@@ -201,12 +201,12 @@
         outcome.gaps.push((begin - from).as_secs_f64() / TTL.as_secs_f64());
     }
     fleet.start(n).await?;
-    // All that it was is settled before the next one.
+    // Let the killed nodo's leases expire before the next kill.
     sleep(TTL).await;
     Ok(())
 }
 
-/// The one that leads is killed while another one holds: what is due goes on.
+/// Kills the leader while another nodo holds a lease, and counts the due times that are missed.
 async fn kill_leader(
     fleet: &mut Fleet,
     tasks: [(&str, &Resource); 2],
@@ -220,7 +220,7 @@
         let from = resource.elapsed();
         fleet.kill(leader).await;
         sleep(WATCH_TIME + Duration::from_millis(500)).await;
-        // One each second, and half a second for the last one to arrive.
+        // The task is due each second; the last act has half a second more to arrive.
         let acts = resource.acts();
         let keys: BTreeSet<u64> = acts.iter().filter(|act| act.begin >= from).map(|act| act.key).collect();
         let missed = (WATCH_TIME.as_secs() as usize).saturating_sub(keys.len());
@@ -244,7 +244,7 @@
     Ok(())
 }
 
-/// The one that leads is killed so often, each time with nothing else wrong and another one that holds.
+/// Kills the leader `kills` times without other faults, each time while another nodo holds a lease.
 pub async fn leaders(program: &Path, seed: u64, kills: usize) -> io::Result<InjectionOutcome> {
     let (checks, cannot, tasks) = resources().await;
     let mut fleet = Fleet::new(program, &format!("leaders-{seed}"), (MEMBERS, VOTERS), TTL, &tasks).await?;
@@ -255,7 +255,7 @@
         tokio::join!(wait_for_acts(&checks, 2), wait_for_acts(&cannot, 2));
     };
     outcome.recovered = timeout(RECOVERY_TIMEOUT, ready).await.is_ok();
-    // Where one leads and holds both leases there is nothing to be seen: it is killed all the same, so that others come to hold them.
+    // A leader that holds both leases shows nothing. It is killed too, so that other nodos come to hold them.
     for _ in 0..2 * kills {
         if outcome.leader_kills == kills || !outcome.recovered {
             break;
@@ -270,7 +270,7 @@
             fleet.start(leader).await?;
         }
         outcome.kills += 1;
-        // All that it was is settled before the next one.
+        // Let the killed nodo's leases expire before the next kill.
         sleep(TTL).await;
         let going = async { tokio::join!(wait_for_acts(&checks, 1), wait_for_acts(&cannot, 1)) };
         outcome.recovered &= timeout(RECOVERY_TIMEOUT, going).await.is_ok();
@@ -284,7 +284,7 @@
     Ok(outcome)
 }
 
-/// All voters are cut off from each other for a while: requests are served, and tasks go on soon after.
+/// Isolates all voters for a while: requests must still be served, and tasks run again soon after.
 async fn lose_quorum(fleet: &Fleet, resources: [&Resource; 2], outcome: &mut InjectionOutcome) {
     for n in 0..VOTERS {
         fleet.isolate(n, Fault::Cut);
@@ -310,7 +310,7 @@
     }
 }
 
-/// Mends what is due.
+/// Ends the faults that are due to end.
 async fn heal(fleet: &mut Fleet, repairs: &mut Vec<(Instant, Repair)>, now: Instant) -> io::Result<()> {
     let mut place = 0;
     while place < repairs.len() {
--- a/crates/lab/src/fleet/load.rs
+++ b/crates/lab/src/fleet/load.rs
@@ -1,5 +1,6 @@
-//! A nodo at twice its load, with the fleet on and off: the one that leads is crowded, and what it is asked takes no longer for that, no
-//! lease is lost and nobody else comes to lead. Both sides of a pair run at once, so that what else the machine does costs both alike.
+//! A nodo at twice its capacity, with and without the fleet. The leader is overloaded; this must not raise
+//! its latency, lose a lease or cause an election. Both sides of a pair run at once, so that other load on
+//! the machine affects both alike.
 
 use super::fault_injection::{TTL, resources};
 use crate::report::{Figure, table, verdict};
@@ -17,26 +18,26 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Pairs of runs, and the length of the load of each.
+/// Pairs of runs, and the duration of each load.
 const PAIRS: u64 = 5;
 const LOAD_TIME: Duration = Duration::from_secs(8);
-/// Requests a second: twice what the nodo's interpreter does, eight cores with 8 ms for each.
+/// Twice the capacity of the nodo's interpreter, which has eight cores and takes 8 ms for each request.
 const RATE_PER_SECOND: f64 = 2000.0;
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Of the median ratio.
+/// Bound on the median ratio of the p99 latencies.
 const MAX_P99_RATIO: f64 = 1.05;
 
-/// What one side side to.
+/// The result of one side of a pair.
 #[derive(Clone, Debug, Default)]
 struct Side {
-    /// Milliseconds until each answer.
+    /// Time to each answer, in milliseconds.
     took: Vec<f64>,
     served: usize,
-    /// Leases that a nodo lost, and changes of the one that leads, while the load lasted.
+    /// Leases lost and elections during the load.
     lost: usize,
     elections: u64,
-    /// Acts of the tasks meanwhile.
+    /// Acts of the tasks during the load.
     acts: usize,
 }
 
@@ -89,7 +90,7 @@
     }
     let mut side = side.take();
     if on {
-        // One that is too crowded to show it is asked again.
+        // An overloaded nodo may not answer; ask again.
         let shown = async {
             loop {
                 if let Some(leads) = fleet.leader().await {
@@ -108,7 +109,7 @@
     fleet.show(n).await.and_then(|shown| shown["term"].as_u64()).unwrap_or(0)
 }
 
-/// Plays all pairs; whether the bounds hold.
+/// Runs all pairs and prints the report. Returns whether the bounds hold.
 pub fn measure(nodo: &Path, out: Option<&Path>, seed: u64) -> io::Result<bool> {
     let (mut rows, mut ratios, mut with) = (Vec::new(), Vec::new(), Vec::new());
     for pair in 0..PAIRS {
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -1,4 +1,5 @@
-//! The measurement of leases: seeded schedules, real nodos, and what the busiest voter has to say.
+//! The measurement of leases: seeded simulations, fault injection into real nodos, and the message load of
+//! the busiest voter.
 
 use super::fault_injection::{self, InjectionOutcome};
 use super::schedule::Scenario;
@@ -12,21 +13,21 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// Seeded schedules are played for so long, on so many threads.
+/// Duration and threads of the simulated soak.
 const SOAK_TIME: Duration = Duration::from_secs(10);
 const THREADS: usize = 6;
-/// Fleets of real nodos at once, and for how long.
+/// Fleets of real nodos that run in parallel, and the time of their faults.
 const FLEETS: u64 = 10;
 const FAULT_TIME: Duration = Duration::from_secs(24);
-/// Fleets at once in which nothing but the one that leads is killed.
+/// Parallel fleets in which only leaders are killed.
 const LEADER_KILL_FLEETS: u64 = 4;
-/// Schedules for each rule left out.
+/// Schedules for each removed rule.
 const SCHEDULES_PER_RULE: u64 = 100;
-/// Leases of the large fleets, and the virtual time for which these are played.
+/// Leases of the large simulated fleets, and the simulated time.
 const LEASES: usize = 50;
 const LARGE_FLEET_TIME: Duration = Duration::from_secs(20);
 
-/// The value below which this part of them is.
+/// Returns the `part` quantile of the values, or 0 if there are none.
 pub fn percentile(values: &[f64], part: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -34,7 +35,7 @@
     sorted.get((last * part).ceil() as usize).copied().unwrap_or(0.0)
 }
 
-/// A calm fleet of this size with many leases.
+/// Simulates a fleet of this size with many leases and no faults.
 fn large_fleet(members: usize) -> Outcome {
     let mut scenario = Scenario::without_faults(1, members, 3);
     scenario.ttl = Duration::from_secs(10);
@@ -44,7 +45,7 @@
     Simulation::new(scenario, false).play()
 }
 
-/// Plays this many fleets at once, each on tasks of this one thread.
+/// Runs fleets in parallel, as tasks on this thread.
 fn at_once<F: Future<Output = io::Result<InjectionOutcome>> + 'static>(
     fleets: u64,
     play: impl Fn(u64) -> F,
@@ -58,7 +59,7 @@
     })
 }
 
-/// Only kills of the one that leads, so many in all.
+/// Measures kills of leaders alone, at least `kills` in all. Returns whether the bounds hold.
 pub fn leaders(nodo: &Path, seed: u64, kills: usize) -> io::Result<bool> {
     let each = kills.div_ceil(LEADER_KILL_FLEETS as usize);
     let outcomes = at_once(LEADER_KILL_FLEETS, |n| {
@@ -85,7 +86,7 @@
     Ok(holds)
 }
 
-/// Plays all of it and prints what it showed; whether the bounds hold.
+/// Runs the whole measurement and prints its report. Returns whether the bounds hold.
 pub fn measure(nodo: &Path, out: Option<&Path>, seed: u64) -> io::Result<bool> {
     let from = seed * 1_000_000;
     let began = Instant::now();
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! The fleet under seeded faults of all kinds at once: plays schedules, tells the story of one, and shrinks one that fails.
+//! Simulates fleets under seeded faults of all kinds: runs many schedules, prints the timeline of one, and
+//! shrinks one that fails.
 
 pub mod demo;
 pub mod fault_injection;
@@ -15,22 +16,21 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What many schedules came to.
+/// Totals over many schedules.
 #[derive(Clone, Debug, Default)]
 pub struct Totals {
-    /// How many were played.
+    /// Number of schedules that ran.
     pub schedules: u64,
-    /// Seeds of those in which something was that must never be, with what.
+    /// Seeds of the schedules that broke an invariant, with a description.
     pub violations: Vec<(u64, String)>,
-    /// Acts that had an effect, and those that were turned away.
+    /// Acts that took effect.
     pub acts: u64,
-    /// See there.
+    /// Acts that a resource refused because of an old token.
     pub turned_away: u64,
-    /// Leases granted.
     pub leases_granted: u64,
-    /// Changes of the one that leads.
+    /// Changes of the leader.
     pub leader_changes: u64,
-    /// Times from the last act of one holder to the first of the next, in leases' time.
+    /// Times from the last act of one holder to the first act of the next, as multiples of the lease TTL.
     pub gaps: Vec<f64>,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Plays the schedules of these seeds, on so many threads, until `stop` says so.
+/// Runs the schedules of these seeds on `threads` threads, until `stop` returns true.
 pub fn soak(seeds: Range<u64>, threads: usize, stop: impl Fn(&Totals) -> bool + Sync) -> Totals {
     play(seeds, |seed| seed, threads, stop)
 }
@@ -71,7 +71,7 @@
                     }
                     let seed = seed(number);
                     let outcome = Simulation::new(Scenario::from_seed(seed), false).play();
-                    // A panic in a schedule ends the soak anyhow.
+                    // A panic in a schedule ends the soak when the scope joins its threads.
                     let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
                     totals.add(seed, outcome);
                     if stop(&totals) {
@@ -86,10 +86,11 @@
     totals
 }
 
-/// How often a long soak says how far it is.
+/// Interval between two progress lines of a long soak.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Plays so many schedules, every second one aimed, tells how far it is and each seed that fails as soon as it does; whether none did.
+/// Runs schedules, every second one targeted, and prints progress and each failing seed at once. Returns
+/// whether none failed.
 pub fn long_soak(from: u64, schedules: u64, threads: usize, most: Option<Duration>) -> bool {
     let began = Instant::now();
     let said = Mutex::new((began, 0));
@@ -121,7 +122,7 @@
     totals.violations.is_empty()
 }
 
-/// Leaves out faults as long as the schedule still fails.
+/// Removes faults as long as the schedule still fails.
 pub fn shrink(mut scenario: Scenario) -> Scenario {
     let fails = |scenario: &Scenario| Simulation::new(scenario.clone(), false).play().violation.is_some();
     let mut place = 0;
@@ -139,7 +140,7 @@
     if fails(&less) { less } else { scenario }
 }
 
-/// Tells the story of a seed; whether nothing was that must never be. With `all`, everything that happened in it.
+/// Prints the timeline of a seed, its end or with `all` the whole. Returns whether no invariant was broken.
 pub fn replay(seed: u64, shrinks: bool, all: bool) -> bool {
     let mut scenario = Scenario::from_seed(seed);
     let fails = Simulation::new(scenario.clone(), false).play().violation.is_some();
@@ -165,11 +166,11 @@
     outcome.violation.is_none()
 }
 
-/// The first seed that failed, and with what.
+/// The first seed that failed, with the broken invariant.
 pub type Found = Option<(u64, String)>;
 
-/// Leaves a rule out and plays schedules until something is that must never be, or so many are played: first aimed ones, then such that
-/// are not. Returns how many were played, the first seed that found it, and what was found.
+/// Removes a rule and runs schedules until one breaks an invariant or the limit is reached: first targeted
+/// ones, then random ones. Returns how many ran, with the first failing seed and its broken invariant.
 pub fn mutant(mutant: Mutant, schedules: u64, threads: usize) -> (u64, Found) {
     activate(Some(mutant));
     let found = |totals: &Totals| !totals.violations.is_empty();
@@ -183,7 +184,7 @@
     (totals.schedules, totals.violations.first().cloned())
 }
 
-/// The same for each rule in turn, or for those whose name has this in it.
+/// Runs [`mutant`] for each rule whose name contains `rule`.
 pub fn mutants(schedules: u64, threads: usize, rule: &str) -> Vec<(Mutant, u64, Found)> {
     let mut all = Vec::new();
     for one in ALL.into_iter().filter(|one| format!("{one:?}").contains(rule)) {
--- a/crates/lab/src/fleet/schedule.rs
+++ b/crates/lab/src/fleet/schedule.rs
@@ -1,58 +1,60 @@
-//! What goes wrong, and when, drawn from a seed.
+//! Fault schedules and scenarios, drawn from a seed.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::fmt;
 use std::time::Duration;
 
-/// One fault. Members are given by their place.
+/// A fault. Members are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The process is killed, and started again after a while. What it wrote is there.
+    /// Kills the process and restarts it after `down`. Its writes are preserved.
     Kill { member: usize, down: Duration },
-    /// The machine loses power: what was not synced may be gone, in any part.
+    /// Cuts the power of the machine: any part of the writes that were not synced may be lost.
     Crash { member: usize, down: Duration },
-    /// All are killed at once.
+    /// Kills all processes at once.
     KillAll { down: Duration },
-    /// The process is paused.
+    /// Pauses the process.
     Freeze { member: usize, length: Duration },
-    /// What one says does not reach the other. With `held` it comes once this is over.
+    /// Cuts the link in one direction. With `held`, messages are delivered when the cut ends, else dropped.
     Cut { from: usize, to: usize, length: Duration, held: bool },
-    /// Nothing reaches the member and nothing comes from it.
+    /// Cuts all links of the member in both directions.
     Alone { member: usize, length: Duration, held: bool },
-    /// What one says to the other takes so much longer.
+    /// Delays messages in one direction by `by`.
     Slow { from: usize, to: usize, length: Duration, by: Duration },
-    /// The disk takes nothing more for a while.
+    /// Makes the disk full.
     Full { member: usize, length: Duration },
-    /// A sync fails, and all after it until the disk is opened anew.
+    /// Makes all syncs fail until the disk is reopened.
     NoSync { member: usize },
-    /// The process is killed, and comes back with an empty disk.
+    /// Kills the process and restarts it with an empty disk.
     Empty { member: usize, down: Duration },
-    /// The process is killed, and comes back with its disk as it was when it was started last.
+    /// Kills the process and restarts it with its disk as it was at its last start.
     Older { member: usize, down: Duration },
-    /// A second start of the member comes beside the first, which ends or is paused a while later.
+    /// Starts a second process of the member. The first is terminated after `after`; with `frozen` it is
+    /// paused for that time and terminated after twice that time.
     Twin { member: usize, after: Duration, frozen: bool },
-    /// Operators take a lease back.
+    /// Revokes a lease as an operator does.
     Revoke { task: usize },
-    /// The clock on the wall jumping, by so many seconds.
+    /// Moves the wall clock by `by` seconds.
     Jump { member: usize, by: i64 },
-    /// Whoever leads then and one that holds a lease, this task's at best, do not reach each other: there, back, or both ways.
+    /// Cuts the link between the leader at that time and a lease holder, preferably this task's: `there` from
+    /// the holder to the leader, `back` the other way.
     Silence { task: usize, there: bool, back: bool, length: Duration, held: bool },
-    /// Whoever leads then is cut off from all voters that it does not need, with those that do not vote on its side; and is paused
-    /// for a part of that time.
+    /// Partitions the leader at that time, with all members that do not vote, from the other voters, and
+    /// pauses it for `frozen`.
     Parted { length: Duration, frozen: Duration },
-    /// What voters say to each other arrives only where it brings no entries.
+    /// Drops the messages between voters that carry entries.
     Thin { length: Duration },
-    /// Whoever holds a task's lease then is told to leave. What it says to the one that leads comes so much later.
+    /// Makes the holder of the task's lease at that time leave. Its messages to the leader are delayed until
+    /// `late` has passed.
     Leave { task: usize, late: Duration },
 }
 
-/// A fault with its time.
+/// A fault and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedFault {
-    /// When.
+    /// Time since the start of the simulation.
     pub at: Duration,
-    /// What.
     pub fault: Fault,
 }
 
@@ -62,47 +64,46 @@
     }
 }
 
-/// What is played.
+/// A fleet, its load and its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// What all else is drawn from.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Members, and how many of them vote.
+    /// Number of members.
     pub members: usize,
-    /// The first so many.
+    /// Number of voters; these are the first members.
     pub voters: usize,
-    /// Leases' time.
+    /// Lease TTL.
     pub ttl: Duration,
-    /// How far clocks may be off, in thousandths.
+    /// Maximum clock drift.
     pub drift_permille: u32,
-    /// Tasks, in turn of the timed and the checked grade.
+    /// Number of tasks; their grades alternate between timed and checked.
     pub tasks: usize,
-    /// The longest act of a timed task.
+    /// Maximum duration of an act of a timed task.
     pub max_act: Duration,
-    /// The longest way to what is acted on.
+    /// Maximum delay of a call to its resource.
     pub max_delay: Duration,
-    /// From the first to the last fault.
+    /// Time in which faults start.
     pub fault_window: Duration,
-    /// After the last fault is over, until all goes on again at the latest.
+    /// Maximum time to recover after the repair.
     pub recovery_timeout: Duration,
-    /// The part of messages that are lost, and that come twice.
+    /// Share of messages that are lost, and share that are duplicated.
     pub loss_rate: f64,
-    /// Calls mostly end with a cursor or fail, and some acts and ways take nearly as long as they may.
+    /// Makes calls mostly end with a cursor or fail, and some acts and delays take nearly their maximum.
     pub stress_calls: bool,
-    /// The voters' clocks are as fast as they may be, and the others' as slow.
+    /// Gives voters nearly the fastest allowed clocks, and the other members nearly the slowest.
     pub extreme_drift: bool,
-    /// What goes wrong.
     pub faults: Vec<TimedFault>,
 }
 
-/// What a schedule's story begins with: the fleet is founded and its voters have their votes by then.
+/// Start of the faults. The fleet is created and its voters are in the configuration by then.
 pub const FAULTS_START: Duration = Duration::from_millis(1500);
 
-/// Seeds from here on are of schedules that are aimed.
+/// Seeds from this one on draw targeted scenarios.
 pub const FIRST_TARGETED_SEED: u64 = 1_000_000_000;
 
 impl Scenario {
-    /// A fleet in which nothing goes wrong.
+    /// Creates a scenario without faults.
     pub fn without_faults(seed: u64, members: usize, voters: usize) -> Scenario {
         Scenario {
             seed,
@@ -122,8 +123,9 @@
         }
     }
 
-    /// Draws one. Those from [`FIRST_TARGETED_SEED`] on are aimed: what strikes members drawn blindly hardly ever meets the moment at which a rule is
-    /// needed, so their faults strike whoever leads or holds then, for about a lease's time.
+    /// Draws a scenario. Seeds from [`FIRST_TARGETED_SEED`] on draw targeted ones: faults of random members
+    /// rarely coincide with the moment in which a rule matters, so targeted faults hit the leader or a holder
+    /// at that time, for about a lease TTL.
     pub fn from_seed(seed: u64) -> Scenario {
         let mut rng = StdRng::seed_from_u64(seed);
         if seed >= FIRST_TARGETED_SEED {
@@ -133,7 +135,7 @@
         let members = voters + rng.random_range(0..3);
         let mut scenario = Scenario::without_faults(seed, members, voters);
         scenario.loss_rate = [0.0, 0.0, 0.01, 0.05][rng.random_range(0..4)];
-        // Fewer than half of the clocks: what most of them show is the time.
+        // Only one member's wall clock jumps: the clocks of a majority must stay correct.
         let jumping = rng.random_range(0..members);
         let mut disks_lost = 0;
         for _ in 0..rng.random_range(1..9) {
@@ -154,7 +156,7 @@
                 20..22 => Fault::Slow { from: member, to: other, length: long, by: short },
                 22 => Fault::Full { member: voter, length: long },
                 23 => Fault::NoSync { member: voter },
-                // More than one at a time is beyond what a few voters can bear.
+                // A small group of voters tolerates the loss of one disk only.
                 24 if disks_lost == 0 => Fault::Empty { member: voter, down: short },
                 25 if disks_lost == 0 => Fault::Older { member: voter, down: short },
                 24..28 => Fault::Twin { member, after: long, frozen: held },
@@ -174,7 +176,7 @@
         (scenario.stress_calls, scenario.extreme_drift) = (true, rng.random_bool(0.5));
         scenario.loss_rate = [0.0, 0.0, 0.0, 0.02][rng.random_range(0..4)];
         scenario.max_delay = Duration::from_millis(if seed.is_multiple_of(2) { 40 } else { 150 });
-        // More of them than one member takes, so that those hold some that do not vote.
+        // More tasks than one member takes, so that members that do not vote hold some too.
         scenario.tasks = 4;
         scenario.fault_window = scenario.ttl * 14;
         let ttl = scenario.ttl;
--- a/crates/lab/src/fleet/simulation.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time, on one thread: the members are the program's own, the network, the disks, the clocks and what tasks act on
-//! are simulated. Invariants are held after every step.
+//! Simulates a fleet in virtual time on one thread. The members run production code; the network, the disks,
+//! the clocks and the resources that tasks act on are simulated. Invariants are checked after every step.
 
 use super::schedule::{FAULTS_START, Fault, Scenario, TimedFault};
 use jaspershunt_fleet::client;
@@ -21,49 +21,45 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The clock on the wall at the start, in Unix seconds.
+/// Wall-clock time at the start of the simulation.
 const START_UNIX_SECONDS: i64 = 1_764_600_000;
-/// The fleet's name.
 const FLEET: &str = "sim";
-/// The quickest and the slowest way of a message.
+/// Range of the network delay of a message.
 const MIN_DELAY: Duration = Duration::from_micros(200);
 const MAX_DELAY: Duration = Duration::from_millis(3);
-/// One that is told to leave has so long.
+/// Time from a leave command until the process is terminated.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Acts of a task one after another whose calls fail.
+/// Consecutive failed calls of a task before one is made to succeed.
 const MAX_FAILURES_IN_A_ROW: u32 = 8;
-/// Steps of one world at most; more means that it never rests.
+/// Limit on the events of one simulation, against endless event loops.
 const MAX_STEPS: u64 = 3_000_000;
 
-/// Something that must never be.
+/// A broken invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// What.
     pub what: String,
-    /// When.
     pub at: Duration,
 }
 
-/// What a world came to.
+/// The result of one simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// What must never be, and was.
+    /// The first broken invariant, if any.
     pub violation: Option<Violation>,
-    /// Acts that had an effect.
+    /// Acts that took effect.
     pub acts: u64,
-    /// Acts that were turned away by their token.
+    /// Acts that the resource refused because of an old token.
     pub turned_away: u64,
-    /// Leases granted.
     pub leases_granted: u64,
-    /// Changes of the one that leads.
+    /// Changes of the leader.
     pub leader_changes: u64,
-    /// Times from the loss of a holder to the next act of its task, in leases' time.
+    /// Times from the last act of one holder to the first act of the next, as multiples of the lease TTL.
     pub gaps: Vec<f64>,
-    /// Messages and bytes that the busiest voter said and heard.
+    /// Messages and bytes that the busiest voter sent and received.
     pub busiest: (u64, u64),
-    /// The time that was played.
+    /// Simulated time.
     pub duration: Duration,
-    /// What happened, if it was to be told.
+    /// The recorded events, if recording is enabled.
     pub timeline: Vec<String>,
 }
 
@@ -75,22 +71,22 @@
         to: usize,
         bytes: Rc<[u8]>,
     },
-    /// The process sends what it was about to.
+    /// The process sends a call that it decided on at `decided_at`.
     Send {
         process: usize,
         call: Call,
         decided_at: Duration,
     },
-    /// It reaches what is acted on.
+    /// The call reaches the resource.
     Arrive {
         process: usize,
         call: Call,
     },
-    /// The act is over.
+    /// The act on the resource ends.
     ActEnded {
         act: usize,
     },
-    /// The answer to it comes back.
+    /// The resource's answer reaches the process.
     Reply {
         process: usize,
         call: Call,
@@ -128,20 +124,19 @@
     member: Member,
     alive: bool,
     paused: bool,
-    /// What comes while it is frozen.
+    /// Events that arrive while it is paused.
     deferred: Vec<Event>,
-    /// Its clock: what it showed at its start, when that was, and its rate.
+    /// Simulated time at its start; with `rate` it determines its monotonic clock.
     start: Duration,
     rate: f64,
     owns_disk: bool,
     written: Vec<Written>,
 }
 
-/// A member's place: what outlives its processes.
+/// A member's host: the state that outlives its processes.
 struct Host {
     name: String,
     disk: Disk,
-    /// The disk as it was when the last process started.
     disk_at_last_start: Image,
     incarnation: u64,
     rate: f64,
@@ -157,7 +152,7 @@
     waiting: Vec<(usize, Rc<[u8]>)>,
 }
 
-/// What a process has applied last of a run: its key, who works on it, and its cursor.
+/// What a process has applied last for a task's run: its key, the token it runs under, and its cursor.
 type Written = Option<(u64, u64, Vec<u8>)>;
 
 struct Act {
@@ -167,7 +162,7 @@
     over: bool,
 }
 
-/// The world.
+/// A simulated fleet.
 pub struct Simulation {
     scenario: Scenario,
     rng: StdRng,
@@ -179,29 +174,30 @@
     cuts: Vec<Cut>,
     slow: Vec<(usize, usize, Duration, Duration)>,
     acts: Vec<Act>,
-    /// The highest token that each checking resource has seen.
+    /// The highest token that each resource has seen.
     highest_tokens: Vec<u64>,
-    /// What every voter has applied at each place.
+    /// Term and digest of the entry that the voters have applied at each index.
     committed: BTreeMap<u64, (u64, u64)>,
-    /// Who was given each token, for which lease.
+    /// Lease and holder of each granted token.
     tokens: BTreeMap<u64, (String, Holder)>,
     last_leader: Option<usize>,
-    /// Acts of each task since the last call that did not fail.
+    /// Acts of each task since its last successful call.
     failures_in_a_row: Vec<u32>,
-    /// When each task was acted on last, and by which token.
+    /// Time and token of each task's last act.
     last_act: Vec<Option<(Duration, u64)>>,
     load: BTreeMap<usize, (u64, u64)>,
     outcome: Outcome,
     records_timeline: bool,
-    /// Until then no further fault strikes: a disk was put back, and the others have to be there to say so.
+    /// No faults are injected until then: a disk was rolled back, and the other voters must be up to detect
+    /// it.
     no_faults_until: Duration,
-    /// Until then no entries pass among voters.
+    /// Messages between voters that carry entries are dropped until then.
     entries_dropped_until: Duration,
 }
 
 struct SimDisk {
     disk: Disk,
-    /// A process that is alive has it open.
+    /// Whether a live process has the disk open.
     in_use: Rc<Cell<bool>>,
 }
 
@@ -223,12 +219,12 @@
     format!("n{host}")
 }
 
-/// Every other resource checks tokens; the others cannot.
+/// Whether the task's resource checks tokens; every other one does.
 fn checks(task: usize) -> bool {
     task % 2 == 1
 }
 
-/// The cursor of a call under this token.
+/// The cursor that a call under this token returns.
 fn cursor_of(token: u64) -> Vec<u8> {
     format!("token {token}").into_bytes()
 }
@@ -238,14 +234,15 @@
 }
 
 impl Simulation {
-    /// A world as sketched. With `tells` it writes down what happens.
+    /// Creates a simulation of a scenario, with a timeline of its events if `records_timeline` is set.
     pub fn new(scenario: Scenario, records_timeline: bool) -> Simulation {
         let mut rng = StdRng::seed_from_u64(scenario.seed ^ 0x5eed);
         let drift = f64::from(scenario.drift_permille) / 1000.0;
         let mut rate = |host: usize| match scenario.extreme_drift {
-            // Leases last longest for their holders, and shortest for the one that leads.
+            // Voters' clocks are fast and the others' slow: a lease then lasts longest for a holder that does
+            // not vote, and shortest for the leader.
             true => 1.0 + drift * if host < scenario.voters { 0.99 } else { -0.99 },
-            // As far off as they may be, most of them.
+            // Most clocks drift by nearly the allowed maximum.
             false => 1.0 + drift * [-0.99, 0.0, 0.99][rng.random_range(0..3)],
         };
         let hosts = (0..scenario.members).map(|host| Host {
@@ -289,13 +286,13 @@
         simulation
     }
 
-    /// The first voter's disk begins the fleet.
+    /// Creates the fleet on the first voter's disk.
     fn create_fleet(&mut self) {
         let disk = &self.hosts[0].disk;
         let opened = Store::open(disk.open(), FLEET, &self.hosts[0].name, [77, 1]);
         let (mut store, found) = opened.expect("an empty disk can be opened");
         let state = Agreed::founded(found.identity.disk, &self.hosts[0].name).save();
-        store.found(found.identity.disk, state).expect("a disk that works is written");
+        store.found(found.identity.disk, state).expect("a working disk accepts writes");
     }
 
     fn task_spec(&self, task: usize) -> TaskSpec {
@@ -340,7 +337,7 @@
         Duration::from_secs(1000) + (self.now - *start).mul_f64(*rate)
     }
 
-    /// The true time until its clock shows this.
+    /// The simulated time until the process's clock shows `at`.
     fn time_until(&self, process: usize, at: Duration) -> Duration {
         at.saturating_sub(self.clock(process)).div_f64(self.processes[process].rate)
     }
@@ -354,11 +351,9 @@
         all.filter(move |(_, process)| process.alive && process.host == host).map(|(n, _)| n)
     }
 
-    // Processes.
-
     fn start(&mut self, host: usize) {
         let votes = host < self.scenario.voters;
-        // The first one that lives has the disk; a second start beside it finds it in use.
+        // The first live process has the disk open; a second process of the member finds it in use.
         let in_use =
             Rc::new(Cell::new(self.live_processes(host).any(|process| self.processes[process].owns_disk)));
         let owns_disk = votes && !in_use.get();
@@ -427,16 +422,14 @@
         }
         self.processes[process].paused = true;
         let host = self.processes[process].host;
-        self.record(|| format!("{} is frozen for {length:?}", name(host)));
+        self.record(|| format!("{} is paused for {length:?}", name(host)));
         self.schedule(length, Event::Resume { process });
     }
 
-    // Messages.
-
-    /// The process that something reaches, if any does.
+    /// The live process that receives a message for `to`, if any.
     fn recipient(&self, to: &To) -> Option<usize> {
         match to {
-            // Its listener is the first one's that lives.
+            // The first live process owns the listener.
             To::Voter(name) => {
                 let host = self.hosts.iter().position(|host| host.name == *name)?;
                 self.live_processes(host).next()
@@ -489,7 +482,7 @@
                     let client::Call { task, number, token, key, send_by, until, .. } = wanted;
                     let task = task[1..].parse().unwrap_or(0);
                     let call = Call { task, number, token, key, send_by, until };
-                    // The program is not at once where it sends, and may be paused on the way.
+                    // A process sends a short time after it decides to, and may be paused in between.
                     let after = self.rng.random_range(Duration::ZERO..Duration::from_millis(2));
                     let decided_at = self.now;
                     self.schedule(after, Event::Send { process, call, decided_at });
@@ -514,9 +507,7 @@
         self.apply_outputs(process, outputs);
     }
 
-    // What must never be.
-
-    /// Holds what a process believes and has applied against all others.
+    /// Checks a process's leases and applied entries against those of all other processes.
     fn check_invariants(&mut self, process: usize) {
         if let Some(voter) = self.processes[process].member.voter_mut() {
             voter.keep_trace();
@@ -538,7 +529,9 @@
             for (token, whose) in granted {
                 match self.tokens.get(&token) {
                     Some(known) if *known != whose => {
-                        self.report_violation(format!("token {token} is {whose:?}'s and was {known:?}'s"));
+                        self.report_violation(format!(
+                            "token {token} is granted to {whose:?}, but was granted to {known:?}"
+                        ));
                     }
                     Some(_) => {}
                     None => {
@@ -554,7 +547,7 @@
                 self.last_leader = Some(process);
                 self.outcome.leader_changes += 1;
                 let host = self.processes[process].host;
-                self.record(|| format!("{} leads", name(host)));
+                self.record(|| format!("{} becomes the leader", name(host)));
             }
         }
         self.check_cursors(process);
@@ -584,7 +577,7 @@
         }
     }
 
-    /// A cursor names the token under which it came: it counts only while that one works on the run.
+    /// Checks that a run's cursor changes only to one returned under the token that the run has.
     fn check_cursors(&mut self, process: usize) {
         let Process { host, member, written, .. } = &mut self.processes[process];
         let Some(voter) = member.voter() else { return };
@@ -598,7 +591,7 @@
                 && *cursor_now != cursor_of(*token)
             {
                 wrong = Some(format!(
-                    "{} lets a cursor of {} count while {token} works on {}",
+                    "{} accepts a cursor of {} while {token} works on {}",
                     name(*host),
                     String::from_utf8_lossy(cursor_now),
                     task_name(task)
@@ -609,8 +602,6 @@
         wrong.into_iter().for_each(|wrong| self.report_violation(wrong));
     }
 
-    // What is acted on.
-
     fn handle_call(&mut self, process: usize, call: Call) {
         let task = call.task;
         let checks = checks(task);
@@ -658,19 +649,19 @@
         }
     }
 
-    /// Whether this schedule is one in which calls fail so often that one which hears nothing more of the fleet goes on with its acts to
-    /// the end of its lease.
+    /// Whether calls fail so often in this scenario that a holder cut off from the fleet keeps retrying its
+    /// act until its lease ends.
     fn calls_mostly_fail(&self) -> bool {
         self.scenario.stress_calls && !self.scenario.seed.is_multiple_of(2)
     }
 
-    /// The time of a call's way, or of its act, up to this one.
+    /// Draws the delay of a call, or the duration of its act, up to `most`.
     fn draw_duration(&mut self, call: &Call, most: Duration) -> Duration {
         if !self.scenario.stress_calls {
             return self.rng.random_range(Duration::ZERO..most);
         }
-        // Nearly all of it, or so little that all of the call is within its time-out. The first of another holder comes soon, and tries
-        // do not fail for ever, as they wait twice as long each time.
+        // Either nearly the maximum, or short enough that the whole call meets its timeout. The first call of
+        // a new holder is short, and failures in a row are limited because the backoff doubles with each try.
         let first = self.last_act[call.task].is_none_or(|(_, token)| token != call.token);
         let long = if first || self.failures_in_a_row[call.task] >= MAX_FAILURES_IN_A_ROW {
             0.0
@@ -683,7 +674,8 @@
         most.mul_f64(self.rng.random_range(part))
     }
 
-    /// What an act comes to: where that is hard mostly a cursor, which has to be agreed, or a failure.
+    /// Draws the outcome of an act. With `stress_calls` it is mostly a cursor, which has to be committed, or
+    /// a failure.
     fn draw_outcome(&mut self, call: &Call) -> CallOutcome {
         if !self.scenario.stress_calls {
             return CallOutcome::Done(b"ok".to_vec());
@@ -700,8 +692,6 @@
         }
     }
 
-    // Faults.
-
     fn inject(&mut self, fault: Fault) {
         if self.now < self.no_faults_until {
             return;
@@ -774,14 +764,15 @@
             Fault::Jump { member, by } => self.hosts[member].wall_offset_seconds += by,
             Fault::Silence { task, there, back, length, held } => {
                 let Some(leader) = self.leader().map(|leader| self.processes[leader].host) else { return };
-                // The lease of one that does not lead, and best of one that does not vote, whose clock may be the slow one.
+                // A holder other than the leader, preferably one that does not vote, as its clock may be the
+                // slow one.
                 let holders = (0..self.scenario.tasks).map(|n| (task + n) % self.scenario.tasks);
                 let holders = holders.filter_map(|task| self.holder(task));
                 let holders = holders.map(|holder| self.processes[holder].host);
                 let holder =
                     holders.filter(|holder| *holder != leader).max_by_key(|n| *n >= self.scenario.voters);
                 let Some(holder) = holder else {
-                    // It passes on, and the next time there is one.
+                    // Revoking the lease moves it, so that a later fault may find such a holder.
                     return self.inject(Fault::Revoke { task });
                 };
                 if there {
@@ -814,14 +805,14 @@
                 if from != to {
                     self.cut(from, to, late, true);
                 }
-                self.record(|| format!("{} is told to leave", name(from)));
+                self.record(|| format!("{} receives a leave command", name(from)));
                 self.step(holder, Input::Leave);
                 self.schedule(LEAVE_TIMEOUT, Event::Terminate { process: holder });
             }
         }
     }
 
-    /// The process that leads, if one does.
+    /// The live process that is the leader, if any.
     fn leader(&self) -> Option<usize> {
         self.last_leader.filter(|process| {
             let Process { alive, member, .. } = &self.processes[*process];
@@ -829,7 +820,7 @@
         })
     }
 
-    /// The process that holds a task's lease by its own clock.
+    /// The live process that holds a task's lease by its own clock.
     fn holder(&self, task: usize) -> Option<usize> {
         let lease = lease_of_task(&task_name(task));
         (0..self.processes.len()).find(|process| {
@@ -838,7 +829,8 @@
         })
     }
 
-    /// A voter comes back with its disk as it was at its start before. That is known as long as the others are up: see `lives`.
+    /// Restarts a voter with its disk as it was when its last process started. The rollback is detected only
+    /// while the other voters are up, so nothing happens unless all are.
     fn roll_back_disk(&mut self, member: usize, down: Duration) {
         for host in 0..self.scenario.voters {
             let up = self.live_processes(host).any(|process| !self.processes[process].paused);
@@ -851,7 +843,7 @@
         self.no_faults_until = self.now + down + self.scenario.ttl;
         let disk_at_last_start = std::mem::take(&mut self.hosts[member].disk_at_last_start);
         self.kill_host(member, down);
-        self.record(|| format!("{} gets an older disk", name(member)));
+        self.record(|| format!("{} restarts with an older disk", name(member)));
         self.hosts[member].disk.restore(disk_at_last_start);
     }
 
@@ -877,8 +869,6 @@
         }
     }
 
-    // The run.
-
     fn handle(&mut self, event: Event) {
         let whose = match &event {
             Event::Tick { process }
@@ -910,17 +900,17 @@
                 }
             }
             Event::Send { process, call, decided_at } => {
-                // As the program does before the first byte leaves.
+                // Production code makes the same check before it sends the first byte.
                 if self.clock(process) > call.send_by {
                     let (task, number) = (task_name(call.task), call.number);
                     let came = CallOutcome::Failed("too late to be sent".into());
                     return self.step(process, Input::Called { task, number, came });
                 }
-                // What is left of the longest way.
+                // The rest of the maximum delay.
                 let left = (decided_at + self.scenario.max_delay.div_f64(1.2)).saturating_sub(self.now);
                 let mut way = if left.is_zero() { left } else { self.draw_duration(&call, left) };
                 if checks(call.task) && self.rng.random_bool(0.1) {
-                    // What checks tokens may be reached however late.
+                    // A resource that checks tokens tolerates a call with any delay.
                     way = self.rng.random_range(Duration::ZERO..self.scenario.ttl * 6);
                 }
                 self.schedule(way, Event::Arrive { process, call });
@@ -938,7 +928,7 @@
             Event::Resume { process } => {
                 self.processes[process].paused = false;
                 let host = self.processes[process].host;
-                self.record(|| format!("{} goes on", name(host)));
+                self.record(|| format!("{} resumes", name(host)));
                 for event in std::mem::take(&mut self.processes[process].deferred) {
                     self.schedule(Duration::ZERO, event);
                 }
@@ -957,7 +947,7 @@
                     if self.live_processes(host).next().is_none() {
                         self.schedule(Duration::ZERO, Event::Start { member: host });
                     } else {
-                        // The second start has the disk from here on.
+                        // The second process of the member may open the disk now.
                         self.reopen_disk(host);
                     }
                 }
@@ -965,7 +955,7 @@
         }
     }
 
-    /// A start that found the disk in use finds it free: as the system does with locks, by a new start of it here.
+    /// Restarts a process that found the disk in use, so that it opens the disk that is free now.
     fn reopen_disk(&mut self, host: usize) {
         let next = self.live_processes(host).next();
         if let Some(next) = next
@@ -977,7 +967,7 @@
         }
     }
 
-    /// Plays until all faults are over and the fleet goes on again, or something is that must never be.
+    /// Runs until the fleet has recovered from all faults, or an invariant is broken.
     pub fn play(mut self) -> Outcome {
         let faults: Vec<TimedFault> = self.scenario.faults.clone();
         let mut faults = faults.into_iter().peekable();
@@ -1004,12 +994,12 @@
                 break;
             }
             if self.now > last && settled.is_none() {
-                // All that can be mended is.
                 self.repair_all();
                 settled = Some((self.now, self.outcome.acts));
             }
             if self.scenario.stress_calls && settled.is_some() && self.now > resumed + self.scenario.ttl {
-                // Long runs go through many holders, the last of them after all was mended.
+                // A long run fails over many times, also after the repair, and its task may be paused again
+                // for that.
                 resumed = self.now;
                 self.unpause_tasks();
             }
@@ -1027,18 +1017,20 @@
                 let Process { member, alive, host, .. } = &self.processes[process];
                 let (Some(voter), true) = (member.voter(), *alive) else { continue };
                 let line = format!(
-                    "{} has disk {:016x}, {}term {}, sees {:x?}, last acts {:?}",
+                    "{} has disk {:016x}, {}term {}, has the voter disks {:x?}, last acts {:?}",
                     name(*host),
                     voter.disk(),
-                    if voter.leads() { "leads, " } else { "" },
+                    if voter.leads() { "is the leader, " } else { "" },
                     voter.term(),
                     voter.seats().disks,
                     self.last_act
                 );
                 self.record(|| line);
             }
-            let what =
-                format!("it does not go on within {:?} after the last fault", self.scenario.recovery_timeout);
+            let what = format!(
+                "the fleet does not recover within {:?} after the last fault",
+                self.scenario.recovery_timeout
+            );
             self.report_violation(what);
         }
         self.outcome.duration = self.now;
@@ -1061,7 +1053,8 @@
         }
     }
 
-    /// A task whose holders were killed one after another was put aside: operators let it go on.
+    /// Unpauses all tasks as an operator does: a task is paused after several of its holders were killed in a
+    /// row.
     fn unpause_tasks(&mut self) {
         let here = (0..self.scenario.members)
             .flat_map(|host| self.live_processes(host))
@@ -1074,7 +1067,7 @@
         }
     }
 
-    /// Every task was acted on since, by one that holds its lease, and all voters have their votes.
+    /// Whether every task was acted on after `since`, and a leader has all named voters in its configuration.
     fn has_recovered(&self, since: Duration) -> bool {
         let acted = self.last_act.iter().all(|act| act.is_some_and(|(at, _)| at > since));
         let named: BTreeSet<String> = (0..self.scenario.voters).map(name).collect();
--- a/crates/lab/src/fleet/tests.rs
+++ b/crates/lab/src/fleet/tests.rs
@@ -1,13 +1,12 @@
 use super::*;
 use std::sync::RwLock;
 
-/// A rule that is left out is left out in the whole process: nothing else is played meanwhile.
+/// Removing a rule affects the whole process, so no other schedules may run meanwhile.
 static RULES: RwLock<()> = RwLock::new(());
 
-/// Threads that play at once.
 const THREADS: usize = 4;
 
-/// A fixed set of schedules, the same each time; a seed that once failed stays below.
+/// Runs the same random schedules each time. Seeds that once failed are listed in a test below.
 #[test]
 fn nothing_is_that_must_never_be_in_a_fixed_set_of_schedules() {
     let _whole = RULES.read().unwrap();
@@ -16,7 +15,7 @@
     assert!(totals.acts > 1000 && totals.leases_granted > 500 && totals.leader_changes > 400, "{totals:?}");
 }
 
-/// The same, of those that are aimed at who leads and who holds.
+/// Runs the same schedules each time, with faults targeted at the leader and the holders.
 #[test]
 fn nothing_is_that_must_never_be_in_a_fixed_set_of_aimed_schedules() {
     let _whole = RULES.read().unwrap();
@@ -25,7 +24,7 @@
     assert!(totals.acts > 6000 && totals.leases_granted > 500 && totals.leader_changes > 200, "{totals:?}");
 }
 
-/// Seeds in which something was once that must never be, or that did not go on.
+/// Seeds that once broke an invariant or did not recover.
 #[test]
 fn seeds_that_once_failed_do_not_fail_again() {
     let _whole = RULES.read().unwrap();
@@ -35,7 +34,7 @@
     }
 }
 
-/// The same seed is the same world, to the last act.
+/// A seed determines the whole timeline of a simulation.
 #[test]
 fn a_seed_is_the_same_world_each_time() {
     let _whole = RULES.read().unwrap();
@@ -46,7 +45,7 @@
     }
 }
 
-/// Rules that faults which strike blindly do not show to be needed, within 100 schedules that are aimed.
+/// Rules whose removal faults of random members do not reveal are found within 100 targeted schedules.
 #[test]
 fn rules_left_out_are_found_by_aim() {
     let _alone = RULES.write().unwrap();
@@ -68,7 +67,7 @@
     }
 }
 
-/// Rules that the model cannot show to be needed, as they lie below it.
+/// Rules about storage and revocation, which the model does not cover, are found by random schedules.
 #[test]
 fn rules_left_out_are_found() {
     let _alone = RULES.write().unwrap();
--- a/crates/lab/src/freezes.rs
+++ b/crates/lab/src/freezes.rs
@@ -1,5 +1,6 @@
-//! The experiment on frozen starts: two processes are one nodo, and one of them is frozen at a random moment for a random
-//! time, under keyed requests that each come twice over connections of their own.
+//! The experiment on paused processes: two incarnations of one nodo run at once, and one of them is paused at
+//! a random moment for a random time, under keyed requests that are each sent twice over separate
+//! connections.
 
 use crate::report::{Figure, table, verdict};
 use crate::site::on_one_thread;
@@ -12,49 +13,48 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Freezes, and how many are played side by side.
+/// Pauses in all, and runs in parallel.
 const PAUSES: u64 = 20;
 const PARALLEL_RUNS: u64 = 5;
-/// Pairs sent from the moment of the wake on, and so many at once.
+/// Pairs of requests sent from the resumption on, and pairs in parallel.
 const PAIRS_AFTER_RESUME: usize = 300;
 const PARALLEL_PAIRS: usize = 12;
-/// Balancers wait so long for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pairs in a row that are served, until a nodo counts as serving.
+/// Consecutive served pairs after which a nodo counts as serving.
 const SERVED_IN_A_ROW: usize = 10;
-/// Pairs sent at once to see whether a nodo serves while a process of it is frozen, and their patience.
+/// Parallel pairs that probe whether a nodo serves while one of its processes is paused, and their timeout.
 const PROBES: usize = 8;
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Nothing is waited for beyond this.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The bounds.
+/// Bounds of the figures.
 const MAX_RECOVERY_TIME: Duration = Duration::from_secs(2);
 const MAX_TAKEOVER_TIME: Duration = Duration::from_millis(2500);
 
-/// One freeze, drawn from a seed.
+/// A pause, drawn from a seed.
 #[derive(Clone, Copy, Debug)]
 struct Plan {
     earlier: bool,
-    /// From the start of the later process to the freeze; before it where this is negative.
+    /// Time from the start of the later process to the pause; negative if the pause is earlier.
     at_ms: i64,
     length: Duration,
 }
 
-/// What one freeze showed.
+/// The result of one pause.
 struct PauseResult {
     plan: Plan,
     tally: Tally,
-    /// From the freeze until the other process served alone; `None` where the freeze was over before.
+    /// Time from the pause until the other process served alone; `None` if the pause ended before.
     other: Option<Duration>,
-    /// From the wake until all was served again; `None` where that was given up.
+    /// Time from the resumption until all requests were served again; `None` after a timeout.
     again: Option<Duration>,
 }
 
 impl Plan {
     fn from_seed(seed: u64, number: u64) -> Plan {
         let mut random = StdRng::seed_from_u64(seed.wrapping_mul(1000) + number);
-        // A third each: before the later start is there (then it is the earlier one), while it takes over, and after that.
+        // One third each: before the later process starts (the earlier one is paused), during the takeover,
+        // and after it.
         let (earlier, at_ms) = match number % 3 {
             0 => (true, random.random_range(-200..0)),
             1 => (random.random_bool(0.5), random.random_range(0..60)),
@@ -64,7 +64,7 @@
     }
 }
 
-/// Sends pairs until enough in a row are served; the moment at which the first of those was sent.
+/// Sends pairs until enough in a row are served. Returns when the first of those was sent.
 async fn wait_until_served(nodo: &Nodo, record: &AnswerLog, name: &str) -> Option<Instant> {
     let all = async {
         let (mut began, mut served_in_a_row, mut n) = (Instant::now(), 0, 0);
@@ -101,14 +101,15 @@
         paused_at = Instant::now();
         paused_incarnation(&plan, &earlier, &later).process.pause();
     }
-    // Whether the other one serves while the one is frozen, by what it says itself.
+    // Check whether the other process reports itself ready during the pause.
     let other = if plan.earlier { &later } else { &earlier };
     let resumes_at = paused_at + plan.length;
     let mut served_after = None;
     while Instant::now() < resumes_at {
         let ready = timeout(resumes_at - Instant::now(), other.is_ready()).await.unwrap_or(false);
-        // The earlier one says so too while it sends on to the frozen one: what counts is an answer. Where each has a listener of
-        // its own the system gives half of all connections to the frozen one, so several are tried.
+        // The earlier process also reports ready while it forwards to the paused one, so an answer is
+        // required. If each has its own listener, the system gives half of the connections to the paused one,
+        // so several are tried.
         if ready && served_after.is_none() {
             let name = format!("frozen-{}", paused_at.elapsed().as_millis());
             let patience = PROBE_TIMEOUT.min(resumes_at.saturating_duration_since(Instant::now()));
@@ -128,7 +129,7 @@
     });
     let again =
         wait_until_served(&nodo, &record, "again").await.map(|at| at.saturating_duration_since(resumed_at));
-    // An error means that it panicked, which says so itself.
+    // An error means that the task panicked, which is reported already.
     let _ = burst.await;
     if again.is_none() {
         for (who, start) in [("earlier", &earlier), ("later", &later)] {
@@ -143,7 +144,7 @@
     if plan.earlier { earlier } else { later }
 }
 
-/// Plays all freezes and prints what they showed; whether the bounds hold.
+/// Runs all pauses and prints the report. Returns whether the bounds hold.
 pub fn measure(nodo: &Path, out: Option<&Path>, seed: u64) -> io::Result<bool> {
     let results = on_one_thread(async {
         let mut results = Vec::new();
@@ -196,7 +197,7 @@
     let again =
         results.iter().map(|one| one.again).max_by_key(|again| again.unwrap_or(RECOVERY_TIMEOUT)).flatten();
     let all_again = results.iter().all(|one| one.again.is_some());
-    // A freeze that is long enough for the other one to be bound to serve.
+    // Pauses that are long enough for the bound on the takeover to apply.
     let bound: Vec<&PauseResult> =
         results.iter().filter(|one| one.plan.length > MAX_TAKEOVER_TIME + 2 * PROBE_TIMEOUT).collect();
     let other = bound.iter().map(|one| one.other.unwrap_or(RECOVERY_TIMEOUT)).max();
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,4 +1,5 @@
-//! Loads: arrivals drawn from a seed, sent when they are due whatever became of those before.
+//! Open-loop loads: arrivals are drawn from a seed and sent when due, whether or not earlier requests were
+//! answered.
 
 use crate::site::Site;
 use jaspershunt_stand_ins::balancer::Request;
@@ -11,34 +12,33 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep_until};
 
-/// An answer is waited for so long; longer than any deadline of the settings.
+/// Limit on the wait for an answer; longer than any deadline of the settings.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A request that is due.
+/// A request and its time of arrival.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, from the beginning.
+    /// Time since the start of the load.
     pub at: Duration,
-    /// What.
+    /// The request.
     pub request: Request,
 }
 
-/// A stream of requests of one class.
 #[derive(Clone, Debug)]
 pub struct Stream {
-    /// The class.
     pub class: &'static str,
-    /// Whether it is keyed.
+    /// Whether the class is keyed.
     pub keyed: bool,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// The share of them that is sent once more a little later, in keyed classes.
+    /// Share of the requests of a keyed class that are sent again a little later.
     pub repeats: f64,
-    /// Requests are about one of so many things; what is about the same thing makes the same calls.
+    /// Number of distinct bodies of a class that is not keyed; requests with equal bodies make the same
+    /// calls.
     pub distinct_bodies: u64,
 }
 
-/// The arrivals of some streams for so long: for each a Poisson process of its own.
+/// Draws the arrivals of all streams, an independent Poisson process for each.
 pub fn arrivals(streams: &[Stream], duration: Duration, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
     for (index, stream) in streams.iter().enumerate() {
@@ -68,14 +68,14 @@
     all
 }
 
-/// What became of a load.
+/// The result of a load.
 #[derive(Clone, Debug, Default)]
 pub struct LoadResult {
-    /// Each request with when it was sent, from the beginning, and its answer.
+    /// Each request with its answer, and its time since the start of the load.
     pub sent: Vec<(Duration, Sent)>,
 }
 
-/// Sends a load to a site; `each_second` is called with all that is known so far.
+/// Sends a load to a site. Calls `each_second` with the results so far.
 pub async fn play(
     site: &Site,
     arrivals: Vec<Arrival>,
@@ -104,7 +104,7 @@
     played.take()
 }
 
-/// Whether a request was served whole, and not in part or from a kept reply.
+/// Whether a request was served in full: neither partially nor from a kept reply.
 pub fn served_in_full(sent: &Sent) -> bool {
     let labelled =
         sent.answer.header("x-answer-lacks").is_some() || sent.answer.header("x-answer-stale-ms").is_some();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab: plays loads against a real nodo and its stand-ins, and writes down what it measured.
+//! The lab: runs loads against a real nodo with fake servers around it, and reports its measurements.
 
 mod capture;
 mod cpu;
@@ -16,11 +16,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Plays loads against a nodo on loopback, with stand-ins for all that it speaks with.
+/// Run loads against a nodo on loopback, with fakes of all servers that it connects to.
 #[derive(Debug, Parser)]
 #[command(name = "jaspershunt-lab", version, about)]
 struct Cli {
-    /// The nodo's program; the one beside this program if left out.
+    /// Path of the nodo's program; by default the one beside this program.
     #[arg(long, value_name = "PATH", global = true)]
     nodo: Option<PathBuf>,
     #[command(subcommand)]
@@ -31,46 +31,48 @@
 enum Command {
     /// Show a nodo with three dependencies under load, one of which breaks and heals.
     Demo,
-    /// Show five nodos as a fleet with two tasks, while a holder is killed, the one that leads is frozen, and a link is cut.
+    /// Show five nodos as a fleet with two tasks, while a holder is killed, the leader is paused, and a link
+    /// is cut.
     DemoFleet,
-    /// Measure one subsystem. Prints a table; the last line says whether its bounds hold; exits with 0 or 1.
+    /// Measure one subsystem and print a table. The last line and the exit code (0 or 1) tell whether the
+    /// bounds hold.
     Measure {
-        /// What to measure.
+        /// Subsystem to measure.
         #[arg(value_parser = ["dependencies", "capture", "freezes", "leases", "fleet-load", "partial"])]
         what: String,
-        /// Also write table and chart into this folder.
+        /// Also write the table and any chart to this folder.
         #[arg(long, value_name = "FOLDER")]
         out: Option<PathBuf>,
-        /// What all arrivals are drawn from.
+        /// Seed of all random choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Of leases only this: so many kills of the one that leads, while another one holds.
+        /// Of `leases`, measure only this many kills of the leader while another nodo holds a lease.
         #[arg(long, value_name = "KILLS")]
         leaders: Option<usize>,
-        /// The length of a torment; of `partial` alone.
+        /// Duration of the fault injection; for `partial` only.
         #[arg(long, default_value_t = 30)]
         seconds: u64,
-        /// Rounds of seeds that follow, summed; of `partial` alone.
+        /// Number of rounds with consecutive seeds, reported together; for `partial` only.
         #[arg(long, default_value_t = 1)]
         rounds: u64,
     },
-    /// Play fleets under seeded faults, without a nodo.
+    /// Simulate fleets under seeded faults, without a nodo.
     Fleet {
         #[command(subcommand)]
         command: FleetCommand,
     },
-    /// Compare the CPU that two nodos take for the same requests, without an operator's file.
+    /// Compare the CPU time of two nodos for the same requests, without an operator's file.
     Cpu {
-        /// The other nodo's program.
+        /// Path of the other nodo's program.
         #[arg(long, value_name = "PATH")]
         against: PathBuf,
-        /// Pairs of runs.
+        /// Number of pairs of runs.
         #[arg(long, default_value_t = 9)]
         runs: usize,
-        /// Requests a second; as on the fast day of the bench if left out.
+        /// Requests per second; by default as on the fast day of the bench.
         #[arg(long, default_value_t = 800.0)]
         rate: f64,
-        /// The length of a run.
+        /// Duration of a run.
         #[arg(long, default_value_t = 5)]
         seconds: u64,
     },
@@ -78,41 +80,41 @@
 
 #[derive(Debug, Subcommand)]
 enum FleetCommand {
-    /// Tell the story of one schedule.
+    /// Print the timeline of one schedule.
     Replay {
-        /// The seed that it is drawn from.
+        /// Seed of the schedule.
         seed: u64,
-        /// Leave out the faults that a failure does not need.
+        /// Remove the faults that the failure does not need.
         #[arg(long)]
         shrink: bool,
-        /// Tell all of it, and not only the end.
+        /// Print the whole timeline, not only its end.
         #[arg(long)]
         all: bool,
     },
-    /// Leave each rule out in turn, and tell which schedule finds it.
+    /// Remove each rule in turn, and print which schedule detects that.
     Mutants {
-        /// Only rules whose names have this in them.
+        /// Only rules whose names contain this text.
         #[arg(long, default_value = "")]
         rule: String,
-        /// Schedules for each, at most, of either kind.
+        /// Maximum number of schedules for each rule, of either kind.
         #[arg(long, default_value_t = 4000)]
         schedules: u64,
-        /// On so many threads.
+        /// Number of threads.
         #[arg(long, default_value_t = 4)]
         threads: usize,
     },
-    /// Play many schedules, half of them aimed; exits with 1 if anything was that must never be.
+    /// Run many schedules, half of them targeted; exit with 1 if an invariant was broken.
     Soak {
-        /// The first seed of either half.
+        /// First seed of either half.
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// None begins after so long.
+        /// Time limit: no schedule starts after it.
         #[arg(long)]
         seconds: Option<u64>,
-        /// How many.
+        /// Number of schedules.
         #[arg(long, default_value_t = 2000)]
         schedules: u64,
-        /// On so many threads.
+        /// Number of threads.
         #[arg(long, default_value_t = 4)]
         threads: usize,
     },
--- a/crates/lab/src/partial/killed.rs
+++ b/crates/lab/src/partial/killed.rs
@@ -1,5 +1,5 @@
-//! One nodo after another is killed in the middle of its work, and nothing else is wrong: how soon its work has an outcome, by the
-//! histories; and what the client's own retries make of the same, without anything that takes over.
+//! Kills one nodo after another with requests in flight, without other faults. Measures from the histories
+//! how soon the work has an outcome, and compares with retries by the client alone, without handover.
 
 use jaspershunt_histories::format::{Op, Record, Told};
 use jaspershunt_stand_ins::partial::faults::Fault;
@@ -13,45 +13,41 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Leases' time: long enough that a busy machine is not taken for a lost nodo.
+/// Lease TTL; long enough that a busy machine does not look like a lost nodo.
 pub const TTL: Duration = Duration::from_secs(2);
-/// Requests at a nodo that is killed, and what each lasts at the resource.
+/// Requests to the nodo before it is killed, and the duration of each act at the resource.
 const PARALLEL_REQUESTS: usize = 16;
 const ACT_DURATION: Duration = Duration::from_millis(250);
-/// The nodo is killed a while after so many of them act at the resource, or when that does not come to pass.
+/// The nodo is killed a random delay after this many requests act at the resource, or after the timeout.
 const MIN_ACTS_IN_PROGRESS: usize = 4;
 const ACTS_TIMEOUT: Duration = Duration::from_secs(15);
 const KILL_DELAY_MS: (u64, u64) = (0, 150);
-/// What takes longer, in leases' time, is kept for a look at it.
+/// Artifacts of runs with a longer recovery, as a multiple of the TTL, are saved.
 const SLOW_TTLS: f64 = 3.0;
-/// Between two looks at the resource.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Each is told of within this.
+/// Limit on the time until a client has its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What became of the work of those that were killed.
+/// Results for the work of killed nodos.
 #[derive(Default)]
 pub struct KillResults {
-    /// Nodos killed.
     pub kills: usize,
-    /// From the kill until begun work has an outcome, in leases' time.
+    /// Times from the kill until begun work has an outcome, as multiples of the TTL.
     pub times: Vec<f64>,
-    /// Keys.
+    /// Number of keys.
     pub keys: usize,
-    /// Those with their effect twice.
+    /// Keys whose effect happened twice.
     pub doubled: usize,
-    /// Accepted work without an outcome.
     pub without_outcome: usize,
-    /// Properties that the histories do not have.
+    /// Properties that the histories do not confirm.
     pub unconfirmed: Vec<String>,
-    /// Keys of which no client was told in time.
+    /// Keys for which no client got an answer in time, and failed starts or recoveries of the fleet.
     pub unanswered: usize,
-    /// Keys that were never served.
     pub unserved: usize,
 }
 
 impl KillResults {
-    /// Those of another round.
+    /// Adds the results of another round.
     pub fn add(&mut self, other: KillResults) {
         self.kills += other.kills;
         self.times.extend(other.times);
@@ -64,7 +60,7 @@
     }
 }
 
-/// Kills one nodo after another for so long.
+/// Kills one nodo after another for `length`.
 pub async fn play(nodo: &Path, seed: u64, handover: bool, length: Duration) -> io::Result<KillResults> {
     let name = format!("killed-{seed}-{}", if handover { "handed" } else { "alone" });
     let mut rig = Rig::start(nodo, &name, handover, (TTL, ACT_DURATION)).await?;
@@ -92,7 +88,7 @@
                 sleep(POLL_INTERVAL).await;
             }
         };
-        // One that is slow is killed all the same.
+        // A slow nodo is killed after the timeout.
         let _ = timeout(ACTS_TIMEOUT, acts_in_progress).await;
         sleep(Duration::from_millis(random.random_range(KILL_DELAY_MS.0..KILL_DELAY_MS.1))).await;
         kills_at.push((now(), target));
@@ -125,8 +121,8 @@
     Ok(results)
 }
 
-/// Keys of which the resource was called twice by nodos that do not name the operation key, as those without `handover` do: the call's
-/// body has it.
+/// Counts keys for which the resource was called twice. Nodos without `handover` do not send the operation
+/// key, so it is taken from the call's body.
 fn repeated_acts(rig: &Rig) -> usize {
     let mut calls: BTreeMap<Vec<u8>, usize> = BTreeMap::new();
     for act in rig.resource.acts() {
@@ -135,7 +131,8 @@
     calls.values().filter(|calls| **calls > 1).count()
 }
 
-/// For each key that a nodo had begun and not ended when it was killed: the time until anybody was told its outcome, in leases' time.
+/// Returns, for each key that a nodo had begun but not ended when it was killed, the time until any client
+/// got its outcome, as a multiple of the TTL.
 fn recovery_times(records: &[Record], kills_at: &[(u64, usize)]) -> Vec<f64> {
     let mut answers: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for record in records {
--- a/crates/lab/src/partial/mod.rs
+++ b/crates/lab/src/partial/mod.rs
@@ -1,4 +1,5 @@
-//! Fleets of real nodos in three regions, of which parts fail while keyed work goes on; judged by the histories after the fact.
+//! Fleets of real nodos in three regions with partial failures under keyed work, checked by their histories
+//! afterwards.
 
 mod killed;
 
@@ -16,48 +17,47 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// Fleets under torment at once.
+/// Fleets that run in parallel.
 const PARALLEL_FLEETS: u64 = 2;
-/// Clients of each, and the pause between two keys of one.
+/// Clients of each fleet, and the time between two keys of one client.
 const CLIENTS: u64 = 12;
 const KEY_INTERVAL: Duration = Duration::from_millis(150);
-/// Once all is healed, each key is told of within this.
+/// Limit on the time to an answer for each key after all faults have ended.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
-/// Keys that are asked for at once at the end.
+/// Keys that are queried in parallel at the end.
 const PARALLEL_QUERIES: usize = 24;
-/// Faults that a round has at least; three rounds have 600.
 const MIN_FAULTS_PER_ROUND: usize = 200;
 
-/// What is played.
+/// Parameters of the measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Play {
-    /// The seed of the first round.
+    /// Seed of the first round.
     pub seed: u64,
-    /// How many rounds, one after another.
+    /// Number of rounds, run one after another.
     pub rounds: u64,
-    /// How long faults go on in each.
+    /// Time of the faults in each round.
     pub length: Duration,
 }
 
-/// What became of one fleet.
+/// The result of one fleet.
 struct FleetOutcome {
     seed: u64,
     counts: [usize; KINDS.len()],
     verdict: Verdict,
-    /// The fleet had its votes at the start and at the end.
+    /// Whether all voters were in the configuration at the start and at the end.
     recovered: bool,
-    /// Keys of which no client was told anything once all was healed.
+    /// Keys for which no client got an answer after all faults had ended.
     unanswered: usize,
-    /// How often each status was answered: served, failed, turned away, nothing.
+    /// Answers by status: served, failed, refused, none.
     statuses: [usize; 4],
-    /// Edits in force, in conflict once, otherwise ended, and those of which nothing was heard.
+    /// Edits in force, edits that conflicted, edits that ended otherwise, and edits without an answer.
     edits: [usize; 4],
-    /// The revision that all nodos came to show, and how long that took once all was healed and all edits had ended.
+    /// The revision that all nodos converged to, and the time that took after all faults and edits had ended.
     table: Result<(u64, Duration), String>,
     write_error: Option<String>,
 }
 
-/// One fleet under the torment of a seed.
+/// Runs one fleet with the faults of a seed.
 async fn run_with_faults(nodo: &Path, seed: u64, length: Duration) -> io::Result<FleetOutcome> {
     let mut rig =
         Rig::start(nodo, &format!("partial-{seed}"), true, (TTL, Duration::from_millis(100))).await?;
@@ -76,7 +76,7 @@
     rig.clients.stop();
     rig.resource.set_duration(Duration::from_millis(20));
     for client in load {
-        // An error means that it panicked, which says so itself.
+        // An error means that the task panicked, which is reported already.
         let _ = timeout(ANSWER_TIMEOUT, client).await;
     }
     let unanswered = rig.clients.query_all(seed, PARALLEL_QUERIES, ANSWER_TIMEOUT).await;
@@ -115,7 +115,7 @@
     sorted.get((last * part).ceil() as usize).copied().unwrap_or(f64::INFINITY)
 }
 
-/// Plays all of it and prints what it showed; whether the bounds hold.
+/// Runs the whole measurement and prints its report. Returns whether the bounds hold.
 pub fn measure(nodo: &Path, out: Option<&Path>, play: Play) -> io::Result<bool> {
     let (mut fleets, mut killed, mut without_handover) =
         (Vec::new(), KillResults::default(), KillResults::default());
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -6,7 +6,7 @@
 use std::error::Error;
 use std::path::Path;
 
-/// A table in Markdown.
+/// Formats a table in Markdown.
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header(head.iter().copied());
@@ -16,31 +16,31 @@
     table.to_string()
 }
 
-/// A figure held against its bound.
+/// A measured figure and its bound.
 pub struct Figure {
-    /// What was measured.
+    /// Label of the figure.
     pub what: String,
-    /// What came of it.
+    /// Measured value.
     pub measured: String,
-    /// What it may be.
+    /// Bound on the value.
     pub bound: String,
-    /// Whether it is.
+    /// Whether the value is within the bound.
     pub holds: bool,
 }
 
 impl Figure {
-    /// A figure and its bound, as they are to be read.
+    /// Creates a figure from its label, value and bound.
     pub fn new(what: &str, measured: impl ToString, bound: impl ToString, holds: bool) -> Figure {
         Figure { what: what.to_string(), measured: measured.to_string(), bound: bound.to_string(), holds }
     }
 
-    /// A number that has to be 0.
+    /// Creates a figure whose value must be 0.
     pub fn none(what: &str, measured: usize) -> Figure {
         Figure::new(what, measured, 0, measured == 0)
     }
 }
 
-/// The table of an experiment's figures, the last line that sums it up, and whether all holds.
+/// Returns the table of an experiment's figures, its closing line, and whether all bounds hold.
 pub fn verdict(name: &str, figures: &[Figure]) -> (String, String, bool) {
     let rows = figures.iter().map(|figure| {
         let status = if figure.holds { "holds" } else { "falls short" };
@@ -59,28 +59,24 @@
 
 /// A line of a chart.
 pub struct Line {
-    /// Its name.
     pub name: String,
-    /// Its points.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A part of a chart, with axes of its own.
+/// A part of a chart with its own axes.
 pub struct Panel {
-    /// Its title.
     pub title: String,
-    /// What is to the right.
+    /// Label of the x axis.
     pub x: String,
-    /// What is up.
+    /// Label of the y axis.
     pub y: String,
-    /// Its lines.
     pub lines: Vec<Line>,
 }
 
-/// Draws panels one below another.
+/// Draws a chart with the panels one below another.
 ///
 /// # Errors
-/// The file cannot be written.
+/// The file cannot be written, or a panel cannot be drawn.
 pub fn chart(path: &Path, panels: &[Panel]) -> Result<(), Box<dyn Error>> {
     let height = 300 * panels.len().max(1) as u32;
     let root = SVGBackend::new(path, (900, height)).into_drawing_area();
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -1,4 +1,4 @@
-//! A nodo as a process of its own, with its stand-ins in this one.
+//! A nodo in its own process, with fake servers in this process.
 
 use jaspershunt_stand_ins::balancer::Balancer;
 use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig, Gateway};
@@ -15,41 +15,40 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a nodo may take until it is in the directory.
+/// Limit on the time until a nodo is open in the directory.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long it may take to leave: a little more than it is told.
+/// Limit on the time to leave; longer than `stop_ms` in its settings.
 const STOP_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How a site is made.
+/// Configuration of a site.
 #[derive(Clone, Debug)]
 pub struct SitePlan {
-    /// The dependencies. Calls of the class of the same place go there.
+    /// The dependencies; each serves the calls of the class with the same index.
     pub dependencies: Vec<DependencyConfig>,
-    /// The classes: names, and whether they are keyed. Each makes one call.
+    /// Names of the classes, and whether they are keyed. Each request makes one call.
     pub classes: Vec<(&'static str, bool)>,
-    /// The operator's file, with `{0}`, `{1}` … for the addresses of the dependencies; none for the nodo's one pool.
+    /// The operator's file, with `{0}`, `{1}` … for the addresses of the dependencies; `None` for the nodo's
+    /// one pool.
     pub file: Option<String>,
-    /// Cores of the interpreter, and the time of a run on one before and after its call.
+    /// Cores of the interpreter.
     pub cores: usize,
-    /// Half of the work of a run.
+    /// Core time of a run before its call, and again after it.
     pub core_time: Duration,
 }
 
-/// A nodo that is up.
+/// A running nodo and its fake servers.
 pub struct Site {
     /// The dependencies, in the order of the plan.
     pub dependencies: Vec<Dependency>,
-    /// The interpreter.
     pub interpreter: Interpreter,
-    /// A balancer.
     pub balancer: Balancer,
     child: Child,
     _gateway: Option<Gateway>,
     folder: TempDir,
 }
 
-/// The settings object that the platform would give.
+/// Returns the settings object that the platform provides.
 fn settings(plan: &SitePlan) -> String {
     let classes: Vec<String> = plan
         .classes
@@ -71,7 +70,7 @@
 }
 
 impl Site {
-    /// Starts a site and waits until its nodo is in the directory.
+    /// Starts a site and waits until its nodo is open in the directory.
     pub async fn start(nodo: &Path, plan: &SitePlan) -> io::Result<Site> {
         let mut dependencies = Vec::new();
         for one in &plan.dependencies {
@@ -90,7 +89,7 @@
             }
         };
         let folder = tempfile::tempdir()?;
-        // The port is given back before the nodo takes it; a stranger that took it would show at once.
+        // The port is released before the nodo binds it; if another process takes it, the start fails.
         let address = TcpListener::bind("127.0.0.1:0").await?.local_addr()?;
         let db = gateway.as_ref().map_or("127.0.0.1:9".to_string(), |gateway| gateway.address().to_string());
         let config = format!(
@@ -131,17 +130,17 @@
         Ok(Site { dependencies, interpreter, balancer, child, _gateway: gateway, folder })
     }
 
-    /// The id of the nodo's process.
+    /// Returns the id of the nodo's process.
     pub fn process_id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// What the nodo has written to its log so far.
+    /// Returns the nodo's log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
 
-    /// Tells the nodo to leave, as the platform would, and ends it if it does not.
+    /// Sends SIGTERM to the nodo as the platform does, and kills it after a timeout.
     pub async fn stop(mut self) {
         if let Some(process) = self.child.id() {
             let _ = Command::new("kill").args(["-TERM", &process.to_string()]).status().await;
@@ -152,20 +151,20 @@
     }
 }
 
-/// CPU seconds that the first thread of a process has taken; a nodo has no other.
+/// Returns the CPU seconds of the first thread of a process; a nodo has no other.
 pub fn cpu_seconds(process: u32) -> Option<f64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat")).ok()?;
     Some(text.split_whitespace().next()?.parse::<f64>().ok()? / 1e9)
 }
 
-/// Memory that a process holds, in KiB.
+/// Returns the resident memory of a process.
 pub fn memory_kib(process: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// Runs something on a thread of its own, as stand-ins need it.
+/// Runs a future on a single-threaded runtime with a `LocalSet`, as the fake servers need.
 pub fn on_one_thread<T>(run: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run)
