--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -75,7 +75,7 @@
     let process = site.process_id().ok_or_else(|| io::Error::other("the nodo has ended"))?;
     let asked = tokio::process::Command::new("kill").args(["-USR1", &process.to_string()]).status().await?;
     if !asked.success() {
-        return Err(io::Error::other("the nodo does not take SIGUSR1"));
+        return Err(io::Error::other("the nodo could not be sent SIGUSR1"));
     }
     let until = Instant::now() + Duration::from_secs(5);
     while Instant::now() < until {
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -123,7 +123,7 @@
     let per_request = cpu * 1e6 / sent.len().max(1) as f64;
     println!("\nThe nodo took {cpu:.2} s of CPU ({per_request:.0} µs a request) and {} MiB.", memory / 1024);
     println!(
-        "Held against the records: {} untrue labels, {} doubled keys, {} partial answers of keyed requests, {} unanswered.",
+        "Compared with the records: {} false labels, {} doubled keys, {} partial answers of keyed requests, {} unanswered.",
         faults.labels.len(),
         faults.doubled.len(),
         faults.partial.len(),
--- a/crates/lab/src/fleet/demo.rs
+++ b/crates/lab/src/fleet/demo.rs
@@ -16,9 +16,9 @@
 /// Runs the demonstration. Returns whether no two holders acted at once.
 pub fn run(nodo: &Path) -> io::Result<bool> {
     on_one_thread(async {
-        let (checks, cannot, tasks) = resources().await;
+        let (checked, unchecked, tasks) = resources().await;
         let mut fleet = Fleet::new(nodo, "demo", (5, 3), TTL, &tasks).await?;
-        println!("five nodos, three of them vote; a lease lasts {TTL:?}; each task is due every second\n");
+        println!("five nodos, three of them voters; a lease lasts {TTL:?}; each task is due every second\n");
         fleet.start_all().await?;
         // If the votes take longer, the table shows it.
         let _ = timeout(4 * EVENT_INTERVAL, fleet.wait_for_votes()).await;
@@ -35,7 +35,7 @@
                     if let Some(n) = killed {
                         fleet.kill(n).await;
                     }
-                    killed.map(|n| format!("n{n}, which holds, is killed"))
+                    killed.map(|n| format!("n{n}, the holder, is killed"))
                 }
                 2 => {
                     if let Some(n) = killed {
@@ -48,24 +48,24 @@
                     if let Some(n) = paused {
                         fleet.process(n).pause();
                     }
-                    paused.map(|n| format!("n{n}, which leads, is frozen"))
+                    paused.map(|n| format!("n{n}, the leader, is paused"))
                 }
                 4 => {
                     if let Some(n) = paused {
                         fleet.process(n).resume();
                     }
-                    paused.map(|n| format!("n{n} goes on"))
+                    paused.map(|n| format!("n{n} resumes"))
                 }
                 5 => {
                     let holder = fleet.holder("task/timed").await;
                     if let Some(n) = holder {
                         fleet.isolate(n, Fault::Cut);
                     }
-                    holder.map(|n| format!("n{n}, which holds, is cut off"))
+                    holder.map(|n| format!("n{n}, the holder, is cut off"))
                 }
                 6 => {
                     fleet.heal();
-                    Some("the links are back".to_string())
+                    Some("the links are restored".to_string())
                 }
                 _ => None,
             };
@@ -78,21 +78,22 @@
                     fleet.holder("task/checked").await,
                     fleet.holder("task/timed").await,
                 );
-                let acts = checks.acts().iter().chain(&cannot.acts()).filter(|act| !act.turned_away).count();
+                let acts =
+                    checked.acts().iter().chain(&unchecked.acts()).filter(|act| !act.turned_away).count();
                 println!(
                     "{:>6.1}  {what:<26} {:<8} {:<8} {:<8} {acts:>6} {:>9}",
                     began.elapsed().as_secs_f64(),
                     name(leader),
                     name(one),
                     name(two),
-                    cannot.overlaps().len() + checks.stale_token_acts().len()
+                    unchecked.overlaps().len() + checked.stale_token_acts().len()
                 );
                 what.clear();
                 sleep(LINE_INTERVAL).await;
             }
         }
-        let acts = checks.acts().iter().chain(&cannot.acts()).filter(|act| !act.turned_away).count();
-        let wrong = cannot.overlaps().len() + checks.stale_token_acts().len();
+        let acts = checked.acts().iter().chain(&unchecked.acts()).filter(|act| !act.turned_away).count();
+        let wrong = unchecked.overlaps().len() + checked.stale_token_acts().len();
         println!("\n{acts} acts, {wrong} overlaps");
         Ok(wrong == 0)
     })
--- a/crates/lab/src/fleet/fault_injection.rs
+++ b/crates/lab/src/fleet/fault_injection.rs
@@ -70,25 +70,25 @@
 
 /// Starts two resources, one that checks tokens and one that does not, with a task for each.
 pub async fn resources() -> (Resource, Resource, Vec<Task>) {
-    let checks = Resource::start(true, Duration::from_millis(40)).await;
-    let cannot = Resource::start(false, Duration::from_millis(80)).await;
+    let checked = Resource::start(true, Duration::from_millis(40)).await;
+    let unchecked = Resource::start(false, Duration::from_millis(80)).await;
     let task = |name: &str, resource: &Resource, rest: &str| Task {
         name: name.to_string(),
         resource: resource.address(),
         rest: format!("  every = \"1s\"\n  tries = 1000\n  wait = \"50ms\"\n{rest}"),
     };
     let tasks = vec![
-        task("checked", &checks, "  grade = \"checked\"\n  timeout = \"300ms\""),
-        task("timed", &cannot, "  grade = \"timed\"\n  timeout = \"200ms\"\n  way = \"250ms\""),
+        task("checked", &checked, "  grade = \"checked\"\n  timeout = \"300ms\""),
+        task("timed", &unchecked, "  grade = \"timed\"\n  timeout = \"200ms\"\n  way = \"250ms\""),
     ];
-    (checks, cannot, tasks)
+    (checked, unchecked, tasks)
 }
 
 /// Runs one fleet with random faults for `length`, then the kills of holders and the leader, and the loss of
 /// the quorum.
 pub async fn play(program: &Path, seed: u64, length: Duration) -> io::Result<InjectionOutcome> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let (checks, cannot, tasks) = resources().await;
+    let (checked, unchecked, tasks) = resources().await;
     let mut fleet = Fleet::new(program, &format!("torment-{seed}"), (MEMBERS, VOTERS), TTL, &tasks).await?;
     fleet.start_all().await?;
     let ready = timeout(RECOVERY_TIMEOUT, fleet.wait_for_votes()).await.is_ok();
@@ -150,26 +150,27 @@
     }
     heal(&mut fleet, &mut repairs, Instant::now() + 100 * TTL).await?;
     let acted = |resource: &Resource| resource.acts().iter().filter(|act| !act.turned_away).count();
-    let before = (acted(&checks), acted(&cannot));
-    let going = async {
-        while acted(&checks) < before.0 + 2 || acted(&cannot) < before.1 + 2 {
+    let before = (acted(&checked), acted(&unchecked));
+    let acting_again = async {
+        while acted(&checked) < before.0 + 2 || acted(&unchecked) < before.1 + 2 {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    outcome.recovered &= timeout(RECOVERY_TIMEOUT, going).await.is_ok();
+    outcome.recovered &= timeout(RECOVERY_TIMEOUT, acting_again).await.is_ok();
     for _ in 0..HOLDER_KILLS {
         let before = outcome.gaps.len();
-        kill_holder(&mut fleet, &cannot, &mut outcome).await?;
+        kill_holder(&mut fleet, &unchecked, &mut outcome).await?;
         outcome.recovered &= outcome.gaps.len() > before;
     }
     if outcome.recovered {
-        kill_leader(&mut fleet, [("task/checked", &checks), ("task/timed", &cannot)], &mut outcome).await?;
-        lose_quorum(&fleet, [&checks, &cannot], &mut outcome).await;
+        kill_leader(&mut fleet, [("task/checked", &checked), ("task/timed", &unchecked)], &mut outcome)
+            .await?;
+        lose_quorum(&fleet, [&checked, &unchecked], &mut outcome).await;
     }
-    outcome.acts = acted(&checks) + acted(&cannot);
-    outcome.turned_away = checks.acts().len() - acted(&checks);
-    outcome.overlaps = cannot.overlaps().len();
-    outcome.stale_token_acts = checks.stale_token_acts().len() + cannot.stale_token_acts().len();
+    outcome.acts = acted(&checked) + acted(&unchecked);
+    outcome.turned_away = checked.acts().len() - acted(&checked);
+    outcome.overlaps = unchecked.overlaps().len();
+    outcome.stale_token_acts = checked.stale_token_acts().len() + unchecked.stale_token_acts().len();
     if !outcome.recovered || outcome.overlaps + outcome.stale_token_acts > 0 {
         outcome.logs.push_str(&fleet.logs());
     }
@@ -232,7 +233,7 @@
             let seen: String = seen.collect();
             let _ = writeln!(
                 outcome.logs,
-                "n{leader}, which leads, is killed: {missed} missed of {lease}{seen}{}",
+                "the leader n{leader} is killed: {missed} due times missed of {lease}{seen}{}",
                 fleet.logs()
             );
         }
@@ -246,13 +247,13 @@
 
 /// Kills the leader `kills` times without other faults, each time while another nodo holds a lease.
 pub async fn leaders(program: &Path, seed: u64, kills: usize) -> io::Result<InjectionOutcome> {
-    let (checks, cannot, tasks) = resources().await;
+    let (checked, unchecked, tasks) = resources().await;
     let mut fleet = Fleet::new(program, &format!("leaders-{seed}"), (MEMBERS, VOTERS), TTL, &tasks).await?;
     fleet.start_all().await?;
     let mut outcome = InjectionOutcome::default();
     let ready = async {
         fleet.wait_for_votes().await;
-        tokio::join!(wait_for_acts(&checks, 2), wait_for_acts(&cannot, 2));
+        tokio::join!(wait_for_acts(&checked, 2), wait_for_acts(&unchecked, 2));
     };
     outcome.recovered = timeout(RECOVERY_TIMEOUT, ready).await.is_ok();
     // A leader that holds both leases shows nothing. It is killed too, so that other nodos come to hold them.
@@ -260,7 +261,7 @@
         if outcome.leader_kills == kills || !outcome.recovered {
             break;
         }
-        let tasks = [("task/checked", &checks), ("task/timed", &cannot)];
+        let tasks = [("task/checked", &checked), ("task/timed", &unchecked)];
         let before = outcome.leader_kills;
         kill_leader(&mut fleet, tasks, &mut outcome).await?;
         if outcome.leader_kills == before
@@ -272,12 +273,12 @@
         outcome.kills += 1;
         // Let the killed nodo's leases expire before the next kill.
         sleep(TTL).await;
-        let going = async { tokio::join!(wait_for_acts(&checks, 1), wait_for_acts(&cannot, 1)) };
-        outcome.recovered &= timeout(RECOVERY_TIMEOUT, going).await.is_ok();
+        let acting_again = async { tokio::join!(wait_for_acts(&checked, 1), wait_for_acts(&unchecked, 1)) };
+        outcome.recovered &= timeout(RECOVERY_TIMEOUT, acting_again).await.is_ok();
     }
-    outcome.acts = [&checks, &cannot].map(|resource| resource.acts().len()).iter().sum();
-    outcome.overlaps = cannot.overlaps().len();
-    outcome.stale_token_acts = checks.stale_token_acts().len() + cannot.stale_token_acts().len();
+    outcome.acts = [&checked, &unchecked].map(|resource| resource.acts().len()).iter().sum();
+    outcome.overlaps = unchecked.overlaps().len();
+    outcome.stale_token_acts = checked.stale_token_acts().len() + unchecked.stale_token_acts().len();
     if !outcome.recovered || outcome.overlaps + outcome.stale_token_acts > 0 {
         outcome.logs.push_str(&fleet.logs());
     }
--- a/crates/lab/src/fleet/load.rs
+++ b/crates/lab/src/fleet/load.rs
@@ -48,7 +48,7 @@
 }
 
 async fn run_side(nodo: &Path, seed: u64, on: bool) -> io::Result<Side> {
-    let (checks, cannot, tasks) = resources().await;
+    let (checked, unchecked, tasks) = resources().await;
     let name = format!("load-{seed}-{on}");
     let mut fleet = Fleet::new(nodo, &name, (3, 3), TTL, &tasks).await?;
     if !on {
@@ -58,7 +58,7 @@
     if on {
         let ready = async {
             fleet.wait_for_votes().await;
-            tokio::join!(wait_for_acts(&checks, 2), wait_for_acts(&cannot, 2));
+            tokio::join!(wait_for_acts(&checked, 2), wait_for_acts(&unchecked, 2));
         };
         timeout(READY_TIMEOUT, ready).await.map_err(|_| io::Error::other(fleet.logs()))?;
     }
@@ -66,7 +66,7 @@
     let lost = |fleet: &Fleet| -> usize {
         fleet.nodos.iter().map(|nodo| nodo.logs().matches("does not hold task/").count()).sum()
     };
-    let acts = || checks.acts().len() + cannot.acts().len();
+    let acts = || checked.acts().len() + unchecked.acts().len();
     let (lost_before, acts_before) = (lost(&fleet), acts());
     let term = if on { term(&fleet, leads).await } else { 0 };
     let balancer = Rc::new(Balancer::new(fleet.nodos[leads].address, 1, None));
@@ -134,8 +134,8 @@
     let median = ratios[ratios.len() / 2];
     let elections: u64 = with.iter().map(|side| side.elections).sum();
     let figures = [
-        Figure::none("leases lost", with.iter().map(|side| side.lost).sum()),
-        Figure::none("elections", usize::try_from(elections).unwrap_or(usize::MAX)),
+        Figure::zero("leases lost", with.iter().map(|side| side.lost).sum()),
+        Figure::zero("elections", usize::try_from(elections).unwrap_or(usize::MAX)),
         Figure::new(
             "p99 with the fleet against without, median of the pairs",
             format!("{median:.3}"),
@@ -150,7 +150,7 @@
     );
     let acts: usize = with.iter().map(|side| side.acts).sum();
     let text = format!(
-        "The one that leads is asked {RATE_PER_SECOND:.0} times a second, twice what it can; {acts} acts of tasks meanwhile.\n\n{bounds}\n\n{pairs}\n"
+        "The leader receives {RATE_PER_SECOND:.0} requests per second, twice its capacity; the tasks made {acts} acts meanwhile.\n\n{bounds}\n\n{pairs}\n"
     );
     println!("{text}");
     if let Some(out) = out {
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -76,10 +76,10 @@
             format!("≥ {kills}"),
             played >= kills,
         ),
-        Figure::none("times missed that were due", add(|t| t.missed)),
-        Figure::none("acts at once, nothing checking tokens", add(|t| t.overlaps)),
-        Figure::none("a lower token taken after a higher", add(|t| t.stale_token_acts)),
-        Figure::none("fleets that do not go on", add(|t| usize::from(!t.recovered))),
+        Figure::zero("times missed that were due", add(|t| t.missed)),
+        Figure::zero("acts at once, nothing checking tokens", add(|t| t.overlaps)),
+        Figure::zero("a lower token taken after a higher", add(|t| t.stale_token_acts)),
+        Figure::zero("fleets that do not go on", add(|t| usize::from(!t.recovered))),
     ];
     let (rows, last, holds) = verdict("leases, the one that leads", &figures);
     println!("{LEADER_KILL_FLEETS} fleets of five, {acts} acts.\n\n{rows}\n\n{last}");
@@ -109,7 +109,7 @@
     let quorum = outcomes.iter().map(|t| t.quorum_recovery.unwrap_or(f64::INFINITY)).fold(0.0, f64::max);
     let baseline: usize = mutant_results.iter().filter(|(.., found)| found.is_some()).count();
     let figures = [
-        Figure::none("seeded schedules with something that must never be", totals.violations.len()),
+        Figure::zero("seeded schedules with something that must never be", totals.violations.len()),
         Figure::new(
             "rules left out, found within 100 schedules (the baseline: not 0)",
             format!("{baseline} of {}", mutant_results.len()),
@@ -117,9 +117,9 @@
             baseline > 0,
         ),
         Figure::new("real processes: kills, freezes and cuts", faults, "≥ 500", faults >= 500),
-        Figure::none("acts at once, nothing checking tokens", add(|t| t.overlaps)),
-        Figure::none("a lower token taken after a higher", add(|t| t.stale_token_acts)),
-        Figure::none("fleets that do not go on at the end", add(|t| usize::from(!t.recovered))),
+        Figure::zero("acts at once, nothing checking tokens", add(|t| t.overlaps)),
+        Figure::zero("a lower token taken after a higher", add(|t| t.stale_token_acts)),
+        Figure::zero("fleets that do not go on at the end", add(|t| usize::from(!t.recovered))),
         Figure::new(
             "a holder is killed, until the next act, p50, leases' time",
             format!("{p50:.2}"),
@@ -127,11 +127,11 @@
             p50 <= 1.5,
         ),
         Figure::new("the same, p99", format!("{p99:.2}"), "≤ 2.5", p99 <= 2.5),
-        Figure::none(
+        Figure::zero(
             "the one that leads is killed, the holder lives: times missed that were due",
             add(|t| t.missed),
         ),
-        Figure::none("no quorum: requests of balancers not served", add(|t| t.unserved)),
+        Figure::zero("no quorum: requests of balancers not served", add(|t| t.unserved)),
         Figure::new(
             "the quorum is back, until tasks go on, the slowest, leases' time",
             format!("{quorum:.2}"),
@@ -162,8 +162,8 @@
     let mutants =
         table(&["rule left out", "seed", "schedules", "what is found"], &mutants.collect::<Vec<_>>());
     let mut text = format!(
-        "{} schedules: {} acts, {} turned away, {} leases granted, {} changes of the one that leads. Real nodos, ten fleets of five: \
-         {} kills, {} freezes, {} cuts; {} acts, {} turned away; {} times a holder was killed, {} times the one that leads while the holder lived.\n\n{rows}\n\n{mutants}\n",
+        "{} schedules: {} acts, {} turned away, {} leases granted, {} leader changes. Real nodos, ten fleets of five: \
+         {} kills, {} freezes, {} cuts; {} acts, {} turned away; {} kills of a holder, {} kills of a leader that was not the holder.\n\n{rows}\n\n{mutants}\n",
         totals.schedules,
         totals.acts,
         totals.turned_away,
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -110,7 +110,7 @@
     });
     let took = began.elapsed().as_secs_f64();
     println!(
-        "{} schedules in {took:.0} s, {:.1} a second: {} acts, {} turned away, {} leases granted, {} changes of the one that leads; {} failed",
+        "{} schedules in {took:.0} s, {:.1} a second: {} acts, {} turned away, {} leases granted, {} leader changes; {} failed",
         totals.schedules,
         totals.schedules as f64 / took,
         totals.acts,
@@ -147,10 +147,10 @@
     if fails && shrinks {
         let before = scenario.faults.len();
         scenario = shrink(scenario);
-        println!("{} of {before} faults are enough", scenario.faults.len());
+        println!("{} of {before} faults are enough to fail", scenario.faults.len());
     }
     println!(
-        "seed {seed}: {} members, {} of them voters, {} of a hundred messages lost",
+        "seed {seed}: {} members, {} of them voters, {} % of messages lost",
         scenario.members,
         scenario.voters,
         scenario.loss_rate * 100.0
@@ -161,7 +161,7 @@
     outcome.timeline.iter().skip(skip).for_each(|line| println!("{line}"));
     match &outcome.violation {
         Some(violation) => println!("seed {seed}: {} at {:?}", violation.what, violation.at),
-        None => println!("seed {seed}: nothing was that must never be; {} acts", outcome.acts),
+        None => println!("seed {seed}: no invariant was broken; {} acts", outcome.acts),
     }
     outcome.violation.is_none()
 }
--- a/crates/lab/src/fleet/simulation.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -130,7 +130,7 @@
     start: Duration,
     rate: f64,
     owns_disk: bool,
-    written: Vec<Written>,
+    applied_runs: Vec<AppliedRun>,
 }
 
 /// A member's host: the state that outlives its processes.
@@ -153,7 +153,7 @@
 }
 
 /// What a process has applied last for a task's run: its key, the token it runs under, and its cursor.
-type Written = Option<(u64, u64, Vec<u8>)>;
+type AppliedRun = Option<(u64, u64, Vec<u8>)>;
 
 struct Act {
     task: usize,
@@ -172,7 +172,7 @@
     hosts: Vec<Host>,
     processes: Vec<Process>,
     cuts: Vec<Cut>,
-    slow: Vec<(usize, usize, Duration, Duration)>,
+    slow_links: Vec<(usize, usize, Duration, Duration)>,
     acts: Vec<Act>,
     /// The highest token that each resource has seen.
     highest_tokens: Vec<u64>,
@@ -182,10 +182,10 @@
     tokens: BTreeMap<u64, (String, Holder)>,
     last_leader: Option<usize>,
     /// Acts of each task since its last successful call.
-    failures_in_a_row: Vec<u32>,
+    acts_since_success: Vec<u32>,
     /// Time and token of each task's last act.
     last_act: Vec<Option<(Duration, u64)>>,
-    load: BTreeMap<usize, (u64, u64)>,
+    traffic: BTreeMap<usize, (u64, u64)>,
     outcome: Outcome,
     records_timeline: bool,
     /// No faults are injected until then: a disk was rolled back, and the other voters must be up to detect
@@ -215,12 +215,12 @@
     }
 }
 
-fn name(host: usize) -> String {
+fn member_name(host: usize) -> String {
     format!("n{host}")
 }
 
 /// Whether the task's resource checks tokens; every other one does.
-fn checks(task: usize) -> bool {
+fn checks_tokens(task: usize) -> bool {
     task % 2 == 1
 }
 
@@ -246,7 +246,7 @@
             false => 1.0 + drift * [-0.99, 0.0, 0.99][rng.random_range(0..3)],
         };
         let hosts = (0..scenario.members).map(|host| Host {
-            name: name(host),
+            name: member_name(host),
             disk: Disk::default(),
             disk_at_last_start: Image::default(),
             incarnation: 0,
@@ -265,15 +265,15 @@
             hosts,
             processes: Vec::new(),
             cuts: Vec::new(),
-            slow: Vec::new(),
+            slow_links: Vec::new(),
             acts: Vec::new(),
             highest_tokens: vec![0; tasks],
             committed: BTreeMap::new(),
             tokens: BTreeMap::new(),
             last_leader: None,
-            failures_in_a_row: vec![0; tasks],
+            acts_since_success: vec![0; tasks],
             last_act: vec![None; tasks],
-            load: BTreeMap::new(),
+            traffic: BTreeMap::new(),
             outcome: Outcome::default(),
             records_timeline,
             no_faults_until: Duration::ZERO,
@@ -301,7 +301,7 @@
             name: task_name(task),
             when: Schedule::Every(Duration::from_secs(1)),
             missed: Missed::Once,
-            grade: if checks(task) { Grade::Checked } else { Grade::Timed { max_act, max_delay } },
+            grade: if checks_tokens(task) { Grade::Checked } else { Grade::Timed { max_act, max_delay } },
             timeout: max_act,
             tries: 1000,
             backoff: Duration::from_millis(if self.scenario.stress_calls { 1 } else { 20 }),
@@ -369,7 +369,7 @@
         let setup = Setup {
             fleet: FLEET.to_string(),
             me: me.clone(),
-            voters: (0..self.scenario.voters).map(name).collect(),
+            voters: (0..self.scenario.voters).map(member_name).collect(),
             terms: self.lease_timing(),
             tasks: (0..self.scenario.tasks).map(|task| self.task_spec(task)).collect(),
             parts: no_parts,
@@ -388,7 +388,7 @@
             start,
             rate,
             owns_disk,
-            written: vec![None; self.scenario.tasks],
+            applied_runs: vec![None; self.scenario.tasks],
         });
         self.record(|| format!("{} starts, incarnation {}", me.member, me.incarnation));
         let process = self.processes.len() - 1;
@@ -405,7 +405,7 @@
         if *owns_disk {
             self.hosts[host].disk.kill();
         }
-        self.record(|| format!("{} is killed", name(host)));
+        self.record(|| format!("{} is killed", member_name(host)));
     }
 
     fn kill_host(&mut self, host: usize, down: Duration) {
@@ -422,7 +422,7 @@
         }
         self.processes[process].paused = true;
         let host = self.processes[process].host;
-        self.record(|| format!("{} is paused for {length:?}", name(host)));
+        self.record(|| format!("{} is paused for {length:?}", member_name(host)));
         self.schedule(length, Event::Resume { process });
     }
 
@@ -447,8 +447,8 @@
         let bytes: Rc<[u8]> = frame::encode(&envelope).into();
         let (one, other) = (self.processes[from].host, self.processes[to].host);
         for host in [one, other] {
-            let load = self.load.entry(host).or_default();
-            *load = (load.0 + 1, load.1 + bytes.len() as u64);
+            let traffic = self.traffic.entry(host).or_default();
+            *traffic = (traffic.0 + 1, traffic.1 + bytes.len() as u64);
         }
         let has_entries = matches!(&envelope.said, frame::Said::Raft(message) if message.has_entries());
         if has_entries && self.now < self.entries_dropped_until {
@@ -464,7 +464,7 @@
             return;
         }
         let now = self.now;
-        let slow = self.slow.iter().find(|slow| (slow.0, slow.1) == (one, other) && slow.2 > now);
+        let slow = self.slow_links.iter().find(|slow| (slow.0, slow.1) == (one, other) && slow.2 > now);
         let by = slow.map_or(Duration::ZERO, |slow| slow.3);
         let way = self.rng.random_range(MIN_DELAY..MAX_DELAY) + by;
         if self.scenario.loss_rate > 0.0 && self.rng.random_bool(self.scenario.loss_rate) {
@@ -490,7 +490,7 @@
                 Output::Log(what, _) => {
                     let host = self.processes[process].host;
                     let incarnation = self.processes[process].member.me().incarnation;
-                    self.record(|| format!("{}/{incarnation}: {what}", name(host)));
+                    self.record(|| format!("{}/{incarnation}: {what}", member_name(host)));
                 }
                 Output::Left => self.schedule(Duration::ZERO, Event::Terminate { process }),
                 Output::Settled { .. } | Output::Shown { .. } | Output::Part { .. } => {}
@@ -514,7 +514,7 @@
             for (index, term, print) in voter.take_trace() {
                 let known = *self.committed.entry(index).or_insert((term, print));
                 if known != (term, print) {
-                    let name = name(self.processes[process].host);
+                    let name = member_name(self.processes[process].host);
                     self.report_violation(format!(
                         "{name} applies another entry at {index} than was applied there"
                     ));
@@ -547,7 +547,7 @@
                 self.last_leader = Some(process);
                 self.outcome.leader_changes += 1;
                 let host = self.processes[process].host;
-                self.record(|| format!("{} becomes the leader", name(host)));
+                self.record(|| format!("{} becomes the leader", member_name(host)));
             }
         }
         self.check_cursors(process);
@@ -567,8 +567,8 @@
                     let (one, two) = (self.processes[process].host, self.processes[other].host);
                     let what = format!(
                         "{} and {} hold {lease} at once, under {token} and {}",
-                        name(one),
-                        name(two),
+                        member_name(one),
+                        member_name(two),
                         theirs.token
                     );
                     self.report_violation(what);
@@ -579,32 +579,32 @@
 
     /// Checks that a run's cursor changes only to one returned under the token that the run has.
     fn check_cursors(&mut self, process: usize) {
-        let Process { host, member, written, .. } = &mut self.processes[process];
+        let Process { host, member, applied_runs, .. } = &mut self.processes[process];
         let Some(voter) = member.voter() else { return };
         let mut wrong = None;
-        for (task, written) in written.iter_mut().enumerate() {
+        for (task, last) in applied_runs.iter_mut().enumerate() {
             let run = voter.fleet().task(&task_name(task)).and_then(|task| task.run.as_ref());
             let now = run.map(|run| (run.key, run.token, run.cursor.clone()));
-            if let (Some((key, token, cursor)), Some((key_now, token_now, cursor_now))) = (&*written, &now)
+            if let (Some((key, token, cursor)), Some((key_now, token_now, cursor_now))) = (&*last, &now)
                 && (key, token) == (key_now, token_now)
                 && cursor != cursor_now
                 && *cursor_now != cursor_of(*token)
             {
                 wrong = Some(format!(
                     "{} accepts a cursor of {} while {token} works on {}",
-                    name(*host),
+                    member_name(*host),
                     String::from_utf8_lossy(cursor_now),
                     task_name(task)
                 ));
             }
-            *written = now;
+            *last = now;
         }
         wrong.into_iter().for_each(|wrong| self.report_violation(wrong));
     }
 
     fn handle_call(&mut self, process: usize, call: Call) {
         let task = call.task;
-        let checks = checks(task);
+        let checks = checks_tokens(task);
         if checks && call.token < self.highest_tokens[task] {
             self.outcome.turned_away += 1;
             let back = self.rng.random_range(MIN_DELAY..MAX_DELAY);
@@ -618,17 +618,17 @@
             if let Some(other) = at_once {
                 let what = format!(
                     "{} acts on {} under {} while {} does under {}",
-                    name(self.processes[process].host),
+                    member_name(self.processes[process].host),
                     task_name(task),
                     call.token,
-                    name(other.holder),
+                    member_name(other.holder),
                     other.token
                 );
                 self.report_violation(what);
             }
         }
         self.outcome.acts += 1;
-        self.failures_in_a_row[task] += 1;
+        self.acts_since_success[task] += 1;
         if let Some((last, token)) = self.last_act[task]
             && token != call.token
         {
@@ -637,7 +637,13 @@
         self.last_act[task] = Some((self.now, call.token));
         let host = self.processes[process].host;
         self.record(|| {
-            format!("{} acts on {} under {}, key {}", name(host), task_name(task), call.token, call.key)
+            format!(
+                "{} acts on {} under {}, key {}",
+                member_name(host),
+                task_name(task),
+                call.token,
+                call.key
+            )
         });
         let length = self.draw_duration(&call, self.scenario.max_act);
         let act = self.acts.len();
@@ -663,7 +669,7 @@
         // Either nearly the maximum, or short enough that the whole call meets its timeout. The first call of
         // a new holder is short, and failures in a row are limited because the backoff doubles with each try.
         let first = self.last_act[call.task].is_none_or(|(_, token)| token != call.token);
-        let long = if first || self.failures_in_a_row[call.task] >= MAX_FAILURES_IN_A_ROW {
+        let long = if first || self.acts_since_success[call.task] >= MAX_FAILURES_IN_A_ROW {
             0.0
         } else if self.calls_mostly_fail() {
             0.9
@@ -681,10 +687,10 @@
             return CallOutcome::Done(b"ok".to_vec());
         }
         let fails = if self.calls_mostly_fail() { 0.8 } else { 0.2 };
-        if self.rng.random_bool(fails) && self.failures_in_a_row[call.task] < MAX_FAILURES_IN_A_ROW {
+        if self.rng.random_bool(fails) && self.acts_since_success[call.task] < MAX_FAILURES_IN_A_ROW {
             return CallOutcome::Failed("it fails".into());
         }
-        self.failures_in_a_row[call.task] = 0;
+        self.acts_since_success[call.task] = 0;
         if self.rng.random_bool(0.2) {
             CallOutcome::Done(b"ok".to_vec())
         } else {
@@ -722,7 +728,7 @@
             }
             Fault::Slow { from, to, length, by } => {
                 let until = self.now + length;
-                self.slow.push((from, to, until, by));
+                self.slow_links.push((from, to, until, by));
             }
             Fault::Full { member, length } => {
                 self.hosts[member].disk.set_capacity(Some(0));
@@ -805,7 +811,7 @@
                 if from != to {
                     self.cut(from, to, late, true);
                 }
-                self.record(|| format!("{} receives a leave command", name(from)));
+                self.record(|| format!("{} receives a leave command", member_name(from)));
                 self.step(holder, Input::Leave);
                 self.schedule(LEAVE_TIMEOUT, Event::Terminate { process: holder });
             }
@@ -843,14 +849,14 @@
         self.no_faults_until = self.now + down + self.scenario.ttl;
         let disk_at_last_start = std::mem::take(&mut self.hosts[member].disk_at_last_start);
         self.kill_host(member, down);
-        self.record(|| format!("{} restarts with an older disk", name(member)));
+        self.record(|| format!("{} restarts with an older disk", member_name(member)));
         self.hosts[member].disk.restore(disk_at_last_start);
     }
 
     fn heal_all(&mut self) {
         let all: Vec<u64> = self.cuts.iter().map(|cut| cut.number).collect();
         all.into_iter().for_each(|cut| self.heal(cut));
-        self.slow.clear();
+        self.slow_links.clear();
     }
 
     fn cut(&mut self, from: usize, to: usize, length: Duration, held: bool) {
@@ -909,7 +915,7 @@
                 // The rest of the maximum delay.
                 let left = (decided_at + self.scenario.max_delay.div_f64(1.2)).saturating_sub(self.now);
                 let mut way = if left.is_zero() { left } else { self.draw_duration(&call, left) };
-                if checks(call.task) && self.rng.random_bool(0.1) {
+                if checks_tokens(call.task) && self.rng.random_bool(0.1) {
                     // A resource that checks tokens tolerates a call with any delay.
                     way = self.rng.random_range(Duration::ZERO..self.scenario.ttl * 6);
                 }
@@ -928,7 +934,7 @@
             Event::Resume { process } => {
                 self.processes[process].paused = false;
                 let host = self.processes[process].host;
-                self.record(|| format!("{} resumes", name(host)));
+                self.record(|| format!("{} resumes", member_name(host)));
                 for event in std::mem::take(&mut self.processes[process].deferred) {
                     self.schedule(Duration::ZERO, event);
                 }
@@ -1018,7 +1024,7 @@
                 let (Some(voter), true) = (member.voter(), *alive) else { continue };
                 let line = format!(
                     "{} has disk {:016x}, {}term {}, has the voter disks {:x?}, last acts {:?}",
-                    name(*host),
+                    member_name(*host),
                     voter.disk(),
                     if voter.leads() { "is the leader, " } else { "" },
                     voter.term(),
@@ -1035,10 +1041,10 @@
         }
         self.outcome.duration = self.now;
         self.outcome.busiest = self
-            .load
+            .traffic
             .iter()
             .filter(|(host, _)| **host < self.scenario.voters)
-            .fold((0, 0), |(messages, bytes), (_, load)| (messages.max(load.0), bytes.max(load.1)));
+            .fold((0, 0), |(messages, bytes), (_, traffic)| (messages.max(traffic.0), bytes.max(traffic.1)));
         self.outcome
     }
 
@@ -1070,7 +1076,7 @@
     /// Whether every task was acted on after `since`, and a leader has all named voters in its configuration.
     fn has_recovered(&self, since: Duration) -> bool {
         let acted = self.last_act.iter().all(|act| act.is_some_and(|(at, _)| at > since));
-        let named: BTreeSet<String> = (0..self.scenario.voters).map(name).collect();
+        let named: BTreeSet<String> = (0..self.scenario.voters).map(member_name).collect();
         let voting = |process: &Process| {
             let Some(voter) = process.member.voter() else { return false };
             let voter_slots = voter.seats();
--- a/crates/lab/src/freezes.rs
+++ b/crates/lab/src/freezes.rs
@@ -45,9 +45,9 @@
     plan: Plan,
     tally: Tally,
     /// Time from the pause until the other process served alone; `None` if the pause ended before.
-    other: Option<Duration>,
+    takeover_time: Option<Duration>,
     /// Time from the resumption until all requests were served again; `None` after a timeout.
-    again: Option<Duration>,
+    recovery_time: Option<Duration>,
 }
 
 impl Plan {
@@ -65,7 +65,7 @@
 }
 
 /// Sends pairs until enough in a row are served. Returns when the first of those was sent.
-async fn wait_until_served(nodo: &Nodo, record: &AnswerLog, name: &str) -> Option<Instant> {
+async fn wait_until_served(nodo: &Nodo, answer_log: &AnswerLog, name: &str) -> Option<Instant> {
     let all = async {
         let (mut began, mut served_in_a_row, mut n) = (Instant::now(), 0, 0);
         while served_in_a_row < SERVED_IN_A_ROW {
@@ -73,8 +73,9 @@
             if served_in_a_row == 0 {
                 began = Instant::now();
             }
-            record.send_twice(nodo.address, &key, ANSWER_TIMEOUT).await;
-            let both = record.answers().get(&key).is_some_and(|all| all.iter().all(|one| one.status == 200));
+            answer_log.send_twice(nodo.address, &key, ANSWER_TIMEOUT).await;
+            let both =
+                answer_log.answers().get(&key).is_some_and(|all| all.iter().all(|one| one.status == 200));
             (served_in_a_row, n) = (if both { served_in_a_row + 1 } else { 0 }, n + 1);
         }
         began
@@ -85,9 +86,9 @@
 async fn play(program: &Path, seed: u64, number: u64) -> io::Result<PauseResult> {
     let plan = Plan::from_seed(seed, number);
     let mut nodo = Nodo::new(program, &format!("freeze-{seed}-{number}")).await?;
-    let record = AnswerLog::default();
+    let answer_log = AnswerLog::default();
     let earlier = nodo.start().await?;
-    record.burst(nodo.address, "before", 20, 4, ANSWER_TIMEOUT).await;
+    answer_log.burst(nodo.address, "before", 20, 4, ANSWER_TIMEOUT).await;
     let before = plan.earlier && plan.at_ms < 0;
     let offset = Duration::from_millis(plan.at_ms.unsigned_abs());
     let mut paused_at = Instant::now();
@@ -113,8 +114,8 @@
         if ready && served_after.is_none() {
             let name = format!("frozen-{}", paused_at.elapsed().as_millis());
             let patience = PROBE_TIMEOUT.min(resumes_at.saturating_duration_since(Instant::now()));
-            record.burst(nodo.address, &name, PROBES, PROBES, patience).await;
-            let answers = record.answers();
+            answer_log.burst(nodo.address, &name, PROBES, PROBES, patience).await;
+            let answers = answer_log.answers();
             let mut probes = answers.iter().filter(|(key, _)| key.starts_with(&name));
             let served = probes.any(|(_, all)| all.iter().any(|one| one.status == 200));
             served_after = served.then(|| paused_at.elapsed());
@@ -123,21 +124,22 @@
     }
     paused_incarnation(&plan, &earlier, &later).process.resume();
     let resumed_at = Instant::now();
-    let (address, all) = (nodo.address, record.clone());
+    let (address, all) = (nodo.address, answer_log.clone());
     let burst = spawn_local(async move {
         all.burst(address, "woken", PAIRS_AFTER_RESUME, PARALLEL_PAIRS, ANSWER_TIMEOUT).await
     });
-    let again =
-        wait_until_served(&nodo, &record, "again").await.map(|at| at.saturating_duration_since(resumed_at));
+    let recovery_time = wait_until_served(&nodo, &answer_log, "again")
+        .await
+        .map(|at| at.saturating_duration_since(resumed_at));
     // An error means that the task panicked, which is reported already.
     let _ = burst.await;
-    if again.is_none() {
+    if recovery_time.is_none() {
         for (who, start) in [("earlier", &earlier), ("later", &later)] {
             eprintln!("{who}: {}{}", start.call("PING").await, start.call("INFO").await);
         }
         eprintln!("freeze {number} of seed {seed}, {plan:?}: {}", nodo.logs());
     }
-    Ok(PauseResult { plan, tally: record.tally(&nodo, ""), other: served_after, again })
+    Ok(PauseResult { plan, tally: answer_log.tally(&nodo, ""), takeover_time: served_after, recovery_time })
 }
 
 fn paused_incarnation<'a>(plan: &Plan, earlier: &'a Incarnation, later: &'a Incarnation) -> &'a Incarnation {
@@ -172,8 +174,8 @@
             tally.ran_twice.len().to_string(),
             tally.refused_after_run.len().to_string(),
             format!("{} / {} / {} / {}", with(200), with(500) + with(400), with(503), with(0)),
-            ms(one.other),
-            ms(one.again),
+            ms(one.takeover_time),
+            ms(one.recovery_time),
         ]
     });
     let all = table(
@@ -194,22 +196,29 @@
     let (keys, twice) = (sum(|tally| tally.keys), sum(|tally| tally.ran_twice.len()));
     let refused = sum(|tally| tally.refused_after_run.len());
     let differ = sum(|tally| tally.differ.len());
-    let again =
-        results.iter().map(|one| one.again).max_by_key(|again| again.unwrap_or(RECOVERY_TIMEOUT)).flatten();
-    let all_again = results.iter().all(|one| one.again.is_some());
+    let recovery_time = results
+        .iter()
+        .map(|one| one.recovery_time)
+        .max_by_key(|recovery_time| recovery_time.unwrap_or(RECOVERY_TIMEOUT))
+        .flatten();
+    let all_recovered = results.iter().all(|one| one.recovery_time.is_some());
     // Pauses that are long enough for the bound on the takeover to apply.
     let bound: Vec<&PauseResult> =
         results.iter().filter(|one| one.plan.length > MAX_TAKEOVER_TIME + 2 * PROBE_TIMEOUT).collect();
-    let other = bound.iter().map(|one| one.other.unwrap_or(RECOVERY_TIMEOUT)).max();
+    let other = bound.iter().map(|one| one.takeover_time.unwrap_or(RECOVERY_TIMEOUT)).max();
     let checks = [
-        Figure::none("keys that ran twice", twice),
-        Figure::none("keys refused after they ran", refused),
-        Figure::none("keys served with two results", differ),
+        Figure::zero("keys that ran twice", twice),
+        Figure::zero("keys refused after they ran", refused),
+        Figure::zero("keys served with two results", differ),
         Figure::new(
             "all served again after the wake, ms, the slowest",
-            if all_again { ms(again) } else { format!("not within {}", RECOVERY_TIMEOUT.as_millis()) },
+            if all_recovered {
+                ms(recovery_time)
+            } else {
+                format!("not within {}", RECOVERY_TIMEOUT.as_millis())
+            },
             format!("≤ {}", MAX_RECOVERY_TIME.as_millis()),
-            all_again && again.is_some_and(|again| again <= MAX_RECOVERY_TIME),
+            all_recovered && recovery_time.is_some_and(|recovery_time| recovery_time <= MAX_RECOVERY_TIME),
         ),
         Figure::new(
             "the other one serves, ms from the freeze, the slowest",
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -143,7 +143,10 @@
         here.with_file_name("jaspershunt")
     });
     if !nodo.is_file() {
-        eprintln!("{} is not there: build it with `make build`, or name another with --nodo", nodo.display());
+        eprintln!(
+            "{} does not exist: build it with `make build`, or give another path with --nodo",
+            nodo.display()
+        );
         return ExitCode::from(2);
     }
     let holds = match cli.command {
@@ -156,8 +159,8 @@
             "fleet-load" => fleet::load::measure(&nodo, out.as_deref(), seed),
             "leases" => fleet::measure::measure(&nodo, out.as_deref(), seed),
             "partial" => {
-                let play = partial::Play { seed, rounds, length: Duration::from_secs(seconds) };
-                partial::measure(&nodo, out.as_deref(), play)
+                let parameters = partial::Parameters { seed, rounds, length: Duration::from_secs(seconds) };
+                partial::measure(&nodo, out.as_deref(), parameters)
             }
             "freezes" => freezes::measure(&nodo, out.as_deref(), seed),
             _ => dependencies::measure(&nodo, out.as_deref(), seed),
--- a/crates/lab/src/partial/mod.rs
+++ b/crates/lab/src/partial/mod.rs
@@ -30,7 +30,7 @@
 
 /// Parameters of the measurement.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct Parameters {
     /// Seed of the first round.
     pub seed: u64,
     /// Number of rounds, run one after another.
@@ -116,21 +116,21 @@
 }
 
 /// Runs the whole measurement and prints its report. Returns whether the bounds hold.
-pub fn measure(nodo: &Path, out: Option<&Path>, play: Play) -> io::Result<bool> {
+pub fn measure(nodo: &Path, out: Option<&Path>, parameters: Parameters) -> io::Result<bool> {
     let (mut fleets, mut killed, mut without_handover) =
         (Vec::new(), KillResults::default(), KillResults::default());
-    for round in 0..play.rounds {
-        let seed = (play.seed + round) * 100;
+    for round in 0..parameters.rounds {
+        let seed = (parameters.seed + round) * 100;
         let (outcomes, with, without) = on_one_thread(async move {
             let runs: Vec<_> = (0..PARALLEL_FLEETS)
                 .map(|n| {
                     let nodo = nodo.to_path_buf();
-                    spawn_local(async move { run_with_faults(&nodo, seed + n, play.length).await })
+                    spawn_local(async move { run_with_faults(&nodo, seed + n, parameters.length).await })
                 })
                 .collect();
             let kills = [true, false].map(|handover| {
                 let nodo = nodo.to_path_buf();
-                spawn_local(async move { killed::play(&nodo, seed, handover, play.length).await })
+                spawn_local(async move { killed::play(&nodo, seed, handover, parameters.length).await })
             });
             let mut outcomes = Vec::new();
             for run in runs {
@@ -144,12 +144,12 @@
         killed.add(with);
         without_handover.add(without);
     }
-    let (text, last, holds) = report(&fleets, &killed, &without_handover, play);
+    let (text, last, holds) = report(&fleets, &killed, &without_handover, parameters);
     print!("{text}");
     if let Some(out) = out {
         let head = format!(
             "# Parts that fail, measured\n\n    make measure-partial OUT=docs/measured SEED={} ROUNDS={}\n\n",
-            play.seed, play.rounds
+            parameters.seed, parameters.rounds
         );
         std::fs::write(out.join("partial.md"), format!("{head}{text}\n{last}\n"))?;
     }
@@ -161,11 +161,11 @@
     fleets: &[FleetOutcome],
     killed: &KillResults,
     without_handover: &KillResults,
-    play: Play,
+    parameters: Parameters,
 ) -> (String, String, bool) {
     let add = |of: fn(&FleetOutcome) -> usize| fleets.iter().map(of).sum::<usize>();
     let faults = add(|outcome| outcome.counts.iter().sum()) + killed.kills;
-    let min_faults = MIN_FAULTS_PER_ROUND * play.rounds as usize;
+    let min_faults = MIN_FAULTS_PER_ROUND * parameters.rounds as usize;
     let doubled = add(|outcome| outcome.verdict.doubled.len()) + killed.doubled;
     let without = add(|outcome| outcome.verdict.without_outcome.len()) + killed.without_outcome;
     let refused =
@@ -173,26 +173,26 @@
     let (p50, p99) = (percentile(&killed.times, 0.5), percentile(&killed.times, 0.99));
     let figures = [
         Figure::new("faults injected", faults, format!("≥ {min_faults}"), faults >= min_faults),
-        Figure::none("effects doubled", doubled),
-        Figure::none("accepted work with no outcome", without),
-        Figure::none("histories refused, work with two outcomes among them", refused),
-        Figure::none(
+        Figure::zero("effects doubled", doubled),
+        Figure::zero("accepted work with no outcome", without),
+        Figure::zero("histories refused, work with two outcomes among them", refused),
+        Figure::zero(
             "fleets without their votes once all is healed",
             add(|outcome| usize::from(!outcome.recovered)),
         ),
-        Figure::none(
+        Figure::zero(
             &format!("keys of which nobody is told within {} s of that", ANSWER_TIMEOUT.as_secs()),
             add(|outcome| outcome.unanswered) + killed.unanswered,
         ),
-        Figure::none(
+        Figure::zero(
             "edits of four teams of which nothing is heard in that time",
             add(|outcome| outcome.edits[3]),
         ),
-        Figure::none(
+        Figure::zero(
             "fleets whose nodos do not come to show one route table",
             add(|outcome| usize::from(outcome.table.is_err())),
         ),
-        Figure::none(
+        Figure::zero(
             "histories of clients that could not be written",
             add(|outcome| usize::from(outcome.write_error.is_some())),
         ),
@@ -256,9 +256,9 @@
          which one nodo after another is killed, with leases of {} s, {} kills, {} begun requests in hand; the same without `handover`: {} kills, {} of \
          {} keys with their effect twice, {} never served.\n\n{rows}\n\n{kinds}\n\n{each}\n",
         fleets.len(),
-        play.length.as_secs(),
+        parameters.length.as_secs(),
         TTL.as_secs(),
-        play.rounds,
+        parameters.rounds,
         killed::TTL.as_secs(),
         killed.kills,
         killed.times.len(),
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -35,7 +35,7 @@
     }
 
     /// Creates a figure whose value must be 0.
-    pub fn none(what: &str, measured: usize) -> Figure {
+    pub fn zero(what: &str, measured: usize) -> Figure {
         Figure::new(what, measured, 0, measured == 0)
     }
 }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -122,7 +122,7 @@
         while directory.mode().as_deref() != Some("open") {
             if began.elapsed() > START_TIMEOUT {
                 let log = std::fs::read_to_string(folder.path().join("log")).unwrap_or_default();
-                return Err(io::Error::other(format!("the nodo did not come up: {log}")));
+                return Err(io::Error::other(format!("the nodo did not start in time: {log}")));
             }
             sleep(Duration::from_millis(5)).await;
         }
