--- a/crates/lab/src/dependencies.rs
+++ b/crates/lab/src/dependencies.rs
@@ -117,7 +117,7 @@
     all: (f64, f64),
     /// Retries and first calls during the fault.
     retries: (usize, usize),
-    /// Calls at which a dependency had more in-flight calls than its budget.
+    /// Calls that found more in-flight calls at a dependency than its budget.
     over_budget: usize,
     false_labels: usize,
     doubled: usize,
@@ -176,7 +176,7 @@
     let needs = CLASSES[broken].0;
     let other = |class: &str| class != needs;
     let quarter = |n: usize| (n as f64 / 4.0, (n + 1) as f64 / 4.0);
-    let results = RunResult {
+    let result = RunResult {
         others: (
             share(&load, CALM_FROM_SECONDS, BREAK_AT_SECONDS, other),
             share(&load, BREAK_AT_SECONDS, HEAL_AT_SECONDS, other),
@@ -197,7 +197,7 @@
             .collect(),
     };
     site.stop().await;
-    Ok(results)
+    Ok(result)
 }
 
 fn calls_over_budget(record: &Record) -> usize {
@@ -316,7 +316,7 @@
     for fault in FAULTS {
         let of = |budgets: bool| -> Vec<&RunResult> {
             let same = |(run, _): &(&(Fault, usize, bool), &RunResult)| run.0 == fault && run.2 == budgets;
-            runs.iter().zip(&results).filter(same).map(|(_, results)| results).collect()
+            runs.iter().zip(&results).filter(same).map(|(_, result)| result).collect()
         };
         let (with_file, baseline) = (of(true), of(false));
         let least = |of: &[&RunResult], ratio: &dyn Fn(&RunResult) -> f64| {
@@ -401,7 +401,7 @@
     let limits_table = table(&limit_head, &limit_rows);
 
     let with_file: Vec<&RunResult> =
-        runs.iter().zip(&results).filter(|(run, _)| run.2).map(|(_, results)| results).collect();
+        runs.iter().zip(&results).filter(|(run, _)| run.2).map(|(_, result)| result).collect();
     let sum = |of: &dyn Fn(&RunResult) -> usize| with_file.iter().map(|result| of(result)).sum::<usize>();
     let least = |of: &dyn Fn(&RunResult) -> f64| {
         with_file.iter().map(|result| of(result)).fold(f64::INFINITY, f64::min)
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -46,7 +46,7 @@
 }
 
 /// Runs fleets in parallel, as tasks on this thread.
-fn at_once<F: Future<Output = io::Result<InjectionOutcome>> + 'static>(
+fn run_in_parallel<F: Future<Output = io::Result<InjectionOutcome>> + 'static>(
     fleets: u64,
     play: impl Fn(u64) -> F,
 ) -> io::Result<Vec<InjectionOutcome>> {
@@ -62,7 +62,7 @@
 /// Measures kills of leaders alone, at least `kills` in all. Returns whether the bounds hold.
 pub fn leaders(nodo: &Path, seed: u64, kills: usize) -> io::Result<bool> {
     let each = kills.div_ceil(LEADER_KILL_FLEETS as usize);
-    let outcomes = at_once(LEADER_KILL_FLEETS, |n| {
+    let outcomes = run_in_parallel(LEADER_KILL_FLEETS, |n| {
         let nodo = nodo.to_path_buf();
         async move { fault_injection::leaders(&nodo, seed * 100 + n, each).await }
     })?;
@@ -92,16 +92,16 @@
     let began = Instant::now();
     let totals: Totals = soak(from..from + 100_000, THREADS, |_| began.elapsed() > SOAK_TIME);
     let mutant_results = mutants(SCHEDULES_PER_RULE, THREADS, "");
-    let outcomes = at_once(FLEETS, |n| {
+    let outcomes = run_in_parallel(FLEETS, |n| {
         let nodo = nodo.to_path_buf();
         async move { fault_injection::play(&nodo, seed * 100 + n, FAULT_TIME).await }
     })?;
     let (small, big) = (large_fleet(30), large_fleet(300));
-    let a_second = |outcome: &Outcome| {
+    let per_second = |outcome: &Outcome| {
         let time = outcome.duration.as_secs_f64().max(0.001);
         (outcome.busiest.0 as f64 / time, outcome.busiest.1 as f64 / time / 1024.0)
     };
-    let (few, many) = (a_second(&small), a_second(&big));
+    let (few, many) = (per_second(&small), per_second(&big));
     let add = |of: fn(&InjectionOutcome) -> usize| outcomes.iter().map(of).sum::<usize>();
     let faults = add(|t| t.kills) + add(|t| t.pauses) + add(|t| t.cuts);
     let gaps: Vec<f64> = outcomes.iter().flat_map(|outcome| outcome.gaps.clone()).collect();
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -91,22 +91,22 @@
 
 /// Runs schedules, every second one targeted, and prints progress and each failing seed at once. Returns
 /// whether none failed.
-pub fn long_soak(from: u64, schedules: u64, threads: usize, most: Option<Duration>) -> bool {
+pub fn long_soak(from: u64, schedules: u64, threads: usize, time_limit: Option<Duration>) -> bool {
     let began = Instant::now();
-    let said = Mutex::new((began, 0));
+    let reported = Mutex::new((began, 0));
     let seed = |n: u64| from + n / 2 + if n.is_multiple_of(2) { 0 } else { FIRST_TARGETED_SEED };
     let totals = play(0..schedules, seed, threads, |totals| {
-        let mut said = said.lock().unwrap_or_else(PoisonError::into_inner);
-        for (seed, what) in totals.violations.iter().skip(said.1) {
+        let mut reported = reported.lock().unwrap_or_else(PoisonError::into_inner);
+        for (seed, what) in totals.violations.iter().skip(reported.1) {
             println!("seed {seed}: {what}");
         }
-        said.1 = totals.violations.len();
-        if said.0.elapsed() > PROGRESS_INTERVAL {
-            said.0 = Instant::now();
+        reported.1 = totals.violations.len();
+        if reported.0.elapsed() > PROGRESS_INTERVAL {
+            reported.0 = Instant::now();
             let rate = totals.schedules as f64 / began.elapsed().as_secs_f64();
-            eprintln!("{} of {schedules}, {rate:.1} a second, {} failed", totals.schedules, said.1);
+            eprintln!("{} of {schedules}, {rate:.1} a second, {} failed", totals.schedules, reported.1);
         }
-        most.is_some_and(|most| began.elapsed() > most)
+        time_limit.is_some_and(|time_limit| began.elapsed() > time_limit)
     });
     let took = began.elapsed().as_secs_f64();
     println!(
@@ -125,19 +125,19 @@
 /// Removes faults as long as the schedule still fails.
 pub fn shrink(mut scenario: Scenario) -> Scenario {
     let fails = |scenario: &Scenario| Simulation::new(scenario.clone(), false).play().violation.is_some();
-    let mut place = 0;
-    while place < scenario.faults.len() {
-        let mut less = scenario.clone();
-        less.faults.remove(place);
-        if fails(&less) {
-            scenario = less;
+    let mut index = 0;
+    while index < scenario.faults.len() {
+        let mut reduced = scenario.clone();
+        reduced.faults.remove(index);
+        if fails(&reduced) {
+            scenario = reduced;
         } else {
-            place += 1;
+            index += 1;
         }
     }
-    let mut less = scenario.clone();
-    less.loss_rate = 0.0;
-    if fails(&less) { less } else { scenario }
+    let mut reduced = scenario.clone();
+    reduced.loss_rate = 0.0;
+    if fails(&reduced) { reduced } else { scenario }
 }
 
 /// Prints the timeline of a seed, its end or with `all` the whole. Returns whether no invariant was broken.
@@ -175,10 +175,10 @@
     activate(Some(mutant));
     let found = |totals: &Totals| !totals.violations.is_empty();
     let mut totals = soak(FIRST_TARGETED_SEED..FIRST_TARGETED_SEED + schedules, threads, found);
-    let aimed = totals.schedules;
+    let targeted = totals.schedules;
     if !found(&totals) {
         totals = soak(0..schedules, threads, found);
-        totals.schedules += aimed;
+        totals.schedules += targeted;
     }
     activate(None);
     (totals.schedules, totals.violations.first().cloned())
--- a/crates/lab/src/fleet/simulation.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -466,20 +466,20 @@
         let now = self.now;
         let slow = self.slow_links.iter().find(|slow| (slow.0, slow.1) == (one, other) && slow.2 > now);
         let by = slow.map_or(Duration::ZERO, |slow| slow.3);
-        let way = self.rng.random_range(MIN_DELAY..MAX_DELAY) + by;
+        let delay = self.rng.random_range(MIN_DELAY..MAX_DELAY) + by;
         if self.scenario.loss_rate > 0.0 && self.rng.random_bool(self.scenario.loss_rate) {
             let again = self.rng.random_range(MIN_DELAY..self.scenario.ttl);
             self.schedule(again, Event::Deliver { to, bytes: bytes.clone() });
         }
-        self.schedule(way, Event::Deliver { to, bytes });
+        self.schedule(delay, Event::Deliver { to, bytes });
     }
 
     fn apply_outputs(&mut self, process: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Say { to, said } => self.send(process, &to, said),
-                Output::Call(wanted) => {
-                    let client::Call { task, number, token, key, send_by, until, .. } = wanted;
+                Output::Call(requested) => {
+                    let client::Call { task, number, token, key, send_by, until, .. } = requested;
                     let task = task[1..].parse().unwrap_or(0);
                     let call = Call { task, number, token, key, send_by, until };
                     // A process sends a short time after it decides to, and may be paused in between.
@@ -526,20 +526,20 @@
             let granted: Vec<(u64, (String, Holder))> =
                 leases.map(|(lease, held)| (held.token, (lease.to_string(), held.holder.clone()))).collect();
             let leads = voter.leads();
-            for (token, whose) in granted {
+            for (token, grant) in granted {
                 match self.tokens.get(&token) {
-                    Some(known) if *known != whose => {
+                    Some(known) if *known != grant => {
                         self.report_violation(format!(
-                            "token {token} is granted to {whose:?}, but was granted to {known:?}"
+                            "token {token} is granted to {grant:?}, but was granted to {known:?}"
                         ));
                     }
                     Some(_) => {}
                     None => {
                         self.outcome.leases_granted += 1;
                         self.record(|| {
-                            format!("{} is granted to {} under token {token}", whose.0, whose.1.member)
+                            format!("{} is granted to {} under token {token}", grant.0, grant.1.member)
                         });
-                        self.tokens.insert(token, whose);
+                        self.tokens.insert(token, grant);
                     }
                 }
             }
@@ -613,9 +613,9 @@
         }
         self.highest_tokens[task] = self.highest_tokens[task].max(call.token);
         if !checks {
-            let at_once =
+            let overlapping =
                 self.acts.iter().find(|act| act.task == task && !act.over && act.token != call.token);
-            if let Some(other) = at_once {
+            if let Some(other) = overlapping {
                 let what = format!(
                     "{} acts on {} under {} while {} does under {}",
                     member_name(self.processes[process].host),
@@ -661,10 +661,10 @@
         self.scenario.stress_calls && !self.scenario.seed.is_multiple_of(2)
     }
 
-    /// Draws the delay of a call, or the duration of its act, up to `most`.
-    fn draw_duration(&mut self, call: &Call, most: Duration) -> Duration {
+    /// Draws the delay of a call, or the duration of its act, up to `max`.
+    fn draw_duration(&mut self, call: &Call, max: Duration) -> Duration {
         if !self.scenario.stress_calls {
-            return self.rng.random_range(Duration::ZERO..most);
+            return self.rng.random_range(Duration::ZERO..max);
         }
         // Either nearly the maximum, or short enough that the whole call meets its timeout. The first call of
         // a new holder is short, and failures in a row are limited because the backoff doubles with each try.
@@ -677,7 +677,7 @@
             0.3
         };
         let part = if self.rng.random_bool(long) { 0.9..1.0 } else { 0.0..0.1 };
-        most.mul_f64(self.rng.random_range(part))
+        max.mul_f64(self.rng.random_range(part))
     }
 
     /// Draws the outcome of an act. With `stress_calls` it is mostly a cursor, which has to be committed, or
@@ -870,20 +870,20 @@
         let Some(host) = self.cuts.iter().position(|cut| cut.number == number) else { return };
         let cut = self.cuts.swap_remove(host);
         for (to, bytes) in cut.waiting {
-            let way = self.rng.random_range(MIN_DELAY..MAX_DELAY);
-            self.schedule(way, Event::Deliver { to, bytes });
+            let delay = self.rng.random_range(MIN_DELAY..MAX_DELAY);
+            self.schedule(delay, Event::Deliver { to, bytes });
         }
     }
 
     fn handle(&mut self, event: Event) {
-        let whose = match &event {
+        let target = match &event {
             Event::Tick { process }
             | Event::Deliver { to: process, .. }
             | Event::Send { process, .. }
             | Event::Reply { process, .. } => Some(*process),
             _ => None,
         };
-        if let Some(process) = whose {
+        if let Some(process) = target {
             if !self.processes[process].alive {
                 return;
             }
@@ -914,12 +914,12 @@
                 }
                 // The rest of the maximum delay.
                 let left = (decided_at + self.scenario.max_delay.div_f64(1.2)).saturating_sub(self.now);
-                let mut way = if left.is_zero() { left } else { self.draw_duration(&call, left) };
+                let mut delay = if left.is_zero() { left } else { self.draw_duration(&call, left) };
                 if checks_tokens(call.task) && self.rng.random_bool(0.1) {
                     // A resource that checks tokens tolerates a call with any delay.
-                    way = self.rng.random_range(Duration::ZERO..self.scenario.ttl * 6);
+                    delay = self.rng.random_range(Duration::ZERO..self.scenario.ttl * 6);
                 }
-                self.schedule(way, Event::Arrive { process, call });
+                self.schedule(delay, Event::Arrive { process, call });
             }
             Event::Arrive { process, call } => self.handle_call(process, call),
             Event::ActEnded { act } => self.acts[act].over = true,
