--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -79,7 +79,7 @@
         Figure::zero("times missed that were due", add(|t| t.missed)),
         Figure::zero("acts at once, nothing checking tokens", add(|t| t.overlaps)),
         Figure::zero("a lower token taken after a higher", add(|t| t.stale_token_acts)),
-        Figure::zero("fleets that do not go on", add(|t| usize::from(!t.recovered))),
+        Figure::zero("fleets that do not recover", add(|t| usize::from(!t.recovered))),
     ];
     let (rows, last, holds) = verdict("leases, the one that leads", &figures);
     println!("{LEADER_KILL_FLEETS} fleets of five, {acts} acts.\n\n{rows}\n\n{last}");
@@ -109,7 +109,7 @@
     let quorum = outcomes.iter().map(|t| t.quorum_recovery.unwrap_or(f64::INFINITY)).fold(0.0, f64::max);
     let baseline: usize = mutant_results.iter().filter(|(.., found)| found.is_some()).count();
     let figures = [
-        Figure::zero("seeded schedules with something that must never be", totals.violations.len()),
+        Figure::zero("seeded schedules that broke an invariant", totals.violations.len()),
         Figure::new(
             "rules left out, found within 100 schedules (the baseline: not 0)",
             format!("{baseline} of {}", mutant_results.len()),
@@ -119,7 +119,7 @@
         Figure::new("real processes: kills, freezes and cuts", faults, "≥ 500", faults >= 500),
         Figure::zero("acts at once, nothing checking tokens", add(|t| t.overlaps)),
         Figure::zero("a lower token taken after a higher", add(|t| t.stale_token_acts)),
-        Figure::zero("fleets that do not go on at the end", add(|t| usize::from(!t.recovered))),
+        Figure::zero("fleets that do not recover at the end", add(|t| usize::from(!t.recovered))),
         Figure::new(
             "a holder is killed, until the next act, p50, leases' time",
             format!("{p50:.2}"),
--- a/crates/lab/src/fleet/simulation.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -188,8 +188,7 @@
     traffic: BTreeMap<usize, (u64, u64)>,
     outcome: Outcome,
     records_timeline: bool,
-    /// No faults are injected until then: a disk was rolled back, and the other voters must be up to detect
-    /// it.
+    /// No faults are injected until then: the other voters must be up to detect a rolled-back disk.
     no_faults_until: Duration,
     /// Messages between voters that carry entries are dropped until then.
     entries_dropped_until: Duration,
@@ -511,9 +510,9 @@
     fn check_invariants(&mut self, process: usize) {
         if let Some(voter) = self.processes[process].member.voter_mut() {
             voter.keep_trace();
-            for (index, term, print) in voter.take_trace() {
-                let known = *self.committed.entry(index).or_insert((term, print));
-                if known != (term, print) {
+            for (index, term, digest) in voter.take_trace() {
+                let known = *self.committed.entry(index).or_insert((term, digest));
+                if known != (term, digest) {
                     let name = member_name(self.processes[process].host);
                     self.report_violation(format!(
                         "{name} applies another entry at {index} than was applied there"
@@ -867,8 +866,8 @@
     }
 
     fn heal(&mut self, number: u64) {
-        let Some(host) = self.cuts.iter().position(|cut| cut.number == number) else { return };
-        let cut = self.cuts.swap_remove(host);
+        let Some(index) = self.cuts.iter().position(|cut| cut.number == number) else { return };
+        let cut = self.cuts.swap_remove(index);
         for (to, bytes) in cut.waiting {
             let delay = self.rng.random_range(MIN_DELAY..MAX_DELAY);
             self.schedule(delay, Event::Deliver { to, bytes });
--- a/crates/lab/src/partial/mod.rs
+++ b/crates/lab/src/partial/mod.rs
@@ -215,7 +215,7 @@
         let count: usize = fleets.iter().map(|outcome| outcome.counts[kind]).sum();
         vec![(*name).to_string(), count.to_string()]
     });
-    let kinds = table(&["fault", "so many"], &kinds.collect::<Vec<_>>());
+    let kinds = table(&["fault", "count"], &kinds.collect::<Vec<_>>());
     let each = fleets.iter().map(|outcome| {
         let [served, failed, refused, nothing] = outcome.statuses;
         let Verdict { files, keys, effects, doubled, without_outcome: without, .. } = &outcome.verdict;
