--- a/crates/lab/src/fleet/demo.rs
+++ b/crates/lab/src/fleet/demo.rs
@@ -1,6 +1,7 @@
-//! Five nodos as a fleet with two tasks, while a holder is killed, the one that leads is frozen, and a link is cut.
+//! A demonstration of five nodos as a fleet with two tasks, while a holder is killed, the leader is paused,
+//! and a nodo's links are cut.
 
-use super::torment::{TTL, resources};
+use super::fault_injection::{TTL, resources};
 use crate::site::on_one_thread;
 use jaspershunt_stand_ins::fleet::Fleet;
 use jaspershunt_stand_ins::link::Fault;
@@ -9,26 +10,24 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// From each event to the next.
-const EACH: Duration = Duration::from_secs(5);
-/// Between two lines of the table.
-const LINE_EVERY: Duration = Duration::from_millis(500);
+const EVENT_INTERVAL: Duration = Duration::from_secs(5);
+const LINE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Shows it; whether no two acted at once.
+/// Runs the demonstration. Returns whether no two holders acted at once.
 pub fn run(nodo: &Path) -> io::Result<bool> {
     on_one_thread(async {
-        let (checks, cannot, tasks) = resources().await;
+        let (checked, unchecked, tasks) = resources().await;
         let mut fleet = Fleet::new(nodo, "demo", (5, 3), TTL, &tasks).await?;
-        println!("five nodos, three of them vote; a lease lasts {TTL:?}; each task is due every second\n");
+        println!("five nodos, three of them voters; a lease lasts {TTL:?}; each task is due every second\n");
         fleet.start_all().await?;
-        // One that takes longer shows it in the table.
-        let _ = timeout(4 * EACH, fleet.wait_for_votes()).await;
+        // If the votes take longer, the table shows it.
+        let _ = timeout(4 * EVENT_INTERVAL, fleet.wait_for_votes()).await;
         println!(
             "{:>6}  {:<26} {:<8} {:<8} {:<8} {:>6} {:>9}",
             "s", "", "leads", "checked", "timed", "acts", "overlaps"
         );
         let began = Instant::now();
-        let (mut killed, mut frozen) = (None, None);
+        let (mut killed, mut paused) = (None, None);
         for event in 0..7 {
             let what = match event {
                 1 => {
@@ -36,7 +35,7 @@
                     if let Some(n) = killed {
                         fleet.kill(n).await;
                     }
-                    killed.map(|n| format!("n{n}, which holds, is killed"))
+                    killed.map(|n| format!("n{n}, the holder, is killed"))
                 }
                 2 => {
                     if let Some(n) = killed {
@@ -45,33 +44,33 @@
                     killed.map(|n| format!("n{n} is back"))
                 }
                 3 => {
-                    frozen = fleet.leader().await;
-                    if let Some(n) = frozen {
+                    paused = fleet.leader().await;
+                    if let Some(n) = paused {
                         fleet.process(n).pause();
                     }
-                    frozen.map(|n| format!("n{n}, which leads, is frozen"))
+                    paused.map(|n| format!("n{n}, the leader, is paused"))
                 }
                 4 => {
-                    if let Some(n) = frozen {
+                    if let Some(n) = paused {
                         fleet.process(n).resume();
                     }
-                    frozen.map(|n| format!("n{n} goes on"))
+                    paused.map(|n| format!("n{n} resumes"))
                 }
                 5 => {
                     let holder = fleet.holder("task/timed").await;
                     if let Some(n) = holder {
                         fleet.isolate(n, Fault::Cut);
                     }
-                    holder.map(|n| format!("n{n}, which holds, is cut off"))
+                    holder.map(|n| format!("n{n}, the holder, is cut off"))
                 }
                 6 => {
                     fleet.heal();
-                    Some("the links are back".to_string())
+                    Some("the links are restored".to_string())
                 }
                 _ => None,
             };
             let mut what = what.unwrap_or_default();
-            let until = Instant::now() + EACH;
+            let until = Instant::now() + EVENT_INTERVAL;
             while Instant::now() < until {
                 let name = |n: Option<usize>| n.map_or("–".to_string(), |n| format!("n{n}"));
                 let (leader, one, two) = (
@@ -79,21 +78,22 @@
                     fleet.holder("task/checked").await,
                     fleet.holder("task/timed").await,
                 );
-                let acts = checks.acts().iter().chain(&cannot.acts()).filter(|act| !act.turned_away).count();
+                let acts =
+                    checked.acts().iter().chain(&unchecked.acts()).filter(|act| !act.turned_away).count();
                 println!(
                     "{:>6.1}  {what:<26} {:<8} {:<8} {:<8} {acts:>6} {:>9}",
                     began.elapsed().as_secs_f64(),
                     name(leader),
                     name(one),
                     name(two),
-                    cannot.overlaps().len() + checks.stale_token_acts().len()
+                    unchecked.overlaps().len() + checked.stale_token_acts().len()
                 );
                 what.clear();
-                sleep(LINE_EVERY).await;
+                sleep(LINE_INTERVAL).await;
             }
         }
-        let acts = checks.acts().iter().chain(&cannot.acts()).filter(|act| !act.turned_away).count();
-        let wrong = cannot.overlaps().len() + checks.stale_token_acts().len();
+        let acts = checked.acts().iter().chain(&unchecked.acts()).filter(|act| !act.turned_away).count();
+        let wrong = unchecked.overlaps().len() + checked.stale_token_acts().len();
         println!("\n{acts} acts, {wrong} overlaps");
         Ok(wrong == 0)
     })
--- a/crates/lab/src/fleet/tests.rs
+++ b/crates/lab/src/fleet/tests.rs
@@ -1,55 +1,54 @@
 use super::*;
 use std::sync::RwLock;
 
-/// A rule that is left out is left out in the whole process: nothing else is played meanwhile.
-static RULES: RwLock<()> = RwLock::new(());
+/// Removing a rule affects the whole process, so no other schedules may run meanwhile.
+static RULES_LOCK: RwLock<()> = RwLock::new(());
 
-/// Threads that play at once.
 const THREADS: usize = 4;
 
-/// A fixed set of schedules, the same each time; a seed that once failed stays below.
+/// Runs the same random schedules each time. Seeds that once failed are listed in a test below.
 #[test]
-fn nothing_is_that_must_never_be_in_a_fixed_set_of_schedules() {
-    let _whole = RULES.read().unwrap();
-    let sum = soak(0..400, THREADS, |_| false);
-    assert_eq!(sum.violations, [], "see `jaspershunt-lab fleet replay SEED`");
-    assert!(sum.acts > 1000 && sum.tokens > 500 && sum.leaders > 400, "{sum:?}");
+fn random_schedules_break_no_invariant() {
+    let _shared = RULES_LOCK.read().unwrap();
+    let totals = soak(0..400, THREADS, |_| false);
+    assert_eq!(totals.violations, [], "see `jaspershunt-lab fleet replay SEED`");
+    assert!(totals.acts > 1000 && totals.leases_granted > 500 && totals.leader_changes > 400, "{totals:?}");
 }
 
-/// The same, of those that are aimed at who leads and who holds.
+/// Runs the same schedules each time, with faults targeted at the leader and the holders.
 #[test]
-fn nothing_is_that_must_never_be_in_a_fixed_set_of_aimed_schedules() {
-    let _whole = RULES.read().unwrap();
-    let sum = soak(AIMED..AIMED + 60, THREADS, |_| false);
-    assert_eq!(sum.violations, [], "see `jaspershunt-lab fleet replay SEED`");
-    assert!(sum.acts > 6000 && sum.tokens > 500 && sum.leaders > 200, "{sum:?}");
+fn targeted_schedules_break_no_invariant() {
+    let _shared = RULES_LOCK.read().unwrap();
+    let totals = soak(FIRST_TARGETED_SEED..FIRST_TARGETED_SEED + 60, THREADS, |_| false);
+    assert_eq!(totals.violations, [], "see `jaspershunt-lab fleet replay SEED`");
+    assert!(totals.acts > 6000 && totals.leases_granted > 500 && totals.leader_changes > 200, "{totals:?}");
 }
 
-/// Seeds in which something was once that must never be, or that did not go on.
+/// Seeds that once broke an invariant or did not recover.
 #[test]
 fn seeds_that_once_failed_do_not_fail_again() {
-    let _whole = RULES.read().unwrap();
+    let _shared = RULES_LOCK.read().unwrap();
     for seed in [0, 8, 15, 107, 181, 229, 577, 1184, 1414, 1939, 3046, 1_000_758] {
-        let came = World::new(Sketch::draw(seed), false).play();
-        assert_eq!(came.violation, None, "seed {seed}");
+        let outcome = Simulation::new(Scenario::from_seed(seed), false).play();
+        assert_eq!(outcome.violation, None, "seed {seed}");
     }
 }
 
-/// The same seed is the same world, to the last act.
+/// A seed determines the whole timeline of a simulation.
 #[test]
-fn a_seed_is_the_same_world_each_time() {
-    let _whole = RULES.read().unwrap();
+fn a_seed_gives_the_same_timeline_each_time() {
+    let _shared = RULES_LOCK.read().unwrap();
     for seed in 0..6 {
-        let play = || World::new(Sketch::draw(seed), true).play();
+        let play = || Simulation::new(Scenario::from_seed(seed), true).play();
         let (one, two) = (play(), play());
-        assert_eq!(one.story, two.story, "seed {seed}");
+        assert_eq!(one.timeline, two.timeline, "seed {seed}");
     }
 }
 
-/// Rules that faults which strike blindly do not show to be needed, within 100 schedules that are aimed.
+/// Rules whose removal faults of random members do not reveal are found within 100 targeted schedules.
 #[test]
-fn rules_left_out_are_found_by_aim() {
-    let _alone = RULES.write().unwrap();
+fn removed_rules_are_found_by_targeted_schedules() {
+    let _exclusive = RULES_LOCK.write().unwrap();
     let rules = [
         Mutant::NoDriftMargin,
         Mutant::RenewedByAMinority,
@@ -60,22 +59,23 @@
     ];
     for rule in rules {
         activate(Some(rule));
-        let sum = soak(AIMED..AIMED + 100, THREADS, |sum| !sum.violations.is_empty());
+        let totals =
+            soak(FIRST_TARGETED_SEED..FIRST_TARGETED_SEED + 100, THREADS, |t| !t.violations.is_empty());
         activate(None);
-        println!("{rule:?}: {:?} after {} schedules", sum.violations.first(), sum.schedules);
-        assert!(!sum.violations.is_empty(), "{rule:?} was not found in {} schedules", sum.schedules);
+        println!("{rule:?}: {:?} after {} schedules", totals.violations.first(), totals.schedules);
+        assert!(!totals.violations.is_empty(), "{rule:?} was not found in {} schedules", totals.schedules);
     }
 }
 
-/// Rules that the model cannot show to be needed, as they lie below it.
+/// Rules about storage and revocation, which the model does not cover, are found by random schedules.
 #[test]
-fn rules_left_out_are_found() {
-    let _alone = RULES.write().unwrap();
+fn removed_rules_are_found_by_random_schedules() {
+    let _exclusive = RULES_LOCK.write().unwrap();
     for mutant in [Mutant::SaidBeforeSynced, Mutant::SeatsNotWritten, Mutant::RevokedEndsAtOnce] {
         activate(Some(mutant));
-        let sum = soak(0..20_000, THREADS, |sum| !sum.violations.is_empty());
+        let totals = soak(0..20_000, THREADS, |t| !t.violations.is_empty());
         activate(None);
-        println!("{mutant:?}: {:?} after {} schedules", sum.violations.first(), sum.schedules);
-        assert!(!sum.violations.is_empty(), "{mutant:?} was not found in {} schedules", sum.schedules);
+        println!("{mutant:?}: {:?} after {} schedules", totals.violations.first(), totals.schedules);
+        assert!(!totals.violations.is_empty(), "{mutant:?} was not found in {} schedules", totals.schedules);
     }
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -6,7 +6,7 @@
 use std::error::Error;
 use std::path::Path;
 
-/// A table in Markdown.
+/// Formats a table in Markdown.
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header(head.iter().copied());
@@ -16,35 +16,35 @@
     table.to_string()
 }
 
-/// A figure held against its bound.
+/// A measured figure and its bound.
 pub struct Figure {
-    /// What was measured.
+    /// Label of the figure.
     pub what: String,
-    /// What came of it.
+    /// Measured value.
     pub measured: String,
-    /// What it may be.
+    /// Bound on the value.
     pub bound: String,
-    /// Whether it is.
+    /// Whether the value is within the bound.
     pub holds: bool,
 }
 
 impl Figure {
-    /// A figure and its bound, as they are to be read.
+    /// Creates a figure from its label, value and bound.
     pub fn new(what: &str, measured: impl ToString, bound: impl ToString, holds: bool) -> Figure {
         Figure { what: what.to_string(), measured: measured.to_string(), bound: bound.to_string(), holds }
     }
 
-    /// A number that has to be 0.
-    pub fn none(what: &str, measured: usize) -> Figure {
+    /// Creates a figure whose value must be 0.
+    pub fn zero(what: &str, measured: usize) -> Figure {
         Figure::new(what, measured, 0, measured == 0)
     }
 }
 
-/// The table of an experiment's figures, the last line that sums it up, and whether all holds.
+/// Returns the table of an experiment's figures, its closing line, and whether all bounds hold.
 pub fn verdict(name: &str, figures: &[Figure]) -> (String, String, bool) {
     let rows = figures.iter().map(|figure| {
-        let word = if figure.holds { "holds" } else { "falls short" };
-        vec![figure.what.clone(), figure.measured.clone(), figure.bound.clone(), word.to_string()]
+        let status = if figure.holds { "holds" } else { "falls short" };
+        vec![figure.what.clone(), figure.measured.clone(), figure.bound.clone(), status.to_string()]
     });
     let rows = table(&["figure", "measured", "bound", ""], &rows.collect::<Vec<_>>());
     let short: Vec<&str> =
@@ -59,45 +59,41 @@
 
 /// A line of a chart.
 pub struct Line {
-    /// Its name.
     pub name: String,
-    /// Its points.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A part of a chart, with axes of its own.
+/// A part of a chart with its own axes.
 pub struct Panel {
-    /// Its title.
     pub title: String,
-    /// What is to the right.
+    /// Label of the x axis.
     pub x: String,
-    /// What is up.
+    /// Label of the y axis.
     pub y: String,
-    /// Its lines.
     pub lines: Vec<Line>,
 }
 
-/// Draws panels one below another.
+/// Draws a chart with the panels one below another.
 ///
 /// # Errors
-/// The file cannot be written.
+/// The file cannot be written, or a panel cannot be drawn.
 pub fn chart(path: &Path, panels: &[Panel]) -> Result<(), Box<dyn Error>> {
     let height = 300 * panels.len().max(1) as u32;
     let root = SVGBackend::new(path, (900, height)).into_drawing_area();
     root.fill(&WHITE)?;
     for (area, panel) in root.split_evenly((panels.len().max(1), 1)).iter().zip(panels) {
         let points = || panel.lines.iter().flat_map(|line| &line.points);
-        let most_x = points().map(|(x, _)| *x).fold(1e-9, f64::max);
-        let most_y = points().map(|(_, y)| *y).fold(1e-9, f64::max) * 1.1;
+        let max_x = points().map(|(x, _)| *x).fold(1e-9, f64::max);
+        let max_y = points().map(|(_, y)| *y).fold(1e-9, f64::max) * 1.1;
         let mut chart = ChartBuilder::on(area)
             .caption(&panel.title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..most_x, 0.0..most_y)?;
+            .build_cartesian_2d(0.0..max_x, 0.0..max_y)?;
         chart.configure_mesh().x_desc(&panel.x).y_desc(&panel.y).draw()?;
-        for (place, line) in panel.lines.iter().enumerate() {
-            let colour = Palette99::pick(place).to_rgba();
+        for (index, line) in panel.lines.iter().enumerate() {
+            let colour = Palette99::pick(index).to_rgba();
             let drawn = LineSeries::new(line.points.iter().copied(), colour.stroke_width(2));
             chart
                 .draw_series(drawn)?
