--- a/crates/node/tests/cold_start.rs
+++ b/crates/node/tests/cold_start.rs
@@ -1,14 +1,14 @@
 //! Processes that start at once, all of them cold, under more load than they may take. Judged by what the interpreters and
 //! the database have on record.
 
-#[path = "common/moments.rs"]
-mod moments;
+#[path = "common/draining.rs"]
+mod draining;
 
+use draining::{PROGRAM, PROGRESS_TIMEOUT, local};
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig};
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
 use jaspershunt_stand_ins::nodo::{Incarnation, Nodo};
-use moments::{GENEROUS, PROGRAM, local};
 use std::cell::Cell;
 use std::path::Path;
 use std::rc::Rc;
@@ -23,12 +23,12 @@
 const MS: Duration = Duration::from_millis(1);
 /// What the settings below say, for each process.
 const CORES: f64 = 2.0;
-const COLD_FROM: f64 = 0.3;
-const COLD_FOR: Duration = Duration::from_secs(9);
-const FALL_MULTIPLE: f64 = 10.0;
-const FALL: Duration = Duration::from_secs(1);
+const COLD_START_SHARE: f64 = 0.3;
+const COLD_PERIOD: Duration = Duration::from_secs(9);
+const OVERLOAD_MULTIPLE: f64 = 10.0;
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 const FAIR_CALLS: f64 = 1.0;
-const CALLS_OVER: Duration = Duration::from_secs(1);
+const CALLS_WINDOW: Duration = Duration::from_secs(1);
 /// The gauge of runs on the cores is the third one of the interpreter, which always reads 0.1: nothing but what the
 /// settings allow keeps a process from taking ever more.
 const SETTINGS: &str = concat!(
@@ -41,11 +41,11 @@
     r#""obligations":{"coldFrom":0.3,"coldS":9,"fallMultiple":10,"fallS":1,"drainGraceS":0}}"#
 );
 /// How long the load goes on once the interpreters are up.
-const LOAD: Duration = Duration::from_millis(2200);
+const LOAD_DURATION: Duration = Duration::from_millis(2200);
 /// Requests that a process has at any time; more than it may take.
-const OPEN: usize = 40;
+const CLIENTS_PER_PROCESS: usize = 40;
 /// Who was refused tries again after this.
-const AGAIN: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Where something stood from each moment on.
 type Levels = Vec<(Instant, usize)>;
@@ -70,13 +70,14 @@
 }
 
 /// Runs that a process may have on its cores in the mean, so long after its interpreter came up.
-fn crowd(age: Duration) -> f64 {
-    let share = COLD_FROM + (1.0 - COLD_FROM) * (age.as_secs_f64() / COLD_FOR.as_secs_f64()).min(1.0);
-    CORES * (1.0 + (FALL_MULTIPLE - 1.0) * share)
+fn max_runs_on_cores(age: Duration) -> f64 {
+    let share = COLD_START_SHARE
+        + (1.0 - COLD_START_SHARE) * (age.as_secs_f64() / COLD_PERIOD.as_secs_f64()).min(1.0);
+    CORES * (1.0 + (OVERLOAD_MULTIPLE - 1.0) * share)
 }
 
 /// A process, its interpreter, and the clients that keep it under load.
-struct Cold {
+struct ColdProcess {
     nodo: Nodo,
     start: Incarnation,
     interpreter: Interpreter,
@@ -86,20 +87,20 @@
 /// Sends requests, each as the one before is answered.
 async fn client(balancer: Balancer, class: &'static str, go: Rc<Cell<bool>>, served: Rc<Cell<usize>>) {
     while go.get() {
-        match balancer.send(&Request::new(class, b"cold"), GENEROUS).await.status {
+        match balancer.send(&Request::new(class, b"cold"), PROGRESS_TIMEOUT).await.status {
             200 => served.set(served.get() + 1),
-            _ => sleep(AGAIN).await,
+            _ => sleep(RETRY_DELAY).await,
         }
     }
 }
 
-async fn cold(
+async fn start_cold_process(
     n: usize,
     of: usize,
     database: &Dependency,
     go: &Rc<Cell<bool>>,
     served: &Rc<Cell<usize>>,
-) -> Cold {
+) -> ColdProcess {
     let mut nodo = Nodo::new(Path::new(PROGRAM), &format!("cold-{of}-{n}")).await.unwrap();
     nodo.settings = SETTINGS.to_string();
     nodo.database = Some(database.address());
@@ -110,25 +111,25 @@
     let balancer = Balancer::new(nodo.address, n as u64, Some(interpreter.clone()));
     // What waits for calls counts with the crowd, and so each process has one of the classes.
     let class = if n.is_multiple_of(2) { "read" } else { "look" };
-    for _ in 0..OPEN {
+    for _ in 0..CLIENTS_PER_PROCESS {
         clients.push(spawn_local(client(balancer.clone(), class, go.clone(), served.clone())));
     }
-    Cold { nodo, start, interpreter, clients }
+    ColdProcess { nodo, start, interpreter, clients }
 }
 
 /// So many processes whose interpreters come up at the same moment, under load from before then on.
-async fn together(count: usize) {
+async fn check_simultaneous_start(count: usize) {
     let database = Dependency::start(DependencyConfig::new("db", 1000, 100 * MS)).await;
     let (go, served) = (Rc::new(Cell::new(true)), Rc::new(Cell::new(0)));
     let mut all = Vec::new();
     for n in 0..count {
-        all.push(cold(n, count, &database, &go, &served).await);
+        all.push(start_cold_process(n, count, &database, &go, &served).await);
     }
     let up = Instant::now();
     for one in &all {
         one.interpreter.become_ready();
     }
-    sleep(LOAD).await;
+    sleep(LOAD_DURATION).await;
     let end = Instant::now();
     go.set(false);
     let cores: Vec<Levels> = all.iter().map(|one| one.interpreter.on_cores_history()).collect();
@@ -137,15 +138,15 @@
     let (mut most_on_cores, mut most_calls) = (0.0_f64, 0.0_f64);
     for moment in &moments {
         let mut sum = 0.0;
-        let allowed = crowd(*moment - up);
+        let allowed = max_runs_on_cores(*moment - up);
         for (levels, one) in cores.iter().zip(&all) {
-            let on_cores = mean(levels, *moment, FALL);
+            let on_cores = mean(levels, *moment, OVERLOAD_WINDOW);
             assert!(on_cores <= allowed, "{on_cores:.2} of {allowed:.2} on the cores: {}", one.nodo.logs());
             sum += on_cores;
         }
         let budget = allowed * count as f64;
         assert!(sum <= budget + slack(budget), "{sum:.2} of {budget:.2} on the cores of {count}");
-        let in_flight = mean(&calls, *moment, CALLS_OVER);
+        let in_flight = mean(&calls, *moment, CALLS_WINDOW);
         let budget = FAIR_CALLS * count as f64;
         assert!(
             in_flight <= budget + slack(budget),
@@ -163,27 +164,27 @@
     }
 }
 
-fn start_together(count: usize) {
+fn check_alone(count: usize) {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-    local(together(count));
+    local(check_simultaneous_start(count));
 }
 
 #[test]
-fn two_and_five_cold_processes_keep_to_what_the_settings_allow() {
+fn two_and_five_cold_processes_stay_within_their_limits() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     local(async {
-        for deployment in [2, 5].map(|count| spawn_local(together(count))) {
+        for deployment in [2, 5].map(|count| spawn_local(check_simultaneous_start(count))) {
             deployment.await.unwrap();
         }
     });
 }
 
 #[test]
-fn twenty_cold_processes_keep_to_what_the_settings_allow() {
-    start_together(20);
+fn twenty_cold_processes_stay_within_their_limits() {
+    check_alone(20);
 }
 
 #[test]
-fn thirty_cold_processes_keep_to_what_the_settings_allow() {
-    start_together(30);
+fn thirty_cold_processes_stay_within_their_limits() {
+    check_alone(30);
 }
--- a/crates/node/tests/common/moments.rs
+++ b/crates/node/tests/common/draining.rs
@@ -25,7 +25,7 @@
 /// The deadline of all classes here.
 pub const DEADLINE: Duration = Duration::from_secs(3);
 /// What a busy machine may add to anything that is no matter of safety.
-pub const GENEROUS: Duration = Duration::from_secs(30);
+pub const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn local(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -45,14 +45,14 @@
 
 /// How long the process or the test stood still, since the watch began: on a machine that keeps either from its work, who is answered
 /// when says nothing of the program.
-pub struct Stalls(Rc<Cell<Duration>>);
+pub struct StallMonitor(Rc<Cell<Duration>>);
 
 /// Less than what any bound here leaves to either.
-const STEADY: Duration = Duration::from_millis(120);
+const MAX_STALL: Duration = Duration::from_millis(120);
 
-impl Stalls {
+impl StallMonitor {
     /// Has a look every few milliseconds, by calls of an operator, while anybody answers them.
-    pub fn watch(admin: SocketAddr) -> Stalls {
+    pub fn start(admin: SocketAddr) -> StallMonitor {
         let longest = Rc::new(Cell::new(Duration::ZERO));
         let seen = longest.clone();
         spawn_local(async move {
@@ -67,17 +67,17 @@
                 seen.set(seen.get().max(began.elapsed()));
             }
         });
-        Stalls(longest)
+        StallMonitor(longest)
     }
 
     /// Whether both went on all the time.
-    pub fn none(&self) -> bool {
-        self.0.get() < STEADY
+    pub fn is_steady(&self) -> bool {
+        self.0.get() < MAX_STALL
     }
 }
 
 /// Plays a case until one was judged in full, a few times at most: it says whether it was. What must never happen is judged each time.
-pub async fn judged(case: impl AsyncFn() -> bool) {
+pub async fn retry_while_stalled(case: impl AsyncFn() -> bool) {
     for _ in 0..3 {
         if case().await {
             return;
@@ -87,20 +87,20 @@
 }
 
 /// A process that serves and will be told to leave.
-pub struct Leaving {
+pub struct DrainingNodo {
     pub nodo: Nodo,
     pub start: Incarnation,
-    /// When it is to be told; see [`Leaving::plan`].
-    pub at: Instant,
-    /// When the directory is known to have heard `closed`.
-    pub heard: Rc<Cell<Option<Instant>>>,
-    pub stalls: Stalls,
-    watches: JoinHandle<()>,
+    /// When it is to be told; see [`DrainingNodo::schedule_termination`].
+    pub terminate_at: Instant,
+    /// When the directory is known to have closed_at `closed`.
+    pub closed_at: Rc<Cell<Option<Instant>>>,
+    pub stall_monitor: StallMonitor,
+    directory_watch: JoinHandle<()>,
 }
 
 /// Bytes of one request, and what came of them.
 #[derive(Debug)]
-pub struct Sent {
+pub struct SentRequest {
     pub uid: String,
     pub keyed: bool,
     /// Before and after its last byte was written.
@@ -112,51 +112,51 @@
     pub end: End,
 }
 
-impl Leaving {
-    pub async fn start(mut nodo: Nodo) -> Leaving {
+impl DrainingNodo {
+    pub async fn start(mut nodo: Nodo) -> DrainingNodo {
         let start = nodo.start().await.unwrap();
-        let heard = Rc::new(Cell::new(None));
-        let (directory, hears) = (nodo.directory.clone(), heard.clone());
-        let watches = spawn_local(async move {
+        let closed_at = Rc::new(Cell::new(None));
+        let (directory, closed_at_writer) = (nodo.directory.clone(), closed_at.clone());
+        let directory_watch = spawn_local(async move {
             while directory.mode().as_deref() != Some("closed") {
                 sleep(Duration::from_millis(1)).await;
             }
-            hears.set(Some(Instant::now()));
+            closed_at_writer.set(Some(Instant::now()));
         });
-        let stalls = Stalls::watch(start.admin);
-        Leaving { nodo, start, at: Instant::now(), heard, stalls, watches }
+        let stall_monitor = StallMonitor::start(start.admin);
+        DrainingNodo { nodo, start, terminate_at: Instant::now(), closed_at, stall_monitor, directory_watch }
     }
 
     /// It is to be told soon: all that the test needs for it is there.
-    pub fn plan(&mut self) -> Instant {
-        self.at = Instant::now() + Duration::from_millis(200);
-        self.at
+    pub fn schedule_termination(&mut self) -> Instant {
+        self.terminate_at = Instant::now() + Duration::from_millis(200);
+        self.terminate_at
     }
 
     /// A connection that was used once.
-    pub async fn used(&self, number: u64) -> Wire {
-        used(&self.nodo, number).await
+    pub async fn used_connection(&self, number: u64) -> Wire {
+        used_connection(&self.nodo, number).await
     }
 
     /// Tells it to leave, once it is time; returns when it was told at the earliest.
-    pub async fn tell(&self) -> Instant {
-        sleep_until(self.at).await;
+    pub async fn terminate(&self) -> Instant {
+        sleep_until(self.terminate_at).await;
         let told = Instant::now();
         self.start.process.terminate();
         told
     }
 
     /// It reports that it takes no work, and ends in good order.
-    pub async fn ends(&mut self) {
-        let ended = timeout(GENEROUS, self.start.process.wait()).await.unwrap();
+    pub async fn assert_clean_exit(&mut self) {
+        let ended = timeout(PROGRESS_TIMEOUT, self.start.process.wait()).await.unwrap();
         assert!(ended, "it ends with a fault: {}", self.nodo.logs());
-        let heard = timeout(GENEROUS, &mut self.watches).await;
-        assert!(heard.is_ok(), "the directory never heard that it leaves: {}", self.nodo.logs());
+        let closed_at = timeout(PROGRESS_TIMEOUT, &mut self.directory_watch).await;
+        assert!(closed_at.is_ok(), "the directory never heard that it leaves: {}", self.nodo.logs());
     }
 
-    /// What has to hold of every request, whenever it came. `certain` is until when whatever is whole has to be answered.
-    pub fn holds(&self, sent: &[Sent], grace: Duration, certain: Instant, what: &str) {
-        let heard = self.heard.get().unwrap();
+    /// What has to hold of every request, whenever it came. `answered_until` is until when whatever is whole has to be answered.
+    pub fn check_requests(&self, sent: &[SentRequest], grace: Duration, answered_until: Instant, what: &str) {
+        let closed_at = self.closed_at.get().unwrap();
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for run in self.nodo.interpreters.iter().flat_map(|interpreter| interpreter.runs().clone()) {
             *runs.entry(run.uid).or_default() += 1;
@@ -168,9 +168,16 @@
             assert!(one.statuses.len() <= 1, "two answers: {}", seen());
             assert!(one.whole || ran == 0, "it ran and was never whole: {}", seen());
             // The grace began before the directory could hear of it.
-            assert!(ran == 0 || one.last.0 <= heard + grace, "it came after the grace and ran: {}", seen());
             assert!(
-                !one.whole || one.last.1 > certain || one.statuses.len() == 1 || !self.stalls.none(),
+                ran == 0 || one.last.0 <= closed_at + grace,
+                "it came after the grace and ran: {}",
+                seen()
+            );
+            assert!(
+                !one.whole
+                    || one.last.1 > answered_until
+                    || one.statuses.len() == 1
+                    || !self.stall_monitor.is_steady(),
                 "it was read and not answered: {}",
                 seen()
             );
@@ -183,13 +190,13 @@
                 None => assert_eq!(ran, 0, "it ran and was not answered: {}", seen()),
             }
             let late = one.took > DEADLINE + Duration::from_millis(500);
-            assert!(!late || !self.stalls.none(), "too late: {}", seen());
+            assert!(!late || !self.stall_monitor.is_steady(), "too late: {}", seen());
         }
     }
 }
 
 /// A connection that was used once, as soon as anybody listens.
-pub async fn used(nodo: &Nodo, number: u64) -> Wire {
+pub async fn used_connection(nodo: &Nodo, number: u64) -> Wire {
     let used = async {
         loop {
             if let Ok(mut wire) = Wire::connect(nodo.address, number).await
@@ -201,11 +208,16 @@
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(GENEROUS, used).await.unwrap_or_else(|_| panic!("it serves nobody: {}", nodo.logs()))
+    timeout(PROGRESS_TIMEOUT, used).await.unwrap_or_else(|_| panic!("it serves nobody: {}", nodo.logs()))
 }
 
 /// Writes the first bytes of a request at one time and the rest at another, and reads until the connection ends.
-pub async fn in_parts(mut wire: Wire, request: Request, cut: usize, times: (Instant, Instant)) -> Sent {
+pub async fn send_in_parts(
+    mut wire: Wire,
+    request: Request,
+    cut: usize,
+    times: (Instant, Instant),
+) -> SentRequest {
     sleep_until(times.0).await;
     let (keyed, request) = (request.key.is_some(), wire.encode(&request));
     let mut left = wire.write(&request.bytes[..cut]);
@@ -213,15 +225,15 @@
     let before = Instant::now();
     left += if left == cut { wire.write(&request.bytes[cut..]) } else { 0 };
     let whole = left == request.bytes.len();
-    Sent { keyed, ..sent(wire, request.uid, whole, before).await }
+    SentRequest { keyed, ..read_answers(wire, request.uid, whole, before).await }
 }
 
 /// Reads all that comes of a request without a key, whose last byte was written after `before`, until the connection ends.
-pub async fn sent(mut wire: Wire, uid: String, whole: bool, before: Instant) -> Sent {
+pub async fn read_answers(mut wire: Wire, uid: String, whole: bool, before: Instant) -> SentRequest {
     let last = (before, Instant::now());
     let (mut statuses, mut took) = (Vec::new(), Duration::ZERO);
     let end = loop {
-        match timeout(GENEROUS, wire.answer()).await.expect("neither an answer nor an end") {
+        match timeout(PROGRESS_TIMEOUT, wire.answer()).await.expect("neither an answer nor an end") {
             Ok((_, answer)) => {
                 if statuses.is_empty() {
                     took = last.1.elapsed();
@@ -231,11 +243,11 @@
             Err(end) => break end,
         }
     };
-    Sent { uid, keyed: false, last, whole, statuses, took, end }
+    SentRequest { uid, keyed: false, last, whole, statuses, took, end }
 }
 
 /// All of them, once they are done.
-pub async fn all(senders: Vec<JoinHandle<Sent>>) -> Vec<Sent> {
+pub async fn join_all(senders: Vec<JoinHandle<SentRequest>>) -> Vec<SentRequest> {
     let mut all = Vec::new();
     for sender in senders {
         all.push(sender.await.unwrap());
--- a/crates/node/tests/common/sites.rs
+++ b/crates/node/tests/common/sites.rs
@@ -8,35 +8,35 @@
 /// Shares may add up to so much more or less than 1, as they are rounded.
 const TOLERANCE: f64 = 0.01;
 /// What stands beside the site's own file.
-const BESIDE: [&str; 3] = ["real.json", "wire.json", "unlock.txt"];
+const REQUIRED_FILES: [&str; 3] = ["real.json", "wire.json", "unlock.txt"];
 
 /// Keys of a trouble whose two numbers come in either order in sites that the bench plays.
-const NO_RANGES: [&str; 2] = ["len_s", "extra"];
+const UNORDERED_TROUBLE_KEYS: [&str; 2] = ["len_s", "extra"];
 
 /// What is wrong with the site of this name, whose folder is in `root`; a line for each fault, with file and key.
 pub fn check(root: &Path, name: &str) -> Vec<String> {
     let folder = root.join(name);
     let mut wrong = Vec::new();
-    for file in BESIDE {
-        let way = format!("deploy/sites/{name}/{file}");
+    for file in REQUIRED_FILES {
+        let path = format!("deploy/sites/{name}/{file}");
         match std::fs::read_to_string(folder.join(file)) {
-            Err(_) => wrong.push(format!("{way}: is missing")),
+            Err(_) => wrong.push(format!("{path}: is missing")),
             Ok(text) if file.ends_with(".json") => {
                 let read = text.parse::<JsonValue>();
                 if !read.is_ok_and(|value| value.get::<HashMap<String, JsonValue>>().is_some()) {
-                    wrong.push(format!("{way}: is no JSON object"));
+                    wrong.push(format!("{path}: is no JSON object"));
                 }
             }
             Ok(_) => {}
         }
     }
-    let way = format!("deploy/sites/{name}/{name}.toml");
+    let path = format!("deploy/sites/{name}/{name}.toml");
     match std::fs::read_to_string(folder.join(format!("{name}.toml"))) {
-        Err(_) => wrong.push(format!("{way}: is missing")),
+        Err(_) => wrong.push(format!("{path}: is missing")),
         Ok(text) => match text.parse::<Table>() {
-            Err(e) => wrong.push(format!("{way}: is no TOML: {}", e.message())),
+            Err(e) => wrong.push(format!("{path}: is no TOML: {}", e.message())),
             Ok(site) => {
-                wrong.extend(keys(&site, name, &folder).iter().map(|fault| format!("{way}: {fault}")))
+                wrong.extend(check_keys(&site, name, &folder).iter().map(|fault| format!("{path}: {fault}")))
             }
         },
     }
@@ -44,11 +44,11 @@
 }
 
 /// The faults of a site's own file.
-fn keys(site: &Table, name: &str, folder: &Path) -> Vec<String> {
+fn check_keys(site: &Table, name: &str, folder: &Path) -> Vec<String> {
     let mut wrong = Vec::new();
     match text(site, "", "name") {
-        Ok(told) if told == name => {}
-        Ok(told) => wrong.push(format!("name: is {told}, and the folder is {name}")),
+        Ok(given) if given == name => {}
+        Ok(given) => wrong.push(format!("name: is {given}, and the folder is {name}")),
         Err(fault) => wrong.push(fault),
     }
     match text(site, "", "wire") {
@@ -59,19 +59,19 @@
         Ok(_) => {}
         Err(fault) => wrong.push(fault),
     }
-    ranges(&Value::Table(site.clone()), "", &mut wrong);
+    check_ranges(&Value::Table(site.clone()), "", &mut wrong);
     let classes = tables(site, "class");
     for list in ["class", "tenant"] {
         let entries = tables(site, list);
-        names(&entries, list, &mut wrong);
-        shares(&entries, list, &mut wrong);
+        check_names(&entries, list, &mut wrong);
+        check_shares(&entries, list, &mut wrong);
     }
     if classes.is_empty() {
         wrong.push("class: there is none".to_string());
     }
     for (n, class) in classes.iter().enumerate() {
-        wrong.extend(effect(class, &format!("class[{n}].")).err());
-        wrong.extend(times(class, &format!("class[{n}].")).err());
+        wrong.extend(check_effect(class, &format!("class[{n}].")).err());
+        wrong.extend(check_times(class, &format!("class[{n}].")).err());
     }
     let family = site.get("fam").and_then(Value::as_table).map_or(0, |family| tables(family, "class").len());
     if family != classes.len() {
@@ -85,24 +85,24 @@
     list.into_iter().flatten().filter_map(Value::as_table).collect()
 }
 
-fn need<'a>(table: &'a Table, way: &str, key: &str) -> Result<&'a Value, String> {
-    table.get(key).ok_or_else(|| format!("{way}{key}: is missing"))
+fn require<'a>(table: &'a Table, path: &str, key: &str) -> Result<&'a Value, String> {
+    table.get(key).ok_or_else(|| format!("{path}{key}: is missing"))
 }
 
-fn text<'a>(table: &'a Table, way: &str, key: &str) -> Result<&'a str, String> {
-    need(table, way, key)?.as_str().ok_or_else(|| format!("{way}{key}: must be a text"))
+fn text<'a>(table: &'a Table, path: &str, key: &str) -> Result<&'a str, String> {
+    require(table, path, key)?.as_str().ok_or_else(|| format!("{path}{key}: must be a text"))
 }
 
 fn as_number(value: &Value) -> Option<f64> {
     value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64))
 }
 
-fn number(table: &Table, way: &str, key: &str) -> Result<f64, String> {
-    as_number(need(table, way, key)?).ok_or_else(|| format!("{way}{key}: must be a number"))
+fn number(table: &Table, path: &str, key: &str) -> Result<f64, String> {
+    as_number(require(table, path, key)?).ok_or_else(|| format!("{path}{key}: must be a number"))
 }
 
 /// Names that are there twice, or with other characters than they may have in paths and headers.
-fn names(entries: &[&Table], list: &str, wrong: &mut Vec<String>) {
+fn check_names(entries: &[&Table], list: &str, wrong: &mut Vec<String>) {
     let mut known = BTreeSet::new();
     for (n, entry) in entries.iter().enumerate() {
         let plain = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
@@ -119,7 +119,7 @@
     }
 }
 
-fn shares(entries: &[&Table], list: &str, wrong: &mut Vec<String>) {
+fn check_shares(entries: &[&Table], list: &str, wrong: &mut Vec<String>) {
     let mut sum = 0.0;
     for (n, entry) in entries.iter().enumerate() {
         match number(entry, &format!("{list}[{n}]."), "share") {
@@ -133,47 +133,49 @@
     }
 }
 
-fn effect(class: &Table, way: &str) -> Result<(), String> {
+fn check_effect(class: &Table, path: &str) -> Result<(), String> {
     let window = class.contains_key("window_ms");
-    match text(class, way, "effect")? {
-        "keyed" if !window => Err(format!("{way}window_ms: is missing; a keyed class needs one")),
-        "keyed" if number(class, way, "window_ms")? <= 0.0 => Err(format!("{way}window_ms: must be above 0")),
+    match text(class, path, "effect")? {
+        "keyed" if !window => Err(format!("{path}window_ms: is missing; a keyed class needs one")),
+        "keyed" if number(class, path, "window_ms")? <= 0.0 => {
+            Err(format!("{path}window_ms: must be above 0"))
+        }
         "keyed" => Ok(()),
-        "safe" | "unsafe" if window => Err(format!("{way}window_ms: is for keyed classes only")),
+        "safe" | "unsafe" if window => Err(format!("{path}window_ms: is for keyed classes only")),
         "safe" | "unsafe" => Ok(()),
-        _ => Err(format!("{way}effect: must be safe, keyed or unsafe")),
+        _ => Err(format!("{path}effect: must be safe, keyed or unsafe")),
     }
 }
 
-fn times(class: &Table, way: &str) -> Result<(), String> {
-    let (aim, deadline) = (number(class, way, "aim_ms")?, number(class, way, "deadline_ms")?);
+fn check_times(class: &Table, path: &str) -> Result<(), String> {
+    let (aim, deadline) = (number(class, path, "aim_ms")?, number(class, path, "deadline_ms")?);
     if aim <= 0.0 {
-        return Err(format!("{way}aim_ms: must be above 0"));
+        return Err(format!("{path}aim_ms: must be above 0"));
     }
     if aim > deadline {
-        return Err(format!("{way}aim_ms: is beyond deadline_ms"));
+        return Err(format!("{path}aim_ms: is beyond deadline_ms"));
     }
     Ok(())
 }
 
-/// Lists of two numbers are ranges, but for those that [`NO_RANGES`] names.
-fn ranges(value: &Value, way: &str, wrong: &mut Vec<String>) {
+/// Lists of two numbers are ranges, but for those that [`UNORDERED_TROUBLE_KEYS`] names.
+fn check_ranges(value: &Value, path: &str, wrong: &mut Vec<String>) {
     match value {
         Value::Table(table) => {
-            let ordered = |key: &str| !way.starts_with("trouble[") || !NO_RANGES.contains(&key);
+            let ordered = |key: &str| !path.starts_with("trouble[") || !UNORDERED_TROUBLE_KEYS.contains(&key);
             for (key, value) in table.iter().filter(|(key, _)| ordered(key)) {
-                let dot = if way.is_empty() { "" } else { "." };
-                ranges(value, &format!("{way}{dot}{key}"), wrong);
+                let dot = if path.is_empty() { "" } else { "." };
+                check_ranges(value, &format!("{path}{dot}{key}"), wrong);
             }
         }
         Value::Array(list) => match list.iter().map(as_number).collect::<Option<Vec<f64>>>().as_deref() {
             Some([from, to]) if from > to => {
-                wrong.push(format!("{way}: is a range that ends before it begins"));
+                wrong.push(format!("{path}: is a range that ends before it begins"));
             }
             Some(_) => {}
             None => {
                 for (n, entry) in list.iter().enumerate() {
-                    ranges(entry, &format!("{way}[{n}]"), wrong);
+                    check_ranges(entry, &format!("{path}[{n}]"), wrong);
                 }
             }
         },
--- a/crates/node/tests/common/invented.rs
+++ b/crates/node/tests/common/test_deployments.rs
@@ -4,7 +4,7 @@
 
 /// Deadlines are either under this or far over it, so that no busy machine makes one look like the other. Those under it are 0.7 s and
 /// more: a class that has been seen to take about its deadline is turned away as hopeless.
-const SHORT_MS: u64 = 2_000;
+const MAX_SHORT_DEADLINE_MS: u64 = 2_000;
 
 pub struct Class {
     pub name: &'static str,
@@ -19,13 +19,13 @@
 
 impl Class {
     pub fn is_short(&self) -> bool {
-        self.deadline_ms < SHORT_MS
+        self.deadline_ms < MAX_SHORT_DEADLINE_MS
     }
 }
 
 /// What a deployment has callers told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Say {
+pub enum Advice {
     Tokens,
     MinRank,
     Bias,
@@ -36,13 +36,13 @@
     pub name: &'static str,
     pub classes: &'static [Class],
     pub tenants: &'static [&'static str],
-    pub say: Say,
+    pub say: Advice,
     pub halt: &'static str,
     pub passes_deadline: bool,
     pub readiness: bool,
     pub retry_after: bool,
     /// The longest advice to stay away, in milliseconds: a prime of its own, also where none may be given.
-    pub stay_away_ms: u64,
+    pub max_retry_after_ms: u64,
     pub cores: u32,
     pub heap_kb: u32,
     pub meters: &'static str,
@@ -54,12 +54,12 @@
         name: "harbour",
         classes: &[class("pay", "guarded", 31_019, 4_001), class("view", "free", 701, 4_003)],
         tenants: &["north", "south"],
-        say: Say::Tokens,
+        say: Advice::Tokens,
         halt: "drop",
         passes_deadline: false,
         readiness: true,
         retry_after: true,
-        stay_away_ms: 211,
+        max_retry_after_ms: 211,
         cores: 11,
         heap_kb: 100_003,
         meters: r#"["core_use","on_cores"]"#,
@@ -69,12 +69,12 @@
         name: "clinic",
         classes: &[class("pay", "free", 907, 4_007), class("intake", "single_shot", 37_013, 4_013)],
         tenants: &[],
-        say: Say::MinRank,
+        say: Advice::MinRank,
         halt: "pause",
         passes_deadline: false,
         readiness: false,
         retry_after: false,
-        stay_away_ms: 223,
+        max_retry_after_ms: 223,
         cores: 13,
         heap_kb: 200_003,
         meters: r#"["on_cores","heap_share","core_use"]"#,
@@ -90,12 +90,12 @@
             class("ship", "guarded", 41_011, 4_051),
         ],
         tenants: &["east", "west", "south", "inland", "coast"],
-        say: Say::Bias,
+        say: Advice::Bias,
         halt: "drop",
         passes_deadline: true,
         readiness: true,
         retry_after: true,
-        stay_away_ms: 307,
+        max_retry_after_ms: 307,
         cores: 17,
         heap_kb: 300_007,
         meters: r#"["links","heap_share","on_cores","core_use"]"#,
@@ -105,12 +105,12 @@
         name: "archive",
         classes: &[class("view", "free", 47_017, 4_057)],
         tenants: &["north"],
-        say: Say::Silent,
+        say: Advice::Silent,
         halt: "silent",
         passes_deadline: true,
         readiness: false,
         retry_after: true,
-        stay_away_ms: 401,
+        max_retry_after_ms: 401,
         cores: 19,
         heap_kb: 400_009,
         meters: "[]",
@@ -124,12 +124,12 @@
             class("pay", "guarded", 1_103, 4_091),
         ],
         tenants: &[],
-        say: Say::Tokens,
+        say: Advice::Tokens,
         halt: "drop",
         passes_deadline: false,
         readiness: true,
         retry_after: false,
-        stay_away_ms: 503,
+        max_retry_after_ms: 503,
         cores: 23,
         heap_kb: 500_009,
         meters: r#"["brightness","on_cores"]"#,
@@ -148,10 +148,10 @@
         });
         let tenant = |name: &&str| format!(r#"{{"name":"{name}","share":1,"allowancePerS":1000}}"#);
         let say = match self.say {
-            Say::Tokens => "tokens",
-            Say::MinRank => "min_rank",
-            Say::Bias => "bias",
-            Say::Silent => "silent",
+            Advice::Tokens => "tokens",
+            Advice::MinRank => "min_rank",
+            Advice::Bias => "bias",
+            Advice::Silent => "silent",
         };
         let classes = classes.collect::<Vec<_>>().join(",");
         let tenants = self.tenants.iter().map(tenant).collect::<Vec<_>>().join(",");
@@ -164,7 +164,7 @@
             self.passes_deadline,
             self.readiness,
             self.retry_after,
-            self.stay_away_ms as f64 / 1e3,
+            self.max_retry_after_ms as f64 / 1e3,
             self.grace_s,
         )
     }
@@ -181,14 +181,14 @@
     }
 
     /// Whether the free number has the form that it asks for. Tokens are 1 at least, the least rank is below 1, and a bias is at most 1 and never 0 here.
-    pub fn says(&self, answer: &Answer) -> bool {
+    pub fn has_valid_advice(&self, answer: &Answer) -> bool {
         let says = answer.header("x-backend-says").map(|text| text.parse::<f64>().unwrap());
         match (self.say, says) {
-            (Say::Silent, says) => says.is_none(),
-            (Say::Tokens, Some(tokens)) => tokens >= 1.0,
+            (Advice::Silent, says) => says.is_none(),
+            (Advice::Tokens, Some(tokens)) => tokens >= 1.0,
             // While it was 0 from the start there is nothing to tell.
-            (Say::MinRank, rank) => (0.0..1.0).contains(&rank.unwrap_or(0.0)),
-            (Say::Bias, Some(bias)) => bias > 0.0 && bias <= 1.0,
+            (Advice::MinRank, rank) => (0.0..1.0).contains(&rank.unwrap_or(0.0)),
+            (Advice::Bias, Some(bias)) => bias > 0.0 && bias <= 1.0,
             (_, None) => false,
         }
     }
--- a/crates/node/tests/config_messages.rs
+++ b/crates/node/tests/config_messages.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 /// A value in the file, another in its place, and what is said of it.
-const WRONG: [(&str, &str, &str); 28] = [
+const INVALID_VALUES: [(&str, &str, &str); 28] = [
     (r#""name":"n3""#, r#""name":"n/3""#, "name must hold letters, digits"),
     (r#""vm":"127.0.0.1:1""#, r#""vm":"somewhere""#, "vm must be an IP address with a port"),
     (r#""db":"127.0.0.1:3","#, "", "db is missing"),
@@ -51,17 +51,17 @@
 }
 
 #[test]
-fn a_bad_value_is_told_with_its_file_and_key() {
+fn an_invalid_value_is_reported_with_its_file_and_key() {
     let path = file("values");
     let variable = |name: &str| (name == "NODE_CONFIG").then(|| path.display().to_string());
     std::fs::write(&path, text()).unwrap();
     assert!(config::load(variable).is_ok());
-    for (good, bad, told) in WRONG {
+    for (good, bad, message) in INVALID_VALUES {
         let changed = text().replacen(good, bad, 1);
         assert_ne!(changed, text(), "{good} stands nowhere");
         std::fs::write(&path, changed).unwrap();
         let error = config::load(variable).expect_err(bad).to_string();
-        let begins = format!("{}: {told}", path.display());
+        let begins = format!("{}: {message}", path.display());
         assert!(error.starts_with(&begins), "{bad}: {error:?} does not begin with {begins:?}");
     }
     std::fs::remove_file(&path).unwrap();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_bad_variable_is_told_by_its_name_and_not_as_if_it_stood_in_the_file() {
+fn an_invalid_variable_is_reported_by_its_own_name() {
     let path = file("variables");
     std::fs::write(&path, text()).unwrap();
     for (name, value) in [("NODE_NAME", "a b"), ("NODE_LISTEN", "here"), ("NODE_ADMIN", "there")] {
--- a/crates/node/tests/crossing_connections.rs
+++ b/crates/node/tests/connection_races.rs
@@ -28,9 +28,9 @@
 /// Polls after which a writer writes, from none: more than any task here takes from one event to the next.
 const POLLS: u32 = 12;
 /// Longer than a connection may take to bring its first request, and than one may rest that is to make room.
-const USELESS: Duration = Duration::from_millis(600);
+const UNUSED_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long the rest of a request is waited for.
-const WHOLE_WITHIN: Duration = Duration::from_secs(2);
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// The protocol status of a request that never ran.
 const OVERLOADED: u8 = 2;
 
@@ -84,7 +84,7 @@
     }
 
     /// The way back of the next request that is handed to the engine.
-    async fn handed_over(&mut self) -> ReplyTo {
+    async fn next_reply_to(&mut self) -> ReplyTo {
         loop {
             match self.work.recv().await.unwrap() {
                 Input::Work { reply, .. } => return reply,
@@ -103,19 +103,19 @@
 
     /// Sends one request and has it served.
     async fn serve(&mut self, peer: &mut Peer) {
-        peer.send(whole()).await;
-        served(self.handed_over().await, b"first");
+        peer.send(whole_request()).await;
+        send_result(self.next_reply_to().await, b"first");
         assert!(peer.answer().await.unwrap().1.ends_with("first"));
     }
 
     /// Answers all that is handed over from here on, in the background.
-    fn serve_all(self) -> ServedByItself {
+    fn serve_all(self) -> AutoServer {
         let Server { address, front, mut work, idle, stop, accepts, _facts } = self;
         spawn_local(async move {
             let _facts = _facts;
             while let Some(input) = work.recv().await {
                 match input {
-                    Input::Work { reply, .. } => served(reply, b"made"),
+                    Input::Work { reply, .. } => send_result(reply, b"made"),
                     Input::Check { reply } => {
                         reply.send(Reply::new(Answer::Health { good: true }, None));
                     }
@@ -123,12 +123,12 @@
                 }
             }
         });
-        ServedByItself { address, front, _idle: idle, stop, accepts }
+        AutoServer { address, front, _idle: idle, stop, accepts }
     }
 }
 
 /// A server whose engine serves whatever comes.
-struct ServedByItself {
+struct AutoServer {
     address: SocketAddr,
     front: Rc<Front>,
     _idle: watch::Sender<IdlePolicy>,
@@ -136,7 +136,7 @@
     accepts: JoinHandle<()>,
 }
 
-impl ServedByItself {
+impl AutoServer {
     async fn connect(&self) -> Peer {
         connect(self.address).await
     }
@@ -149,16 +149,16 @@
     Peer::new(stream)
 }
 
-fn served(reply: ReplyTo, result: &[u8]) {
+fn send_result(reply: ReplyTo, result: &[u8]) {
     reply.send(Reply::new(Answer::Served(result.into()), None));
 }
 
-fn whole() -> Vec<u8> {
+fn whole_request() -> Vec<u8> {
     request(1, 7, "read", &[], b"body")
 }
 
 /// Lets every other task of this thread that can go on do so once.
-async fn one_poll() {
+async fn yield_once() {
     let mut polled = false;
     poll_fn(|context| {
         if std::mem::replace(&mut polled, true) {
@@ -177,47 +177,47 @@
 }
 
 /// Writes bytes, unless the end of the connection has come by then; whether they left.
-fn put(peer: &Peer, bytes: &[u8]) -> bool {
+fn write_unless_ended(peer: &Peer, bytes: &[u8]) -> bool {
     !has_ended(peer) && peer.stream.try_write(bytes).is_ok_and(|n| n == bytes.len())
 }
 
 /// Has a writer write after so many polls, and returns the connection and whether the bytes left before its end was known.
-async fn put_after(peer: Peer, polls: u32, bytes: Vec<u8>) -> (Peer, bool) {
+async fn write_after_polls(peer: Peer, polls: u32, bytes: Vec<u8>) -> (Peer, bool) {
     for _ in 0..polls {
-        one_poll().await;
+        yield_once().await;
     }
-    let left = put(&peer, &bytes);
+    let left = write_unless_ended(&peer, &bytes);
     (peer, left)
 }
 
 /// Until the connections that are open are as many.
-async fn until_open(front: &Front, connections: usize) {
+async fn wait_for_open_connections(front: &Front, connections: usize) {
     while front.open.get() != connections {
         yield_now().await;
     }
 }
 
 #[test]
-fn a_first_request_that_crosses_the_call_to_make_room_is_answered() {
+fn a_first_request_racing_the_eviction_of_its_connection_is_answered() {
     paused(async {
         let mut crossed = 0;
         for polls in 0..POLLS {
             let server = Server::start(3).await.serve_all();
             let (resting, other) = (server.connect().await, server.connect().await);
-            until_open(&server.front, 2).await;
-            advance(USELESS).await;
+            wait_for_open_connections(&server.front, 2).await;
+            advance(UNUSED_TIMEOUT).await;
             // A third caller has the longest at rest asked to make room, in the same poll in which it is taken in; from there on the
             // polls are counted after which the first request of the one that was asked comes.
             let front = server.front.clone();
             let writer = spawn_local(async move {
                 while front.open.get() < 3 {
-                    one_poll().await;
+                    yield_once().await;
                 }
-                put_after(resting, polls, whole()).await
+                write_after_polls(resting, polls, whole_request()).await
             });
             let mut third = server.connect().await;
             let (mut resting, left) = writer.await.unwrap();
-            third.send(whole()).await;
+            third.send(whole_request()).await;
             if left {
                 crossed += 1;
                 let answer = resting.answer().await;
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn who_can_close_is_asked_to_make_room_before_one_with_a_half_read_request() {
+fn an_idle_connection_is_evicted_before_one_with_a_half_read_request() {
     local(async {
         let mut server = Server::start(3).await;
         let mut half_read = server.used().await;
@@ -244,27 +244,27 @@
         server.serve(&mut caller).await;
         assert!(resting.answer().await.is_none(), "the other one made room");
         half_read.send(&second[60..]).await;
-        served(server.handed_over().await, b"second");
+        send_result(server.next_reply_to().await, b"second");
         assert!(half_read.answer().await.unwrap().1.ends_with("second"));
     });
 }
 
 #[test]
-fn the_rest_of_a_request_that_crosses_its_time_out_is_answered() {
+fn the_rest_of_a_request_racing_its_timeout_is_answered() {
     paused(async {
         let mut refused = 0;
         for polls in 0..POLLS {
             let server = Server::start(4).await.serve_all();
             let peer = server.connect().await;
-            until_open(&server.front, 1).await;
-            let bytes = whole();
-            assert!(put(&peer, &bytes[..40]));
+            wait_for_open_connections(&server.front, 1).await;
+            let bytes = whole_request();
+            assert!(write_unless_ended(&peer, &bytes[..40]));
             yield_now().await;
             let rest = bytes[40..].to_vec();
             // The timer of the connection and that of the writer fire in the same millisecond.
             let writer = spawn_local(async move {
-                tokio::time::sleep(WHOLE_WITHIN).await;
-                put_after(peer, polls, rest).await
+                tokio::time::sleep(REQUEST_READ_TIMEOUT).await;
+                write_after_polls(peer, polls, rest).await
             });
             let (mut peer, left) = writer.await.unwrap();
             let answer = peer.answer().await;
@@ -279,12 +279,12 @@
 }
 
 #[test]
-fn a_half_read_request_is_refused_before_its_connection_closes_for_it() {
+fn a_half_read_request_is_refused_before_its_connection_closes() {
     paused(async {
         for used in [false, true] {
             let mut server = Server::start(4).await;
             let mut peer = if used { server.used().await } else { server.connect().await };
-            peer.send(&whole()[..40]).await;
+            peer.send(&whole_request()[..40]).await;
             let (id, text, status) = peer.answer().await.expect("an answer");
             assert_eq!((id, &text[..], status), (1, "", OVERLOADED));
             assert!(peer.answer().await.is_none());
@@ -293,19 +293,23 @@
 }
 
 #[test]
-fn a_request_that_came_before_the_last_look_at_its_connection_is_answered() {
+fn a_request_that_arrived_before_the_final_read_is_answered() {
     local(async {
         let mut server = Server::start(8).await;
         let (resting, half_read, new) = (server.used().await, server.used().await, server.connect().await);
-        until_open(&server.front, 3).await;
-        let bytes = whole();
-        assert!(put(&half_read, &bytes[..40]));
+        wait_for_open_connections(&server.front, 3).await;
+        let bytes = whole_request();
+        assert!(write_unless_ended(&half_read, &bytes[..40]));
         yield_now().await;
         // Between these there is no place in which the connections' tasks could run.
-        assert!(put(&resting, &bytes) && put(&half_read, &bytes[40..]) && put(&new, &bytes));
+        assert!(
+            write_unless_ended(&resting, &bytes)
+                && write_unless_ended(&half_read, &bytes[40..])
+                && write_unless_ended(&new, &bytes)
+        );
         server.idle.send_modify(|idle| idle.close_after_answers = true);
         for _ in 0..3 {
-            served(server.handed_over().await, b"made");
+            send_result(server.next_reply_to().await, b"made");
         }
         for mut peer in [resting, half_read, new] {
             assert!(peer.answer().await.expect("an answer").1.ends_with("made"));
@@ -315,11 +319,11 @@
 }
 
 #[test]
-fn what_is_half_read_at_the_last_look_is_refused_and_nothing_else_is_said() {
+fn a_request_half_read_at_the_final_read_is_refused_once() {
     local(async {
         let mut server = Server::start(8).await;
         let (mut half_read, mut half_a_record) = (server.used().await, server.used().await);
-        let bytes = whole();
+        let bytes = whole_request();
         half_read.send(&bytes[..40]).await;
         // Less than the record that begins the request.
         half_a_record.send(&bytes[..5]).await;
@@ -332,7 +336,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_a_resting_connection_is_answered() {
+fn a_request_racing_the_close_of_an_idle_connection_is_answered() {
     local(async {
         let close = [
             |idle: &mut IdlePolicy| idle.limit = Duration::ZERO,
@@ -341,16 +345,16 @@
         for close in close {
             let mut server = Server::start(8).await;
             let mut resting = server.used().await;
-            assert!(put(&resting, &whole()));
+            assert!(write_unless_ended(&resting, &whole_request()));
             server.idle.send_modify(close);
-            served(server.handed_over().await, b"made");
+            send_result(server.next_reply_to().await, b"made");
             assert!(resting.answer().await.expect("an answer").1.ends_with("made"));
         }
     });
 }
 
 #[test]
-fn bytes_behind_the_close_of_a_resting_connection_cause_no_reset() {
+fn bytes_after_the_close_of_an_idle_connection_cause_no_reset() {
     local(async {
         let mut server = Server::start(8).await;
         let resting = server.used().await;
@@ -358,7 +362,7 @@
         while !has_ended(&resting) {
             yield_now().await;
         }
-        assert!(resting.stream.try_write(&whole()).is_ok());
+        assert!(resting.stream.try_write(&whole_request()).is_ok());
         yield_now().await;
         let error = SockRef::from(&resting.stream).take_error().unwrap();
         assert!(error.is_none(), "{error:?}");
@@ -367,7 +371,7 @@
 }
 
 #[test]
-fn who_waits_in_the_backlog_of_a_closing_listener_is_answered_within_the_descriptors() {
+fn callers_in_the_backlog_of_a_closing_listener_are_answered_within_the_descriptor_limit() {
     local(async {
         // Places, those beyond them while the listener closes, and callers for twice as many.
         const PLACES: usize = 4;
@@ -377,14 +381,14 @@
         let mut taken = Vec::new();
         for _ in 0..PLACES {
             let mut peer = server.used().await;
-            peer.send(&whole()[..40]).await;
+            peer.send(&whole_request()[..40]).await;
             taken.push(peer);
         }
         let mut server = server.serve_all();
         let mut callers = Vec::new();
         for _ in 0..CALLERS {
             let mut peer = server.connect().await;
-            peer.send(whole()).await;
+            peer.send(whole_request()).await;
             callers.push(peer);
         }
         let (front, most) = (server.front.clone(), Rc::new(Cell::new(0)));
@@ -402,7 +406,7 @@
         server.accepts.await.unwrap();
         assert!(most.get() <= PLACES + RESERVE, "{} open", most.get());
         for mut peer in taken {
-            peer.send(&whole()[40..]).await;
+            peer.send(&whole_request()[40..]).await;
             assert!(peer.answer().await.expect("an answer").1.ends_with("made"));
         }
         assert!(TcpStream::connect(server.address).await.is_err(), "it still listens");
@@ -410,7 +414,7 @@
 }
 
 #[test]
-fn peers_that_read_nothing_cost_no_other_its_answer() {
+fn peers_that_read_nothing_do_not_block_answers_to_others() {
     local(async {
         const ROOM: usize = 20_000;
         let (listener, address) = listener().await;
@@ -424,24 +428,24 @@
         // Answers are asked for until no more of them have room.
         while server.front.unwritten.take(result.len()) {
             server.front.unwritten.give(result.len());
-            flood.send(whole()).await;
-            served(server.handed_over().await, &result);
-            one_poll().await;
+            flood.send(whole_request()).await;
+            send_result(server.next_reply_to().await, &result);
+            yield_once().await;
             yield_now().await;
         }
         let mut good = server.connect().await;
         for _ in 0..3 {
-            good.send(whole()).await;
-            served(server.handed_over().await, &result);
+            good.send(whole_request()).await;
+            send_result(server.next_reply_to().await, &result);
             let answer = good.answer().await.expect("an answer");
             assert!(answer.1.ends_with(&String::from_utf8(result.clone()).unwrap()));
         }
-        until_open(&server.front, 1).await;
+        wait_for_open_connections(&server.front, 1).await;
     });
 }
 
 #[test]
-fn a_record_that_never_ends_takes_no_more_than_the_room_for_requests() {
+fn unfinished_records_are_limited_by_the_request_memory_budget() {
     local(async {
         const ROOM: usize = 100_000;
         const RECORD: usize = 65_000;
@@ -462,12 +466,12 @@
         }
         assert!((2..4).contains(&closed), "{closed} were let go");
         let mut good = server.connect().await;
-        good.send(whole()).await;
+        good.send(whole_request()).await;
         assert!(good.answer().await.expect("an answer").1.ends_with("made"));
         drop(floods);
-        until_open(&server.front, 1).await;
+        wait_for_open_connections(&server.front, 1).await;
         drop(good);
-        until_open(&server.front, 0).await;
+        wait_for_open_connections(&server.front, 0).await;
         assert!(server.front.held.take(ROOM), "all room was given back");
     });
 }
@@ -477,7 +481,7 @@
     local(async {
         let server = Server::start(4).await.serve_all();
         let mut peer = server.connect().await;
-        let bytes = whole();
+        let bytes = whole_request();
         for cut in 1..bytes.len() {
             peer.send(&bytes[..cut]).await;
             // The connection has read the first part once nothing of it is on its way.
@@ -493,7 +497,7 @@
 }
 
 #[test]
-fn pipelined_requests_behind_which_the_peer_stops_sending_are_all_answered() {
+fn pipelined_requests_before_a_half_close_are_all_answered() {
     local(async {
         let mut server = Server::start(4).await;
         let mut peer = server.connect().await;
@@ -503,12 +507,12 @@
         tokio::io::AsyncWriteExt::shutdown(&mut peer.stream).await.unwrap();
         let mut ways = Vec::new();
         for _ in 0..32 {
-            ways.push(server.handed_over().await);
+            ways.push(server.next_reply_to().await);
         }
         assert_eq!(peer.answer().await, Some((33, String::new(), OVERLOADED)));
         // In any order.
         for way in ways.into_iter().rev() {
-            served(way, b"made");
+            send_result(way, b"made");
         }
         let mut ids = Vec::new();
         while let Some((id, text, _)) = peer.answer().await {
@@ -521,7 +525,7 @@
 }
 
 #[test]
-fn who_reads_a_few_bytes_at_a_time_gets_whole_answers_and_holds_up_nobody() {
+fn a_slow_reader_gets_whole_answers_and_delays_no_other_connection() {
     const PIECE: usize = 16;
     /// As many as may be open at once.
     const ANSWERS: u16 = 32;
@@ -537,7 +541,7 @@
         let result = vec![b'x'; 4000];
         for n in 1..=ANSWERS {
             slow.send(request(n, u64::from(n), "read", &[], b"body")).await;
-            served(server.handed_over().await, &result);
+            send_result(server.next_reply_to().await, &result);
         }
         let mut quick = server.connect().await;
         let (mut bytes, mut piece) = (Vec::new(), [0; PIECE]);
@@ -557,7 +561,7 @@
 }
 
 #[test]
-fn a_reply_half_written_is_finished_before_its_connection_goes_to_a_later_process() {
+fn a_half_written_reply_is_finished_before_its_connection_is_handed_over() {
     local(async {
         const ANSWERS: u16 = 8;
         let (listener, address) = listener().await;
@@ -571,7 +575,7 @@
         let result = vec![b'x'; 4000];
         for n in 1..=ANSWERS {
             slow.send(request(n, u64::from(n), "read", &[], b"body")).await;
-            served(server.handed_over().await, &result);
+            send_result(server.next_reply_to().await, &result);
         }
         // What the system takes of the answers is written by now, and the rest waits for the peer.
         for _ in 0..POLLS {
--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -39,36 +39,37 @@
     ("fallMultiple", &["10", "1.6"]),
 ];
 const HALT: usize = 0;
-const DEADLINE: usize = 2;
-const MARKS: usize = 4;
-const BELOW: usize = 6;
-const REPEAT: usize = 11;
+const PASSES_DEADLINE: usize = 2;
+const MARKS_RETRY: usize = 4;
+const DEPENDS_ON: usize = 6;
+const SEMANTICS: usize = 11;
 /// Requests, and the time between two: about one and a half times what two cores can do.
 const REQUESTS: u64 = 160;
-const EVERY: Duration = Duration::from_millis(9);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(9);
 /// All of it takes a few seconds.
-const HANGS: Duration = Duration::from_secs(300);
+const HANG_TIMEOUT: Duration = Duration::from_secs(300);
 /// What an answer may be late, with the slack that the platform gives.
 const SLACK_MS: u64 = 150;
 
 /// A deployment: a value of each setting, by its place.
-type Made = [usize; AXES.len()];
+type Combination = [usize; AXES.len()];
 
 /// A number from others, the same in every run.
-fn mix(a: u64, b: u64) -> u64 {
+fn pseudo_random(a: u64, b: u64) -> u64 {
     let mut x = a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x ^= x >> 29;
     x = x.wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 32)
 }
 
-fn pairs_of(made: &Made) -> impl Iterator<Item = (usize, usize, usize, usize)> {
-    let made = *made;
-    (0..AXES.len()).flat_map(move |a| (a + 1..AXES.len()).map(move |b| (a, made[a], b, made[b])))
+fn pairs_of(combination: &Combination) -> impl Iterator<Item = (usize, usize, usize, usize)> {
+    let combination = *combination;
+    (0..AXES.len())
+        .flat_map(move |a| (a + 1..AXES.len()).map(move |b| (a, combination[a], b, combination[b])))
 }
 
 /// Deployments in which each pair of values comes, drawn from seeds: always the one of many that has most pairs that are new.
-fn deployments() -> Vec<Made> {
+fn deployments() -> Vec<Combination> {
     let mut left: BTreeSet<_> = BTreeSet::new();
     for a in 0..AXES.len() {
         for b in a + 1..AXES.len() {
@@ -85,18 +86,22 @@
             return all;
         }
         let drawn = (0..200).map(|n| {
-            let axis = |axis: usize| (mix(seed * 1000 + n, axis as u64) % AXES[axis].1.len() as u64) as usize;
+            let axis = |axis: usize| {
+                (pseudo_random(seed * 1000 + n, axis as u64) % AXES[axis].1.len() as u64) as usize
+            };
             std::array::from_fn(axis)
         });
-        all.extend(drawn.max_by_key(|made| pairs_of(made).filter(|pair| left.contains(pair)).count()));
+        all.extend(
+            drawn.max_by_key(|combination| pairs_of(combination).filter(|pair| left.contains(pair)).count()),
+        );
     }
     all
 }
 
-fn settings(made: &Made) -> String {
+fn settings(combination: &Combination) -> String {
     let value = |name: &str| {
         let axis = AXES.iter().position(|(axis, _)| *axis == name).expect("an axis");
-        AXES[axis].1[made[axis]]
+        AXES[axis].1[combination[axis]]
     };
     let class = |name: &str, worth: u32, repeat: &str| {
         let late = value("lateShare");
@@ -122,15 +127,15 @@
 type Record = Rc<RefCell<Vec<(Sent, Option<Duration>)>>>;
 
 /// Plays a day of a deployment; returns what does not fit, and how many requests were served.
-async fn play(made: &Made, seed: u64) -> (Vec<String>, usize) {
-    let below = Dependency::start(DependencyConfig::new("below", 4, Duration::from_millis(20))).await;
-    let (ms, calls) = (Duration::from_millis(10), usize::from(made[BELOW] == 0));
+async fn run_deployment(combination: &Combination, seed: u64) -> (Vec<String>, usize) {
+    let dependency = Dependency::start(DependencyConfig::new("below", 4, Duration::from_millis(20))).await;
+    let (ms, calls) = (Duration::from_millis(10), usize::from(combination[DEPENDS_ON] == 0));
     let classes = [
         ("view", Work { core_time: ms, calls }),
         ("find", Work { core_time: 2 * ms, calls: 0 }),
         ("edit", Work { core_time: ms, calls }),
     ];
-    let halt = [Halt::Drop, Halt::Pause, Halt::Never][made[HALT]];
+    let halt = [Halt::Drop, Halt::Pause, Halt::Never][combination[HALT]];
     let interpreter = Interpreter::start_with(2, halt, &classes).await;
     let directory = Directory::start().await;
     let front = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -139,8 +144,8 @@
         r#"{{"name":"n1","listen":"{address}","vm":"{}","lookup":"{}","db":"{}","stop_ms":2000,"settings":{}}}"#,
         interpreter.address(),
         directory.address(),
-        below.address(),
-        settings(made)
+        dependency.address(),
+        settings(combination)
     );
     let config = config::read(&text, |_| None).unwrap();
     let (_moves, peers) = watch::channel(config.peers);
@@ -159,22 +164,23 @@
     let (mut leave, mut left) = (Some(leave), None);
     let start = Instant::now();
     for n in 0..REQUESTS {
-        sleep_until(start + EVERY * n as u32).await;
+        sleep_until(start + REQUEST_INTERVAL * n as u32).await;
         if n == REQUESTS * 3 / 4 {
             left = Some(Instant::now());
             let _ = leave.take().expect("once").send(());
         }
-        let dice = mix(seed, n);
-        let name = ["view", "find", "edit"][(dice % 3) as usize];
+        let random = pseudo_random(seed, n);
+        let name = ["view", "find", "edit"][(random % 3) as usize];
         let mut request = Request::new(name, format!("{name} {n}").as_bytes());
-        if name == "edit" && made[REPEAT] == 0 {
+        if name == "edit" && combination[SEMANTICS] == 0 {
             request.key = Some(format!("{n:032x}"));
         }
         // A long wait, a short one, one beyond the class's deadline, none at all, one that is over.
-        let waits = [700, 150, 5_000, 60, 0][(dice / 7 % 5) as usize];
-        request.deadline_ms = (made[DEADLINE] == 1 && !(dice / 35).is_multiple_of(6)).then_some(waits);
-        let (balancer, record, again) = (balancer.clone(), record.clone(), (dice / 210).is_multiple_of(2));
-        let marked = made[MARKS] == 0;
+        let waits = [700, 150, 5_000, 60, 0][(random / 7 % 5) as usize];
+        request.deadline_ms =
+            (combination[PASSES_DEADLINE] == 1 && !(random / 35).is_multiple_of(6)).then_some(waits);
+        let (balancer, record, again) = (balancer.clone(), record.clone(), (random / 210).is_multiple_of(2));
+        let marked = combination[MARKS_RETRY] == 0;
         tasks.push(spawn_local(async move {
             // Tries of a request that may not run twice are only known as such by their key.
             let tries = if again && (name != "edit" || request.key.is_some()) { 3 } else { 1 };
@@ -198,15 +204,15 @@
     for task in tasks {
         task.await.unwrap();
     }
-    judge(&record, lived, &interpreter, &below)
+    find_faults(&record, lived, &interpreter, &dependency)
 }
 
 /// The nodo `lived` on for so long after the notice to leave.
-fn judge(
+fn find_faults(
     record: &Record,
     lived: Duration,
     interpreter: &Interpreter,
-    below: &Dependency,
+    dependency: &Dependency,
 ) -> (Vec<String>, usize) {
     // Once the nodo is gone, or about to be, it is a refused connection that a try meets, and nothing of it was read.
     let going = lived.saturating_sub(Duration::from_millis(5));
@@ -217,7 +223,7 @@
         .filter(|(s, after)| s.answer.status != 0 || read(after))
         .map(|(s, _)| s.clone())
         .collect();
-    let faults = truth::check(&sent, interpreter, &[below]);
+    let faults = truth::check(&sent, interpreter, &[dependency]);
     let mut wrong: Vec<String> = [
         ("unanswered", faults.unanswered),
         ("ran twice", faults.doubled),
@@ -249,7 +255,7 @@
 }
 
 #[test]
-fn the_rules_hold_on_every_pair_of_settings() {
+fn every_pair_of_settings_keeps_the_guarantees() {
     let all = deployments();
     // Each value and each pair comes; by hand it is checked only that there are some.
     assert!((12..40).contains(&all.len()), "{} deployments", all.len());
@@ -257,17 +263,20 @@
     // Guards against a nodo that is busy for ever without a moment going by: the clock of the test stands still then.
     let (over, waits) = std::sync::mpsc::channel::<()>();
     std::thread::spawn(move || {
-        if waits.recv_timeout(HANGS) == Err(std::sync::mpsc::RecvTimeoutError::Timeout) {
+        if waits.recv_timeout(HANG_TIMEOUT) == Err(std::sync::mpsc::RecvTimeoutError::Timeout) {
             eprintln!("a deployment takes for ever; `--nocapture` shows which seed");
             std::process::abort();
         }
     });
-    for (seed, made) in all.iter().enumerate() {
+    for (seed, combination) in all.iter().enumerate() {
         eprintln!("seed {seed}");
         paused(async {
-            let (wrong, well) = play(made, seed as u64).await;
-            let named: Vec<String> =
-                AXES.iter().zip(made).map(|((name, values), at)| format!("{name}={}", values[*at])).collect();
+            let (wrong, well) = run_deployment(combination, seed as u64).await;
+            let named: Vec<String> = AXES
+                .iter()
+                .zip(combination)
+                .map(|((name, values), at)| format!("{name}={}", values[*at]))
+                .collect();
             assert!(wrong.is_empty(), "seed {seed}, {}: {wrong:#?}", named.join(" "));
             assert!(well > 0, "seed {seed}, {}: nothing was served", named.join(" "));
             served += well;
--- a/crates/node/tests/crossing_directory.rs
+++ b/crates/node/tests/directory_races.rs
@@ -2,17 +2,17 @@
 //! or returns, and clients that take all connections meanwhile. See `docs/design/narrow-moments.md`.
 
 mod common;
-#[path = "common/moments.rs"]
-mod moments;
+#[path = "common/draining.rs"]
+mod draining;
 
 use common::{Peer, all_at, listener, paused, request};
+use draining::{PROGRESS_TIMEOUT, StallMonitor};
 use jaspershunt_node::config::Peers;
 use jaspershunt_node::directory::{Mode, report};
 use jaspershunt_stand_ins::balancer::Request;
 use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig};
 use jaspershunt_stand_ins::nodo::{Incarnation, Nodo, keyed};
 use jaspershunt_stand_ins::wire::Wire;
-use moments::{GENEROUS, Stalls};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,11 +24,11 @@
 
 const MS: Duration = Duration::from_millis(1);
 /// Within this a directory that is back has to be told.
-const RESUMES: Duration = Duration::from_secs(1);
-const COUNTED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+const ACCEPTED_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
 /// Reports to the address, beginning with `open`.
-fn reports_to(address: SocketAddr) -> (watch::Sender<Option<Mode>>, watch::Sender<Peers>) {
+fn start_reporting(address: SocketAddr) -> (watch::Sender<Option<Mode>>, watch::Sender<Peers>) {
     let (mode, seen) = watch::channel(Some(Mode::Open));
     let (moves, peers) = watch::channel(all_at(address));
     spawn_local(async move { report(peers, "n3", seen).await });
@@ -44,10 +44,10 @@
 
 /// Whatever became of the answer to one report, the next one comes within a second, on another connection.
 #[test]
-fn a_directory_that_answers_badly_is_told_again_within_a_second() {
+fn a_report_without_a_valid_response_is_repeated_within_a_second() {
     paused(async {
         let (listener, address) = listener().await;
-        let (_mode, _moves) = reports_to(address);
+        let (_mode, _moves) = start_reporting(address);
         for answer in
             ["", "HTTP/1.1 2", "HTTP/1.1 204 No Content\r\n", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]
         {
@@ -64,13 +64,13 @@
                 let (mut directory, text) = next_report(&listener).await;
                 assert!(text.ends_with(r#"{"mode":"open"}"#));
                 assert!(
-                    began.elapsed() < RESUMES,
+                    began.elapsed() < REPORT_TIMEOUT,
                     "after {answer:?}, closed {closes}: {:?}",
                     began.elapsed()
                 );
                 drop(silent);
                 // One that counts, in pieces, and the connection is closed behind it.
-                for piece in COUNTED.as_bytes().chunks(5) {
+                for piece in ACCEPTED_RESPONSE.as_bytes().chunks(5) {
                     directory.send(piece).await;
                     sleep(10 * MS).await;
                 }
@@ -83,17 +83,17 @@
 /// A report counts only with its answer. A directory that always needs longer than the first attempt waits has to be
 /// waited for, or no report would ever count.
 #[test]
-fn a_directory_that_takes_half_a_second_for_each_answer_hears_reports_that_count() {
+fn a_report_is_accepted_by_a_directory_that_takes_half_a_second_to_answer() {
     paused(async {
         let (listener, address) = listener().await;
-        let (_mode, _moves) = reports_to(address);
+        let (_mode, _moves) = start_reporting(address);
         let began = Instant::now();
         loop {
             let (mut directory, _) = next_report(&listener).await;
             sleep(500 * MS).await;
             // An error means that the answer was not waited for.
-            if directory.is_silent() && directory.stream.try_write(COUNTED.as_bytes()).is_ok() {
-                let next = tokio::time::timeout(RESUMES, directory.until(b"\r\n\r\n")).await;
+            if directory.is_silent() && directory.stream.try_write(ACCEPTED_RESPONSE.as_bytes()).is_ok() {
+                let next = tokio::time::timeout(REPORT_TIMEOUT, directory.until(b"\r\n\r\n")).await;
                 if matches!(next, Ok(Some(_))) {
                     break;
                 }
@@ -107,7 +107,7 @@
 }
 
 /// Listens at an address that is free and kept by its holder.
-fn listens_at(holder: &TcpSocket) -> TcpListener {
+fn rebind_listener(holder: &TcpSocket) -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_reuseport(true).unwrap();
     socket.bind(holder.local_addr().unwrap()).unwrap();
@@ -116,12 +116,12 @@
 
 /// The news comes while nobody listens, or while a directory takes connections and answers none.
 #[test]
-fn news_reaches_a_directory_that_comes_back_within_a_second() {
+fn a_mode_change_during_an_outage_is_reported_within_a_second_of_its_end() {
     paused(async {
         let holder = TcpSocket::new_v4().unwrap();
         holder.set_reuseport(true).unwrap();
         holder.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        let (mode, _moves) = reports_to(holder.local_addr().unwrap());
+        let (mode, _moves) = start_reporting(holder.local_addr().unwrap());
         let mut news = Mode::Open;
         // The outage lasts for so long after the news.
         for ms in [0u32, 100, 400, 700, 1000, 1300, 1600, 1900] {
@@ -132,9 +132,13 @@
             mode.send_replace(Some(news));
             sleep(MS * ms).await;
             let back = Instant::now();
-            let listener = listens_at(&holder);
+            let listener = rebind_listener(&holder);
             let (directory, heard) = next_report(&listener).await;
-            assert!(heard.contains(text) && back.elapsed() < RESUMES, "{heard} after {:?}", back.elapsed());
+            assert!(
+                heard.contains(text) && back.elapsed() < REPORT_TIMEOUT,
+                "{heard} after {:?}",
+                back.elapsed()
+            );
             // From now on it takes them and is silent, and then it goes down.
             sleep(2000 * MS).await;
             drop(directory);
@@ -143,20 +147,20 @@
 }
 
 /// A process that may open so many descriptors, and clients that take all connections which it gives them.
-struct Crowded {
+struct NodoAtConnectionLimit {
     nodo: Nodo,
     start: Incarnation,
     clients: Vec<TcpStream>,
     descriptors: usize,
     most: Rc<Cell<usize>>,
-    stalls: Stalls,
+    stall_monitor: StallMonitor,
     number: u64,
 }
 
-impl Crowded {
-    async fn start(descriptors: usize, database: SocketAddr) -> Crowded {
+impl NodoAtConnectionLimit {
+    async fn start(descriptors: usize, database: SocketAddr) -> NodoAtConnectionLimit {
         let limits = format!(r#","limits":{{"cores":1.0,"memory_mb":192,"sockets":{descriptors}}}"#);
-        let mut nodo = moments::nodo(&format!("crowded-{descriptors}"), 2500, &limits).await;
+        let mut nodo = draining::nodo(&format!("crowded-{descriptors}"), 2500, &limits).await;
         nodo.max_descriptors = Some(descriptors);
         nodo.database = Some(database);
         let start = nodo.start().await.unwrap();
@@ -168,12 +172,20 @@
                 sleep(5 * MS).await;
             }
         });
-        let stalls = Stalls::watch(start.admin);
-        Crowded { nodo, start, clients: Vec::new(), descriptors, most, stalls, number: 0 }
+        let stall_monitor = StallMonitor::start(start.admin);
+        NodoAtConnectionLimit {
+            nodo,
+            start,
+            clients: Vec::new(),
+            descriptors,
+            most,
+            stall_monitor,
+            number: 0,
+        }
     }
 
     /// Has clients connect and bring nothing, more than there are descriptors.
-    async fn fill(&mut self) {
+    async fn fill_connections(&mut self) {
         self.clients.clear();
         for _ in 0..self.descriptors + 8 {
             self.clients.push(TcpStream::connect(self.nodo.address).await.unwrap());
@@ -181,7 +193,7 @@
     }
 
     async fn within<T>(&self, what: &str, done: impl Future<Output = T>) -> T {
-        timeout(GENEROUS, done).await.unwrap_or_else(|_| panic!("{what}: {}", self.nodo.logs()))
+        timeout(PROGRESS_TIMEOUT, done).await.unwrap_or_else(|_| panic!("{what}: {}", self.nodo.logs()))
     }
 
     /// A health check on a connection of its own.
@@ -200,7 +212,7 @@
     }
 
     /// The directory is back; whether the next report says this, and soon.
-    async fn hears_again(&self, mode: &str) {
+    async fn check_report_after_outage(&self, mode: &str) {
         let before = self.nodo.directory.modes().len();
         let back = Instant::now();
         self.nodo.directory.set_down(false);
@@ -212,21 +224,21 @@
         .await;
         let took = back.elapsed();
         assert_eq!(self.nodo.directory.mode().as_deref(), Some(mode), "{}", self.nodo.logs());
-        assert!(took < RESUMES || !self.stalls.none(), "it was told after {took:?}");
+        assert!(took < REPORT_TIMEOUT || !self.stall_monitor.is_steady(), "it was told after {took:?}");
     }
 
     /// What has to go on while clients hold all connections.
-    async fn goes_on(&mut self) {
-        self.fill().await;
+    async fn check_own_connections(&mut self) {
+        self.fill_connections().await;
         assert!(self.is_healthy().await);
-        self.fill().await;
+        self.fill_connections().await;
         assert!(self.start.is_ready().await, "operators are not answered: {}", self.nodo.logs());
         assert!(self.start.call("INFO").await.contains('{'), "operators get no figures");
-        self.fill().await;
+        self.fill_connections().await;
         let key = format!("crowded-{}", self.number);
         assert_eq!(self.status(&keyed("sign", &key, false)).await, 200, "{}", self.nodo.logs());
         assert_eq!(self.nodo.sign_runs(&key), 1);
-        self.fill().await;
+        self.fill_connections().await;
         let interpreter = self.nodo.interpreters[0].clone();
         let links = interpreter.links();
         interpreter.drop_link();
@@ -243,38 +255,38 @@
 
 /// Idle clients take every connection that they are given, and the directory is gone as health is withdrawn, as it is
 /// good again, and as the nodo leaves: what the nodo itself needs a connection for goes on all the same.
-async fn crowded(descriptors: usize) {
+async fn at_limit(descriptors: usize) {
     let database = Dependency::start(DependencyConfig::new("db", 8, 5 * MS)).await;
-    let mut crowded = Crowded::start(descriptors, database.address()).await;
-    crowded.goes_on().await;
-    let directory = crowded.nodo.directory.clone();
+    let mut at_limit = NodoAtConnectionLimit::start(descriptors, database.address()).await;
+    at_limit.check_own_connections().await;
+    let directory = at_limit.nodo.directory.clone();
     for (call, mode) in [("LAMEDUCK", "closed"), ("REJOIN", "open")] {
         directory.set_down(true);
-        crowded.fill().await;
-        assert!(crowded.start.call(call).await.starts_with("+OK"));
-        assert_eq!(crowded.is_healthy().await, mode == "open");
-        crowded.hears_again(mode).await;
+        at_limit.fill_connections().await;
+        assert!(at_limit.start.call(call).await.starts_with("+OK"));
+        assert_eq!(at_limit.is_healthy().await, mode == "open");
+        at_limit.check_report_after_outage(mode).await;
     }
     directory.set_down(true);
-    crowded.goes_on().await;
-    crowded.fill().await;
-    crowded.start.process.terminate();
+    at_limit.check_own_connections().await;
+    at_limit.fill_connections().await;
+    at_limit.start.process.terminate();
     // It drains as soon as its health check is bad.
-    crowded.within("it drains", async { while crowded.is_healthy().await {} }).await;
-    crowded.hears_again("closed").await;
-    let ended = timeout(GENEROUS, crowded.start.process.wait()).await;
-    assert!(ended.is_ok_and(|well| well), "it ends with a fault: {}", crowded.nodo.logs());
-    let most = crowded.most.get();
+    at_limit.within("it drains", async { while at_limit.is_healthy().await {} }).await;
+    at_limit.check_report_after_outage("closed").await;
+    let ended = timeout(PROGRESS_TIMEOUT, at_limit.start.process.wait()).await;
+    assert!(ended.is_ok_and(|well| well), "it ends with a fault: {}", at_limit.nodo.logs());
+    let most = at_limit.most.get();
     assert!(most <= descriptors, "{most} descriptors");
-    assert!(!crowded.nodo.logs().contains("cannot accept"), "{}", crowded.nodo.logs());
+    assert!(!at_limit.nodo.logs().contains("cannot accept"), "{}", at_limit.nodo.logs());
 }
 
 #[test]
 fn idle_clients_leave_room_at_a_limit_of_128_descriptors() {
-    moments::local(crowded(128));
+    draining::local(at_limit(128));
 }
 
 #[test]
 fn idle_clients_leave_room_at_a_limit_of_384_descriptors() {
-    moments::local(crowded(384));
+    draining::local(at_limit(384));
 }
--- a/crates/node/tests/narrow.rs
+++ b/crates/node/tests/drain_races.rs
@@ -2,13 +2,13 @@
 //! listener and the connections close. Real processes; judged by what the interpreter and the connections recorded. The table in
 //! `docs/design/narrow-moments.md` names the guard of each, and what is said here without it.
 
-#[path = "common/moments.rs"]
-mod moments;
+#[path = "common/draining.rs"]
+mod draining;
 
+use draining::*;
 use jaspershunt_stand_ins::balancer::Request;
 use jaspershunt_stand_ins::nodo::{Nodo, keyed};
 use jaspershunt_stand_ins::wire::{End, Wire};
-use moments::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 /// A request of either class; each number is for one, as keyed ones have a key of their own.
-fn one_of(n: u64) -> Request {
+fn mixed_request(n: u64) -> Request {
     if n.is_multiple_of(2) {
         Request::new("read", b"read")
     } else {
@@ -27,87 +27,95 @@
     }
 }
 
-fn read() -> Request {
+fn read_request() -> Request {
     Request::new("read", b"read")
 }
 
 /// Connections that were used, and where each cuts its next request: anywhere, but with its last byte behind the cut.
-async fn wires(leaving: &Leaving, random: &mut StdRng, count: u64) -> Vec<(Wire, usize)> {
+async fn partial_senders(draining: &DrainingNodo, random: &mut StdRng, count: u64) -> Vec<(Wire, usize)> {
     let mut wires = Vec::new();
     for n in 0..count {
         // 150 bytes are in any.
-        wires.push((leaving.used(1000 + n).await, random.random_range(1..150)));
+        wires.push((draining.used_connection(1000 + n).await, random.random_range(1..150)));
     }
     wires
 }
 
 /// Has each bring the first part of a request at one time, and the last at another.
-fn swept(wires: Vec<(Wire, usize)>, at: impl Fn(u64) -> (Instant, Instant)) -> Vec<JoinHandle<Sent>> {
+fn spawn_senders(
+    wires: Vec<(Wire, usize)>,
+    at: impl Fn(u64) -> (Instant, Instant),
+) -> Vec<JoinHandle<SentRequest>> {
     let numbered = (0..).zip(wires);
-    numbered.map(|(n, (wire, cut))| spawn_local(in_parts(wire, one_of(n), cut, at(n)))).collect()
+    numbered.map(|(n, (wire, cut))| spawn_local(send_in_parts(wire, mixed_request(n), cut, at(n)))).collect()
 }
 
 /// A byte as the process is told to leave, and as the directory hears of it; with a grace, and with none.
-async fn told_amid_a_request(seed: u64, grace: u64) -> bool {
+async fn termination_during_a_request(seed: u64, grace: u64) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("told-{grace}-{seed}");
-    let mut leaving = Leaving::start(nodo(&what, grace, "").await).await;
-    let wires = wires(&leaving, &mut random, 70).await;
-    let (mut before, mut after) = (leaving.used(1).await, leaving.used(2).await);
-    let mut news = leaving.used(3).await;
-    let at = leaving.plan();
+    let mut draining = DrainingNodo::start(nodo(&what, grace, "").await).await;
+    let wires = partial_senders(&draining, &mut random, 70).await;
+    let (mut before, mut after) = (draining.used_connection(1).await, draining.used_connection(2).await);
+    let mut news = draining.used_connection(3).await;
+    let at = draining.schedule_termination();
     // From 20 ms before to 20 ms after, and far behind the close of what rests; the first part is there before.
     let last = |n: u64| match n {
         0..40 => at + MS * (n as u32) - 20 * MS,
         _ => at + MS * 10 * (n as u32 - 40) + 100 * MS,
     };
-    let senders = swept(wires, |n| (at - 30 * MS, last(n)));
+    let senders = spawn_senders(wires, |n| (at - 30 * MS, last(n)));
     // In the very instant, nothing between the byte and the notice, on either side of it.
-    let (one, other) = (before.encode(&read()), after.encode(&read()));
-    let news_bytes = news.encode(&read());
+    let (one, other) = (before.encode(&read_request()), after.encode(&read_request()));
+    let news_bytes = news.encode(&read_request());
     let cuts = [one.bytes.len() - 1, other.bytes.len() - 1, news_bytes.bytes.len() - 1];
     before.write(&one.bytes[..cuts[0]]);
     after.write(&other.bytes[..cuts[1]]);
     news.write(&news_bytes.bytes[..cuts[2]]);
     sleep_until(at).await;
     before.write(&one.bytes[cuts[0]..]);
-    let told = leaving.tell().await;
+    let told = draining.terminate().await;
     let now = Instant::now();
     let whole = after.write(&other.bytes[cuts[1]..]) == 1;
-    let mut all_sent =
-        vec![spawn_local(sent(before, one.uid, true, told)), spawn_local(sent(after, other.uid, whole, now))];
+    let mut all_sent = vec![
+        spawn_local(read_answers(before, one.uid, true, told)),
+        spawn_local(read_answers(after, other.uid, whole, now)),
+    ];
     // As the directory hears of it: the last byte, and a new connection.
     let heard = async {
-        while leaving.heard.get().is_none() {
+        while draining.closed_at.get().is_none() {
             sleep(MS).await;
         }
     };
-    timeout(GENEROUS, heard).await.unwrap_or_else(|_| panic!("never heard: {}", leaving.nodo.logs()));
+    timeout(PROGRESS_TIMEOUT, heard)
+        .await
+        .unwrap_or_else(|_| panic!("never heard: {}", draining.nodo.logs()));
     let now = Instant::now();
     let whole = news.write(&news_bytes.bytes[cuts[2]..]) == 1;
-    all_sent.push(spawn_local(sent(news, news_bytes.uid, whole, now)));
+    all_sent.push(spawn_local(read_answers(news, news_bytes.uid, whole, now)));
     if grace > 0 {
-        let mut wire = Wire::connect(leaving.nodo.address, 4).await.expect("it listens on");
+        let mut wire = Wire::connect(draining.nodo.address, 4).await.expect("it listens on");
         let now = Instant::now();
-        let bytes = wire.send(&read()).unwrap();
-        all_sent.push(spawn_local(sent(wire, bytes.uid, true, now)));
+        let bytes = wire.send(&read_request()).unwrap();
+        all_sent.push(spawn_local(read_answers(wire, bytes.uid, true, now)));
     }
     all_sent.extend(senders);
-    let sent = all(all_sent).await;
-    leaving.ends().await;
+    let sent = join_all(all_sent).await;
+    draining.assert_clean_exit().await;
     // What was begun is waited for until what is left is hung up on.
-    leaving.holds(&sent, Duration::from_millis(grace), told + STOP - 300 * MS, &what);
+    draining.check_requests(&sent, Duration::from_millis(grace), told + STOP - 300 * MS, &what);
     let closed = sent.iter().all(|one| one.end == End::Closed);
-    assert!(closed || !leaving.stalls.none(), "{what}: a reset: {sent:#?}");
-    leaving.stalls.none()
+    assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a reset: {sent:#?}");
+    draining.stall_monitor.is_steady()
 }
 
 #[test]
-fn a_byte_may_come_in_the_instant_of_the_notice_to_leave() {
+fn requests_completed_around_sigterm_run_at_most_once_and_are_answered() {
     local(async {
         let cases = [(1, 0), (2, 0), (3, 2500), (4, 2500)];
-        let cases = cases
-            .map(|(seed, grace)| spawn_local(judged(async move || told_amid_a_request(seed, grace).await)));
+        let cases = cases.map(|(seed, grace)| {
+            spawn_local(retry_while_stalled(async move || termination_during_a_request(seed, grace).await))
+        });
         for case in cases {
             case.await.unwrap();
         }
@@ -115,43 +123,47 @@
 }
 
 /// Whole and half requests round the end of the grace: the last byte tells when a request came.
-async fn round_the_end_of_the_grace(seed: u64) -> bool {
+async fn requests_around_the_end_of_the_grace(seed: u64) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("grace-{seed}");
-    let mut leaving = Leaving::start(nodo(&what, 2500, "").await).await;
-    let wires = wires(&leaving, &mut random, 140).await;
+    let mut draining = DrainingNodo::start(nodo(&what, 2500, "").await).await;
+    let wires = partial_senders(&draining, &mut random, 140).await;
     let (mut long, slow) = (Vec::new(), |n: u64| keyed("slow", &format!("slow-{n}"), false));
     for n in 0..4 {
-        long.push((n, leaving.used(100 + n).await));
+        long.push((n, draining.used_connection(100 + n).await));
     }
-    let end = leaving.plan() + GRACE;
+    let end = draining.schedule_termination() + GRACE;
     let jitter = Duration::from_micros(random.random_range(0..2000));
     // Half of them whole in one go, half with their first bytes well inside the grace.
     let last = |n: u64| end - 60 * MS + jitter + MS * 4 * ((n / 2) as u32);
     let first = |n: u64| if (n / 2).is_multiple_of(2) { end - 400 * MS } else { last(n) };
-    let senders = swept(wires, |n| (first(n), last(n)));
+    let senders = spawn_senders(wires, |n| (first(n), last(n)));
     // What runs longer than there is time is answered before the kill all the same.
     let times = |n| (end - (60 - 5 * n) * MS, end - (60 - 5 * n) * MS);
-    let long = long.into_iter().map(|(n, wire)| spawn_local(in_parts(wire, slow(n), 20, times(n as u32))));
+    let long =
+        long.into_iter().map(|(n, wire)| spawn_local(send_in_parts(wire, slow(n), 20, times(n as u32))));
     let long: Vec<_> = long.collect();
-    let told = leaving.tell().await;
-    let (sent, long) = (all(senders).await, all(long).await);
-    leaving.ends().await;
-    leaving.holds(&sent, GRACE, told + STOP - 300 * MS, &what);
-    leaving.holds(&long, GRACE, told + STOP - 300 * MS, &what);
+    let told = draining.terminate().await;
+    let (sent, long) = (join_all(senders).await, join_all(long).await);
+    draining.assert_clean_exit().await;
+    draining.check_requests(&sent, GRACE, told + STOP - 300 * MS, &what);
+    draining.check_requests(&long, GRACE, told + STOP - 300 * MS, &what);
     let served = sent.iter().filter(|one| one.statuses == [200]).count();
     let refused = sent.iter().filter(|one| one.statuses == [503]).count();
     println!("{what}: {served} served, {refused} refused of {}", sent.len());
     let closed = sent.iter().all(|one| one.end == End::Closed);
-    assert!(closed || !leaving.stalls.none(), "{what}: a reset: {sent:#?}");
-    assert!(refused > 0 || !leaving.stalls.none(), "{what}: nothing came after the grace: {sent:#?}");
-    leaving.stalls.none()
+    assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a reset: {sent:#?}");
+    assert!(
+        refused > 0 || !draining.stall_monitor.is_steady(),
+        "{what}: nothing came after the grace: {sent:#?}"
+    );
+    draining.stall_monitor.is_steady()
 }
 
 #[test]
-fn nothing_that_came_after_the_grace_runs_whatever_its_first_byte_says() {
+fn requests_completed_after_the_grace_never_run() {
     local(async {
-        let play = |seed| judged(async move || round_the_end_of_the_grace(seed).await);
+        let play = |seed| retry_while_stalled(async move || requests_around_the_end_of_the_grace(seed).await);
         for case in [11, 12].map(|seed| spawn_local(play(seed))) {
             case.await.unwrap();
         }
@@ -159,18 +171,18 @@
 }
 
 /// Requests on resting connections as they are shut, and callers as the listener closes.
-async fn round_the_close(seed: u64) -> bool {
+async fn requests_around_the_close(seed: u64) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("close-{seed}");
-    let mut leaving = Leaving::start(nodo(&what, 300, "").await).await;
-    let wires = wires(&leaving, &mut random, 200).await;
+    let mut draining = DrainingNodo::start(nodo(&what, 300, "").await).await;
+    let wires = partial_senders(&draining, &mut random, 200).await;
     let grace = Duration::from_millis(300);
     // The listener closes 100 ms behind the grace, and what rests is shut 100 ms behind that.
-    let shut = leaving.plan() + grace + 200 * MS;
+    let shut = draining.schedule_termination() + grace + 200 * MS;
     let jitter = Duration::from_micros(random.random_range(0..1000));
     let last = |n: u64| shut - 40 * MS + jitter + MS * (n as u32) / 2;
-    let resting = swept(wires, |n| (last(n), last(n)));
-    let (address, listens) = (leaving.nodo.address, leaving.at + grace + 100 * MS);
+    let resting = spawn_senders(wires, |n| (last(n), last(n)));
+    let (address, listens) = (draining.nodo.address, draining.terminate_at + grace + 100 * MS);
     let callers: Vec<_> = (0..200u32)
         .map(|n| {
             spawn_local(async move {
@@ -178,22 +190,22 @@
                 let mut wire = Wire::connect(address, 5000 + u64::from(n)).await.ok()?;
                 let now = Instant::now();
                 // One that was reset at once brings nothing.
-                let bytes = wire.send(&read())?;
-                Some(sent(wire, bytes.uid, true, now).await)
+                let bytes = wire.send(&read_request())?;
+                Some(read_answers(wire, bytes.uid, true, now).await)
             })
         })
         .collect();
-    let told = leaving.tell().await;
-    let resting = all(resting).await;
+    let told = draining.terminate().await;
+    let resting = join_all(resting).await;
     let mut called = Vec::new();
     for caller in callers {
         called.extend(caller.await.unwrap());
     }
-    leaving.ends().await;
-    leaving.holds(&resting, grace, told + grace + 200 * MS, &what);
+    draining.assert_clean_exit().await;
+    draining.check_requests(&resting, grace, told + grace + 200 * MS, &what);
     // Of one that the machine had not handed over, nothing was read.
-    leaving.holds(&called, grace, told + grace + 100 * MS, &what);
-    let answered = |sent: &[Sent]| sent.iter().filter(|one| !one.statuses.is_empty()).count();
+    draining.check_requests(&called, grace, told + grace + 100 * MS, &what);
+    let answered = |sent: &[SentRequest]| sent.iter().filter(|one| !one.statuses.is_empty()).count();
     println!(
         "{what}: {} of {} on resting connections answered, {} of {} that called",
         answered(&resting),
@@ -202,14 +214,14 @@
         called.len()
     );
     let closed = resting.iter().all(|one| one.end == End::Closed);
-    assert!(closed || !leaving.stalls.none(), "{what}: a reset: {resting:#?}");
-    leaving.stalls.none()
+    assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a reset: {resting:#?}");
+    draining.stall_monitor.is_steady()
 }
 
 #[test]
-fn a_request_may_come_as_its_connection_or_the_listener_closes() {
+fn requests_racing_the_close_of_connections_or_listener_are_handled() {
     local(async {
-        let play = |seed| judged(async move || round_the_close(seed).await);
+        let play = |seed| retry_while_stalled(async move || requests_around_the_close(seed).await);
         for case in [21, 22, 23].map(|seed| spawn_local(play(seed))) {
             case.await.unwrap();
         }
@@ -221,43 +233,43 @@
     // 15 places: 113 descriptors are for other things.
     let more = r#","limits":{"memory_mb":64,"sockets":128}"#;
     let nodo = nodo("full", 1000, more).await;
-    let mut leaving = Leaving::start(nodo).await;
+    let mut draining = DrainingNodo::start(nodo).await;
     let mut wires = Vec::new();
     for n in 0..15 {
-        wires.push((n, leaving.used(n).await));
+        wires.push((n, draining.used_connection(n).await));
     }
-    let at = leaving.plan();
+    let at = draining.schedule_termination();
     // Each has half a request, the rest of which comes late: none of them is of so little use that it could make room.
     let mut taken = Vec::new();
     for (n, wire) in wires {
-        taken.push(spawn_local(in_parts(wire, one_of(n), 60, (at + 100 * MS, at + 1700 * MS))));
+        taken.push(spawn_local(send_in_parts(wire, mixed_request(n), 60, (at + 100 * MS, at + 1700 * MS))));
     }
-    let told = leaving.tell().await;
+    let told = draining.terminate().await;
     sleep_until(at + 400 * MS).await;
     let mut waiting = Vec::new();
     for n in 20..40 {
-        let mut wire = Wire::connect(leaving.nodo.address, n).await.unwrap();
+        let mut wire = Wire::connect(draining.nodo.address, n).await.unwrap();
         let now = Instant::now();
-        let bytes = wire.send(&read()).unwrap();
-        waiting.push(spawn_local(sent(wire, bytes.uid, true, now)));
+        let bytes = wire.send(&read_request()).unwrap();
+        waiting.push(spawn_local(read_answers(wire, bytes.uid, true, now)));
     }
     let waited = Instant::now();
-    let (taken, waiting) = (all(taken).await, all(waiting).await);
-    leaving.ends().await;
-    leaving.holds(&taken, Duration::from_secs(1), told + STOP - 300 * MS, "taken");
+    let (taken, waiting) = (join_all(taken).await, join_all(waiting).await);
+    draining.assert_clean_exit().await;
+    draining.check_requests(&taken, Duration::from_secs(1), told + STOP - 300 * MS, "taken");
     if waited < told + Duration::from_secs(1) {
-        leaving.holds(&waiting, Duration::from_secs(1), waited, "waiting");
+        draining.check_requests(&waiting, Duration::from_secs(1), waited, "waiting");
     }
-    leaving.stalls.none()
+    draining.stall_monitor.is_steady()
 }
 
 #[test]
-fn who_waits_at_a_full_nodo_as_its_listener_closes_is_answered() {
-    local(judged(full_as_the_listener_closes));
+fn callers_in_the_backlog_of_a_full_nodo_are_answered_when_its_listener_closes() {
+    local(retry_while_stalled(full_as_the_listener_closes));
 }
 
 /// What was sent on a connection on which requests go on until it ends.
-struct Kept {
+struct ContinuousSender {
     /// In the order in which it left.
     uids: Vec<(u16, String)>,
     answers: BTreeMap<u16, Vec<u16>>,
@@ -265,33 +277,33 @@
 }
 
 /// So many open at once, all the time. With `halves`, each write ends within a request, so that the connection is never at rest.
-async fn keeps_on(mut wire: Wire, depth: usize, halves: bool) -> Kept {
-    let mut kept = Kept { uids: Vec::new(), answers: BTreeMap::new(), end: End::Closed };
-    let (mut answered, mut begun) = (0, wire.encode(&read()));
+async fn send_continuously(mut wire: Wire, depth: usize, halves: bool) -> ContinuousSender {
+    let mut sender_result = ContinuousSender { uids: Vec::new(), answers: BTreeMap::new(), end: End::Closed };
+    let (mut answered, mut begun) = (0, wire.encode(&read_request()));
     let mut left = if halves { begun.bytes.len() / 2 } else { 0 };
     wire.write(&begun.bytes[..left]);
     loop {
-        while kept.uids.len() - answered < depth {
-            let next = wire.encode(&read());
+        while sender_result.uids.len() - answered < depth {
+            let next = wire.encode(&read_request());
             let half = if halves { next.bytes.len() / 2 } else { 0 };
             let rest = begun.bytes.len() - left;
             let put = wire.write(&[&begun.bytes[left..], &next.bytes[..half]].concat());
             if put >= rest {
-                kept.uids.push((begun.id, begun.uid));
+                sender_result.uids.push((begun.id, begun.uid));
             }
             (begun, left) = (next, half);
             if put < rest + half {
                 break;
             }
         }
-        match timeout(GENEROUS, wire.answer()).await.expect("neither an answer nor an end") {
+        match timeout(PROGRESS_TIMEOUT, wire.answer()).await.expect("neither an answer nor an end") {
             Ok((id, answer)) => {
-                kept.answers.entry(id).or_default().push(answer.status);
+                sender_result.answers.entry(id).or_default().push(answer.status);
                 answered += 1;
             }
             Err(end) => {
-                kept.end = end;
-                return kept;
+                sender_result.end = end;
+                return sender_result;
             }
         }
         // A balancer that is refused goes on, but not without end.
@@ -303,59 +315,73 @@
 
 /// Clients go on sending on every connection that stays open. Each request that was read is answered once, none is lost but those that
 /// cross the end, and the end is told in order.
-async fn goes_on(nodo: Nodo) -> bool {
-    let mut leaving = Leaving::start(nodo).await;
-    leaving.plan();
+async fn requests_throughout_the_drain(nodo: Nodo) -> bool {
+    let mut draining = DrainingNodo::start(nodo).await;
+    draining.schedule_termination();
     let mut senders = Vec::new();
     let kinds = [(1, false), (1, false), (16, false), (32, false)].into_iter().chain([(8, true); 6]);
     for (n, (depth, halves)) in kinds.enumerate() {
-        let wire = leaving.used(n as u64).await;
-        senders.push((depth, spawn_local(keeps_on(wire, depth, halves))));
+        let wire = draining.used_connection(n as u64).await;
+        senders.push((depth, spawn_local(send_continuously(wire, depth, halves))));
     }
-    leaving.tell().await;
+    draining.terminate().await;
     let mut all = Vec::new();
     for (depth, sender) in senders {
         all.push((depth, sender.await.unwrap()));
     }
-    leaving.ends().await;
-    let runs: Vec<String> = leaving.nodo.interpreters[0].runs().iter().map(|run| run.uid.clone()).collect();
-    for (depth, kept) in &all {
-        assert!(kept.answers.values().all(|statuses| statuses.len() == 1), "{depth}: two answers");
-        let refused = kept.answers.values().filter(|statuses| statuses[..] == [503]).count();
+    draining.assert_clean_exit().await;
+    let runs: Vec<String> = draining.nodo.interpreters[0].runs().iter().map(|run| run.uid.clone()).collect();
+    for (depth, sender_result) in &all {
+        assert!(sender_result.answers.values().all(|statuses| statuses.len() == 1), "{depth}: two answers");
+        let refused = sender_result.answers.values().filter(|statuses| statuses[..] == [503]).count();
         assert!(
-            refused > 0 || !leaving.stalls.none(),
+            refused > 0 || !draining.stall_monitor.is_steady(),
             "{depth}: it ended before the grace did: {}",
-            leaving.nodo.logs()
+            draining.nodo.logs()
         );
-        let open: Vec<&String> =
-            kept.uids.iter().filter(|(id, _)| !kept.answers.contains_key(id)).map(|(_, uid)| uid).collect();
+        let open: Vec<&String> = sender_result
+            .uids
+            .iter()
+            .filter(|(id, _)| !sender_result.answers.contains_key(id))
+            .map(|(_, uid)| uid)
+            .collect();
         // Requests are read in order, so what was not answered is what left last.
-        let last: Vec<&String> = kept.uids.iter().rev().take(open.len()).rev().map(|(_, uid)| uid).collect();
+        let last: Vec<&String> =
+            sender_result.uids.iter().rev().take(open.len()).rev().map(|(_, uid)| uid).collect();
         assert!(
-            open == last || !leaving.stalls.none(),
+            open == last || !draining.stall_monitor.is_steady(),
             "{depth}: one was passed over: {}",
-            leaving.nodo.logs()
+            draining.nodo.logs()
         );
         assert!(!open.iter().any(|uid| runs.contains(uid)), "{depth}: one ran and was not answered");
-        println!("{depth} at once: {} sent, {} not answered, {:?}", kept.uids.len(), open.len(), kept.end);
-        let closed = kept.end == End::Closed;
-        assert!(closed || !leaving.stalls.none(), "{depth}: what was on the way was reset");
+        println!(
+            "{depth} at once: {} sent, {} not answered, {:?}",
+            sender_result.uids.len(),
+            open.len(),
+            sender_result.end
+        );
+        let closed = sender_result.end == End::Closed;
+        assert!(closed || !draining.stall_monitor.is_steady(), "{depth}: what was on the way was reset");
     }
     // Whether that resets one depends on the moment.
-    let open = leaving.nodo.logs().contains("with connections open");
-    assert!(!open || !leaving.stalls.none(), "it ends over what still comes: {}", leaving.nodo.logs());
-    leaving.stalls.none()
+    let open = draining.nodo.logs().contains("with connections open");
+    assert!(
+        !open || !draining.stall_monitor.is_steady(),
+        "it ends over what still comes: {}",
+        draining.nodo.logs()
+    );
+    draining.stall_monitor.is_steady()
 }
 
 #[test]
-fn requests_may_go_on_through_the_whole_drain() {
-    local(judged(async || goes_on(nodo("on", 2500, "").await).await));
+fn requests_sent_throughout_the_drain_are_answered_once() {
+    local(retry_while_stalled(async || requests_throughout_the_drain(nodo("on", 2500, "").await).await));
 }
 
 /// The nodo is of a fleet that has no majority, so that its member waits for an answer until the end.
 #[test]
-fn requests_may_go_on_while_the_member_of_a_fleet_takes_until_the_end_to_leave() {
-    local(judged(async || {
+fn requests_sent_throughout_the_drain_are_answered_once_without_a_fleet_majority() {
+    local(retry_while_stalled(async || {
         let mut nodo = nodo("member", 2500, "").await;
         // Where nothing listens.
         let voter = |n: u8| format!("  voter \"v{n}\" {{\n    address = \"127.0.0.{n}:9\"\n  }}\n");
@@ -364,6 +390,6 @@
             "fleet {{\n  name = \"sola\"\n  folder = \"{}\"\n{voters}}}\nhandover \"slow\" {{\n  effect = \"unknown\"\n}}\n",
             nodo.folder.join("fleet").display()
         ));
-        goes_on(nodo).await
+        requests_throughout_the_drain(nodo).await
     }));
 }
--- a/crates/node/tests/torment.rs
+++ b/crates/node/tests/fault_injection.rs
@@ -14,14 +14,14 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_jaspershunt");
 /// For anything to go on again.
-const GENEROUS: Duration = Duration::from_secs(30);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
 /// What an act of the resource lasts while parts fail.
-const LASTS: Duration = Duration::from_millis(150);
+const EFFECT_DURATION: Duration = Duration::from_millis(150);
 /// Clients, and the pause between two keys of one.
 const CLIENTS: u64 = 10;
 const PAUSE: Duration = Duration::from_millis(60);
 /// Keys that are asked for at once at the end.
-const AT_ONCE: usize = 16;
+const CONCURRENT_QUERIES: usize = 16;
 
 fn local(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -30,50 +30,50 @@
     });
 }
 
-async fn started(name: &str) -> Rig {
-    let rig = Rig::start(Path::new(PROGRAM), name, true, (TTL, LASTS)).await.unwrap();
+async fn start_fleet(name: &str) -> Rig {
+    let rig = Rig::start(Path::new(PROGRAM), name, true, (TTL, EFFECT_DURATION)).await.unwrap();
     assert!(rig.wait_for_votes().await, "{name}: it has no votes: {}", rig.fleet.logs());
     rig
 }
 
 /// Waits until so many keys are at work.
-async fn under_way(rig: &Rig, name: &str) {
+async fn wait_for_running_effects(rig: &Rig, name: &str) {
     let under_way = async {
         while rig.resource.effects().iter().filter(|effect| effect.end.is_none()).count() < 2 {
             sleep(Duration::from_millis(2)).await;
         }
     };
-    if timeout(GENEROUS, under_way).await.is_err() {
+    if timeout(PROGRESS_TIMEOUT, under_way).await.is_err() {
         panic!("{name}: nothing is at work: {}", rig.fleet.logs());
     }
 }
 
 /// Each of these faults strikes in the middle of work, and all is healed once they are over. What was asked is told in the end.
-async fn play(name: &str, seed: u64, faults: &[Fault], lasts: Duration) -> Rig {
-    let mut rig = started(name).await;
-    let load = rig.clients.load(seed, CLIENTS, PAUSE, GENEROUS);
+async fn run_with_faults(name: &str, seed: u64, faults: &[Fault], lasts: Duration) -> Rig {
+    let mut rig = start_fleet(name).await;
+    let load = rig.clients.load(seed, CLIENTS, PAUSE, PROGRESS_TIMEOUT);
     for fault in faults {
-        under_way(&rig, name).await;
+        wait_for_running_effects(&rig, name).await;
         assert!(rig.inject(fault).await.unwrap());
         rig.run_for(lasts).await.unwrap();
         assert!(rig.heal_all().await.unwrap(), "{name}: no votes after {fault}: {}", rig.fleet.logs());
     }
-    ends(&mut rig, name, seed, load).await;
+    check_histories(&mut rig, name, seed, load).await;
     rig
 }
 
 /// All is healed: whatever was asked is told to who asks again, and the histories hold.
-async fn ends(rig: &mut Rig, name: &str, seed: u64, load: Vec<tokio::task::JoinHandle<()>>) {
+async fn check_histories(rig: &mut Rig, name: &str, seed: u64, load: Vec<tokio::task::JoinHandle<()>>) {
     assert!(rig.heal_all().await.unwrap(), "{name}, seed {seed}: no votes: {}", rig.fleet.logs());
     rig.clients.stop();
     rig.resource.set_duration(Duration::from_millis(10));
     for client in load {
-        timeout(2 * GENEROUS, client).await.expect("a client is told").unwrap();
+        timeout(2 * PROGRESS_TIMEOUT, client).await.expect("a client is told").unwrap();
     }
-    let untold = rig.clients.query_all(seed, AT_ONCE, GENEROUS).await;
+    let unanswered = rig.clients.query_all(seed, CONCURRENT_QUERIES, PROGRESS_TIMEOUT).await;
     let verdict = rig.verdict().unwrap();
     assert!(verdict.is_fine(), "{name}, seed {seed}: {} {}", verdict.describe_problems(), rig.fleet.logs());
-    assert_eq!(untold, 0, "{name}, seed {seed}: {:#?} {}", rig.clients.tries(), rig.fleet.logs());
+    assert_eq!(unanswered, 0, "{name}, seed {seed}: {:#?} {}", rig.clients.tries(), rig.fleet.logs());
     assert_eq!(rig.clients.write_error(), None);
     // Guards against a verdict on nothing: there is work in the histories of nodos too.
     let begun = verdict.history.records.iter().filter(|record| {
@@ -90,19 +90,19 @@
 /// The region of the first voter hears the rest and is not heard, and then the other way round: origins there and heirs elsewhere are both
 /// alive, and each sees half of the fleet.
 #[test]
-fn origin_and_heir_that_are_both_alive_do_it_once() {
+fn work_runs_once_when_a_partition_separates_origin_and_successor() {
     local(async {
         let norte: Vec<usize> = (0..NODOS).filter(|n| REGIONS[*n] == "norte").collect();
         let cut = |way| Fault::Cut { ends: Ends::Halves(norte.clone()), way, flaps: None, lasts: 3 * TTL };
         let faults = [cut(Some(Way::There)), cut(Some(Way::Back)), cut(None)];
-        let rig = play("halves", 1, &faults, 3 * TTL).await;
+        let rig = run_with_faults("halves", 1, &faults, 3 * TTL).await;
         assert!(took_over(&rig), "nothing was taken over: {}", rig.fleet.logs());
     });
 }
 
 /// Links that come and go: of each voter in turn.
 #[test]
-fn links_that_flap_lose_and_double_nothing() {
+fn flapping_links_neither_lose_nor_duplicate_work() {
     local(async {
         let flaps = |n, ms| Fault::Cut {
             ends: Ends::Nodo(n),
@@ -110,38 +110,38 @@
             flaps: Some(Duration::from_millis(ms)),
             lasts: 2 * TTL,
         };
-        play("flaps", 2, &[flaps(0, 60), flaps(1, 150), flaps(2, 250)], 2 * TTL).await;
+        run_with_faults("flaps", 2, &[flaps(0, 60), flaps(1, 150), flaps(2, 250)], 2 * TTL).await;
     });
 }
 
 /// A region is lost with all its work, and comes back with its disks; then all are killed at once, and come back.
 #[test]
-fn a_region_that_is_lost_and_a_restart_of_all_lose_nothing() {
+fn loss_of_a_region_and_restart_of_all_nodos_lose_nothing() {
     local(async {
         let norte: Vec<usize> = (0..NODOS).filter(|n| REGIONS[*n] == "norte").collect();
         let region = Fault::Kill { who: norte, empty: false, back: 3 * TTL };
         let all = Fault::Kill { who: (0..NODOS).collect(), empty: false, back: Duration::from_millis(100) };
-        let rig = play("region", 3, &[region, all], 3 * TTL).await;
+        let rig = run_with_faults("region", 3, &[region, all], 3 * TTL).await;
         assert!(took_over(&rig), "nothing was taken over: {}", rig.fleet.logs());
     });
 }
 
 /// A few seconds of everything at once. Seeds at which something was found stay here.
 #[test]
-fn a_torment_of_everything_at_once_is_survived() {
+fn histories_hold_under_random_simultaneous_faults() {
     local(async {
         for seed in [11] {
-            let name = format!("torment-{seed}");
-            let mut rig = started(&name).await;
-            let load = rig.clients.load(seed, CLIENTS, PAUSE, GENEROUS);
-            let teams = rig.editors.load(seed, PAUSE, GENEROUS);
-            let mut torment = FaultInjector::new(StdRng::seed_from_u64(seed));
-            torment.play(&mut rig, Duration::from_secs(8)).await.unwrap();
-            assert!(torment.faults() >= 10, "{:?}", torment.timeline);
+            let name = format!("faults-{seed}");
+            let mut rig = start_fleet(&name).await;
+            let load = rig.clients.load(seed, CLIENTS, PAUSE, PROGRESS_TIMEOUT);
+            let teams = rig.editors.load(seed, PAUSE, PROGRESS_TIMEOUT);
+            let mut injector = FaultInjector::new(StdRng::seed_from_u64(seed));
+            injector.play(&mut rig, Duration::from_secs(8)).await.unwrap();
+            assert!(injector.faults() >= 10, "{:?}", injector.timeline);
             rig.editors.stop();
             assert!(rig.heal_all().await.unwrap(), "{name}: no votes: {}", rig.fleet.logs());
             for team in teams {
-                timeout(2 * GENEROUS, team).await.expect("a team hears of its edit").unwrap();
+                timeout(2 * PROGRESS_TIMEOUT, team).await.expect("a team hears of its edit").unwrap();
             }
             let table = rig.wait_for_one_table().await;
             assert!(table.is_ok(), "{name}: {table:?} {}", rig.fleet.logs());
@@ -149,7 +149,7 @@
             let [in_force, _, _, unheard] = rig.editors.tally();
             assert!(in_force >= 10 && unheard == 0, "{name}: {:?} {}", rig.editors.tally(), rig.fleet.logs());
             assert_eq!(rig.editors.write_error(), None);
-            ends(&mut rig, &name, seed, load).await;
+            check_histories(&mut rig, &name, seed, load).await;
         }
     });
 }
--- a/crates/node/tests/frozen.rs
+++ b/crates/node/tests/frozen.rs
@@ -1,12 +1,12 @@
 //! Several starts of one nodo, any of which is frozen and woken: by the interpreters' records no key runs twice and none is
 //! refused after it ran, and the one that serves at the end serves all.
 
-#[path = "common/passing.rs"]
-mod passing;
+#[path = "common/relay.rs"]
+mod relay;
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::nodo::{AnswerLog, Incarnation, Load, Nodo, keyed};
-use passing::pass_on;
+use relay::relay_messages;
 use std::cell::Cell;
 use std::path::Path;
 use std::time::Duration;
@@ -179,7 +179,7 @@
             }
             true
         };
-        pass_on(earlier, later, goes_on).await;
+        relay_messages(earlier, later, goes_on).await;
     });
     let later = nodo.start_without_waiting().await.unwrap();
     timeout(GENEROUS, reached).await.unwrap_or_else(|_| panic!("{what}: {}", nodo.logs())).unwrap();
--- a/crates/node/tests/isolation.rs
+++ b/crates/node/tests/isolation.rs
@@ -1,34 +1,34 @@
 //! No value of one deployment's settings reaches another: deployments that nobody runs, one process for each, and one process that is
 //! taken by SIGHUP from each of them to each other one. The stand-ins' records say what reached them.
 
-#[path = "common/invented.rs"]
-mod invented;
-#[path = "common/moments.rs"]
-mod moments;
+#[path = "common/draining.rs"]
+mod draining;
+#[path = "common/test_deployments.rs"]
+mod test_deployments;
 
-use invented::{Class, DEPLOYMENTS, Deployment};
+use draining::{PROGRAM, PROGRESS_TIMEOUT, local};
 use jaspershunt_stand_ins::balancer::{Answer, Balancer, Request};
 use jaspershunt_stand_ins::interpreter::{BLOCKING_PREFIX, Interpreter, Work};
 use jaspershunt_stand_ins::nodo::{Incarnation, Nodo};
-use moments::{GENEROUS, PROGRAM, local};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::Duration;
+use test_deployments::{Class, DEPLOYMENTS, Deployment};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
 const MS: Duration = Duration::from_millis(1);
 /// Longer than any short deadline, and shorter than any long one.
-const PATIENCE: Duration = Duration::from_secs(15);
+const DEADLINE_TIMEOUT: Duration = Duration::from_secs(15);
 /// A request whose deadline is short may fail on a machine that is busy elsewhere. It is sent again, so often at most.
 const TRIES: usize = 20;
 /// Processes among which the round of all reloads is divided.
 const PROCESSES: usize = 5;
-/// How long a run takes that is not held: longer than [`HURRY_MS`].
-const PART: Duration = Duration::from_millis(10);
+/// How long a run takes that is not held: longer than [`SHORT_WAIT_MS`].
+const RUN_DURATION: Duration = Duration::from_millis(10);
 /// What a caller says to wait that has no use for any answer.
-const HURRY_MS: u64 = 1;
+const SHORT_WAIT_MS: u64 = 1;
 
 fn all_names(of: impl Fn(&Deployment) -> Vec<&'static str>) -> BTreeSet<&'static str> {
     DEPLOYMENTS.iter().flat_map(of).collect()
@@ -56,17 +56,19 @@
         nodo.settings = deployment.settings();
         let names = class_names();
         let classes: Vec<(&str, Work)> =
-            names.iter().map(|name| (*name, Work { core_time: PART, calls: 0 })).collect();
+            names.iter().map(|name| (*name, Work { core_time: RUN_DURATION, calls: 0 })).collect();
         let interpreter = if cold {
             Interpreter::start_cold(8, &classes).await
         } else {
             Interpreter::start(8, &classes).await
         };
-        let start =
-            timeout(GENEROUS, nodo.start_with_interpreter(interpreter.address())).await.unwrap().unwrap();
+        let start = timeout(PROGRESS_TIMEOUT, nodo.start_with_interpreter(interpreter.address()))
+            .await
+            .unwrap()
+            .unwrap();
         start.process.wait_for_output("listens on").await;
         if !cold {
-            timeout(GENEROUS, start.wait_until_ready()).await.unwrap();
+            timeout(PROGRESS_TIMEOUT, start.wait_until_ready()).await.unwrap();
         }
         let balancer = Balancer::new(nodo.address, 7, Some(interpreter.clone()));
         let settings = nodo.settings.clone();
@@ -88,7 +90,7 @@
                 sleep(MS).await;
             }
         };
-        timeout(GENEROUS, taken).await.unwrap_or_else(|_| panic!("no reload: {}", self.nodo.logs()));
+        timeout(PROGRESS_TIMEOUT, taken).await.unwrap_or_else(|_| panic!("no reload: {}", self.nodo.logs()));
     }
 
     fn body(&mut self, what: &str) -> String {
@@ -97,7 +99,7 @@
     }
 
     async fn send(&self, request: &Request) -> Answer {
-        self.balancer.send(request, GENEROUS).await
+        self.balancer.send(request, PROGRESS_TIMEOUT).await
     }
 
     async fn rows(&self) -> Value {
@@ -106,7 +108,7 @@
     }
 
     /// Names of other deployments are turned away as bad, and nothing of that reaches the interpreter or the figures.
-    async fn knows_its_own_names_only(&mut self, own: &Deployment) {
+    async fn check_foreign_names_rejected(&mut self, own: &Deployment) {
         let before = self.rows().await;
         for name in class_names().into_iter().filter(|name| own.class(name).is_none()) {
             let body = self.body("foreign class");
@@ -138,25 +140,25 @@
     }
 
     /// Each class and tenant is served, under its own name and with this deployment's free number.
-    async fn serves(&mut self, own: &Deployment) {
+    async fn check_own_names_served(&mut self, own: &Deployment) {
         for class in own.classes {
             let tenants = if own.tenants.is_empty() { &["nobody", "north"][..] } else { own.tenants };
             for tenant in tenants {
-                let body = self.served(own, class, tenant).await;
+                let body = self.send_until_served(own, class, tenant).await;
                 let run = self.interpreter.runs().iter().find(|run| run.body == body.as_bytes()).cloned();
                 assert_eq!(run.unwrap().class, class.name, "{}: the class of the run", own.name);
             }
         }
     }
 
-    async fn served(&mut self, own: &Deployment, class: &Class, tenant: &str) -> String {
+    async fn send_until_served(&mut self, own: &Deployment, class: &Class, tenant: &str) -> String {
         let tries = if class.is_short() { TRIES } else { 1 };
         for _ in 0..tries {
             let body = self.body("ordinary");
             let request = Request { tenant: tenant.to_string(), ..own.request(class.name, &body) };
             let answer = self.send(&request).await;
             let says = answer.header("x-backend-says");
-            assert!(own.says(&answer), "{}: says {says:?} of {:?}", own.name, own.say);
+            assert!(own.has_valid_advice(&answer), "{}: says {says:?} of {:?}", own.name, own.say);
             if answer.status == 200 {
                 return body;
             }
@@ -166,16 +168,16 @@
     }
 
     /// A word on how long a caller waits counts where the settings promise it, and nowhere else.
-    async fn minds_how_long_callers_wait(&mut self, own: &Deployment) {
+    async fn check_caller_deadlines(&mut self, own: &Deployment) {
         let class = own.classes.iter().find(|class| !class.is_short()).expect("a class with a long deadline");
         let body = self.body("hurried");
-        let request = Request { deadline_ms: Some(HURRY_MS), ..own.request(class.name, &body) };
+        let request = Request { deadline_ms: Some(SHORT_WAIT_MS), ..own.request(class.name, &body) };
         let answer = self.send(&request).await;
         assert_eq!(answer.status == 200, !own.passes_deadline, "{}: {answer:?}", own.name);
     }
 
     /// A key keeps a body of a guarded class from running twice, also by way of another deployment, and no other class of that name.
-    async fn minds_keys(&mut self, own: &Deployment) {
+    async fn check_keys(&mut self, own: &Deployment) {
         for class in own.classes.iter().filter(|class| !class.is_short()) {
             let body = format!("the same for {}", class.name);
             let mut request = own.request(class.name, &body);
@@ -195,31 +197,31 @@
     }
 
     async fn check(&mut self, own: &Deployment) {
-        self.knows_its_own_names_only(own).await;
-        self.serves(own).await;
-        self.minds_how_long_callers_wait(own).await;
-        self.minds_keys(own).await;
+        self.check_foreign_names_rejected(own).await;
+        self.check_own_names_served(own).await;
+        self.check_caller_deadlines(own).await;
+        self.check_keys(own).await;
     }
 
     /// Opens a request whose run does not end by itself.
-    async fn open(&mut self, own: &Deployment, class: &Class) -> Open {
+    async fn open(&mut self, own: &Deployment, class: &Class) -> OpenRequest {
         let body = self.body(&format!("{}-{}", String::from_utf8_lossy(BLOCKING_PREFIX), class.name));
         let (balancer, request) = (self.balancer.clone(), own.request(class.name, &body));
-        let answer = spawn_local(async move { balancer.send(&request, GENEROUS).await });
+        let answer = spawn_local(async move { balancer.send(&request, PROGRESS_TIMEOUT).await });
         let begun = async {
             // On a busy machine one with a short deadline may be over before it runs.
             while self.runs(&body) == 0 && !answer.is_finished() {
                 sleep(MS).await;
             }
         };
-        timeout(GENEROUS, begun)
+        timeout(PROGRESS_TIMEOUT, begun)
             .await
             .unwrap_or_else(|_| panic!("{}: {} does not run", own.name, class.name));
-        Open { body, answer }
+        OpenRequest { body, answer }
     }
 
     /// Opens a request of each class, goes over to another deployment, and has all answered by the deadlines that they came with.
-    async fn cross(&mut self, from: &Deployment, to: &Deployment) {
+    async fn reload_with_open_requests(&mut self, from: &Deployment, to: &Deployment) {
         let what = format!("{} to {}", from.name, to.name);
         let mut before = Vec::new();
         for class in from.classes {
@@ -235,7 +237,7 @@
         // passed for the earlier requests, too.
         let short = before.extract_if(.., |(class, _)| class.is_short()).chain(after);
         for (class, open) in short {
-            let answer = timeout(PATIENCE, open.answer).await;
+            let answer = timeout(DEADLINE_TIMEOUT, open.answer).await;
             let answer =
                 answer.unwrap_or_else(|_| panic!("{what}: {} outlasts its deadline", class.name)).unwrap();
             assert!(![0, 200].contains(&answer.status), "{what}: {} {answer:?}", class.name);
@@ -251,41 +253,41 @@
 }
 
 /// A request whose answer has not come yet.
-struct Open {
+struct OpenRequest {
     body: String,
     answer: tokio::task::JoinHandle<Answer>,
 }
 
 /// A round that goes from each of `count` to each other one, once.
-fn round(count: usize) -> Vec<(usize, usize)> {
+fn all_transitions(count: usize) -> Vec<(usize, usize)> {
     let mut left: BTreeSet<(usize, usize)> =
         (0..count).flat_map(|a| (0..count).filter(move |b| a != *b).map(move |b| (a, b))).collect();
-    let (mut open, mut walked) = (vec![0], Vec::new());
-    // By Hierholzer: every place has as many ways out as in.
+    let (mut open, mut path) = (vec![0], Vec::new());
+    // By Hierholzer: every place has as many transitions out as in.
     while let Some(&at) = open.last() {
         match left.iter().find(|(from, _)| *from == at).copied() {
             Some(way) => {
                 left.remove(&way);
                 open.push(way.1);
             }
-            None => walked.extend(open.pop()),
+            None => path.extend(open.pop()),
         }
     }
-    walked.reverse();
-    walked.windows(2).map(|two| (two[0], two[1])).collect()
+    path.reverse();
+    path.windows(2).map(|two| (two[0], two[1])).collect()
 }
 
 #[test]
-fn a_round_has_every_ordered_pair_once() {
-    let walked = round(DEPLOYMENTS.len());
-    assert_eq!(walked.len(), 20);
-    assert_eq!(walked.iter().collect::<BTreeSet<_>>().len(), 20);
-    assert!(walked.windows(2).all(|two| two[0].1 == two[1].0));
+fn transitions_cover_every_ordered_pair_once() {
+    let path = all_transitions(DEPLOYMENTS.len());
+    assert_eq!(path.len(), 20);
+    assert_eq!(path.iter().collect::<BTreeSet<_>>().len(), 20);
+    assert!(path.windows(2).all(|two| two[0].1 == two[1].0));
 }
 
 /// Each deployment in a process of its own: the figures name its classes and no other.
 #[test]
-fn a_process_has_the_values_of_its_own_deployment_only() {
+fn a_process_uses_only_the_values_of_its_own_deployment() {
     local(async {
         let plays = DEPLOYMENTS.iter().map(|own| {
             spawn_local(async move {
@@ -296,7 +298,7 @@
                 site.check(own).await;
                 for class in own.classes.iter().filter(|class| class.is_short()) {
                     let open = site.open(own, class).await;
-                    let answer = timeout(PATIENCE, open.answer).await.expect("its deadline").unwrap();
+                    let answer = timeout(DEADLINE_TIMEOUT, open.answer).await.expect("its deadline").unwrap();
                     assert!(![0, 200].contains(&answer.status), "{}: {answer:?}", own.name);
                 }
                 site.start.process.terminate();
@@ -311,17 +313,17 @@
 
 /// Before its interpreter is up a process turns all away, with the longest advice that its settings allow: to the millisecond.
 #[test]
-fn advice_to_stay_away_is_that_of_the_settings_in_force() {
+fn retry_advice_follows_the_settings_in_force() {
     local(async {
-        let ways = round(DEPLOYMENTS.len());
-        let mut site = Site::start("advice", &DEPLOYMENTS[ways[0].0], true).await;
-        for own in ways.iter().map(|(_, to)| &DEPLOYMENTS[*to]) {
+        let transitions = all_transitions(DEPLOYMENTS.len());
+        let mut site = Site::start("advice", &DEPLOYMENTS[transitions[0].0], true).await;
+        for own in transitions.iter().map(|(_, to)| &DEPLOYMENTS[*to]) {
             site.reload(own).await;
-            site.knows_its_own_names_only(own).await;
+            site.check_foreign_names_rejected(own).await;
             for class in own.classes {
                 let body = site.body("early");
                 let answer = site.send(&own.request(class.name, &body)).await;
-                let advice = own.retry_after.then(|| own.stay_away_ms.to_string());
+                let advice = own.retry_after.then(|| own.max_retry_after_ms.to_string());
                 assert_eq!(
                     (answer.status, answer.header("x-pushback-ms")),
                     (503, advice.as_deref()),
@@ -337,17 +339,19 @@
 
 /// From each deployment to each other one in running processes, with requests open on the way. Each process takes a part of the round.
 #[test]
-fn a_reloaded_process_has_the_values_of_the_settings_in_force_only() {
+fn a_reloaded_process_uses_only_the_settings_in_force() {
     local(async {
-        let ways = round(DEPLOYMENTS.len());
-        let plays = ways.chunks(ways.len() / PROCESSES).map(<[_]>::to_vec).enumerate().map(|(n, part)| {
-            spawn_local(async move {
-                let mut site = Site::start(&format!("part-{n}"), &DEPLOYMENTS[part[0].0], false).await;
-                for (from, to) in part {
-                    site.cross(&DEPLOYMENTS[from], &DEPLOYMENTS[to]).await;
-                }
-            })
-        });
+        let transitions = all_transitions(DEPLOYMENTS.len());
+        let plays = transitions.chunks(transitions.len() / PROCESSES).map(<[_]>::to_vec).enumerate().map(
+            |(n, part)| {
+                spawn_local(async move {
+                    let mut site = Site::start(&format!("part-{n}"), &DEPLOYMENTS[part[0].0], false).await;
+                    for (from, to) in part {
+                        site.reload_with_open_requests(&DEPLOYMENTS[from], &DEPLOYMENTS[to]).await;
+                    }
+                })
+            },
+        );
         for play in plays.collect::<Vec<_>>() {
             play.await.unwrap();
         }
--- a/crates/node/tests/nodo.rs
+++ b/crates/node/tests/nodo.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn lost_framing_ends_that_connection_only() {
+fn invalid_framing_closes_only_that_connection() {
     local(async {
         let mut nodo = Nodo::start().await;
         let (mut one, mut other) = (nodo.connect().await, nodo.connect().await);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_end_of_what_a_balancer_sends_is_no_abort_and_a_reset_is() {
+fn a_half_close_by_the_balancer_is_no_abort_and_a_reset_is() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
@@ -120,7 +120,7 @@
 
 /// Such a connection would be open for ever, and its descriptor with it.
 #[test]
-fn a_request_that_can_never_be_whole_does_not_keep_its_connection_open() {
+fn a_truncated_request_does_not_keep_its_connection_open() {
     local(async {
         let mut nodo = Nodo::start().await;
         let whole = request(1, 1, "read", &[], b"");
@@ -160,7 +160,7 @@
 /// On SIGHUP the program reads its file again: a faulty one changes nothing, a good one moves the link, and what was
 /// not confirmed on the old one is sent again.
 #[test]
-fn sighup_moves_what_the_file_says_and_never_ends_the_program() {
+fn sighup_applies_a_valid_file_and_keeps_running_on_an_invalid_one() {
     local(async {
         let (here, vm) = listener().await;
         let (elsewhere, new_vm) = listener().await;
@@ -216,7 +216,7 @@
 /// The interpreter may come up long after the nodo, and turns away whatever comes before: commands, if they waited for
 /// an answer to an early question, would never be sent.
 #[test]
-fn nothing_but_the_greeting_is_said_before_the_interpreter_is_up() {
+fn only_the_greeting_is_sent_before_the_interpreter_is_ready() {
     local(async {
         let (mut nodo, _lookup) = Nodo::start_early().await;
         let mut balancer = nodo.connect().await;
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn after_a_break_the_link_hears_what_it_missed_and_sends_again_what_may_be_lost() {
+fn a_new_link_replays_missed_notices_and_resends_unconfirmed_commands() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_nodo_that_leaves_says_so_answers_all_and_ends() {
+fn a_draining_nodo_reports_closed_answers_all_requests_and_exits() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
@@ -277,16 +277,16 @@
     });
 }
 
-/// Connections alone. The test answers in the place of the engine.
-struct Alone {
+/// Connections server. The test answers in the place of the engine.
+struct ConnectionServer {
     front: Rc<Front>,
     address: SocketAddr,
     inputs: mpsc::Receiver<Input>,
     _idle: watch::Sender<IdlePolicy>,
 }
 
-impl Alone {
-    async fn start(sockets: &str) -> Alone {
+impl ConnectionServer {
+    async fn start(sockets: &str) -> ConnectionServer {
         let (socket, address) = listener().await;
         let at = address.to_string();
         let text = config_text(&at, &at, &at, &at).replace(r#""sockets":1024"#, sockets);
@@ -296,7 +296,7 @@
         let facts = watch::channel(Rc::new(config.facts())).1;
         let front = Rc::new(Front::new(&config, engine, idle, facts, Rc::default()));
         spawn_local(accept(Rc::new(socket), front.clone(), std::future::pending()));
-        Alone { front, address, inputs, _idle }
+        ConnectionServer { front, address, inputs, _idle }
     }
 
     async fn connect(&self) -> Peer {
@@ -314,7 +314,7 @@
     }
 
     /// Has a connection bring a request and answers it.
-    async fn use_once(&mut self, peer: &mut Peer) {
+    async fn send_and_answer(&mut self, peer: &mut Peer) {
         peer.send(request(9, 9, "read", &[], b"")).await;
         self.reply_to().await.send(Reply::new(Answer::Failed, None));
         assert!(peer.answer().await.unwrap().1.starts_with("Status: 500 "));
@@ -323,19 +323,19 @@
 
 /// Those who bring nothing are owed a close within 3 s of connecting, however they go about it.
 #[test]
-fn who_brings_no_whole_request_is_let_go_in_time() {
+fn connections_without_a_whole_request_are_closed_in_time() {
     paused(async {
-        let alone = Alone::start(r#""sockets":1024"#).await;
+        let server = ConnectionServer::start(r#""sockets":1024"#).await;
         let whole = request(1, 1, "read", &[], b"cut");
         for sent in [&b""[..], &whole[..40], &whole[..whole.len() - 1], &request(1, 1, "sing", &[], b"")] {
             let began = Instant::now();
-            let mut peer = alone.connect().await;
+            let mut peer = server.connect().await;
             peer.send(sent).await;
             while timeout(Duration::from_secs(600), peer.record()).await.expect("a close").is_some() {}
             assert!((1..3).contains(&began.elapsed().as_secs()));
         }
         // One byte at a time makes no difference.
-        let (began, mut peer) = (Instant::now(), alone.connect().await);
+        let (began, mut peer) = (Instant::now(), server.connect().await);
         // Each byte leaves at once: the system would hold it back by a clock of its own.
         peer.stream.set_nodelay(true).unwrap();
         for byte in whole.iter().cycle() {
@@ -346,25 +346,25 @@
         }
         let took = began.elapsed();
         assert!((1..4).contains(&took.as_secs()), "{took:?}");
-        assert_eq!(alone.front.open.get(), 0);
+        assert_eq!(server.front.open.get(), 0);
     });
 }
 
 #[test]
-fn who_brought_one_may_stay_and_who_is_owed_an_answer_gets_it() {
+fn used_connections_stay_open_and_pending_answers_are_delivered() {
     paused(async {
-        let mut alone = Alone::start(r#""sockets":1024"#).await;
-        let mut peer = alone.connect().await;
-        alone.use_once(&mut peer).await;
+        let mut server = ConnectionServer::start(r#""sockets":1024"#).await;
+        let mut peer = server.connect().await;
+        server.send_and_answer(&mut peer).await;
         assert!(timeout(Duration::from_secs(100), peer.record()).await.is_err(), "it is quiet and stays");
         // Half a request behind a whole one, and then what is no record: the whole one is answered all the same.
         // That half of a request never ran is said of it, once it is given up.
         let never_ran = Some((kind::END_REQUEST, 2, vec![0, 0, 0, 0, 2, 0, 0, 0]));
         let half = request(2, 2, "read", &[], b"")[..40].to_vec();
         for (rest, said) in [(half, never_ran), (b"GET / HTTP/1.1\r\n".to_vec(), None)] {
-            let mut peer = alone.connect().await;
+            let mut peer = server.connect().await;
             peer.send([request(1, 1, "read", &[], b""), rest].concat()).await;
-            let reply_to = alone.reply_to().await;
+            let reply_to = server.reply_to().await;
             tokio::time::sleep(Duration::from_secs(30)).await;
             reply_to.send(Reply::new(Answer::Failed, None));
             assert!(peer.answer().await.unwrap().1.starts_with("Status: 500 "));
@@ -378,17 +378,17 @@
 
 /// Guards against small answers that the system holds back until earlier ones are acknowledged: a close may take them with it.
 #[test]
-fn what_is_written_to_a_balancer_is_not_held_back() {
+fn small_answers_are_sent_without_nagle_delay() {
     paused(async {
-        let alone = Alone::start(r#""sockets":1024"#).await;
+        let server = ConnectionServer::start(r#""sockets":1024"#).await;
         let (listener, address) = listener().await;
         let balancer = TcpStream::connect(address).await.unwrap();
         let (stream, peer) = listener.accept().await.unwrap();
         let stream = stream.into_std().unwrap();
         let same = stream.try_clone().unwrap();
         assert!(!same.nodelay().unwrap());
-        let ended = alone.front.ended.notified();
-        alone.front.take_over(TcpStream::from_std(stream).unwrap(), peer, Came::default());
+        let ended = server.front.ended.notified();
+        server.front.take_over(TcpStream::from_std(stream).unwrap(), peer, Came::default());
         drop(balancer);
         ended.await;
         assert!(same.nodelay().unwrap());
@@ -397,10 +397,10 @@
 
 /// A close with bytes unread is a reset, with which the refusal would be lost.
 #[test]
-fn an_oversized_body_is_refused_early_and_read_on_for_a_while() {
+fn an_oversized_body_is_refused_early_and_drained_for_a_limited_time() {
     paused(async {
-        let mut alone = Alone::start(r#""sockets":1024"#).await;
-        let mut peer = alone.connect().await;
+        let mut server = ConnectionServer::start(r#""sockets":1024"#).await;
+        let mut peer = server.connect().await;
         let mut stdin = Vec::new();
         put_record(&mut stdin, kind::STDIN, 1, &[7; 60_000]);
         let mut begun = request(1, 1, "read", &[], b"");
@@ -410,42 +410,42 @@
         assert!(peer.answer().await.unwrap().1.starts_with("Status: 400 "));
         // The connection lives, if there is an end to it.
         peer.send(&stdin).await;
-        alone.use_once(&mut peer).await;
+        server.send_and_answer(&mut peer).await;
         peer.send(&begun).await;
         let (mut from, mut to) = peer.stream.split();
         let all = async { while to.write_all(&stdin).await.is_ok() {} };
         let mut answer = Vec::new();
         let (read, ()) = tokio::join!(from.read_to_end(&mut answer), all);
         assert!(String::from_utf8_lossy(&answer).contains("Status: 400 "), "{read:?}");
-        assert_eq!(alone.front.open.get(), 0);
+        assert_eq!(server.front.open.get(), 0);
     });
 }
 
 /// Descriptors are few, and there are peers that open connections by the hundred.
 #[test]
-fn when_all_connections_are_taken_the_least_useful_makes_room() {
+fn the_least_used_connection_is_evicted_at_the_connection_limit() {
     paused(async {
-        let mut alone = Alone::start(r#""sockets":128"#).await;
-        let most = alone.front.most;
-        let (mut quiet, mut owed) = (alone.connect().await, alone.connect().await);
-        alone.use_once(&mut quiet).await;
+        let mut server = ConnectionServer::start(r#""sockets":128"#).await;
+        let most = server.front.most;
+        let (mut quiet, mut owed) = (server.connect().await, server.connect().await);
+        server.send_and_answer(&mut quiet).await;
         owed.send(request(1, 1, "read", &[], b"")).await;
-        let reply_to = alone.reply_to().await;
+        let reply_to = server.reply_to().await;
         let mut silent = Vec::new();
         // One place is always kept free.
-        while alone.front.open.get() < most - 1 {
-            silent.push(alone.connect().await);
+        while server.front.open.get() < most - 1 {
+            silent.push(server.connect().await);
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let mut late = alone.connect().await;
-        alone.use_once(&mut late).await;
+        let mut late = server.connect().await;
+        server.send_and_answer(&mut late).await;
         assert_eq!(silent.remove(0).record().await, None, "the oldest that brought nothing goes first");
-        assert_eq!(alone.front.open.get(), most - 1);
+        assert_eq!(server.front.open.get(), most - 1);
         // With no such one left, the one that has been idle for longest goes, and never one that waits for its answer.
         for peer in &mut silent {
-            alone.use_once(peer).await;
+            server.send_and_answer(peer).await;
         }
-        alone.connect().await;
+        server.connect().await;
         assert_eq!(quiet.record().await, None);
         reply_to.send(Reply::new(Answer::Failed, None));
         assert!(owed.answer().await.is_some());
--- a/crates/node/tests/parsers.rs
+++ b/crates/node/tests/parsers.rs
@@ -37,7 +37,7 @@
     Some(steps)
 }
 
-fn cut<'a>(bytes: &'a [u8], at: &[prop::sample::Index]) -> Vec<&'a [u8]> {
+fn split_at<'a>(bytes: &'a [u8], at: &[prop::sample::Index]) -> Vec<&'a [u8]> {
     let mut at: Vec<usize> = at.iter().map(|i| i.index(bytes.len() + 1)).chain([0, bytes.len()]).collect();
     at.sort_unstable();
     at.windows(2).map(|ends| &bytes[ends[0]..ends[1]]).collect()
@@ -51,7 +51,7 @@
     #![proptest_config(fixed(1))]
 
     #[test]
-    fn records_read_alike_however_they_are_cut(
+    fn records_parse_identically_however_they_are_split(
         body in prop::collection::vec(any::<u8>(), 0..2048),
         at in prop::collection::vec(any::<prop::sample::Index>(), 0..20),
         padding in any::<u8>(),
@@ -61,7 +61,7 @@
         bytes.extend([1, 77, 0, 1, 0, 2, padding, 0, 9, 9]);
         bytes.extend(vec![0; padding.into()]);
         bytes.extend(request(2, 8, "sign", &[], b"x"));
-        let steps = feed(&mut new_requests(), &cut(&bytes, &at), &mut Vec::new()).unwrap();
+        let steps = feed(&mut new_requests(), &split_at(&bytes, &at), &mut Vec::new()).unwrap();
         let [Step::Whole(one), Step::Whole(two)] = &steps[..] else { panic!("{steps:?}") };
         prop_assert_eq!((one.id, &one.body, two.id, &two.body[..]), (1, &body, 2, &b"x"[..]));
         let pairs = records::pairs(&one.params).unwrap();
@@ -69,7 +69,7 @@
     }
 
     #[test]
-    fn garbage_is_never_a_request(bytes in prop::collection::vec(any::<u8>(), 0..3000), version in any::<bool>()) {
+    fn garbage_never_parses_as_a_request(bytes in prop::collection::vec(any::<u8>(), 0..3000), version in any::<bool>()) {
         let mut bytes = bytes;
         if let Some(first) = bytes.first_mut().filter(|_| version) {
             *first = 1;
@@ -85,7 +85,7 @@
     }
 
     #[test]
-    fn heads_of_replies_read_alike_however_they_are_cut(
+    fn reply_heads_parse_identically_however_they_are_split(
         status in 200u16..600, length in 0usize..9999, never in any::<bool>(), at in any::<prop::sample::Index>(),
     ) {
         let marked = if never { "never-started:1\r\n" } else { "" };
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn cut_lines_of_the_interpreter_are_named_and_whole_ones_read(
+    fn truncated_interpreter_lines_are_rejected_and_whole_ones_parsed(
         result in prop::collection::vec(any::<u8>(), 0..4096), at in any::<prop::sample::Index>(),
     ) {
         use base64::Engine;
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn beyond_32_open_requests_and_beyond_the_memory_a_request_is_overloaded() {
+fn requests_beyond_the_open_or_memory_limit_are_refused_as_overloaded() {
     let overloaded = vec![0, 0, 0, 0, 2, 0, 0, 0];
     let begin = |id: u16| {
         let mut bytes = Vec::new();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn an_abort_closes_what_is_not_whole_and_names_what_is() {
+fn an_abort_ends_partial_requests_and_reports_whole_ones() {
     let mut requests = new_requests();
     let mut bytes = request(1, 1, "read", &[], b"");
     put_record(&mut bytes, kind::BEGIN_REQUEST, 2, &[0, 1, 1, 0, 0, 0, 0, 0]);
--- a/crates/node/tests/crossing_peers.rs
+++ b/crates/node/tests/peer_races.rs
@@ -10,9 +10,9 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// What crossed a nodo while one request was open there.
+/// What observed a nodo while one request was open there.
 #[derive(Debug, Default)]
-struct Crossed {
+struct Observed {
     resolved: usize,
     stubbed: usize,
     called_again: usize,
@@ -21,20 +21,20 @@
 
 /// Plays the interpreter and the database for a run that waits at notice 1, until its request is answered: a call is
 /// answered well, a run that goes on ends well, and one that is to stop does.
-async fn play(nodo: &mut Nodo, balancer: &mut Peer, uid: &str) -> Crossed {
-    let mut crossed = Crossed::default();
+async fn finish_run(nodo: &mut Nodo, balancer: &mut Peer, uid: &str) -> Observed {
+    let mut observed = Observed::default();
     let mut text = Vec::new();
     let mut calls = Vec::new();
     loop {
         tokio::select! {
             command = nodo.link.command() => {
-                crossed.resolved += usize::from(command.contains("RESOLVE"));
-                crossed.stubbed += usize::from(command.contains("STUB"));
+                observed.resolved += usize::from(command.contains("RESOLVE"));
+                observed.stubbed += usize::from(command.contains("STUB"));
                 let code = if command.contains("BREAK") { "STOPPED" } else { "OK" };
                 nodo.link.send(value(2, uid, code, "ZG9uZQ==")).await;
             }
             accepted = nodo.database.accept() => {
-                crossed.called_again += 1;
+                observed.called_again += 1;
                 let mut call = Peer::new(accepted.unwrap().0);
                 call.http().await;
                 call.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore").await;
@@ -43,7 +43,7 @@
             record = balancer.record() => match record.expect("an answer") {
                 (kind::STDOUT, _, content) => text.extend(content),
                 _ => {
-                    crossed.statuses.push(String::from_utf8(text).unwrap().lines().next().unwrap().to_string());
+                    observed.statuses.push(String::from_utf8(text).unwrap().lines().next().unwrap().to_string());
                     break;
                 }
             }
@@ -53,16 +53,16 @@
     sleep(20 * MS).await;
     tokio::select! {
         biased;
-        _ = nodo.database.accept() => crossed.called_again += 1,
+        _ = nodo.database.accept() => observed.called_again += 1,
         // The connection may end, where the nodo leaves.
         record = balancer.record() => assert!(record.is_none(), "a second answer: {record:?}"),
         () = sleep(MS) => {}
     }
-    crossed
+    observed
 }
 
 /// Has a request of the class run until it waits for its call, and reads that.
-async fn at_call(nodo: &mut Nodo, balancer: &mut Peer, class: &str) -> (String, Peer) {
+async fn start_run_with_call(nodo: &mut Nodo, balancer: &mut Peer, class: &str) -> (String, Peer) {
     let key = [("HTTP_X_OPERATION_KEY", "one-key")];
     let more = if class == "sign" { &key[..] } else { &[] };
     balancer.send(request(1, 1, class, more, b"body")).await;
@@ -77,20 +77,20 @@
 /// The reply breaks off before, within and behind its head. What was called for may have run: a keyed class does not
 /// call again, and a run hears at most once what became of its call.
 #[test]
-fn a_reply_that_breaks_off_is_never_asked_for_again_where_it_may_not_be_repeated() {
+fn a_call_with_a_truncated_reply_is_not_repeated_for_a_keyed_class() {
     local(async {
         for reply in ["", "HTTP/1.1 200 O", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nro"] {
             for class in ["sign", "read"] {
                 let mut nodo = Nodo::start().await;
                 let mut balancer = nodo.connect().await;
-                let (uid, mut call) = at_call(&mut nodo, &mut balancer, class).await;
+                let (uid, mut call) = start_run_with_call(&mut nodo, &mut balancer, class).await;
                 call.send(reply).await;
                 drop(call);
-                let crossed = play(&mut nodo, &mut balancer, &uid).await;
-                let seen = format!("{class} after {reply:?}: {crossed:?}");
-                assert!(class == "read" || crossed.called_again == 0, "called again: {seen}");
-                assert!(crossed.resolved + crossed.stubbed <= 1, "told twice: {seen}");
-                assert_eq!(crossed.statuses.len(), 1, "{seen}");
+                let observed = finish_run(&mut nodo, &mut balancer, &uid).await;
+                let seen = format!("{class} after {reply:?}: {observed:?}");
+                assert!(class == "read" || observed.called_again == 0, "called again: {seen}");
+                assert!(observed.resolved + observed.stubbed <= 1, "told twice: {seen}");
+                assert_eq!(observed.statuses.len(), 1, "{seen}");
             }
         }
     });
@@ -98,11 +98,11 @@
 
 /// The link breaks while a call is out, and the reply comes before the next link has caught up.
 #[test]
-fn a_reply_that_comes_while_the_link_is_down_reaches_the_run_once() {
+fn a_reply_received_while_the_link_is_down_reaches_the_run_once() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
-        let (uid, mut call) = at_call(&mut nodo, &mut balancer, "sign").await;
+        let (uid, mut call) = start_run_with_call(&mut nodo, &mut balancer, "sign").await;
         nodo.link = Peer::accept_after_break(nodo.link, &nodo.interpreter).await;
         call.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nrows").await;
         // The connection's end shows that the reply was read, and a health check that the engine has it.
@@ -110,21 +110,21 @@
         balancer.send(request(9, 9, "read", &[("SCRIPT_NAME", "/healthz")], b"")).await;
         assert_eq!(balancer.answer().await.unwrap().0, 9);
         catch_up(&mut nodo.link, 1, "").await;
-        let crossed = play(&mut nodo, &mut balancer, &uid).await;
-        assert_eq!((crossed.resolved, crossed.stubbed, crossed.called_again), (1, 0, 0), "{crossed:?}");
-        assert!(crossed.statuses[0].contains("200"), "{crossed:?}");
+        let observed = finish_run(&mut nodo, &mut balancer, &uid).await;
+        assert_eq!((observed.resolved, observed.stubbed, observed.called_again), (1, 0, 0), "{observed:?}");
+        assert!(observed.statuses[0].contains("200"), "{observed:?}");
     });
 }
 
 /// The nodo is told to leave while a call is out: the run still gets the reply, and its request the result, whether the
 /// reply crosses the notice or comes well behind it.
 #[test]
-fn a_reply_that_crosses_the_notice_to_leave_reaches_the_run() {
+fn a_reply_during_the_drain_reaches_the_run() {
     local(async {
         for behind in [false, true] {
             let mut nodo = Nodo::start().await;
             let mut balancer = nodo.connect().await;
-            let (uid, mut call) = at_call(&mut nodo, &mut balancer, "sign").await;
+            let (uid, mut call) = start_run_with_call(&mut nodo, &mut balancer, "sign").await;
             nodo.leave.take().unwrap().send(()).unwrap();
             if behind {
                 assert!(nodo.report().await.ends_with(r#"{"mode":"closed"}"#));
@@ -133,9 +133,9 @@
             }
             assert!(!nodo.done.is_finished(), "it ended over a run that waits for a reply");
             call.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows").await;
-            let crossed = play(&mut nodo, &mut balancer, &uid).await;
-            assert_eq!((crossed.resolved, crossed.stubbed), (1, 0), "behind {behind}: {crossed:?}");
-            assert!(crossed.statuses[0].contains("200"), "behind {behind}: {crossed:?}");
+            let observed = finish_run(&mut nodo, &mut balancer, &uid).await;
+            assert_eq!((observed.resolved, observed.stubbed), (1, 0), "behind {behind}: {observed:?}");
+            assert!(observed.statuses[0].contains("200"), "behind {behind}: {observed:?}");
             nodo.done.await.unwrap();
         }
     });
@@ -143,15 +143,15 @@
 
 /// The run ends while its call is out: the call is given up, and the reply that crosses that is told to nobody.
 #[test]
-fn a_reply_that_crosses_the_end_of_its_run_is_told_to_nobody() {
+fn a_reply_after_the_end_of_its_run_is_discarded() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
-        let (uid, mut call) = at_call(&mut nodo, &mut balancer, "sign").await;
+        let (uid, mut call) = start_run_with_call(&mut nodo, &mut balancer, "sign").await;
         nodo.link.send(value(2, &uid, "ERROR", "")).await;
         call.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows").await;
-        let crossed = play(&mut nodo, &mut balancer, &uid).await;
-        assert!(crossed.statuses[0].contains("500"), "{crossed:?}");
+        let observed = finish_run(&mut nodo, &mut balancer, &uid).await;
+        assert!(observed.statuses[0].contains("500"), "{observed:?}");
         // A run of its own shows what was sent to the interpreter before it.
         balancer.send(request(2, 2, "read", &[], b"")).await;
         assert!(nodo.command().await.contains("APPLY"), "the run that was over was told of a reply");
@@ -160,7 +160,7 @@
 
 /// A notice that comes twice counts once, also if it names another run the second time.
 #[test]
-fn a_notice_that_comes_twice_counts_once() {
+fn a_duplicate_notice_is_ignored() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
@@ -182,7 +182,7 @@
 
 /// The end of a run comes as its caller gives it up, in either order on the two connections.
 #[test]
-fn the_end_of_a_run_whose_caller_leaves_harms_nobody() {
+fn an_abort_racing_the_end_of_its_run_yields_at_most_one_answer() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
@@ -212,7 +212,7 @@
 /// A further try is written in the moment in which the end of the first one's run is told: one answer each, and no
 /// second run of a key.
 #[test]
-fn a_further_try_crosses_the_end_of_the_first() {
+fn a_retry_racing_the_end_of_the_first_try_is_answered_without_a_second_run() {
     local(async {
         let mut nodo = Nodo::start().await;
         let (mut first, mut second) = (nodo.connect().await, nodo.connect().await);
@@ -254,7 +254,7 @@
 /// The notice to leave comes before the interpreter is up, and the interpreter just behind it or never: nothing is
 /// reported as open and nothing runs, and the nodo ends.
 #[test]
-fn a_nodo_that_is_told_to_leave_before_its_interpreter_is_up_takes_nothing() {
+fn a_nodo_terminated_before_its_interpreter_is_ready_runs_nothing() {
     local(async {
         for comes_up in [true, false] {
             let (mut nodo, lookup) = Nodo::start_early().await;
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -27,7 +27,7 @@
 
 /// A faulty file changes nothing and is said in one line; a good one moves the calls.
 #[test]
-fn sighup_takes_up_the_operators_file_and_keeps_the_one_before_when_it_is_faulty() {
+fn sighup_applies_a_valid_operator_file_and_rejects_an_invalid_one() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     let test = async {
         let old = Dependency::start(DependencyConfig::new("old", 4, Duration::from_millis(1))).await;
@@ -53,9 +53,9 @@
             .spawn()
             .unwrap();
         let mut lines = BufReader::new(program.stderr.take().unwrap()).lines();
-        let mut told =
+        let mut wait_for_line =
             |what: &str| lines.by_ref().map(Result::unwrap).find(|line| line.contains(what)).unwrap();
-        let listens = told("listens on ");
+        let listens = wait_for_line("listens on ");
         let address: SocketAddr = listens.rsplit(' ').next().unwrap().parse().unwrap();
         while directory.mode().as_deref() != Some("open") {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -69,7 +69,7 @@
 
         std::fs::write(&operator, file(new.address()).replace("repeat = \"safe\"", "repeat = 1")).unwrap();
         hang_up();
-        let line = told("stays in force");
+        let line = wait_for_line("stays in force");
         assert!(
             line.contains("site.hcl:5:3: route.look.repeat: must be one of safe, keyed, unsafe"),
             "{line}"
@@ -78,12 +78,12 @@
         // One that does not fit the settings is no better.
         std::fs::write(&operator, file(new.address()).replace("\"look\"", "\"find\"")).unwrap();
         hang_up();
-        assert!(told("stays in force").contains("route.find: is no class of the settings"));
+        assert!(wait_for_line("stays in force").contains("route.find: is no class of the settings"));
         assert_eq!(ask().await, "look x [old:x#1]");
 
         std::fs::write(&operator, file(new.address())).unwrap();
         hang_up();
-        told("the operator's file is in use");
+        wait_for_line("the operator's file is in use");
         assert_eq!(ask().await, "look x [new:x#1]");
         assert!(old.record().calls.len() == 3 && new.record().calls.len() == 1);
         program.kill().unwrap();
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -1,13 +1,13 @@
 //! Processes that are killed and started again, with a directory and an interpreter that are late.
 
-#[path = "common/moments.rs"]
-mod moments;
+#[path = "common/draining.rs"]
+mod draining;
 
+use draining::{PROGRAM, PROGRESS_TIMEOUT, local};
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
 use jaspershunt_stand_ins::nodo::Nodo;
 use jaspershunt_stand_ins::wire::Wire;
-use moments::{GENEROUS, PROGRAM, local};
 use std::path::Path;
 use std::time::Duration;
 use tokio::task::spawn_local;
@@ -15,22 +15,22 @@
 
 const MS: Duration = Duration::from_millis(1);
 /// A restarted process is ready within this,
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// nine times in ten.
 const RESTARTS: usize = 20;
-const AT_ONCE: usize = 10;
+const CONCURRENT_RESTARTS: usize = 10;
 /// So long after the restart the directory answers and the interpreter is up.
-const LATE: Duration = Duration::from_secs(1);
+const READINESS_DELAY: Duration = Duration::from_secs(1);
 
 /// A process is killed as it has taken a connection, and started again; how long it takes until balancers are told of it
 /// and it serves.
-async fn restarted(n: usize) -> Duration {
+async fn time_to_ready_after_kill(n: usize) -> Duration {
     let mut nodo = Nodo::new(Path::new(PROGRAM), &format!("restarted-{n}")).await.unwrap();
     nodo.without_shared_folder = n.is_multiple_of(2);
     let mut first = nodo.start().await.unwrap();
     let mut taken = Wire::connect(nodo.address, 1).await.unwrap();
     first.process.kill().await;
-    assert!(timeout(GENEROUS, taken.answer()).await.expect("its end").is_err());
+    assert!(timeout(PROGRESS_TIMEOUT, taken.answer()).await.expect("its end").is_err());
     nodo.directory.stall(true);
     let reports = nodo.directory.modes().len();
     let work = Work { core_time: 4 * MS, calls: 0 };
@@ -38,37 +38,39 @@
     let began = Instant::now();
     let (directory, late) = (nodo.directory.clone(), interpreter.clone());
     spawn_local(async move {
-        sleep(LATE).await;
+        sleep(READINESS_DELAY).await;
         directory.stall(false);
         late.become_ready();
     });
-    let begun = timeout(GENEROUS, nodo.start_with_interpreter(interpreter.address())).await;
+    let begun = timeout(PROGRESS_TIMEOUT, nodo.start_with_interpreter(interpreter.address())).await;
     let _second = begun.unwrap_or_else(|_| panic!("it does not start: {}", nodo.logs())).unwrap();
     let ready = async {
         while nodo.directory.modes().len() == reports {
             sleep(MS).await;
         }
         let balancer = Balancer::new(nodo.address, 2, None);
-        while balancer.send(&Request::new("read", b"again"), READY_WITHIN).await.status != 200 {
+        while balancer.send(&Request::new("read", b"again"), READY_TIMEOUT).await.status != 200 {
             sleep(10 * MS).await;
         }
     };
-    timeout(GENEROUS, ready).await.unwrap_or_else(|_| panic!("it is not ready: {}", nodo.logs()));
+    timeout(PROGRESS_TIMEOUT, ready).await.unwrap_or_else(|_| panic!("it is not ready: {}", nodo.logs()));
     assert_eq!(nodo.directory.mode().as_deref(), Some("open"));
     began.elapsed()
 }
 
 #[test]
-fn a_process_that_is_killed_and_started_again_is_ready_soon() {
+fn nine_in_ten_killed_processes_are_ready_in_time_after_a_restart() {
     local(async {
         let mut times = Vec::new();
-        for batch in 0..RESTARTS / AT_ONCE {
-            let starts: Vec<_> = (0..AT_ONCE).map(|n| spawn_local(restarted(batch * AT_ONCE + n))).collect();
+        for batch in 0..RESTARTS / CONCURRENT_RESTARTS {
+            let starts: Vec<_> = (0..CONCURRENT_RESTARTS)
+                .map(|n| spawn_local(time_to_ready_after_kill(batch * CONCURRENT_RESTARTS + n)))
+                .collect();
             for start in starts {
                 times.push(start.await.unwrap());
             }
         }
-        let ready = times.iter().filter(|took| **took < READY_WITHIN).count();
+        let ready = times.iter().filter(|took| **took < READY_TIMEOUT).count();
         assert!(ready * 10 >= RESTARTS * 9, "{ready} of {RESTARTS} are ready in time: {times:?}");
     });
 }
--- a/crates/node/tests/shared_folder.rs
+++ b/crates/node/tests/shared_folder.rs
@@ -1,12 +1,12 @@
 //! Two deployments on one machine whose processes have the same name and the same `$TMPDIR`: neither takes the other one over, and no
 //! key of one is known to the other.
 
-#[path = "common/moments.rs"]
-mod moments;
+#[path = "common/draining.rs"]
+mod draining;
 
+use draining::{PROGRAM, PROGRESS_TIMEOUT, local};
 use jaspershunt_stand_ins::balancer::Balancer;
 use jaspershunt_stand_ins::nodo::{Nodo, keyed};
-use moments::{GENEROUS, PROGRAM, local};
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
@@ -18,13 +18,13 @@
 fn a_process_with_another_address_does_not_take_over() {
     local(async {
         let mut site = Nodo::new(Path::new(PROGRAM), "shared-folder").await.unwrap();
-        let mut first = timeout(GENEROUS, site.start()).await.unwrap().unwrap();
+        let mut first = timeout(PROGRESS_TIMEOUT, site.start()).await.unwrap().unwrap();
         let first_at = site.address;
         let other = Nodo::new(Path::new(PROGRAM), "shared-folder-other").await.unwrap();
         site.address = other.address;
-        let mut second = timeout(GENEROUS, site.start_without_waiting()).await.unwrap().unwrap();
+        let mut second = timeout(PROGRESS_TIMEOUT, site.start_without_waiting()).await.unwrap().unwrap();
         let why = second.process.wait_for_output("upgrade: another start does not hand over: ");
-        let why = timeout(GENEROUS, why).await.unwrap_or_else(|_| panic!("{}", site.logs()));
+        let why = timeout(PROGRESS_TIMEOUT, why).await.unwrap_or_else(|_| panic!("{}", site.logs()));
         let expected =
             format!("it is n1 on {}, this process n1 on {first_at}; this one waits", other.address);
         assert_eq!(why, expected);
@@ -32,27 +32,29 @@
 
         let balancer = Balancer::new(first_at, 1, Some(site.interpreters[0].clone()));
         let request = keyed("sign", "shared", false);
-        assert_eq!(balancer.send(&request, GENEROUS).await.status, 200, "{}", site.logs());
+        assert_eq!(balancer.send(&request, PROGRESS_TIMEOUT).await.status, 200, "{}", site.logs());
         assert_eq!((site.interpreters[0].runs().len(), site.interpreters[1].runs().len()), (1, 0));
         first.process.terminate();
-        assert!(timeout(GENEROUS, first.process.wait()).await.unwrap(), "{}", site.logs());
+        assert!(timeout(PROGRESS_TIMEOUT, first.process.wait()).await.unwrap(), "{}", site.logs());
 
-        timeout(GENEROUS, second.wait_until_ready()).await.unwrap_or_else(|_| panic!("{}", site.logs()));
+        timeout(PROGRESS_TIMEOUT, second.wait_until_ready())
+            .await
+            .unwrap_or_else(|_| panic!("{}", site.logs()));
         let balancer = Balancer::new(other.address, 2, Some(site.interpreters[1].clone()));
         let answer = async {
             // It listens once it has the right.
             loop {
-                let answer = balancer.send(&request, GENEROUS).await;
+                let answer = balancer.send(&request, PROGRESS_TIMEOUT).await;
                 if answer.status != 0 {
                     return answer;
                 }
                 sleep(MS).await;
             }
         };
-        let answer = timeout(GENEROUS, answer).await.unwrap_or_else(|_| panic!("{}", site.logs()));
+        let answer = timeout(PROGRESS_TIMEOUT, answer).await.unwrap_or_else(|_| panic!("{}", site.logs()));
         assert_eq!((answer.status, site.interpreters[1].runs().len()), (200, 1), "{}", site.logs());
         assert!(!site.logs().contains("keys were taken over"), "{}", site.logs());
         second.process.terminate();
-        assert!(timeout(GENEROUS, second.process.wait()).await.unwrap(), "{}", site.logs());
+        assert!(timeout(PROGRESS_TIMEOUT, second.process.wait()).await.unwrap(), "{}", site.logs());
     });
 }
--- a/crates/node/tests/crossing_reload.rs
+++ b/crates/node/tests/signal_races.rs
@@ -9,9 +9,9 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_jaspershunt");
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 fn local(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -46,30 +46,30 @@
 }
 
 /// Signals that come in one instant.
-fn at_once(process: &Process, signals: &[fn(&Process)]) {
+fn send_simultaneously(process: &Process, signals: &[fn(&Process)]) {
     process.pause();
     signals.iter().for_each(|signal| signal(process));
     process.resume();
 }
 
 /// What a start says of the configurations that it has read.
-async fn counts(start: &Incarnation) -> String {
+async fn config_counts(start: &Incarnation) -> String {
     let info = start.call("INFO").await;
     let from = info.find("\"conf_loaded\"").expect("counts");
     let to = info[from..].find('}').expect("an end");
     info[from..from + to].to_string()
 }
 
-async fn until_counts(start: &Incarnation, expected: &str) {
-    while counts(start).await != expected {
-        sleep(LOOK_EVERY).await;
+async fn wait_for_config_counts(start: &Incarnation, expected: &str) {
+    while config_counts(start).await != expected {
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// The configuration is read again as the nodo is told to leave, in either order, while a keyed request runs: that is answered once,
 /// `closed` is the last that the directory hears, and the program ends well.
 #[test]
-fn a_reload_and_a_notice_to_leave_may_come_in_one_instant() {
+fn simultaneous_sighup_and_sigterm_reload_and_drain() {
     let orders: [[fn(&Process); 2]; 2] =
         [[Process::hang_up, Process::terminate], [Process::terminate, Process::hang_up]];
     for (n, signals) in orders.into_iter().enumerate() {
@@ -81,13 +81,13 @@
                 let balancer = Balancer::new(site.address, 1, None);
                 let runs = spawn_local({
                     let balancer = balancer.clone();
-                    async move { balancer.send(&keyed("slow", "k", false), PATIENCE).await }
+                    async move { balancer.send(&keyed("slow", "k", false), ANSWER_TIMEOUT).await }
                 });
                 while site.runs(b"k") == 0 {
-                    sleep(LOOK_EVERY).await;
+                    sleep(POLL_INTERVAL).await;
                 }
                 edit(&site, 1, how);
-                at_once(&start.process, &signals);
+                send_simultaneously(&start.process, &signals);
                 assert_eq!(runs.await.unwrap().status, 200, "{n} {how:?}{}", site.logs());
                 assert!(start.process.wait().await, "it fails at its end");
                 assert_eq!(site.runs(b"k"), 1);
@@ -105,7 +105,7 @@
 /// A good configuration and then a bad one, and the other way round, each as the one before is being taken up: the one in force is
 /// whole, and each that was read is counted.
 #[test]
-fn a_good_and_a_bad_configuration_may_follow_each_other() {
+fn valid_and_invalid_configurations_in_quick_succession_are_each_counted() {
     for (first, second, expected) in [
         (Edit::Good, Edit::Bad, "\"conf_loaded\":1,\"conf_invalid\":1"),
         (Edit::Bad, Edit::Good, "\"conf_loaded\":1,\"conf_invalid\":1"),
@@ -118,16 +118,16 @@
             edit(&site, 1, first);
             start.process.hang_up();
             // The first has been read from here on; whether it is in force yet is open.
-            while counts(&start).await == "\"conf_loaded\":0,\"conf_invalid\":0" {
-                sleep(LOOK_EVERY).await;
+            while config_counts(&start).await == "\"conf_loaded\":0,\"conf_invalid\":0" {
+                sleep(POLL_INTERVAL).await;
             }
             std::fs::write(&path, whole).unwrap();
             edit(&site, 1, second);
             start.process.hang_up();
-            until_counts(&start, expected).await;
+            wait_for_config_counts(&start, expected).await;
             let balancer = Balancer::new(site.address, 1, None);
-            assert_eq!(balancer.send(&keyed("sign", "k", false), PATIENCE).await.status, 200);
-            assert_eq!(balancer.send(&keyed("sign", "k", true), PATIENCE).await.status, 200);
+            assert_eq!(balancer.send(&keyed("sign", "k", false), ANSWER_TIMEOUT).await.status, 200);
+            assert_eq!(balancer.send(&keyed("sign", "k", true), ANSWER_TIMEOUT).await.status, 200);
             assert_eq!(site.runs(b"k"), 1);
         });
     }
@@ -135,15 +135,15 @@
 
 /// Two signals in one instant are one or two readings of the same file, and no more.
 #[test]
-fn two_signals_to_read_the_configuration_may_come_in_one_instant() {
+fn simultaneous_sighups_reload_once_or_twice() {
     local(async {
         let mut site = nodo("twice").await;
         let start = site.start().await.unwrap();
         edit(&site, 1, Edit::Good);
-        at_once(&start.process, &[Process::hang_up, Process::hang_up]);
+        send_simultaneously(&start.process, &[Process::hang_up, Process::hang_up]);
         let all = ["\"conf_loaded\":1,\"conf_invalid\":0", "\"conf_loaded\":2,\"conf_invalid\":0"];
-        while !all.contains(&counts(&start).await.as_str()) {
-            sleep(LOOK_EVERY).await;
+        while !all.contains(&config_counts(&start).await.as_str()) {
+            sleep(POLL_INTERVAL).await;
         }
         assert_eq!(site.logs().matches("new settings are in use").count(), 1, "{}", site.logs());
     });
@@ -152,17 +152,17 @@
 /// Both processes of an upgrade read their configuration in the instant in which both have tries of one key: it runs once, and
 /// all are told what that made.
 #[test]
-fn both_processes_of_an_upgrade_may_read_their_configuration_with_a_run_in_hand() {
+fn both_processes_of_an_upgrade_reload_while_a_keyed_run_is_in_flight() {
     local(async {
         let mut site = nodo("upgraded").await;
         let mut earlier = site.start().await.unwrap();
         let send = |number, resent| {
             let balancer = Balancer::new(site.address, number, None);
-            spawn_local(async move { balancer.send(&keyed("slow", "k", resent), PATIENCE).await })
+            spawn_local(async move { balancer.send(&keyed("slow", "k", resent), ANSWER_TIMEOUT).await })
         };
         let first = send(1, false);
         while site.runs(b"k") == 0 {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         let again = send(2, true);
         let later = site.start().await.unwrap();
@@ -173,12 +173,13 @@
             start.process.hang_up();
         }
         let balancer = Balancer::new(site.address, 3, None);
-        let third = spawn_local(async move { balancer.send(&keyed("slow", "k", true), PATIENCE).await });
+        let third =
+            spawn_local(async move { balancer.send(&keyed("slow", "k", true), ANSWER_TIMEOUT).await });
         for start in [&later, &earlier] {
             start.process.resume();
         }
         for start in [&earlier, &later] {
-            until_counts(start, "\"conf_loaded\":1,\"conf_invalid\":0").await;
+            wait_for_config_counts(start, "\"conf_loaded\":1,\"conf_invalid\":0").await;
         }
         let bodies = [first.await.unwrap(), again.await.unwrap(), third.await.unwrap()];
         assert!(
@@ -188,7 +189,7 @@
         earlier.process.terminate();
         assert!(earlier.process.wait().await);
         let balancer = Balancer::new(site.address, 4, None);
-        assert_eq!(balancer.send(&keyed("slow", "k", true), PATIENCE).await.status, 200);
+        assert_eq!(balancer.send(&keyed("slow", "k", true), ANSWER_TIMEOUT).await.status, 200);
         assert_eq!(site.runs(b"k"), 1);
         assert_eq!(site.directory.mode().as_deref(), Some("open"));
     });
--- a/crates/node/tests/site_variants.rs
+++ b/crates/node/tests/site_variants.rs
@@ -7,14 +7,14 @@
 use std::path::{Path, PathBuf};
 
 /// Customers whose folders are there.
-const AT_LEAST: usize = 2;
+const MIN_SITES: usize = 2;
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/sites")
 }
 
 #[test]
-fn every_folder_of_a_site_has_what_a_bench_needs() {
+fn every_site_folder_has_the_files_a_benchmark_needs() {
     let folders = std::fs::read_dir(root()).expect("deploy/sites");
     let mut names: Vec<String> = folders
         .map(|entry| entry.unwrap())
@@ -25,7 +25,7 @@
     let wrong: Vec<String> = names.iter().flat_map(|name| check(&root(), name)).collect();
     println!("{} sites were checked: {}", names.len(), names.join(", "));
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
-    assert!(names.len() >= AT_LEAST, "{} sites are there: {}", names.len(), names.join(", "));
+    assert!(names.len() >= MIN_SITES, "{} sites are there: {}", names.len(), names.join(", "));
 }
 
 /// A site without a fault, as small as one may be.
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn each_fault_is_told_with_its_file_and_key() {
+fn each_fault_is_reported_with_its_file_and_key() {
     let site = Site::new("keys");
     assert_eq!(check(&site.0, "x"), Vec::<String>::new());
     for (part, other, message) in BROKEN {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_file_that_is_missing_or_no_json_is_named() {
+fn missing_and_non_json_files_are_reported() {
     for file in ["x.toml", "real.json", "wire.json", "unlock.txt"] {
         let site = Site::new(file);
         std::fs::remove_file(site.0.join("x").join(file)).unwrap();
--- a/crates/node/tests/stalled.rs
+++ b/crates/node/tests/stalled_disk.rs
@@ -19,7 +19,7 @@
 /// From the notice to leave to the kill, for the nodos here.
 const STOP: Duration = Duration::from_millis(3200);
 /// For anything to go on; far more than it takes, as machines are slow.
-const GENEROUS: Duration = Duration::from_secs(30);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn local(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -28,14 +28,14 @@
     });
 }
 
-fn stalls(file: &Path) {
+fn replace_with_fifo(file: &Path) {
     std::fs::create_dir_all(file.parent().unwrap()).unwrap();
     let _ = std::fs::remove_file(file);
     mknodat(CWD, file, FileType::Fifo, Mode::RWXU, 0).unwrap();
 }
 
 /// Waits until somebody waits for the disk; it stalls on, until this is written to and dropped.
-async fn awaited(file: &Path) -> File {
+async fn wait_for_reader(file: &Path) -> File {
     let awaited = async {
         loop {
             // Refused while nobody has it open to read, or waits to.
@@ -46,7 +46,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(GENEROUS, awaited).await.expect("nobody waits for the disk")
+    timeout(PROGRESS_TIMEOUT, awaited).await.expect("nobody waits for the disk")
 }
 
 /// Three voters, with these further blocks in their files; the last one's disk can be made to stall before it starts.
@@ -60,12 +60,12 @@
 }
 
 /// It serves, and answers operators, while its disk stalls.
-async fn serves(fleet: &Fleet, n: usize, round: u64) {
+async fn assert_serves(fleet: &Fleet, n: usize, round: u64) {
     let balancer = Balancer::new(fleet.nodos[n].address, 900 + round, None);
     for (n, request) in
         [Request::new("read", b"x"), keyed("sign", &format!("sign-{round}"), false)].iter().enumerate()
     {
-        let answer = balancer.send(request, GENEROUS).await;
+        let answer = balancer.send(request, PROGRESS_TIMEOUT).await;
         assert_eq!(answer.status, 200, "{round}, {n}: {}", fleet.logs());
     }
     assert!(fleet.incarnations[n].as_ref().unwrap().is_ready().await, "{}", fleet.logs());
@@ -73,57 +73,57 @@
 
 /// Starts a nodo whose disk stalls. One that holds up its traffic never says that it takes clients.
 async fn start(fleet: &mut Fleet, n: usize) {
-    if timeout(GENEROUS, fleet.start(n)).await.is_err() {
+    if timeout(PROGRESS_TIMEOUT, fleet.start(n)).await.is_err() {
         panic!("a stalled disk holds it up: {}", fleet.logs());
     }
 }
 
 /// It is told to leave, and ends in good order before it would be killed.
-async fn leaves_in_time(fleet: &mut Fleet, n: usize) {
+async fn assert_exits_in_time(fleet: &mut Fleet, n: usize) {
     let mut start = fleet.incarnations[n].take().unwrap();
     let told = Instant::now();
     start.process.terminate();
-    let ended = timeout(GENEROUS, start.process.wait()).await;
+    let ended = timeout(PROGRESS_TIMEOUT, start.process.wait()).await;
     let took = told.elapsed();
     assert!(matches!(ended, Ok(true)), "it does not end: {}", fleet.logs());
     assert!(took < STOP, "it would have been killed: {took:?} {}", fleet.logs());
 }
 
 /// Whether the nodo takes part, by its own word.
-async fn takes_part(fleet: &Fleet, n: usize) {
+async fn wait_for_participation(fleet: &Fleet, n: usize) {
     let part = async {
         while fleet.show(n).await.is_none_or(|shown| shown["leader"].is_null()) {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(GENEROUS, part).await.unwrap_or_else(|_| panic!("n{n} takes no part: {}", fleet.logs()));
+    timeout(PROGRESS_TIMEOUT, part).await.unwrap_or_else(|_| panic!("n{n} takes no part: {}", fleet.logs()));
 }
 
 /// The disk stalls as the member starts, with and without anything that the member holds: requests are served, operators answered, and
 /// the nodo leaves in time. One whose disk goes on takes part.
 #[test]
-fn a_disk_that_stalls_as_the_member_starts_holds_up_no_request_and_no_leaving() {
+fn a_disk_stalled_at_member_start_blocks_neither_requests_nor_shutdown() {
     local(async {
         for (name, more) in
             [("starts", ""), ("starts-holds", "handover \"slow\" {\n  effect = \"unknown\"\n}\n")]
         {
             let mut fleet = fleet(name, more).await;
             let starts = fleet.folder(2).join("starts");
-            stalls(&starts);
+            replace_with_fifo(&starts);
             start(&mut fleet, 2).await;
-            let stalled = awaited(&starts).await;
-            serves(&fleet, 2, 0).await;
-            leaves_in_time(&mut fleet, 2).await;
+            let stalled = wait_for_reader(&starts).await;
+            assert_serves(&fleet, 2, 0).await;
+            assert_exits_in_time(&mut fleet, 2).await;
             drop(stalled);
             for n in [0, 1] {
                 fleet.start(n).await.unwrap();
             }
             start(&mut fleet, 2).await;
-            serves(&fleet, 2, 1).await;
-            awaited(&starts).await.write_all(b"7\n").unwrap();
-            takes_part(&fleet, 2).await;
-            serves(&fleet, 2, 2).await;
-            leaves_in_time(&mut fleet, 2).await;
+            assert_serves(&fleet, 2, 1).await;
+            wait_for_reader(&starts).await.write_all(b"7\n").unwrap();
+            wait_for_participation(&fleet, 2).await;
+            assert_serves(&fleet, 2, 2).await;
+            assert_exits_in_time(&mut fleet, 2).await;
         }
     });
 }
@@ -137,21 +137,21 @@
 
 /// A member that waited for its disk while another process took the nodo over takes no part with the number that it then gets.
 #[test]
-fn a_member_whose_disk_stalled_until_another_start_took_over_takes_no_part() {
+fn a_member_superseded_while_its_disk_stalled_does_not_participate() {
     local(async {
         let mut fleet = fleet("overtaken", "").await;
         let starts = fleet.folder(2).join("starts");
         for n in [0, 1] {
             fleet.start(n).await.unwrap();
         }
-        stalls(&starts);
+        replace_with_fifo(&starts);
         start(&mut fleet, 2).await;
         let earlier = fleet.incarnations[2].take().unwrap();
         // The later one's disk does not stall, and the stalled file is still there for the earlier one.
-        let mut stalled = awaited(&starts).await;
+        let mut stalled = wait_for_reader(&starts).await;
         std::fs::rename(&starts, starts.with_extension("stalled")).unwrap();
         fleet.start(2).await.unwrap();
-        takes_part(&fleet, 2).await;
+        wait_for_participation(&fleet, 2).await;
         stalled.write_all(b"7\n").unwrap();
         drop(stalled);
         // It has its number, and then its thread has ended.
@@ -162,8 +162,8 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(GENEROUS, over).await.unwrap_or_else(|_| panic!("it waits on: {}", fleet.logs()));
-        serves(&fleet, 2, 0).await;
+        timeout(PROGRESS_TIMEOUT, over).await.unwrap_or_else(|_| panic!("it waits on: {}", fleet.logs()));
+        assert_serves(&fleet, 2, 0).await;
         drop(earlier);
         let said = fleet.nodos[2].logs();
         assert_eq!(said.matches("takes part in").count(), 1, "both take part: {said}");
@@ -172,14 +172,14 @@
 
 /// Edits that an earlier start held lie on a disk that stalls: requests are served, and the nodo leaves in time.
 #[test]
-fn held_edits_on_a_disk_that_stalls_hold_up_no_request_and_no_leaving() {
+fn queued_edits_on_a_stalled_disk_block_neither_requests_nor_shutdown() {
     local(async {
         let mut fleet = fleet("edits", "team \"alfa\" {}\n").await;
         let edits = fleet.folder(2).join("edits/alfa-1-0.json");
-        stalls(&edits);
+        replace_with_fifo(&edits);
         start(&mut fleet, 2).await;
-        let _stalled = awaited(&edits).await;
-        serves(&fleet, 2, 0).await;
-        leaves_in_time(&mut fleet, 2).await;
+        let _stalled = wait_for_reader(&edits).await;
+        assert_serves(&fleet, 2, 0).await;
+        assert_exits_in_time(&mut fleet, 2).await;
     });
 }
--- a/crates/node/tests/narrow_starts.rs
+++ b/crates/node/tests/startup_races.rs
@@ -1,14 +1,17 @@
 //! The narrow moments of a nodo that starts, and of answers: a restart under load, a cold start's first burst, a repeat as its first try is
 //! answered, a reset within an answer. Real processes; judged by the interpreters' records. See `docs/design/narrow-moments.md`.
 
-#[path = "common/moments.rs"]
-mod moments;
+#[path = "common/draining.rs"]
+mod draining;
 
+use draining::{
+    DEADLINE, PROGRESS_TIMEOUT, StallMonitor, join_all, local, nodo, retry_while_stalled, send_in_parts,
+    used_connection,
+};
 use jaspershunt_stand_ins::balancer::{Balancer, Request, STDOUT};
 use jaspershunt_stand_ins::interpreter::{Interpreter, Work};
 use jaspershunt_stand_ins::nodo::{Nodo, keyed};
 use jaspershunt_stand_ins::wire::Wire;
-use moments::{DEADLINE, GENEROUS, Stalls, all, in_parts, judged, local, nodo, used};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -17,18 +20,18 @@
 
 const MS: Duration = Duration::from_millis(1);
 /// What the settings let a cold nodo have on its 8 cores: 0.3 of the nine times as many that a warm one may have beside them.
-const COLD_CROWD: usize = 29;
+const MAX_COLD_RUNS: usize = 29;
 
-fn part(ms: u64) -> Work {
+fn work_of_ms(ms: u64) -> Work {
     Work { core_time: Duration::from_millis(ms), calls: 0 }
 }
 
 async fn within<T>(nodo: &Nodo, what: &str, done: impl Future<Output = T>) -> T {
-    timeout(GENEROUS, done).await.unwrap_or_else(|_| panic!("{what}: {}", nodo.logs()))
+    timeout(PROGRESS_TIMEOUT, done).await.unwrap_or_else(|_| panic!("{what}: {}", nodo.logs()))
 }
 
 /// A connection, as soon as anybody listens.
-async fn called(nodo: &Nodo, number: u64) -> Wire {
+async fn connect_when_listening(nodo: &Nodo, number: u64) -> Wire {
     let call = async {
         loop {
             if let Ok(wire) = Wire::connect(nodo.address, number).await {
@@ -42,15 +45,15 @@
 
 /// The next start takes the address at once, over connections of the one before, and is called before its interpreter is up, as the
 /// directory still has the earlier one.
-async fn restarted(seed: u64, killed: bool) {
+async fn restart_with_early_requests(seed: u64, killed: bool) {
     let what = format!("again-{seed}-{killed}");
     let mut nodo = nodo(&what, 0, "").await;
     nodo.without_shared_folder = true;
-    let begun = timeout(GENEROUS, nodo.start()).await;
+    let begun = timeout(PROGRESS_TIMEOUT, nodo.start()).await;
     let mut first = begun.unwrap_or_else(|_| panic!("it cannot listen: {}", nodo.logs())).unwrap();
     let mut old = Vec::new();
     for n in 0..20 {
-        old.push(used(&nodo, n).await);
+        old.push(used_connection(&nodo, n).await);
     }
     if killed {
         first.process.kill().await;
@@ -60,7 +63,7 @@
         assert!(within(&nodo, "its end", first.process.wait()).await, "{}", nodo.logs());
     }
     let reports = nodo.directory.modes().len();
-    let interpreter = Interpreter::start_cold(8, &[("read", part(4)), ("sign", part(8))]).await;
+    let interpreter = Interpreter::start_cold(8, &[("read", work_of_ms(4)), ("sign", work_of_ms(8))]).await;
     nodo.interpreters.push(interpreter.clone());
     let mut second = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
     let mut early = Vec::new();
@@ -70,7 +73,7 @@
         } else {
             keyed("sign", &format!("early-{n}"), false)
         };
-        let mut wire = called(&nodo, n).await;
+        let mut wire = connect_when_listening(&nodo, n).await;
         assert!(wire.send(&request).is_some());
         early.push(wire);
     }
@@ -92,36 +95,36 @@
         let (_, answer) = within(&nodo, "once it is up", wire.answer()).await.unwrap();
         assert!([200, 503].contains(&answer.status), "seed {seed}: {}", nodo.logs());
     }
-    let served = used(&nodo, 9).await;
+    let served = used_connection(&nodo, 9).await;
     drop((early, old, served));
     second.process.terminate();
     assert!(within(&nodo, "its end", second.process.wait()).await, "{}", nodo.logs());
 }
 
 #[test]
-fn a_restart_is_called_before_the_directory_has_dropped_the_earlier_start() {
+fn requests_before_a_restarted_nodo_is_ready_are_refused_and_never_run() {
     local(async {
         let cases = [(31, true), (32, true), (33, false), (34, false)];
-        for case in cases.map(|(seed, killed)| spawn_local(restarted(seed, killed))) {
+        for case in cases.map(|(seed, killed)| spawn_local(restart_with_early_requests(seed, killed))) {
             case.await.unwrap();
         }
     });
 }
 
 /// The last bytes of a burst come round the moment at which the interpreter is up, and the directory answers nothing yet.
-async fn cold(seed: u64) -> bool {
+async fn cold_burst(seed: u64) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("cold-{seed}");
     let mut nodo = nodo(&what, 0, "").await;
     nodo.directory.stall(true);
-    let classes = [("read", part(300)), ("sign", part(300))];
+    let classes = [("read", work_of_ms(300)), ("sign", work_of_ms(300))];
     let interpreter = Interpreter::start_cold(8, &classes).await;
     nodo.interpreters.push(interpreter.clone());
     let mut start = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
-    let stalls = Stalls::watch(start.admin);
+    let stall_monitor = StallMonitor::start(start.admin);
     let mut wires = Vec::new();
     for n in 0..200 {
-        wires.push(called(&nodo, n).await);
+        wires.push(connect_when_listening(&nodo, n).await);
     }
     let up = Instant::now() + 100 * MS;
     let burst: Vec<_> = wires
@@ -131,7 +134,7 @@
             let key = format!("{seed}-{n}");
             let request = if n % 2 == 0 { Request::new("read", b"cold") } else { keyed("sign", &key, false) };
             let last = up + Duration::from_micros(random.random_range(0..30_000)) - 2 * MS;
-            spawn_local(in_parts(wire, request, random.random_range(1..150), (up - 50 * MS, last)))
+            spawn_local(send_in_parts(wire, request, random.random_range(1..150), (up - 50 * MS, last)))
         })
         .collect();
     sleep_until(up).await;
@@ -147,12 +150,16 @@
     })
     .await;
     start.process.terminate();
-    let sent = all(burst).await;
+    let sent = join_all(burst).await;
     assert!(within(&nodo, "its end", start.process.wait()).await, "{}", nodo.logs());
     for one in &sent {
         let ran = interpreter.runs().iter().filter(|run| run.uid == one.uid).count();
         let answered = one.whole && one.statuses.len() == 1 && one.took < DEADLINE + 500 * MS;
-        assert!(answered || !stalls.none(), "{what}: not answered once in time: {one:?} {}", nodo.logs());
+        assert!(
+            answered || !stall_monitor.is_steady(),
+            "{what}: not answered once in time: {one:?} {}",
+            nodo.logs()
+        );
         let fits = match one.statuses.first() {
             Some(200) => ran == 1,
             Some(503) => ran == 0 || !one.keyed,
@@ -161,14 +168,14 @@
         assert!(fits, "{what}: {one:?} ran {ran} times: {}", nodo.logs());
     }
     let most = interpreter.max_on_cores();
-    assert!(most <= COLD_CROWD, "{what}: {most} on the cores: {}", nodo.logs());
-    stalls.none()
+    assert!(most <= MAX_COLD_RUNS, "{what}: {most} on the cores: {}", nodo.logs());
+    stall_monitor.is_steady()
 }
 
 #[test]
-fn a_cold_start_may_get_its_first_burst_before_its_first_report() {
+fn a_burst_before_the_first_report_of_a_cold_start_is_answered_within_its_limits() {
     local(async {
-        let play = |seed| judged(async move || cold(seed).await);
+        let play = |seed| retry_while_stalled(async move || cold_burst(seed).await);
         for case in [41, 42, 43].map(|seed| spawn_local(play(seed))) {
             case.await.unwrap();
         }
@@ -177,16 +184,16 @@
 
 /// A try of the same key as its first try is answered, from well before the end of the run to well after it. With `leaving`, the nodo was
 /// told to leave, and the repeat comes after the grace: what ran is never turned away.
-async fn repeated(seed: u64, leaving: bool) -> bool {
+async fn retries_around_the_first_answer(seed: u64, leaving: bool) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("repeat-{seed}-{leaving}");
     let mut nodo = nodo(&what, 0, "").await;
     let run = 400;
-    let interpreter = Interpreter::start(8, &[("read", part(4)), ("sign", part(run))]).await;
+    let interpreter = Interpreter::start(8, &[("read", work_of_ms(4)), ("sign", work_of_ms(run))]).await;
     nodo.interpreters.push(interpreter.clone());
     let mut start = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
     start.wait_until_ready().await;
-    let stalls = Stalls::watch(start.admin);
+    let stall_monitor = StallMonitor::start(start.admin);
     // Six at a time, so that each has a core from its arrival on.
     let (rounds, at_once) = if leaving { (1, 6) } else { (4, 6) };
     for round in 0..rounds {
@@ -194,8 +201,11 @@
         let began = Instant::now() + 50 * MS;
         for n in 0..at_once {
             let key = format!("{seed}-{round}-{n}");
-            let wires =
-                [called(&nodo, 100 + n).await, called(&nodo, 200 + n).await, called(&nodo, 300 + n).await];
+            let wires = [
+                connect_when_listening(&nodo, 100 + n).await,
+                connect_when_listening(&nodo, 200 + n).await,
+                connect_when_listening(&nodo, 300 + n).await,
+            ];
             // In steps of half a millisecond round the end of the run, which is a little after its time.
             let step = Duration::from_micros(500) * (round * at_once + n) as u32;
             let at =
@@ -213,7 +223,7 @@
                     third.send(&keyed("sign", &key, true)).unwrap();
                     let mut answers = Vec::new();
                     for wire in [&mut first, &mut again, &mut third] {
-                        answers.push(timeout(GENEROUS, wire.answer()).await.unwrap().unwrap().1);
+                        answers.push(timeout(PROGRESS_TIMEOUT, wire.answer()).await.unwrap().unwrap().1);
                     }
                     answers
                 }),
@@ -222,7 +232,7 @@
         if leaving {
             // They run by then.
             within(&nodo, "all run", async {
-                while interpreter.runs().len() < at_once as usize && stalls.none() {
+                while interpreter.runs().len() < at_once as usize && stall_monitor.is_steady() {
                     sleep(MS).await;
                 }
             })
@@ -235,19 +245,21 @@
             let served: Vec<_> = answers.iter().filter(|answer| answer.status == 200).collect();
             assert!(nodo.sign_runs(&key) <= 1, "it ran twice: {}", seen());
             assert!(served.iter().all(|answer| answer.body == served[0].body), "they differ: {}", seen());
-            assert!(served.len() == answers.len() || !stalls.none(), "not served: {}", seen());
+            assert!(served.len() == answers.len() || !stall_monitor.is_steady(), "not served: {}", seen());
         }
     }
     start.process.terminate();
     assert!(within(&nodo, "its end", start.process.wait()).await, "{}", nodo.logs());
-    stalls.none()
+    stall_monitor.is_steady()
 }
 
 #[test]
-fn a_repeat_may_come_as_its_first_try_is_answered() {
+fn retries_racing_the_answer_to_the_first_try_get_its_result() {
     local(async {
         let cases = [(51, false), (52, false), (53, true), (54, true)];
-        let play = |(seed, leaving)| judged(async move || repeated(seed, leaving).await);
+        let play = |(seed, leaving)| {
+            retry_while_stalled(async move || retries_around_the_first_answer(seed, leaving).await)
+        };
         for case in cases.map(|case| spawn_local(play(case))) {
             case.await.unwrap();
         }
@@ -257,7 +269,7 @@
 /// A balancer resets its connection when it has read the last of an answer and not yet where that ends. What else was open there is given
 /// up, what ran is known to a repeat, and the nodo serves on.
 #[test]
-fn a_reset_may_come_between_the_last_of_an_answer_and_its_end() {
+fn a_reset_before_the_end_of_an_answer_stops_open_runs_and_keeps_results() {
     local(async {
         let mut nodo = nodo("reset", 0, "").await;
         // A safe class, whose runs are stopped when nobody waits for them.
@@ -265,12 +277,12 @@
         let (head, tail) = nodo.settings.split_once(slow).unwrap();
         let tail = tail.replacen(r#""semantics":"guarded","windowS":30"#, r#""semantics":"free""#, 1);
         nodo.settings = format!("{head}{safe}{tail}");
-        let classes = [("read", part(4)), ("sign", part(8)), ("slow", part(1500))];
+        let classes = [("read", work_of_ms(4)), ("sign", work_of_ms(8)), ("slow", work_of_ms(1500))];
         let interpreter = Interpreter::start(8, &classes).await;
         nodo.interpreters.push(interpreter.clone());
         let mut start = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
         start.wait_until_ready().await;
-        let stalls = Stalls::watch(start.admin);
+        let stall_monitor = StallMonitor::start(start.admin);
         for n in 0..12u64 {
             let key = format!("reset-{n}");
             let room = (n % 2 == 0).then_some(2048);
@@ -293,8 +305,9 @@
             };
             within(&nodo, "its answer", read).await;
             wire.reset();
-            let again =
-                Balancer::new(nodo.address, 500 + n, None).send(&keyed("sign", &key, true), GENEROUS).await;
+            let again = Balancer::new(nodo.address, 500 + n, None)
+                .send(&keyed("sign", &key, true), PROGRESS_TIMEOUT)
+                .await;
             assert_eq!((again.status, nodo.sign_runs(&key)), (200, 1), "{}", nodo.logs());
             let end = || interpreter.runs().iter().find(|run| run.uid == open.uid).and_then(|run| run.end);
             within(&nodo, "the end of what nobody waits for", async {
@@ -305,7 +318,7 @@
             .await;
             // Left alone it would have ended well, within its time.
             let stopped = end() == Some("STOPPED");
-            assert!(stopped || !stalls.none(), "it went on though nobody waits: {}", nodo.logs());
+            assert!(stopped || !stall_monitor.is_steady(), "it went on though nobody waits: {}", nodo.logs());
         }
         start.process.terminate();
         assert!(within(&nodo, "its end", start.process.wait()).await, "{}", nodo.logs());
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,11 +1,11 @@
 //! The program started again while it serves: two processes as one nodo, under load, with stand-ins round them.
 
-#[path = "common/passing.rs"]
-mod passing;
+#[path = "common/relay.rs"]
+mod relay;
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::nodo::{Load, Nodo, keyed};
-use passing::pass_on;
+use relay::relay_messages;
 use std::path::Path;
 use std::time::{Duration, Instant};
 use tokio::net::{UnixListener, UnixStream};
@@ -84,7 +84,7 @@
                 let earlier = UnixStream::connect(&behind).await.unwrap();
                 // What comes behind the cut finds the earlier start itself, unless that is gone.
                 std::fs::rename(&behind, &socket).unwrap();
-                pass_on(earlier, later, async |passed| passed != messages).await;
+                relay_messages(earlier, later, async |passed| passed != messages).await;
             });
             let later = match timeout(Duration::from_secs(20), site.start()).await {
                 Ok(later) => later.unwrap(),
