--- a/crates/node/tests/cold_start.rs
+++ b/crates/node/tests/cold_start.rs
@@ -1,5 +1,5 @@
-//! Processes that start at once, all of them cold, under more load than they may take. Judged by what the interpreters and
-//! the database have on record.
+//! Guards against overload when several cold processes start at once under more load than they may accept.
+//! Checks the records of the interpreters and the database.
 
 #[path = "common/draining.rs"]
 mod draining;
@@ -17,11 +17,11 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// Two tests that load the machine at once would say little of either.
+/// Tests that load the machine must not run at the same time.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 const MS: Duration = Duration::from_millis(1);
-/// What the settings below say, for each process.
+/// The values of the settings below, for each process.
 const CORES: f64 = 2.0;
 const COLD_START_SHARE: f64 = 0.3;
 const COLD_PERIOD: Duration = Duration::from_secs(9);
@@ -29,8 +29,8 @@
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 const FAIR_CALLS: f64 = 1.0;
 const CALLS_WINDOW: Duration = Duration::from_secs(1);
-/// The gauge of runs on the cores is the third one of the interpreter, which always reads 0.1: nothing but what the
-/// settings allow keeps a process from taking ever more.
+/// The gauge of runs on the cores is the interpreter's third one, which always reads 0.1: only the limits in
+/// the settings keep a process from accepting more and more.
 const SETTINGS: &str = concat!(
     r#"{"classes":[{"name":"read","worth":1,"targetS":1,"deadlineS":2,"semantics":"free"},"#,
     r#"{"name":"look","worth":10,"targetS":1,"deadlineS":2,"semantics":"free"}],"#,
@@ -40,17 +40,17 @@
     r#""allowed":{"retryAfter":true,"maxRetryAfterS":1},"clientHabits":{"marksRetry":true},"#,
     r#""obligations":{"coldFrom":0.3,"coldS":9,"fallMultiple":10,"fallS":1,"drainGraceS":0}}"#
 );
-/// How long the load goes on once the interpreters are up.
+/// How long the load continues once the interpreters are ready.
 const LOAD_DURATION: Duration = Duration::from_millis(2200);
-/// Requests that a process has at any time; more than it may take.
+/// Open requests per process: more than it may accept.
 const CLIENTS_PER_PROCESS: usize = 40;
-/// Who was refused tries again after this.
+/// Delay before a refused client retries.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Where something stood from each moment on.
+/// A step function: the level from each time on.
 type Levels = Vec<(Instant, usize)>;
 
-/// The mean over a window that ends at this moment.
+/// Returns the mean level over a window that ends at `end`.
 fn mean(levels: &Levels, end: Instant, window: Duration) -> f64 {
     let from = end - window;
     let until = levels.iter().skip(1).map(|(at, _)| *at).chain([end]);
@@ -64,19 +64,20 @@
     area / window.as_secs_f64()
 }
 
-/// What a budget of so many may be exceeded by.
+/// Returns how far a budget may be exceeded.
 fn slack(budget: f64) -> f64 {
     if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 }
 }
 
-/// Runs that a process may have on its cores in the mean, so long after its interpreter came up.
+/// Returns the mean number of runs that a process may have on its cores at this time after its interpreter
+/// became ready.
 fn max_runs_on_cores(age: Duration) -> f64 {
     let share = COLD_START_SHARE
         + (1.0 - COLD_START_SHARE) * (age.as_secs_f64() / COLD_PERIOD.as_secs_f64()).min(1.0);
     CORES * (1.0 + (OVERLOAD_MULTIPLE - 1.0) * share)
 }
 
-/// A process, its interpreter, and the clients that keep it under load.
+/// A process, its interpreter, and the clients that load it.
 struct ColdProcess {
     nodo: Nodo,
     start: Incarnation,
@@ -84,7 +85,7 @@
     clients: Vec<JoinHandle<()>>,
 }
 
-/// Sends requests, each as the one before is answered.
+/// Sends requests one after the other.
 async fn client(balancer: Balancer, class: &'static str, go: Rc<Cell<bool>>, served: Rc<Cell<usize>>) {
     while go.get() {
         match balancer.send(&Request::new(class, b"cold"), PROGRESS_TIMEOUT).await.status {
@@ -109,7 +110,7 @@
     let start = nodo.start_with_interpreter(interpreter.address()).await.unwrap();
     let mut clients = Vec::new();
     let balancer = Balancer::new(nodo.address, n as u64, Some(interpreter.clone()));
-    // What waits for calls counts with the crowd, and so each process has one of the classes.
+    // Runs that wait for calls count as runs on the cores, so each process has only one of the classes.
     let class = if n.is_multiple_of(2) { "read" } else { "look" };
     for _ in 0..CLIENTS_PER_PROCESS {
         clients.push(spawn_local(client(balancer.clone(), class, go.clone(), served.clone())));
@@ -117,7 +118,7 @@
     ColdProcess { nodo, start, interpreter, clients }
 }
 
-/// So many processes whose interpreters come up at the same moment, under load from before then on.
+/// Starts `count` processes under load, whose interpreters become ready at the same time.
 async fn check_simultaneous_start(count: usize) {
     let database = Dependency::start(DependencyConfig::new("db", 1000, 100 * MS)).await;
     let (go, served) = (Rc::new(Cell::new(true)), Rc::new(Cell::new(0)));
--- a/crates/node/tests/common/draining.rs
+++ b/crates/node/tests/common/draining.rs
@@ -1,5 +1,5 @@
-//! One real process that is told to leave, connections on which bytes come at moments round that, and what has to hold of each
-//! by the records.
+//! Starts one nodo process, terminates it, and sends requests at chosen times around that. Checks each
+//! request against the records of the interpreter and the connections.
 #![allow(dead_code)]
 
 use jaspershunt_stand_ins::balancer::Request;
@@ -18,13 +18,13 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_jaspershunt");
-/// What the settings here give between the notice to leave and the last request that may run.
+/// The configured grace: from SIGTERM to the last request that may run.
 pub const GRACE: Duration = Duration::from_millis(2500);
-/// From the notice to the kill.
+/// From SIGTERM to SIGKILL.
 pub const STOP: Duration = Duration::from_millis(3200);
 /// The deadline of all classes here.
 pub const DEADLINE: Duration = Duration::from_secs(3);
-/// What a busy machine may add to anything that is no matter of safety.
+/// Timeout for progress, long enough for a busy machine. It is no bound on safety.
 pub const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn local(test: impl Future<Output = ()>) {
@@ -34,7 +34,7 @@
     });
 }
 
-/// A nodo with this grace, in milliseconds, and these further keys of its configuration.
+/// Creates a nodo with this grace in milliseconds and additional configuration keys.
 pub async fn nodo(name: &str, grace: u64, more: &str) -> Nodo {
     let mut nodo = Nodo::new(Path::new(PROGRAM), &format!("narrow-{name}")).await.unwrap();
     let seconds = format!(r#""drainGraceS":{}"#, grace as f64 / 1000.0);
@@ -43,15 +43,15 @@
     nodo
 }
 
-/// How long the process or the test stood still, since the watch began: on a machine that keeps either from its work, who is answered
-/// when says nothing of the program.
+/// Records the longest pause of the process or the test. Answer times say nothing about the program on a
+/// machine that paused either.
 pub struct StallMonitor(Rc<Cell<Duration>>);
 
-/// Less than what any bound here leaves to either.
+/// The longest pause tolerated: shorter than the margin of every timing bound here.
 const MAX_STALL: Duration = Duration::from_millis(120);
 
 impl StallMonitor {
-    /// Has a look every few milliseconds, by calls of an operator, while anybody answers them.
+    /// Sends an operator's PING every few milliseconds until the process no longer accepts it.
     pub fn start(admin: SocketAddr) -> StallMonitor {
         let longest = Rc::new(Cell::new(Duration::ZERO));
         let seen = longest.clone();
@@ -70,13 +70,14 @@
         StallMonitor(longest)
     }
 
-    /// Whether both went on all the time.
+    /// Returns whether neither the process nor the test was paused for too long.
     pub fn is_steady(&self) -> bool {
         self.0.get() < MAX_STALL
     }
 }
 
-/// Plays a case until one was judged in full, a few times at most: it says whether it was. What must never happen is judged each time.
+/// Runs a case up to three times, until it reports that the machine did not stall. Safety is checked in every
+/// run.
 pub async fn retry_while_stalled(case: impl AsyncFn() -> bool) {
     for _ in 0..3 {
         if case().await {
@@ -86,26 +87,26 @@
     println!("the machine stalls: only what must never happen was judged");
 }
 
-/// A process that serves and will be told to leave.
+/// A running process that will be terminated.
 pub struct DrainingNodo {
     pub nodo: Nodo,
     pub start: Incarnation,
-    /// When it is to be told; see [`DrainingNodo::schedule_termination`].
+    /// When to terminate it; see [`DrainingNodo::schedule_termination`].
     pub terminate_at: Instant,
-    /// When the directory is known to have closed_at `closed`.
+    /// When the directory was seen to have received `closed`.
     pub closed_at: Rc<Cell<Option<Instant>>>,
     pub stall_monitor: StallMonitor,
     directory_watch: JoinHandle<()>,
 }
 
-/// Bytes of one request, and what came of them.
+/// The observed outcome of one request.
 #[derive(Debug)]
 pub struct SentRequest {
     pub uid: String,
     pub keyed: bool,
-    /// Before and after its last byte was written.
+    /// Times before and after its last byte was written.
     pub last: (Instant, Instant),
-    /// All of it left.
+    /// Whether all of its bytes were written.
     pub whole: bool,
     pub statuses: Vec<u16>,
     pub took: Duration,
@@ -127,18 +128,19 @@
         DrainingNodo { nodo, start, terminate_at: Instant::now(), closed_at, stall_monitor, directory_watch }
     }
 
-    /// It is to be told soon: all that the test needs for it is there.
+    /// Schedules the termination shortly after now, once the test has made all its preparations.
     pub fn schedule_termination(&mut self) -> Instant {
         self.terminate_at = Instant::now() + Duration::from_millis(200);
         self.terminate_at
     }
 
-    /// A connection that was used once.
+    /// Opens a connection and uses it once.
     pub async fn used_connection(&self, number: u64) -> Wire {
         used_connection(&self.nodo, number).await
     }
 
-    /// Tells it to leave, once it is time; returns when it was told at the earliest.
+    /// Sends SIGTERM at the scheduled time; returns the earliest time at which the process can have received
+    /// it.
     pub async fn terminate(&self) -> Instant {
         sleep_until(self.terminate_at).await;
         let told = Instant::now();
@@ -146,7 +148,7 @@
         told
     }
 
-    /// It reports that it takes no work, and ends in good order.
+    /// Waits for the process to report `closed` and exit successfully.
     pub async fn assert_clean_exit(&mut self) {
         let ended = timeout(PROGRESS_TIMEOUT, self.start.process.wait()).await.unwrap();
         assert!(ended, "it ends with a fault: {}", self.nodo.logs());
@@ -154,7 +156,8 @@
         assert!(closed_at.is_ok(), "the directory never heard that it leaves: {}", self.nodo.logs());
     }
 
-    /// What has to hold of every request, whenever it came. `answered_until` is until when whatever is whole has to be answered.
+    /// Checks the guarantees for every request. Each complete request sent up to `answered_until` must have
+    /// been answered.
     pub fn check_requests(&self, sent: &[SentRequest], grace: Duration, answered_until: Instant, what: &str) {
         let closed_at = self.closed_at.get().unwrap();
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
@@ -167,7 +170,7 @@
             assert!(ran <= 1, "it ran twice: {}", seen());
             assert!(one.statuses.len() <= 1, "two answers: {}", seen());
             assert!(one.whole || ran == 0, "it ran and was never whole: {}", seen());
-            // The grace began before the directory could hear of it.
+            // The grace began before the directory could receive the report.
             assert!(
                 ran == 0 || one.last.0 <= closed_at + grace,
                 "it came after the grace and ran: {}",
@@ -183,7 +186,7 @@
             );
             match one.statuses.first() {
                 Some(200) => assert_eq!(ran, 1, "served with what no run made: {}", seen()),
-                // A safe one may have been stopped.
+                // A run of a safe class may have been stopped.
                 Some(503) => assert!(ran == 0 || !one.keyed, "refused though it ran: {}", seen()),
                 Some(500) => {}
                 Some(_) => panic!("an answer that makes no sense here: {}", seen()),
@@ -195,7 +198,7 @@
     }
 }
 
-/// A connection that was used once, as soon as anybody listens.
+/// Opens a connection and uses it once, retrying until the nodo serves.
 pub async fn used_connection(nodo: &Nodo, number: u64) -> Wire {
     let used = async {
         loop {
@@ -211,7 +214,7 @@
     timeout(PROGRESS_TIMEOUT, used).await.unwrap_or_else(|_| panic!("it serves nobody: {}", nodo.logs()))
 }
 
-/// Writes the first bytes of a request at one time and the rest at another, and reads until the connection ends.
+/// Writes a request in two parts at the given times, and reads until the connection ends.
 pub async fn send_in_parts(
     mut wire: Wire,
     request: Request,
@@ -228,7 +231,8 @@
     SentRequest { keyed, ..read_answers(wire, request.uid, whole, before).await }
 }
 
-/// Reads all that comes of a request without a key, whose last byte was written after `before`, until the connection ends.
+/// Reads all answers to a request without a key, whose last byte was written after `before`, until the
+/// connection ends.
 pub async fn read_answers(mut wire: Wire, uid: String, whole: bool, before: Instant) -> SentRequest {
     let last = (before, Instant::now());
     let (mut statuses, mut took) = (Vec::new(), Duration::ZERO);
@@ -246,7 +250,7 @@
     SentRequest { uid, keyed: false, last, whole, statuses, took, end }
 }
 
-/// All of them, once they are done.
+/// Waits for all senders.
 pub async fn join_all(senders: Vec<JoinHandle<SentRequest>>) -> Vec<SentRequest> {
     let mut all = Vec::new();
     for sender in senders {
--- a/crates/node/tests/common/relay.rs
+++ b/crates/node/tests/common/relay.rs
@@ -1,12 +1,12 @@
-//! What several tests of two processes need.
+//! Relays messages between two processes, for tests of upgrades.
 
 use jaspershunt_node::upgrade::link::{Reader, Writer, ends};
 use std::cell::Cell;
 use std::os::fd::AsFd;
 use tokio::net::UnixStream;
 
-/// Passes messages on between two processes, with the descriptors descriptor them, until a link ends or `keep_relaying` says no. That is asked
-/// before each message, with how many have relayed.
+/// Relays messages and their descriptors between two processes until a link ends or `keep_relaying` returns
+/// false. It is called before each message with the number of messages relayed so far.
 pub async fn relay_messages(
     earlier: UnixStream,
     later: UnixStream,
--- a/crates/node/tests/common/sites.rs
+++ b/crates/node/tests/common/sites.rs
@@ -1,19 +1,19 @@
-//! Checks a site's folder: `NAME.toml`, and beside it what that needs.
+//! Checks a site's folder: `NAME.toml` and the files that it requires.
 
 use std::collections::{BTreeSet, HashMap};
 use std::path::Path;
 use tinyjson::JsonValue;
 use toml::{Table, Value};
 
-/// Shares may add up to so much more or less than 1, as they are rounded.
+/// Tolerance of the sum of shares, which are rounded.
 const TOLERANCE: f64 = 0.01;
-/// What stands beside the site's own file.
+/// Files required beside the site's own file.
 const REQUIRED_FILES: [&str; 3] = ["real.json", "wire.json", "unlock.txt"];
 
-/// Keys of a trouble whose two numbers come in either order in sites that the bench plays.
+/// Keys of a trouble whose two numbers may come in either order.
 const UNORDERED_TROUBLE_KEYS: [&str; 2] = ["len_s", "extra"];
 
-/// What is wrong with the site of this name, whose folder is in `root`; a line for each fault, with file and key.
+/// Returns one line with file and key for each fault of the named site under `root`.
 pub fn check(root: &Path, name: &str) -> Vec<String> {
     let folder = root.join(name);
     let mut wrong = Vec::new();
@@ -43,7 +43,7 @@
     wrong
 }
 
-/// The faults of a site's own file.
+/// Returns the faults of a site's own file.
 fn check_keys(site: &Table, name: &str, folder: &Path) -> Vec<String> {
     let mut wrong = Vec::new();
     match text(site, "", "name") {
@@ -101,7 +101,7 @@
     as_number(require(table, path, key)?).ok_or_else(|| format!("{path}{key}: must be a number"))
 }
 
-/// Names that are there twice, or with other characters than they may have in paths and headers.
+/// Reports duplicate names and names with characters that paths and headers may not contain.
 fn check_names(entries: &[&Table], list: &str, wrong: &mut Vec<String>) {
     let mut known = BTreeSet::new();
     for (n, entry) in entries.iter().enumerate() {
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-/// Lists of two numbers are ranges, but for those that [`UNORDERED_TROUBLE_KEYS`] names.
+/// Checks lists of two numbers as ranges, except those that [`UNORDERED_TROUBLE_KEYS`] names.
 fn check_ranges(value: &Value, path: &str, wrong: &mut Vec<String>) {
     match value {
         Value::Table(table) => {
--- a/crates/node/tests/common/test_deployments.rs
+++ b/crates/node/tests/common/test_deployments.rs
@@ -1,9 +1,9 @@
-//! Deployments that nobody runs: some names come in several of them, each time with another effect or deadline.
+//! Made-up deployments. Some names occur in several of them, each time with another effect or deadline.
 
 use jaspershunt_stand_ins::balancer::{Answer, Request};
 
-/// Deadlines are either under this or far over it, so that no busy machine makes one look like the other. Those under it are 0.7 s and
-/// more: a class that has been seen to take about its deadline is turned away as hopeless.
+/// Upper bound of short deadlines. All others are far longer, so that a busy machine can't confuse the two.
+/// Short ones are at least 0.7 s: a class whose runs take about its deadline is refused as hopeless.
 const MAX_SHORT_DEADLINE_MS: u64 = 2_000;
 
 pub struct Class {
@@ -23,7 +23,7 @@
     }
 }
 
-/// What a deployment has callers told.
+/// The kind of advice that a deployment sends to callers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Advice {
     Tokens,
@@ -41,7 +41,7 @@
     pub passes_deadline: bool,
     pub readiness: bool,
     pub retry_after: bool,
-    /// The longest advice to stay away, in milliseconds: a prime of its own, also where none may be given.
+    /// The longest retry advice in milliseconds: a distinct prime, also where no advice may be given.
     pub max_retry_after_ms: u64,
     pub cores: u32,
     pub heap_kb: u32,
@@ -173,20 +173,21 @@
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// A request of one of its tenants; where it has none, of what is somebody else's tenant.
+    /// Creates a request of one of its tenants or, if it has none, of another deployment's tenant.
     pub fn request(&self, class: &str, body: &str) -> Request {
         let tenant = self.tenants.first().unwrap_or(&"coast").to_string();
         let key = Some(format!("key of {body}"));
         Request { tenant, key, ..Request::new(class, body.as_bytes()) }
     }
 
-    /// Whether the free number has the form that it asks for. Tokens are 1 at least, the least rank is below 1, and a bias is at most 1 and never 0 here.
+    /// Checks the form of the advice. Tokens are at least 1, the minimum rank is below 1, and a bias is at
+    /// most 1 and here never 0.
     pub fn has_valid_advice(&self, answer: &Answer) -> bool {
         let says = answer.header("x-backend-says").map(|text| text.parse::<f64>().unwrap());
         match (self.say, says) {
             (Advice::Silent, says) => says.is_none(),
             (Advice::Tokens, Some(tokens)) => tokens >= 1.0,
-            // While it was 0 from the start there is nothing to tell.
+            // Nothing is sent while the rank has always been 0.
             (Advice::MinRank, rank) => (0.0..1.0).contains(&rank.unwrap_or(0.0)),
             (Advice::Bias, Some(bias)) => bias > 0.0 && bias <= 1.0,
             (_, None) => false,
--- a/crates/node/tests/config_messages.rs
+++ b/crates/node/tests/config_messages.rs
@@ -1,11 +1,11 @@
-//! What is said of a configuration that cannot be used: the file, the key as it stands there, and what is wrong.
+//! Messages for an invalid configuration: the file, the key as written there, and the fault.
 
 mod common;
 use common::*;
 use jaspershunt_node::config;
 use std::path::PathBuf;
 
-/// A value in the file, another in its place, and what is said of it.
+/// A valid value, an invalid replacement, and the expected message.
 const INVALID_VALUES: [(&str, &str, &str); 28] = [
     (r#""name":"n3""#, r#""name":"n/3""#, "name must hold letters, digits"),
     (r#""vm":"127.0.0.1:1""#, r#""vm":"somewhere""#, "vm must be an IP address with a port"),
@@ -45,7 +45,7 @@
     config_text("127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 }
 
-/// A file of this test alone.
+/// Returns a path used by this test only.
 fn file(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("jaspershunt-messages-{name}-{}.json", std::process::id()))
 }
--- a/crates/node/tests/drain_races.rs
+++ b/crates/node/tests/drain_races.rs
@@ -1,6 +1,7 @@
-//! The narrow moments of a nodo that leaves: bytes that come as it is told to, as the directory hears of it, as the grace ends, as the
-//! listener and the connections close. Real processes; judged by what the interpreter and the connections recorded. The table in
-//! `docs/design/narrow-moments.md` names the guard of each, and what is said here without it.
+//! Guards against lost, doubled or late requests while a nodo drains: requests whose bytes arrive as it gets
+//! SIGTERM, as the directory learns of it, as the grace ends, and as the listener and the connections close.
+//! Runs real processes and checks the records of the interpreter and the connections. See
+//! `docs/design/narrow-moments.md`.
 
 #[path = "common/draining.rs"]
 mod draining;
@@ -18,7 +19,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A request of either class; each number is for one, as keyed ones have a key of their own.
+/// Creates a safe or a keyed request by turns. Each keyed one has its own key.
 fn mixed_request(n: u64) -> Request {
     if n.is_multiple_of(2) {
         Request::new("read", b"read")
@@ -31,17 +32,18 @@
     Request::new("read", b"read")
 }
 
-/// Connections that were used, and where each cuts its next request: anywhere, but with its last byte behind the cut.
+/// Opens connections, uses each once, and chooses where to split its next request, always before the last
+/// byte.
 async fn partial_senders(draining: &DrainingNodo, random: &mut StdRng, count: u64) -> Vec<(Wire, usize)> {
     let mut wires = Vec::new();
     for n in 0..count {
-        // 150 bytes are in any.
+        // Each request has at least 150 bytes.
         wires.push((draining.used_connection(1000 + n).await, random.random_range(1..150)));
     }
     wires
 }
 
-/// Has each bring the first part of a request at one time, and the last at another.
+/// Sends the two parts of a request on each connection at the given times.
 fn spawn_senders(
     wires: Vec<(Wire, usize)>,
     at: impl Fn(u64) -> (Instant, Instant),
@@ -50,7 +52,7 @@
     numbered.map(|(n, (wire, cut))| spawn_local(send_in_parts(wire, mixed_request(n), cut, at(n)))).collect()
 }
 
-/// A byte as the process is told to leave, and as the directory hears of it; with a grace, and with none.
+/// Sends requests around SIGTERM and around the directory's receipt of `closed`, with and without a grace.
 async fn termination_during_a_request(seed: u64, grace: u64) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("told-{grace}-{seed}");
@@ -59,13 +61,14 @@
     let (mut before, mut after) = (draining.used_connection(1).await, draining.used_connection(2).await);
     let mut news = draining.used_connection(3).await;
     let at = draining.schedule_termination();
-    // From 20 ms before to 20 ms after, and far behind the close of what rests; the first part is there before.
+    // From 20 ms before to 20 ms after SIGTERM, and later until well after the close of idle connections. The
+    // first part is sent before.
     let last = |n: u64| match n {
         0..40 => at + MS * (n as u32) - 20 * MS,
         _ => at + MS * 10 * (n as u32 - 40) + 100 * MS,
     };
     let senders = spawn_senders(wires, |n| (at - 30 * MS, last(n)));
-    // In the very instant, nothing between the byte and the notice, on either side of it.
+    // One request is completed immediately before SIGTERM and one immediately after it.
     let (one, other) = (before.encode(&read_request()), after.encode(&read_request()));
     let news_bytes = news.encode(&read_request());
     let cuts = [one.bytes.len() - 1, other.bytes.len() - 1, news_bytes.bytes.len() - 1];
@@ -81,7 +84,7 @@
         spawn_local(read_answers(before, one.uid, true, told)),
         spawn_local(read_answers(after, other.uid, whole, now)),
     ];
-    // As the directory hears of it: the last byte, and a new connection.
+    // A last byte and a new connection as the directory receives the report.
     let heard = async {
         while draining.closed_at.get().is_none() {
             sleep(MS).await;
@@ -102,7 +105,7 @@
     all_sent.extend(senders);
     let sent = join_all(all_sent).await;
     draining.assert_clean_exit().await;
-    // What was begun is waited for until what is left is hung up on.
+    // Partial requests are awaited until the remaining connections are closed.
     draining.check_requests(&sent, Duration::from_millis(grace), told + STOP - 300 * MS, &what);
     let closed = sent.iter().all(|one| one.end == End::Closed);
     assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a reset: {sent:#?}");
@@ -122,7 +125,7 @@
     });
 }
 
-/// Whole and half requests round the end of the grace: the last byte tells when a request came.
+/// Sends whole and split requests around the end of the grace. The arrival of the last byte counts.
 async fn requests_around_the_end_of_the_grace(seed: u64) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("grace-{seed}");
@@ -134,11 +137,11 @@
     }
     let end = draining.schedule_termination() + GRACE;
     let jitter = Duration::from_micros(random.random_range(0..2000));
-    // Half of them whole in one go, half with their first bytes well inside the grace.
+    // Half of them are sent in one write, the others have their first bytes well inside the grace.
     let last = |n: u64| end - 60 * MS + jitter + MS * 4 * ((n / 2) as u32);
     let first = |n: u64| if (n / 2).is_multiple_of(2) { end - 400 * MS } else { last(n) };
     let senders = spawn_senders(wires, |n| (first(n), last(n)));
-    // What runs longer than there is time is answered before the kill all the same.
+    // Runs that take longer than the time left are still answered before the kill.
     let times = |n| (end - (60 - 5 * n) * MS, end - (60 - 5 * n) * MS);
     let long =
         long.into_iter().map(|(n, wire)| spawn_local(send_in_parts(wire, slow(n), 20, times(n as u32))));
@@ -170,14 +173,14 @@
     });
 }
 
-/// Requests on resting connections as they are shut, and callers as the listener closes.
+/// Sends requests on idle connections as they are closed, and on new ones as the listener closes.
 async fn requests_around_the_close(seed: u64) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("close-{seed}");
     let mut draining = DrainingNodo::start(nodo(&what, 300, "").await).await;
     let wires = partial_senders(&draining, &mut random, 200).await;
     let grace = Duration::from_millis(300);
-    // The listener closes 100 ms behind the grace, and what rests is shut 100 ms behind that.
+    // The listener closes 100 ms after the grace, and idle connections 100 ms after that.
     let shut = draining.schedule_termination() + grace + 200 * MS;
     let jitter = Duration::from_micros(random.random_range(0..1000));
     let last = |n: u64| shut - 40 * MS + jitter + MS * (n as u32) / 2;
@@ -189,7 +192,7 @@
                 sleep_until(listens - 40 * MS + MS * n).await;
                 let mut wire = Wire::connect(address, 5000 + u64::from(n)).await.ok()?;
                 let now = Instant::now();
-                // One that was reset at once brings nothing.
+                // A connection that was reset at once sends nothing.
                 let bytes = wire.send(&read_request())?;
                 Some(read_answers(wire, bytes.uid, true, now).await)
             })
@@ -203,7 +206,7 @@
     }
     draining.assert_clean_exit().await;
     draining.check_requests(&resting, grace, told + grace + 200 * MS, &what);
-    // Of one that the machine had not handed over, nothing was read.
+    // The nodo reads nothing of connections that it had not accepted.
     draining.check_requests(&called, grace, told + grace + 100 * MS, &what);
     let answered = |sent: &[SentRequest]| sent.iter().filter(|one| !one.statuses.is_empty()).count();
     println!(
@@ -228,9 +231,9 @@
     });
 }
 
-/// All places for connections are taken when the listener closes: those that the machine had accepted are read all the same.
+/// The listener closes while all connection slots are taken: connections in the backlog are still read.
 async fn full_as_the_listener_closes() -> bool {
-    // 15 places: 113 descriptors are for other things.
+    // 15 slots: 113 descriptors are reserved for other uses.
     let more = r#","limits":{"memory_mb":64,"sockets":128}"#;
     let nodo = nodo("full", 1000, more).await;
     let mut draining = DrainingNodo::start(nodo).await;
@@ -239,7 +242,7 @@
         wires.push((n, draining.used_connection(n).await));
     }
     let at = draining.schedule_termination();
-    // Each has half a request, the rest of which comes late: none of them is of so little use that it could make room.
+    // Each has half a request whose rest comes late, so none of them can be evicted.
     let mut taken = Vec::new();
     for (n, wire) in wires {
         taken.push(spawn_local(send_in_parts(wire, mixed_request(n), 60, (at + 100 * MS, at + 1700 * MS))));
@@ -268,15 +271,16 @@
     local(retry_while_stalled(full_as_the_listener_closes));
 }
 
-/// What was sent on a connection on which requests go on until it ends.
+/// What a continuous sender sent and received until its connection ended.
 struct ContinuousSender {
-    /// In the order in which it left.
+    /// In the order of sending.
     uids: Vec<(u16, String)>,
     answers: BTreeMap<u16, Vec<u16>>,
     end: End,
 }
 
-/// So many open at once, all the time. With `halves`, each write ends within a request, so that the connection is never at rest.
+/// Keeps `depth` requests open. With `halves`, each write ends within a request, so that the connection is
+/// never idle.
 async fn send_continuously(mut wire: Wire, depth: usize, halves: bool) -> ContinuousSender {
     let mut sender_result = ContinuousSender { uids: Vec::new(), answers: BTreeMap::new(), end: End::Closed };
     let (mut answered, mut begun) = (0, wire.encode(&read_request()));
@@ -306,15 +310,15 @@
                 return sender_result;
             }
         }
-        // A balancer that is refused goes on, but not without end.
+        // A refused balancer keeps sending, with a pause.
         if !halves && answered.is_multiple_of(depth) {
             sleep(MS).await;
         }
     }
 }
 
-/// Clients go on sending on every connection that stays open. Each request that was read is answered once, none is lost but those that
-/// cross the end, and the end is told in order.
+/// Guards against requests lost or answered twice when clients keep sending until their connection ends. Only
+/// the last requests sent, which cross the close, may stay unanswered, and the close must be orderly.
 async fn requests_throughout_the_drain(nodo: Nodo) -> bool {
     let mut draining = DrainingNodo::start(nodo).await;
     draining.schedule_termination();
@@ -345,7 +349,7 @@
             .filter(|(id, _)| !sender_result.answers.contains_key(id))
             .map(|(_, uid)| uid)
             .collect();
-        // Requests are read in order, so what was not answered is what left last.
+        // Requests are read in order, so the unanswered ones are the last ones sent.
         let last: Vec<&String> =
             sender_result.uids.iter().rev().take(open.len()).rev().map(|(_, uid)| uid).collect();
         assert!(
@@ -363,7 +367,7 @@
         let closed = sender_result.end == End::Closed;
         assert!(closed || !draining.stall_monitor.is_steady(), "{depth}: what was on the way was reset");
     }
-    // Whether that resets one depends on the moment.
+    // Whether this resets a connection depends on timing.
     let open = draining.nodo.logs().contains("with connections open");
     assert!(
         !open || !draining.stall_monitor.is_steady(),
@@ -378,12 +382,12 @@
     local(retry_while_stalled(async || requests_throughout_the_drain(nodo("on", 2500, "").await).await));
 }
 
-/// The nodo is of a fleet that has no majority, so that its member waits for an answer until the end.
+/// The nodo's fleet has no majority, so its member waits for a response until the end of the drain.
 #[test]
 fn requests_sent_throughout_the_drain_are_answered_once_without_a_fleet_majority() {
     local(retry_while_stalled(async || {
         let mut nodo = nodo("member", 2500, "").await;
-        // Where nothing listens.
+        // An address on which nothing listens.
         let voter = |n: u8| format!("  voter \"v{n}\" {{\n    address = \"127.0.0.{n}:9\"\n  }}\n");
         let voters: String = (1..=3).map(voter).collect();
         nodo.operator = Some(format!(
--- a/crates/node/tests/fault_injection.rs
+++ b/crates/node/tests/fault_injection.rs
@@ -1,5 +1,6 @@
-//! Seven real nodos in three regions with keyed work, hurt in ways that were thought of beforehand. Safety is judged by the histories of
-//! all nodos, clients and the resource after the fact, with no allowance; progress within generous bounds.
+//! Seven nodos in three regions run keyed work while faults are injected: partitions, flapping links, kills
+//! and random mixes. Safety is checked without tolerance on the histories of all nodos, clients and the
+//! resource; progress must be made within long timeouts.
 
 use jaspershunt_stand_ins::link::Way;
 use jaspershunt_stand_ins::partial::faults::{Ends, Fault, FaultInjector};
@@ -13,14 +14,14 @@
 use tokio::time::{sleep, timeout};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_jaspershunt");
-/// For anything to go on again.
+/// Timeout for progress after a fault.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
-/// What an act of the resource lasts while parts fail.
+/// Duration of an effect on the resource while faults are active.
 const EFFECT_DURATION: Duration = Duration::from_millis(150);
-/// Clients, and the pause between two keys of one.
+/// Number of clients, and each client's pause between two keys.
 const CLIENTS: u64 = 10;
 const PAUSE: Duration = Duration::from_millis(60);
-/// Keys that are asked for at once at the end.
+/// Keys queried concurrently at the end.
 const CONCURRENT_QUERIES: usize = 16;
 
 fn local(test: impl Future<Output = ()>) {
@@ -36,7 +37,7 @@
     rig
 }
 
-/// Waits until so many keys are at work.
+/// Waits until at least two effects are in progress.
 async fn wait_for_running_effects(rig: &Rig, name: &str) {
     let under_way = async {
         while rig.resource.effects().iter().filter(|effect| effect.end.is_none()).count() < 2 {
@@ -48,7 +49,7 @@
     }
 }
 
-/// Each of these faults strikes in the middle of work, and all is healed once they are over. What was asked is told in the end.
+/// Injects each fault during running work and heals it. Every request is answered in the end.
 async fn run_with_faults(name: &str, seed: u64, faults: &[Fault], lasts: Duration) -> Rig {
     let mut rig = start_fleet(name).await;
     let load = rig.clients.load(seed, CLIENTS, PAUSE, PROGRESS_TIMEOUT);
@@ -62,7 +63,7 @@
     rig
 }
 
-/// All is healed: whatever was asked is told to who asks again, and the histories hold.
+/// Heals everything and checks that each request is answered on a retry and that the histories are valid.
 async fn check_histories(rig: &mut Rig, name: &str, seed: u64, load: Vec<tokio::task::JoinHandle<()>>) {
     assert!(rig.heal_all().await.unwrap(), "{name}, seed {seed}: no votes: {}", rig.fleet.logs());
     rig.clients.stop();
@@ -75,7 +76,7 @@
     assert!(verdict.is_fine(), "{name}, seed {seed}: {} {}", verdict.describe_problems(), rig.fleet.logs());
     assert_eq!(unanswered, 0, "{name}, seed {seed}: {:#?} {}", rig.clients.tries(), rig.fleet.logs());
     assert_eq!(rig.clients.write_error(), None);
-    // Guards against a verdict on nothing: there is work in the histories of nodos too.
+    // Guards against a check of empty histories: the nodos must have recorded work, too.
     let begun = verdict.history.records.iter().filter(|record| {
         matches!(record.op, jaspershunt_histories::format::Op::Begun { .. })
             && record.who.process != "clients"
@@ -87,8 +88,8 @@
     rig.resource.query_counts().0 > 0 || rig.fleet.logs().contains("comes here from another nodo")
 }
 
-/// The region of the first voter hears the rest and is not heard, and then the other way round: origins there and heirs elsewhere are both
-/// alive, and each sees half of the fleet.
+/// The first voter's region can receive but not send, then send but not receive, then neither. Origin nodes
+/// there and successors elsewhere are alive at once, each with a view of half of the fleet.
 #[test]
 fn work_runs_once_when_a_partition_separates_origin_and_successor() {
     local(async {
@@ -100,7 +101,7 @@
     });
 }
 
-/// Links that come and go: of each voter in turn.
+/// The links of each voter in turn go down and up repeatedly.
 #[test]
 fn flapping_links_neither_lose_nor_duplicate_work() {
     local(async {
@@ -114,7 +115,7 @@
     });
 }
 
-/// A region is lost with all its work, and comes back with its disks; then all are killed at once, and come back.
+/// A region is killed with all its work and restarts with its disks; then all nodos are killed and restarted.
 #[test]
 fn loss_of_a_region_and_restart_of_all_nodos_lose_nothing() {
     local(async {
@@ -126,7 +127,7 @@
     });
 }
 
-/// A few seconds of everything at once. Seeds at which something was found stay here.
+/// Injects random faults of all kinds for a few seconds. Seeds that found a fault stay here.
 #[test]
 fn histories_hold_under_random_simultaneous_faults() {
     local(async {
@@ -145,7 +146,7 @@
             }
             let table = rig.wait_for_one_table().await;
             assert!(table.is_ok(), "{name}: {table:?} {}", rig.fleet.logs());
-            // Guards against a table that nobody edited.
+            // Guards against a table without edits.
             let [in_force, _, _, unheard] = rig.editors.tally();
             assert!(in_force >= 10 && unheard == 0, "{name}: {:?} {}", rig.editors.tally(), rig.fleet.logs());
             assert_eq!(rig.editors.write_error(), None);
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -1,4 +1,4 @@
-//! The program itself with an operator's file, through SIGHUP.
+//! Reloads of the operator's file by SIGHUP in the running program.
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::dependency::{Dependency, DependencyConfig};
@@ -25,7 +25,7 @@
     )
 }
 
-/// A faulty file changes nothing and is said in one line; a good one moves the calls.
+/// An invalid file changes nothing and is logged in one line; a valid one redirects the calls.
 #[test]
 fn sighup_applies_a_valid_operator_file_and_rejects_an_invalid_one() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -75,7 +75,7 @@
             "{line}"
         );
         assert_eq!(ask().await, "look x [old:x#1]");
-        // One that does not fit the settings is no better.
+        // A file that doesn't fit the settings is rejected, too.
         std::fs::write(&operator, file(new.address()).replace("\"look\"", "\"find\"")).unwrap();
         hang_up();
         assert!(wait_for_line("stays in force").contains("route.find: is no class of the settings"));
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Processes that are killed and started again, with a directory and an interpreter that are late.
+//! Guards against slow restarts after a kill when the directory and the interpreter are late.
 
 #[path = "common/draining.rs"]
 mod draining;
@@ -14,16 +14,16 @@
 use tokio::time::{Instant, sleep, timeout};
 
 const MS: Duration = Duration::from_millis(1);
-/// A restarted process is ready within this,
+/// Time limit for a restarted process to be ready, which nine in ten must meet.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// nine times in ten.
+/// Total restarts, and how many run concurrently.
 const RESTARTS: usize = 20;
 const CONCURRENT_RESTARTS: usize = 10;
-/// So long after the restart the directory answers and the interpreter is up.
+/// Delay after the restart until the directory answers and the interpreter is ready.
 const READINESS_DELAY: Duration = Duration::from_secs(1);
 
-/// A process is killed as it has taken a connection, and started again; how long it takes until balancers are told of it
-/// and it serves.
+/// Kills a process with an open connection and restarts it. Returns how long it takes until the directory
+/// lists it and it serves.
 async fn time_to_ready_after_kill(n: usize) -> Duration {
     let mut nodo = Nodo::new(Path::new(PROGRAM), &format!("restarted-{n}")).await.unwrap();
     nodo.without_shared_folder = n.is_multiple_of(2);
--- a/crates/node/tests/shared_folder.rs
+++ b/crates/node/tests/shared_folder.rs
@@ -1,5 +1,5 @@
-//! Two deployments on one machine whose processes have the same name and the same `$TMPDIR`: neither takes the other one over, and no
-//! key of one is known to the other.
+//! Guards against mixing two deployments on one machine whose processes share a name and `$TMPDIR`: neither
+//! may take over from the other or know its keys.
 
 #[path = "common/draining.rs"]
 mod draining;
@@ -13,7 +13,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// The second waits as long as the first lives, says why, and leaves its address, requests and keys alone. It then serves at its own.
+/// The second process waits while the first lives, logs the reason, and leaves its address, requests and keys
+/// alone. Then it serves at its own address.
 #[test]
 fn a_process_with_another_address_does_not_take_over() {
     local(async {
@@ -42,7 +43,7 @@
             .unwrap_or_else(|_| panic!("{}", site.logs()));
         let balancer = Balancer::new(other.address, 2, Some(site.interpreters[1].clone()));
         let answer = async {
-            // It listens once it has the right.
+            // It listens once it holds the lock.
             loop {
                 let answer = balancer.send(&request, PROGRESS_TIMEOUT).await;
                 if answer.status != 0 {
--- a/crates/node/tests/signal_races.rs
+++ b/crates/node/tests/signal_races.rs
@@ -1,4 +1,5 @@
-//! Signals that cross: SIGHUP and SIGTERM reach the program in one instant, as it was stopped when they were sent.
+//! Guards against signals that arrive together. The process is paused while SIGHUP and SIGTERM are sent, so
+//! that it receives both at once.
 
 use jaspershunt_stand_ins::balancer::Balancer;
 use jaspershunt_stand_ins::nodo::{Incarnation, Nodo, keyed};
@@ -24,16 +25,16 @@
     Nodo::new(Path::new(PROGRAM), name).await.unwrap()
 }
 
-/// What the configuration of a start is replaced by.
+/// How a process's configuration is changed.
 #[derive(Clone, Copy, Debug)]
 enum Edit {
     /// A longer window.
     Good,
-    /// A file that ends too early.
+    /// A truncated file.
     Bad,
 }
 
-/// Replaces the configuration of the start with this number.
+/// Changes the configuration of the process with this number.
 fn edit(site: &Nodo, start: usize, how: Edit) {
     let path = site.folder.join(format!("config{start}.json"));
     let text = std::fs::read_to_string(&path).unwrap();
@@ -45,14 +46,14 @@
     std::fs::write(&path, edited).unwrap();
 }
 
-/// Signals that come in one instant.
+/// Delivers several signals at once.
 fn send_simultaneously(process: &Process, signals: &[fn(&Process)]) {
     process.pause();
     signals.iter().for_each(|signal| signal(process));
     process.resume();
 }
 
-/// What a start says of the configurations that it has read.
+/// Returns the process's counts of loaded and invalid configurations.
 async fn config_counts(start: &Incarnation) -> String {
     let info = start.call("INFO").await;
     let from = info.find("\"conf_loaded\"").expect("counts");
@@ -66,8 +67,8 @@
     }
 }
 
-/// The configuration is read again as the nodo is told to leave, in either order, while a keyed request runs: that is answered once,
-/// `closed` is the last that the directory hears, and the program ends well.
+/// The configuration is reloaded as the nodo starts to drain, in either order, while a keyed request runs.
+/// The request is answered once, the directory receives `closed` last, and the program exits successfully.
 #[test]
 fn simultaneous_sighup_and_sigterm_reload_and_drain() {
     let orders: [[fn(&Process); 2]; 2] =
@@ -102,8 +103,8 @@
     }
 }
 
-/// A good configuration and then a bad one, and the other way round, each as the one before is being taken up: the one in force is
-/// whole, and each that was read is counted.
+/// A valid and an invalid configuration follow each other, in either order, while the first is being applied.
+/// The valid one is in force, and each is counted.
 #[test]
 fn valid_and_invalid_configurations_in_quick_succession_are_each_counted() {
     for (first, second, expected) in [
@@ -117,7 +118,7 @@
             let whole = std::fs::read_to_string(&path).unwrap();
             edit(&site, 1, first);
             start.process.hang_up();
-            // The first has been read from here on; whether it is in force yet is open.
+            // The first has been read by now, though it may not be in force yet.
             while config_counts(&start).await == "\"conf_loaded\":0,\"conf_invalid\":0" {
                 sleep(POLL_INTERVAL).await;
             }
@@ -133,7 +134,7 @@
     }
 }
 
-/// Two signals in one instant are one or two readings of the same file, and no more.
+/// Two simultaneous signals cause one or two reads of the same file, never more.
 #[test]
 fn simultaneous_sighups_reload_once_or_twice() {
     local(async {
@@ -149,8 +150,8 @@
     });
 }
 
-/// Both processes of an upgrade read their configuration in the instant in which both have tries of one key: it runs once, and
-/// all are told what that made.
+/// Both processes of an upgrade reload while both have tries of one key. It runs once, and all tries get its
+/// result.
 #[test]
 fn both_processes_of_an_upgrade_reload_while_a_keyed_run_is_in_flight() {
     local(async {
--- a/crates/node/tests/startup_races.rs
+++ b/crates/node/tests/startup_races.rs
@@ -1,5 +1,6 @@
-//! The narrow moments of a nodo that starts, and of answers: a restart under load, a cold start's first burst, a repeat as its first try is
-//! answered, a reset within an answer. Real processes; judged by the interpreters' records. See `docs/design/narrow-moments.md`.
+//! Guards against lost or doubled requests at startup and around answers: a restart under load, the first
+//! burst of a cold start, a retry as its first try is answered, and a reset within an answer. Runs real
+//! processes and checks the interpreters' records. See `docs/design/narrow-moments.md`.
 
 #[path = "common/draining.rs"]
 mod draining;
@@ -19,7 +20,8 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 const MS: Duration = Duration::from_millis(1);
-/// What the settings let a cold nodo have on its 8 cores: 0.3 of the nine times as many that a warm one may have beside them.
+/// Runs allowed on the 8 cores of a cold nodo: 8 and 0.3 of the nine times as many more that a warm one may
+/// have.
 const MAX_COLD_RUNS: usize = 29;
 
 fn work_of_ms(ms: u64) -> Work {
@@ -30,7 +32,7 @@
     timeout(PROGRESS_TIMEOUT, done).await.unwrap_or_else(|_| panic!("{what}: {}", nodo.logs()))
 }
 
-/// A connection, as soon as anybody listens.
+/// Connects as soon as the nodo listens.
 async fn connect_when_listening(nodo: &Nodo, number: u64) -> Wire {
     let call = async {
         loop {
@@ -43,8 +45,8 @@
     within(nodo, "nobody listens", call).await
 }
 
-/// The next start takes the address at once, over connections of the one before, and is called before its interpreter is up, as the
-/// directory still has the earlier one.
+/// Restarts a nodo on the same address while old connections are open, and sends requests before its
+/// interpreter is ready, as the directory still lists the earlier process.
 async fn restart_with_early_requests(seed: u64, killed: bool) {
     let what = format!("again-{seed}-{killed}");
     let mut nodo = nodo(&what, 0, "").await;
@@ -111,7 +113,8 @@
     });
 }
 
-/// The last bytes of a burst come round the moment at which the interpreter is up, and the directory answers nothing yet.
+/// Sends a burst whose last bytes arrive around the time when the interpreter becomes ready, before the first
+/// report to the directory.
 async fn cold_burst(seed: u64) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("cold-{seed}");
@@ -140,7 +143,7 @@
     sleep_until(up).await;
     interpreter.become_ready();
     assert!(nodo.directory.modes().is_empty(), "it has reported");
-    // All fall due while the directory is silent.
+    // All deadlines pass while the directory is silent.
     sleep(DEADLINE).await;
     nodo.directory.stall(false);
     within(&nodo, "its first report", async {
@@ -182,8 +185,8 @@
     });
 }
 
-/// A try of the same key as its first try is answered, from well before the end of the run to well after it. With `leaving`, the nodo was
-/// told to leave, and the repeat comes after the grace: what ran is never turned away.
+/// Sends retries of a key around the end of the first try's run. With `leaving`, the nodo drains and the
+/// retries arrive after the grace: work that ran must not be refused.
 async fn retries_around_the_first_answer(seed: u64, leaving: bool) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
     let what = format!("repeat-{seed}-{leaving}");
@@ -206,7 +209,8 @@
                 connect_when_listening(&nodo, 200 + n).await,
                 connect_when_listening(&nodo, 300 + n).await,
             ];
-            // In steps of half a millisecond round the end of the run, which is a little after its time.
+            // In steps of 0.5 ms around the end of the run, which is slightly later than its nominal
+            // duration.
             let step = Duration::from_micros(500) * (round * at_once + n) as u32;
             let at =
                 began + run as u32 * MS - 4 * MS + step + Duration::from_micros(random.random_range(0..500));
@@ -230,7 +234,7 @@
             ));
         }
         if leaving {
-            // They run by then.
+            // All are running by then.
             within(&nodo, "all run", async {
                 while interpreter.runs().len() < at_once as usize && stall_monitor.is_steady() {
                     sleep(MS).await;
@@ -266,8 +270,8 @@
     });
 }
 
-/// A balancer resets its connection when it has read the last of an answer and not yet where that ends. What else was open there is given
-/// up, what ran is known to a repeat, and the nodo serves on.
+/// A balancer resets its connection after the last data of an answer and before its end record. The other
+/// open request there is stopped, a retry gets the kept result, and the nodo keeps serving.
 #[test]
 fn a_reset_before_the_end_of_an_answer_stops_open_runs_and_keeps_results() {
     local(async {
@@ -316,7 +320,7 @@
                 }
             })
             .await;
-            // Left alone it would have ended well, within its time.
+            // Without the stop it would have completed within its deadline.
             let stopped = end() == Some("STOPPED");
             assert!(stopped || !stall_monitor.is_steady(), "it went on though nobody waits: {}", nodo.logs());
         }
