--- a/crates/node/tests/connection_races.rs
+++ b/crates/node/tests/connection_races.rs
@@ -1,7 +1,6 @@
-//! Events that cross on balancers' connections: the real connection code over loopback, with the test in the place of the engine.
-//!
-//! Whether bytes come before or after a decision is forced by order: a writer goes on by single polls of the same thread, so that every
-//! place between two polls of the connection's task is tried, or it writes before the connection's task can run at all.
+//! Races on balancers' connections: the real connection code over loopback, with the test as its engine. The
+//! order of bytes and decisions is forced. A writer either advances by single polls of the same thread, so
+//! that each point between two polls of the connection's task is tried, or writes before that task can run.
 
 mod common;
 use common::*;
@@ -25,16 +24,16 @@
 use tokio::task::{JoinHandle, spawn_local, yield_now};
 use tokio::time::{advance, timeout};
 
-/// Polls after which a writer writes, from none: more than any task here takes from one event to the next.
+/// Number of poll counts after which a writer writes: more than any task here needs between two events.
 const POLLS: u32 = 12;
-/// Longer than a connection may take to bring its first request, and than one may rest that is to make room.
+/// Longer than a connection may take to its first request, and than it must be idle before it can be evicted.
 const UNUSED_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long the rest of a request is waited for.
+/// Time limit for the rest of a request.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// The protocol status of a request that never ran.
 const OVERLOADED: u8 = 2;
 
-/// The connection code, listening, with the test as its engine.
+/// The listening connection code, with the test as its engine.
 struct Server {
     address: SocketAddr,
     front: Rc<Front>,
@@ -46,7 +45,7 @@
 }
 
 impl Server {
-    /// Accepts so many connections at once.
+    /// Accepts at most this many connections at once.
     async fn start(most: usize) -> Server {
         Server::with(|front| front.most = most).await
     }
@@ -83,7 +82,7 @@
         connect(self.address).await
     }
 
-    /// The way back of the next request that is handed to the engine.
+    /// Receives the next request sent to the engine and returns its reply channel.
     async fn next_reply_to(&mut self) -> ReplyTo {
         loop {
             match self.work.recv().await.unwrap() {
@@ -94,21 +93,21 @@
         }
     }
 
-    /// A connection on which a request was answered.
+    /// Opens a connection and has one request answered on it.
     async fn used(&mut self) -> Peer {
         let mut peer = self.connect().await;
         self.serve(&mut peer).await;
         peer
     }
 
-    /// Sends one request and has it served.
+    /// Sends one request and answers it.
     async fn serve(&mut self, peer: &mut Peer) {
         peer.send(whole_request()).await;
         send_result(self.next_reply_to().await, b"first");
         assert!(peer.answer().await.unwrap().1.ends_with("first"));
     }
 
-    /// Answers all that is handed over from here on, in the background.
+    /// Answers all further requests in the background.
     fn serve_all(self) -> AutoServer {
         let Server { address, front, mut work, idle, stop, accepts, _facts } = self;
         spawn_local(async move {
@@ -127,7 +126,7 @@
     }
 }
 
-/// A server whose engine serves whatever comes.
+/// A server that answers each request in the background.
 struct AutoServer {
     address: SocketAddr,
     front: Rc<Front>,
@@ -142,7 +141,7 @@
     }
 }
 
-/// Connects; what is written leaves at once, so that the order of writes is that of their arrival.
+/// Connects without Nagle's algorithm, so that writes arrive in the order in which they were made.
 async fn connect(address: SocketAddr) -> Peer {
     let stream = TcpStream::connect(address).await.unwrap();
     stream.set_nodelay(true).unwrap();
@@ -157,7 +156,7 @@
     request(1, 7, "read", &[], b"body")
 }
 
-/// Lets every other task of this thread that can go on do so once.
+/// Yields to every other ready task of this thread once.
 async fn yield_once() {
     let mut polled = false;
     poll_fn(|context| {
@@ -170,18 +169,19 @@
     .await;
 }
 
-/// Whether the end of the connection has come to this side.
+/// Returns whether the peer's end of the connection has arrived.
 fn has_ended(peer: &Peer) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     matches!(SockRef::from(&peer.stream).peek(&mut byte), Ok(0))
 }
 
-/// Writes bytes, unless the end of the connection has come by then; whether they left.
+/// Writes bytes unless the connection has ended; returns whether all were written.
 fn write_unless_ended(peer: &Peer, bytes: &[u8]) -> bool {
     !has_ended(peer) && peer.stream.try_write(bytes).is_ok_and(|n| n == bytes.len())
 }
 
-/// Has a writer write after so many polls, and returns the connection and whether the bytes left before its end was known.
+/// Writes after this many polls; returns the connection and whether all bytes were written before its end was
+/// known.
 async fn write_after_polls(peer: Peer, polls: u32, bytes: Vec<u8>) -> (Peer, bool) {
     for _ in 0..polls {
         yield_once().await;
@@ -190,7 +190,7 @@
     (peer, left)
 }
 
-/// Until the connections that are open are as many.
+/// Waits until this many connections are open.
 async fn wait_for_open_connections(front: &Front, connections: usize) {
     while front.open.get() != connections {
         yield_now().await;
@@ -206,8 +206,8 @@
             let (resting, other) = (server.connect().await, server.connect().await);
             wait_for_open_connections(&server.front, 2).await;
             advance(UNUSED_TIMEOUT).await;
-            // A third caller has the longest at rest asked to make room, in the same poll in which it is taken in; from there on the
-            // polls are counted after which the first request of the one that was asked comes.
+            // The third connection evicts the one that was idle for longest, in the poll in which it is
+            // accepted. From then on, the polls until the evicted connection's first request are counted.
             let front = server.front.clone();
             let writer = spawn_local(async move {
                 while front.open.get() < 3 {
@@ -237,7 +237,7 @@
         let mut half_read = server.used().await;
         let mut resting = server.used().await;
         let second = request(1, 8, "read", &[], b"body");
-        // The one with the half-read request has been at rest for longer than the other by the time that room is wanted.
+        // The connection with the half-read request has been idle for longer when a slot is needed.
         half_read.send(&second[..60]).await;
         server.serve(&mut resting).await;
         let mut caller = server.connect().await;
@@ -261,7 +261,7 @@
             assert!(write_unless_ended(&peer, &bytes[..40]));
             yield_now().await;
             let rest = bytes[40..].to_vec();
-            // The timer of the connection and that of the writer fire in the same millisecond.
+            // The timers of the connection and of the writer fire in the same millisecond.
             let writer = spawn_local(async move {
                 tokio::time::sleep(REQUEST_READ_TIMEOUT).await;
                 write_after_polls(peer, polls, rest).await
@@ -301,7 +301,7 @@
         let bytes = whole_request();
         assert!(write_unless_ended(&half_read, &bytes[..40]));
         yield_now().await;
-        // Between these there is no place in which the connections' tasks could run.
+        // The connections' tasks can't run between these writes.
         assert!(
             write_unless_ended(&resting, &bytes)
                 && write_unless_ended(&half_read, &bytes[40..])
@@ -373,7 +373,7 @@
 #[test]
 fn callers_in_the_backlog_of_a_closing_listener_are_answered_within_the_descriptor_limit() {
     local(async {
-        // Places, those beyond them while the listener closes, and callers for twice as many.
+        // Regular slots, additional ones while the listener closes, and twice as many callers.
         const PLACES: usize = 4;
         const RESERVE: usize = 16;
         const CALLERS: usize = 2 * (PLACES + RESERVE);
@@ -418,14 +418,14 @@
     local(async {
         const ROOM: usize = 20_000;
         let (listener, address) = listener().await;
-        // What the system takes in for a peer is not the program's, so it gets little.
+        // What the system buffers for a peer isn't in the program's budget, so the buffer is small.
         SockRef::from(&listener).set_send_buffer_size(4096).unwrap();
         let mut server = Server::on(listener, address, |front| front.unwritten = Budget::new(ROOM));
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(2048).unwrap();
         let mut flood = Peer::new(socket.connect(address).await.unwrap());
         let result = vec![b'x'; 4000];
-        // Answers are asked for until no more of them have room.
+        // Requests answers until the budget has no room for another.
         while server.front.unwritten.take(result.len()) {
             server.front.unwritten.give(result.len());
             flood.send(whole_request()).await;
@@ -460,7 +460,7 @@
             floods.push(flood);
         }
         for flood in &mut floods {
-            // Those that have room are waited for, and end by their time.
+            // Those within the budget are awaited and closed by their timeout.
             let end = timeout(Duration::from_millis(500), flood.answer()).await;
             closed += u32::from(matches!(end, Ok(None)));
         }
@@ -484,7 +484,7 @@
         let bytes = whole_request();
         for cut in 1..bytes.len() {
             peer.send(&bytes[..cut]).await;
-            // The connection has read the first part once nothing of it is on its way.
+            // Lets the connection read the first part.
             for _ in 0..3 {
                 yield_now().await;
             }
@@ -501,7 +501,7 @@
     local(async {
         let mut server = Server::start(4).await;
         let mut peer = server.connect().await;
-        // One more than may be open: that one is refused at once.
+        // One more than the limit of open requests: it is refused at once.
         let all: Vec<u8> = (1..=33).flat_map(|n| request(n, u64::from(n), "read", &[], b"body")).collect();
         peer.send(&all).await;
         tokio::io::AsyncWriteExt::shutdown(&mut peer.stream).await.unwrap();
@@ -510,7 +510,7 @@
             ways.push(server.next_reply_to().await);
         }
         assert_eq!(peer.answer().await, Some((33, String::new(), OVERLOADED)));
-        // In any order.
+        // In reverse order.
         for way in ways.into_iter().rev() {
             send_result(way, b"made");
         }
@@ -527,7 +527,7 @@
 #[test]
 fn a_slow_reader_gets_whole_answers_and_delays_no_other_connection() {
     const PIECE: usize = 16;
-    /// As many as may be open at once.
+    /// The limit of open requests.
     const ANSWERS: u16 = 32;
     local(async {
         let mut answered = 0;
@@ -577,7 +577,7 @@
             slow.send(request(n, u64::from(n), "read", &[], b"body")).await;
             send_result(server.next_reply_to().await, &result);
         }
-        // What the system takes of the answers is written by now, and the rest waits for the peer.
+        // The system's buffers are full of answers by now, and the rest waits for the peer.
         for _ in 0..POLLS {
             yield_now().await;
         }
--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -1,6 +1,7 @@
-//! The nodo on deployments that nobody runs: every value of each setting that changes what it does, and every pair of such values,
-//! under more load than the cores can do, with callers that say how long they wait and retry without a mark. The records of the
-//! stand-ins are the truth; the clock goes on by a millisecond whenever nothing is left to do.
+//! Guards against settings that break the guarantees alone or in pairs: each value and each pair of values,
+//! under more load than the cores can handle, with callers that announce their waits and retry without a
+//! mark. Checks the records of the fake servers. The clock advances by a millisecond whenever all tasks are
+//! idle.
 
 mod common;
 use common::paused;
@@ -20,8 +21,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The settings that change what a nodo does, with all their values: the first of each are those of an ordinary site. What stands in
-/// a list is put into the settings as it is; [`WAITS`] and [`CORES`] are read by the test too.
+/// The settings that change a nodo's behaviour, with all their values, those of an ordinary site first.
+/// Values are inserted into the settings as written; some are also read by the test, by the places below.
 const AXES: [(&str, &[&str]); 13] = [
     ("halt", &["\"drop\"", "\"pause\"", "\"silent\""]),
     ("say", &["\"tokens\"", "\"min_rank\"", "\"bias\"", "\"silent\""]),
@@ -35,7 +36,7 @@
     ("freshS", &["0", "1.0"]),
     ("retryAfter", &["true", "false"]),
     ("semantics", &["\"guarded\",\"windowS\":30", "\"single_shot\""]),
-    // Running requests for each core that it survives: plenty, or hardly more than one.
+    // Concurrent runs per core that the interpreter survives: plenty, or hardly more than one.
     ("fallMultiple", &["10", "1.6"]),
 ];
 const HALT: usize = 0;
@@ -43,18 +44,18 @@
 const MARKS_RETRY: usize = 4;
 const DEPENDS_ON: usize = 6;
 const SEMANTICS: usize = 11;
-/// Requests, and the time between two: about one and a half times what two cores can do.
+/// Requests and the interval between them: about 1.5 times what two cores can handle.
 const REQUESTS: u64 = 160;
 const REQUEST_INTERVAL: Duration = Duration::from_millis(9);
-/// All of it takes a few seconds.
+/// The whole test takes a few seconds.
 const HANG_TIMEOUT: Duration = Duration::from_secs(300);
-/// What an answer may be late, with the slack that the platform gives.
+/// How late an answer may be, including the platform's slack.
 const SLACK_MS: u64 = 150;
 
-/// A deployment: a value of each setting, by its place.
+/// One value of each setting, by its index.
 type Combination = [usize; AXES.len()];
 
-/// A number from others, the same in every run.
+/// Returns a pseudo-random number that is the same in each run.
 fn pseudo_random(a: u64, b: u64) -> u64 {
     let mut x = a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x ^= x >> 29;
@@ -68,7 +69,8 @@
         .flat_map(move |a| (a + 1..AXES.len()).map(move |b| (a, combination[a], b, combination[b])))
 }
 
-/// Deployments in which each pair of values comes, drawn from seeds: always the one of many that has most pairs that are new.
+/// Returns combinations that cover each pair of values, each time choosing the drawn one with the most new
+/// pairs.
 fn deployments() -> Vec<Combination> {
     let mut left: BTreeSet<_> = BTreeSet::new();
     for a in 0..AXES.len() {
@@ -123,10 +125,10 @@
     )
 }
 
-/// What was sent, and how long after the notice to leave, if it was.
+/// The requests sent, and their time after the notice to leave, if they came after it.
 type Record = Rc<RefCell<Vec<(Sent, Option<Duration>)>>>;
 
-/// Plays a day of a deployment; returns what does not fit, and how many requests were served.
+/// Runs a deployment; returns the faults and the number of requests served.
 async fn run_deployment(combination: &Combination, seed: u64) -> (Vec<String>, usize) {
     let dependency = Dependency::start(DependencyConfig::new("below", 4, Duration::from_millis(20))).await;
     let (ms, calls) = (Duration::from_millis(10), usize::from(combination[DEPENDS_ON] == 0));
@@ -175,18 +177,19 @@
         if name == "edit" && combination[SEMANTICS] == 0 {
             request.key = Some(format!("{n:032x}"));
         }
-        // A long wait, a short one, one beyond the class's deadline, none at all, one that is over.
+        // A long wait, a short one, one beyond the class's deadline, a very short one, and none left.
         let waits = [700, 150, 5_000, 60, 0][(random / 7 % 5) as usize];
         request.deadline_ms =
             (combination[PASSES_DEADLINE] == 1 && !(random / 35).is_multiple_of(6)).then_some(waits);
         let (balancer, record, again) = (balancer.clone(), record.clone(), (random / 210).is_multiple_of(2));
         let marked = combination[MARKS_RETRY] == 0;
         tasks.push(spawn_local(async move {
-            // Tries of a request that may not run twice are only known as such by their key.
+            // Tries of a request that must not run twice are recognised only by their key.
             let tries = if again && (name != "edit" || request.key.is_some()) { 3 } else { 1 };
             for n in 0..tries {
                 request.resent = marked && n > 0;
-                // Who says nothing of its wait, or more than the class's deadline, is owed an answer by that.
+                // A caller that announces no wait, or more than the class's deadline, must be answered by the
+                // deadline.
                 let due = request.deadline_ms.map_or(1000, |ms| ms.min(1000)) + SLACK_MS;
                 let after = left.map(|left| left.elapsed());
                 let answer = balancer.send(&request, Duration::from_millis(due)).await;
@@ -207,14 +210,14 @@
     find_faults(&record, lived, &interpreter, &dependency)
 }
 
-/// The nodo `lived` on for so long after the notice to leave.
+/// Finds faults. `lived` is the time from the notice to leave to the nodo's exit.
 fn find_faults(
     record: &Record,
     lived: Duration,
     interpreter: &Interpreter,
     dependency: &Dependency,
 ) -> (Vec<String>, usize) {
-    // Once the nodo is gone, or about to be, it is a refused connection that a try meets, and nothing of it was read.
+    // Once the nodo has exited, or is about to, connections are refused and nothing is read.
     let going = lived.saturating_sub(Duration::from_millis(5));
     let read = |after: &Option<Duration>| after.is_none_or(|after| after < going);
     let records = record.borrow();
@@ -233,7 +236,7 @@
     .into_iter()
     .flat_map(|(what, lines)| lines.into_iter().map(move |line| format!("{what}: {line}")))
     .collect();
-    // The grace is 200 ms; the way there counts too.
+    // The grace is 200 ms, plus the time to transmit.
     let late: BTreeSet<&str> = (records.iter())
         .filter(|(_, after)| after.is_some_and(|after| after > Duration::from_millis(260)))
         .map(|(sent, _)| sent.answer.uid.as_str())
@@ -257,10 +260,10 @@
 #[test]
 fn every_pair_of_settings_keeps_the_guarantees() {
     let all = deployments();
-    // Each value and each pair comes; by hand it is checked only that there are some.
+    // Only the plausible number of combinations is checked here.
     assert!((12..40).contains(&all.len()), "{} deployments", all.len());
     let mut served = 0;
-    // Guards against a nodo that is busy for ever without a moment going by: the clock of the test stands still then.
+    // Guards against a nodo that is busy for ever, as the test's clock doesn't advance then.
     let (over, waits) = std::sync::mpsc::channel::<()>();
     std::thread::spawn(move || {
         if waits.recv_timeout(HANG_TIMEOUT) == Err(std::sync::mpsc::RecvTimeoutError::Timeout) {
--- a/crates/node/tests/directory_races.rs
+++ b/crates/node/tests/directory_races.rs
@@ -1,5 +1,6 @@
-//! Events at the directory that cross others: answers that come late, in pieces or not at all, outages while a nodo leaves
-//! or returns, and clients that take all connections meanwhile. See `docs/design/narrow-moments.md`.
+//! Guards against lost or late reports to the directory: responses that are late, partial or missing, outages
+//! while a nodo leaves or returns, and clients that take all connections meanwhile. See
+//! `docs/design/narrow-moments.md`.
 
 mod common;
 #[path = "common/draining.rs"]
@@ -23,11 +24,11 @@
 use tokio::time::{Instant, sleep, timeout};
 
 const MS: Duration = Duration::from_millis(1);
-/// Within this a directory that is back has to be told.
+/// Time limit for a report to a directory that is available again.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 const ACCEPTED_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-/// Reports to the address, beginning with `open`.
+/// Starts reporting to the address, with `open` first.
 fn start_reporting(address: SocketAddr) -> (watch::Sender<Option<Mode>>, watch::Sender<Peers>) {
     let (mode, seen) = watch::channel(Some(Mode::Open));
     let (moves, peers) = watch::channel(all_at(address));
@@ -35,14 +36,14 @@
     (mode, moves)
 }
 
-/// The next report, on whichever connection it comes, and that connection.
+/// Returns the next report, on whichever connection it comes, and that connection.
 async fn next_report(listener: &TcpListener) -> (Peer, String) {
     let mut directory = Peer::accept(listener).await;
     let text = directory.http().await;
     (directory, text)
 }
 
-/// Whatever became of the answer to one report, the next one comes within a second, on another connection.
+/// After any response to one report, or none, the next report comes within a second on another connection.
 #[test]
 fn a_report_without_a_valid_response_is_repeated_within_a_second() {
     paused(async {
@@ -69,7 +70,7 @@
                     began.elapsed()
                 );
                 drop(silent);
-                // One that counts, in pieces, and the connection is closed behind it.
+                // A valid response in pieces, after which the connection is closed.
                 for piece in ACCEPTED_RESPONSE.as_bytes().chunks(5) {
                     directory.send(piece).await;
                     sleep(10 * MS).await;
@@ -80,8 +81,8 @@
     });
 }
 
-/// A report counts only with its answer. A directory that always needs longer than the first attempt waits has to be
-/// waited for, or no report would ever count.
+/// A report counts only once it is answered. If the reporter never waited longer than its first attempt does,
+/// no report to a slow directory would ever count.
 #[test]
 fn a_report_is_accepted_by_a_directory_that_takes_half_a_second_to_answer() {
     paused(async {
@@ -91,7 +92,7 @@
         loop {
             let (mut directory, _) = next_report(&listener).await;
             sleep(500 * MS).await;
-            // An error means that the answer was not waited for.
+            // A write error means that the reporter did not wait for the response.
             if directory.is_silent() && directory.stream.try_write(ACCEPTED_RESPONSE.as_bytes()).is_ok() {
                 let next = tokio::time::timeout(REPORT_TIMEOUT, directory.until(b"\r\n\r\n")).await;
                 if matches!(next, Ok(Some(_))) {
@@ -106,7 +107,7 @@
     });
 }
 
-/// Listens at an address that is free and kept by its holder.
+/// Listens at an address that its holder reserves.
 fn rebind_listener(holder: &TcpSocket) -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_reuseport(true).unwrap();
@@ -114,7 +115,7 @@
     socket.listen(64).unwrap()
 }
 
-/// The news comes while nobody listens, or while a directory takes connections and answers none.
+/// The mode changes while nothing listens, or while the directory accepts connections without answering.
 #[test]
 fn a_mode_change_during_an_outage_is_reported_within_a_second_of_its_end() {
     paused(async {
@@ -123,11 +124,11 @@
         holder.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let (mode, _moves) = start_reporting(holder.local_addr().unwrap());
         let mut news = Mode::Open;
-        // The outage lasts for so long after the news.
+        // Duration of the outage after the change.
         for ms in [0u32, 100, 400, 700, 1000, 1300, 1600, 1900] {
             news = if news == Mode::Open { Mode::Closed } else { Mode::Open };
             let text = if news == Mode::Open { "open" } else { "closed" };
-            // It refuses connections.
+            // The directory refuses connections.
             sleep(2000 * MS).await;
             mode.send_replace(Some(news));
             sleep(MS * ms).await;
@@ -139,14 +140,14 @@
                 "{heard} after {:?}",
                 back.elapsed()
             );
-            // From now on it takes them and is silent, and then it goes down.
+            // The directory accepts connections without answering, and then goes down.
             sleep(2000 * MS).await;
             drop(directory);
         }
     });
 }
 
-/// A process that may open so many descriptors, and clients that take all connections which it gives them.
+/// A process with a descriptor limit, and clients that take all connections it accepts.
 struct NodoAtConnectionLimit {
     nodo: Nodo,
     start: Incarnation,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Has clients connect and bring nothing, more than there are descriptors.
+    /// Opens more idle connections than the process has descriptors.
     async fn fill_connections(&mut self) {
         self.clients.clear();
         for _ in 0..self.descriptors + 8 {
@@ -196,14 +197,14 @@
         timeout(PROGRESS_TIMEOUT, done).await.unwrap_or_else(|_| panic!("{what}: {}", self.nodo.logs()))
     }
 
-    /// A health check on a connection of its own.
+    /// Sends a health check on a new connection.
     async fn is_healthy(&self) -> bool {
         let mut check = Peer::new(TcpStream::connect(self.nodo.address).await.unwrap());
         check.send(request(1, 1, "read", &[("SCRIPT_NAME", "/healthz")], b"")).await;
         self.within("a health check", check.answer()).await.expect("an answer").1.starts_with("Status: 200 ")
     }
 
-    /// The status of a request on a connection of its own.
+    /// Sends a request on a new connection and returns the status.
     async fn status(&mut self, request: &Request) -> u16 {
         self.number += 1;
         let mut wire = Wire::connect(self.nodo.address, self.number).await.unwrap();
@@ -211,7 +212,7 @@
         self.within("a request", wire.answer()).await.expect("an answer").1.status
     }
 
-    /// The directory is back; whether the next report says this, and soon.
+    /// Ends the directory's outage; the next report must have this mode and come in time.
     async fn check_report_after_outage(&self, mode: &str) {
         let before = self.nodo.directory.modes().len();
         let back = Instant::now();
@@ -227,7 +228,7 @@
         assert!(took < REPORT_TIMEOUT || !self.stall_monitor.is_steady(), "it was told after {took:?}");
     }
 
-    /// What has to go on while clients hold all connections.
+    /// Checks what must keep working while clients hold all connections.
     async fn check_own_connections(&mut self) {
         self.fill_connections().await;
         assert!(self.is_healthy().await);
@@ -242,7 +243,7 @@
         let interpreter = self.nodo.interpreters[0].clone();
         let links = interpreter.links();
         interpreter.drop_link();
-        // One for the break, one for the new link.
+        // One for the drop, one for the new link.
         self.within("a new link", async {
             while interpreter.links() < links + 2 {
                 sleep(MS).await;
@@ -253,8 +254,8 @@
     }
 }
 
-/// Idle clients take every connection that they are given, and the directory is gone as health is withdrawn, as it is
-/// good again, and as the nodo leaves: what the nodo itself needs a connection for goes on all the same.
+/// Idle clients take every connection that they can get, and the directory is down as health is withdrawn, as
+/// it is restored, and as the nodo leaves. The connections that the nodo itself needs must still work.
 async fn at_limit(descriptors: usize) {
     let database = Dependency::start(DependencyConfig::new("db", 8, 5 * MS)).await;
     let mut at_limit = NodoAtConnectionLimit::start(descriptors, database.address()).await;
@@ -271,7 +272,7 @@
     at_limit.check_own_connections().await;
     at_limit.fill_connections().await;
     at_limit.start.process.terminate();
-    // It drains as soon as its health check is bad.
+    // It drains as soon as its health check fails.
     at_limit.within("it drains", async { while at_limit.is_healthy().await {} }).await;
     at_limit.check_report_after_outage("closed").await;
     let ended = timeout(PROGRESS_TIMEOUT, at_limit.start.process.wait()).await;
--- a/crates/node/tests/isolation.rs
+++ b/crates/node/tests/isolation.rs
@@ -1,5 +1,5 @@
-//! No value of one deployment's settings reaches another: deployments that nobody runs, one process for each, and one process that is
-//! taken by SIGHUP from each of them to each other one. The stand-ins' records say what reached them.
+//! Guards against settings of one deployment that affect another: one process for each made-up deployment,
+//! and processes that SIGHUP takes from each to each other one. Checks the records of the fake servers.
 
 #[path = "common/draining.rs"]
 mod draining;
@@ -21,13 +21,13 @@
 const MS: Duration = Duration::from_millis(1);
 /// Longer than any short deadline, and shorter than any long one.
 const DEADLINE_TIMEOUT: Duration = Duration::from_secs(15);
-/// A request whose deadline is short may fail on a machine that is busy elsewhere. It is sent again, so often at most.
+/// Maximum tries of a request with a short deadline, which may fail on a busy machine.
 const TRIES: usize = 20;
-/// Processes among which the round of all reloads is divided.
+/// Processes among which the reloads are divided.
 const PROCESSES: usize = 5;
-/// How long a run takes that is not held: longer than [`SHORT_WAIT_MS`].
+/// Duration of a run that isn't blocked: longer than [`SHORT_WAIT_MS`].
 const RUN_DURATION: Duration = Duration::from_millis(10);
-/// What a caller says to wait that has no use for any answer.
+/// The wait announced by a caller that is too short for any answer.
 const SHORT_WAIT_MS: u64 = 1;
 
 fn all_names(of: impl Fn(&Deployment) -> Vec<&'static str>) -> BTreeSet<&'static str> {
@@ -38,7 +38,7 @@
     all_names(|deployment| deployment.classes.iter().map(|class| class.name).collect())
 }
 
-/// A process, and what it talks to.
+/// A process and its peers.
 struct Site {
     nodo: Nodo,
     start: Incarnation,
@@ -75,7 +75,7 @@
         Site { nodo, start, interpreter, balancer, settings, reloads: 0, requests: 0 }
     }
 
-    /// Takes the process to another deployment.
+    /// Reloads the process with the settings of another deployment.
     async fn reload(&mut self, to: &Deployment) {
         let config = self.nodo.folder.join("config1.json");
         let text = std::fs::read_to_string(&config).unwrap();
@@ -107,7 +107,7 @@
         serde_json::from_str::<Value>(told.lines().next().unwrap()).unwrap()["transactions"].take()
     }
 
-    /// Names of other deployments are turned away as bad, and nothing of that reaches the interpreter or the figures.
+    /// Names of other deployments are rejected as invalid, and reach neither the interpreter nor the figures.
     async fn check_foreign_names_rejected(&mut self, own: &Deployment) {
         let before = self.rows().await;
         for name in class_names().into_iter().filter(|name| own.class(name).is_none()) {
@@ -139,7 +139,7 @@
         self.interpreter.runs().iter().filter(|run| run.body == body.as_bytes()).count()
     }
 
-    /// Each class and tenant is served, under its own name and with this deployment's free number.
+    /// Each class and tenant is served under its own name and with this deployment's form of advice.
     async fn check_own_names_served(&mut self, own: &Deployment) {
         for class in own.classes {
             let tenants = if own.tenants.is_empty() { &["nobody", "north"][..] } else { own.tenants };
@@ -167,7 +167,7 @@
         panic!("{}: {} of {tenant} was not served: {}", own.name, class.name, self.nodo.logs());
     }
 
-    /// A word on how long a caller waits counts where the settings promise it, and nowhere else.
+    /// A caller's announced wait counts only where the settings say so.
     async fn check_caller_deadlines(&mut self, own: &Deployment) {
         let class = own.classes.iter().find(|class| !class.is_short()).expect("a class with a long deadline");
         let body = self.body("hurried");
@@ -176,7 +176,8 @@
         assert_eq!(answer.status == 200, !own.passes_deadline, "{}: {answer:?}", own.name);
     }
 
-    /// A key keeps a body of a guarded class from running twice, also by way of another deployment, and no other class of that name.
+    /// A key keeps a body of a guarded class from running twice, also across a change of deployment, and has
+    /// no effect on a class of the same name that isn't guarded.
     async fn check_keys(&mut self, own: &Deployment) {
         for class in own.classes.iter().filter(|class| !class.is_short()) {
             let body = format!("the same for {}", class.name);
@@ -203,13 +204,13 @@
         self.check_keys(own).await;
     }
 
-    /// Opens a request whose run does not end by itself.
+    /// Opens a request whose run doesn't end by itself.
     async fn open(&mut self, own: &Deployment, class: &Class) -> OpenRequest {
         let body = self.body(&format!("{}-{}", String::from_utf8_lossy(BLOCKING_PREFIX), class.name));
         let (balancer, request) = (self.balancer.clone(), own.request(class.name, &body));
         let answer = spawn_local(async move { balancer.send(&request, PROGRESS_TIMEOUT).await });
         let begun = async {
-            // On a busy machine one with a short deadline may be over before it runs.
+            // On a busy machine, a short deadline may pass before the run starts.
             while self.runs(&body) == 0 && !answer.is_finished() {
                 sleep(MS).await;
             }
@@ -220,7 +221,8 @@
         OpenRequest { body, answer }
     }
 
-    /// Opens a request of each class, goes over to another deployment, and has all answered by the deadlines that they came with.
+    /// Opens a request of each class, reloads with another deployment, and checks that all are answered by
+    /// their own deadlines.
     async fn reload_with_open_requests(&mut self, from: &Deployment, to: &Deployment) {
         let what = format!("{} to {}", from.name, to.name);
         let mut before = Vec::new();
@@ -233,8 +235,8 @@
         for class in to.classes.iter().filter(|class| class.is_short()) {
             after.push((class, self.open(to, class).await));
         }
-        // Nothing lets these runs go on: these answers come with the deadlines. By then, any short deadline of the later settings has
-        // passed for the earlier requests, too.
+        // These runs never resume, so the deadlines cause the answers. By then, any short deadline of the
+        // later settings has passed for the earlier requests, too.
         let short = before.extract_if(.., |(class, _)| class.is_short()).chain(after);
         for (class, open) in short {
             let answer = timeout(DEADLINE_TIMEOUT, open.answer).await;
@@ -244,7 +246,8 @@
         }
         for (class, open) in before {
             assert!(!open.answer.is_finished(), "{what}: {} ended before its deadline", class.name);
-            // Not with a result: what a class takes is learned of those, by its name, and a short deadline would be thought hopeless.
+            // No success: run times are learned from results by class name, and would make a short deadline
+            // look hopeless.
             self.interpreter.fail(open.body.as_bytes());
             let answer = open.answer.await.unwrap();
             assert_eq!(answer.status, 500, "{what}: {} {answer:?}", class.name);
@@ -252,18 +255,18 @@
     }
 }
 
-/// A request whose answer has not come yet.
+/// A request in flight.
 struct OpenRequest {
     body: String,
     answer: tokio::task::JoinHandle<Answer>,
 }
 
-/// A round that goes from each of `count` to each other one, once.
+/// Returns a path that takes each transition between two of `count` deployments once.
 fn all_transitions(count: usize) -> Vec<(usize, usize)> {
     let mut left: BTreeSet<(usize, usize)> =
         (0..count).flat_map(|a| (0..count).filter(move |b| a != *b).map(move |b| (a, b))).collect();
     let (mut open, mut path) = (vec![0], Vec::new());
-    // By Hierholzer: every place has as many transitions out as in.
+    // Hierholzer's algorithm: each node has as many edges out as in.
     while let Some(&at) = open.last() {
         match left.iter().find(|(from, _)| *from == at).copied() {
             Some(way) => {
@@ -285,7 +288,7 @@
     assert!(path.windows(2).all(|two| two[0].1 == two[1].0));
 }
 
-/// Each deployment in a process of its own: the figures name its classes and no other.
+/// Each deployment in its own process: the figures name its classes and no others.
 #[test]
 fn a_process_uses_only_the_values_of_its_own_deployment() {
     local(async {
@@ -311,7 +314,8 @@
     });
 }
 
-/// Before its interpreter is up a process turns all away, with the longest advice that its settings allow: to the millisecond.
+/// Until its interpreter is ready, a process refuses all requests with the longest advice of its settings,
+/// exact to the millisecond.
 #[test]
 fn retry_advice_follows_the_settings_in_force() {
     local(async {
@@ -337,7 +341,8 @@
     });
 }
 
-/// From each deployment to each other one in running processes, with requests open on the way. Each process takes a part of the round.
+/// Takes running processes from each deployment to each other one with requests open. Each process takes a
+/// part of the transitions.
 #[test]
 fn a_reloaded_process_uses_only_the_settings_in_force() {
     local(async {
--- a/crates/node/tests/nodo.rs
+++ b/crates/node/tests/nodo.rs
@@ -77,7 +77,7 @@
         }
         balancer.send(request(1, 1, "read", &[], &[7; 2048])).await;
         assert_eq!(nodo.applied().await, "0000000000000001");
-        // The same id once more, while that one is here, is a bad request too.
+        // A second request with the id of one that is in flight is invalid, too.
         balancer.send(request(2, 1, "read", &[], b"")).await;
         assert!(balancer.answer().await.unwrap().1.starts_with("Status: 400 "));
     });
@@ -118,7 +118,7 @@
     });
 }
 
-/// Such a connection would be open for ever, and its descriptor with it.
+/// Otherwise the connection and its descriptor would stay open for ever.
 #[test]
 fn a_truncated_request_does_not_keep_its_connection_open() {
     local(async {
@@ -144,7 +144,7 @@
         balancer.send(try_of(1)).await;
         let uid = nodo.applied().await;
         balancer.send(try_of(2)).await;
-        // Another request behind it shows that the second try was read and not run.
+        // A later request shows that the second try was read and not run.
         balancer.send(request(9, 9, "read", &[], b"")).await;
         assert_eq!(nodo.applied().await, "0000000000000009");
         nodo.link.send(value(1, &uid, "OK", "c2lnbmVk")).await;
@@ -157,8 +157,8 @@
     });
 }
 
-/// On SIGHUP the program reads its file again: a faulty one changes nothing, a good one moves the link, and what was
-/// not confirmed on the old one is sent again.
+/// SIGHUP reloads the configuration: an invalid file changes nothing, and a valid one moves the link and
+/// resends what was not confirmed on the old one.
 #[test]
 fn sighup_applies_a_valid_file_and_keeps_running_on_an_invalid_one() {
     local(async {
@@ -185,13 +185,14 @@
         };
         let mut link = Peer::accept(&here).await;
         catch_up(&mut link, 0, &value(1, "00000000000000ff", "OK", "")).await;
-        // Reported once the interpreter is up.
+        // Reported once the interpreter is ready.
         assert!(Peer::accept(&directory).await.http().await.ends_with(r#"{"mode":"open"}"#));
         std::fs::write(&path, text(new_vm).replace(r#""db""#, r#""database""#)).unwrap();
         hang_up();
         let file = path.display();
         told(&format!("configuration: {file}: db is missing; the one before stays in force"));
-        // The key as it stands in the file, not as the module names it; and one that is only found wrong beside those in force.
+        // Messages name the key as written in the file, not as in the module. One fault shows only beside the
+        // settings in force.
         std::fs::write(&path, text(new_vm).replacen(r#""deadlineS":40"#, r#""deadlineS":0"#, 1)).unwrap();
         hang_up();
         told(&format!(
@@ -213,8 +214,8 @@
     });
 }
 
-/// The interpreter may come up long after the nodo, and turns away whatever comes before: commands, if they waited for
-/// an answer to an early question, would never be sent.
+/// The interpreter may become ready long after the nodo and rejects everything before. If commands waited for
+/// an answer to an early question, they would never be sent.
 #[test]
 fn only_the_greeting_is_sent_before_the_interpreter_is_ready() {
     local(async {
@@ -242,7 +243,7 @@
         balancer.send([request(1, 1, "read", &[], b""), request(2, 2, "read", &[], b"")].concat()).await;
         let (first, second) = (nodo.applied().await, nodo.applied().await);
         nodo.link.send(value(1, "ffffffffffffffff", "OK", "")).await;
-        // The end of the first run is on its way when the link breaks; of the second run nothing is known.
+        // The end of the first run is in transit when the link breaks; nothing is known of the second run.
         nodo.link = Peer::accept_after_break(nodo.link, &nodo.interpreter).await;
         let missed = [value(1, &second, "OK", "bm8="), value(2, &first, "OK", "eWVz")].concat();
         catch_up(&mut nodo.link, 1, &missed).await;
@@ -264,7 +265,7 @@
         let uid = nodo.applied().await;
         nodo.leave.take().unwrap().send(()).unwrap();
         assert!(nodo.report().await.ends_with(r#"{"mode":"closed"}"#));
-        // The grace of these settings is over at once.
+        // The grace of these settings is zero.
         balancer.send(request(2, 2, "read", &[], b"")).await;
         let (id, answer, _) = balancer.answer().await.unwrap();
         assert!(id == 2 && answer.starts_with("Status: 503 "), "{answer}");
@@ -277,7 +278,7 @@
     });
 }
 
-/// Connections server. The test answers in the place of the engine.
+/// The connection code alone, with the test as its engine.
 struct ConnectionServer {
     front: Rc<Front>,
     address: SocketAddr,
@@ -301,7 +302,7 @@
 
     async fn connect(&self) -> Peer {
         let peer = Peer::new(TcpStream::connect(self.address).await.unwrap());
-        // For the connection to be taken.
+        // Lets the server accept the connection.
         tokio::time::sleep(Duration::from_millis(5)).await;
         peer
     }
@@ -313,7 +314,7 @@
         }
     }
 
-    /// Has a connection bring a request and answers it.
+    /// Sends a request on the connection and answers it.
     async fn send_and_answer(&mut self, peer: &mut Peer) {
         peer.send(request(9, 9, "read", &[], b"")).await;
         self.reply_to().await.send(Reply::new(Answer::Failed, None));
@@ -321,7 +322,7 @@
     }
 }
 
-/// Those who bring nothing are owed a close within 3 s of connecting, however they go about it.
+/// Connections that bring no whole request are closed within 3 s, whatever part of one they send.
 #[test]
 fn connections_without_a_whole_request_are_closed_in_time() {
     paused(async {
@@ -334,9 +335,9 @@
             while timeout(Duration::from_secs(600), peer.record()).await.expect("a close").is_some() {}
             assert!((1..3).contains(&began.elapsed().as_secs()));
         }
-        // One byte at a time makes no difference.
+        // Sending one byte at a time makes no difference.
         let (began, mut peer) = (Instant::now(), server.connect().await);
-        // Each byte leaves at once: the system would hold it back by a clock of its own.
+        // Without Nagle's algorithm, whose delays don't follow the test's clock.
         peer.stream.set_nodelay(true).unwrap();
         for byte in whole.iter().cycle() {
             if peer.stream.write_all(&[*byte]).await.is_err() {
@@ -357,8 +358,8 @@
         let mut peer = server.connect().await;
         server.send_and_answer(&mut peer).await;
         assert!(timeout(Duration::from_secs(100), peer.record()).await.is_err(), "it is quiet and stays");
-        // Half a request behind a whole one, and then what is no record: the whole one is answered all the same.
-        // That half of a request never ran is said of it, once it is given up.
+        // Half a request or an invalid record follows a whole request, which is still answered. The half
+        // request is refused as never run once it times out.
         let never_ran = Some((kind::END_REQUEST, 2, vec![0, 0, 0, 0, 2, 0, 0, 0]));
         let half = request(2, 2, "read", &[], b"")[..40].to_vec();
         for (rest, said) in [(half, never_ran), (b"GET / HTTP/1.1\r\n".to_vec(), None)] {
@@ -376,7 +377,8 @@
     });
 }
 
-/// Guards against small answers that the system holds back until earlier ones are acknowledged: a close may take them with it.
+/// Guards against small answers that the system delays until earlier ones are acknowledged: a close could
+/// discard them.
 #[test]
 fn small_answers_are_sent_without_nagle_delay() {
     paused(async {
@@ -395,7 +397,7 @@
     });
 }
 
-/// A close with bytes unread is a reset, with which the refusal would be lost.
+/// Closing with unread bytes resets the connection, which would discard the refusal.
 #[test]
 fn an_oversized_body_is_refused_early_and_drained_for_a_limited_time() {
     paused(async {
@@ -408,7 +410,7 @@
         peer.send(&begun).await;
         peer.send(&stdin).await;
         assert!(peer.answer().await.unwrap().1.starts_with("Status: 400 "));
-        // The connection lives, if there is an end to it.
+        // The connection stays usable if the body ends.
         peer.send(&stdin).await;
         server.send_and_answer(&mut peer).await;
         peer.send(&begun).await;
@@ -421,7 +423,7 @@
     });
 }
 
-/// Descriptors are few, and there are peers that open connections by the hundred.
+/// Guards against peers that open hundreds of connections and exhaust the descriptors.
 #[test]
 fn the_least_used_connection_is_evicted_at_the_connection_limit() {
     paused(async {
@@ -432,7 +434,7 @@
         owed.send(request(1, 1, "read", &[], b"")).await;
         let reply_to = server.reply_to().await;
         let mut silent = Vec::new();
-        // One place is always kept free.
+        // One slot is always kept free.
         while server.front.open.get() < most - 1 {
             silent.push(server.connect().await);
         }
@@ -441,7 +443,8 @@
         server.send_and_answer(&mut late).await;
         assert_eq!(silent.remove(0).record().await, None, "the oldest that brought nothing goes first");
         assert_eq!(server.front.open.get(), most - 1);
-        // With no such one left, the one that has been idle for longest goes, and never one that waits for its answer.
+        // Otherwise the connection that has been idle for longest is evicted, and never one that waits for an
+        // answer.
         for peer in &mut silent {
             server.send_and_answer(peer).await;
         }
--- a/crates/node/tests/parsers.rs
+++ b/crates/node/tests/parsers.rs
@@ -1,5 +1,5 @@
-//! The parsers against random cuts of valid messages and random garbage, from fixed seeds: however the bytes come, the
-//! same is read, and nothing panics or is taken for what it is not.
+//! The parsers on random splits of valid messages and on random garbage, from fixed seeds: the result doesn't
+//! depend on the splits, and nothing panics or is accepted as something else.
 
 mod common;
 use common::*;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Feeds bytes in pieces, as a connection does; what was read, or `None` where the framing is lost.
+/// Feeds bytes in pieces as a connection does; returns the steps, or `None` if the framing is invalid.
 fn feed(requests: &mut Requests, pieces: &[&[u8]], out: &mut Vec<u8>) -> Option<Vec<Step>> {
     let (mut input, mut steps) = (Vec::new(), Vec::new());
     for piece in pieces {
@@ -57,7 +57,7 @@
         padding in any::<u8>(),
     ) {
         let mut bytes = request(1, 7, "read", &[("LONG", &"y".repeat(300))], &body);
-        // A record that is not known, with padding, and a second request behind it.
+        // An unknown record with padding, and a second request after it.
         bytes.extend([1, 77, 0, 1, 0, 2, padding, 0, 9, 9]);
         bytes.extend(vec![0; padding.into()]);
         bytes.extend(request(2, 8, "sign", &[], b"x"));
@@ -122,7 +122,7 @@
     assert_eq!(read_line(line), Ok(Message::Gauges { tag: 3, vouches: 9, readings }));
 }
 
-/// The records that `bytes` are answered with.
+/// Returns the records with which `bytes` are answered.
 fn answers(requests: &mut Requests, bytes: &[u8]) -> Vec<(u8, u16, Vec<u8>)> {
     let mut out = Vec::new();
     feed(requests, &[bytes], &mut out).unwrap();
@@ -163,7 +163,7 @@
     let mut requests = new_requests();
     let many: Vec<u8> = (1..=MAX_OPEN as u16 + 1).flat_map(begin).collect();
     assert_eq!(answers(&mut requests, &many), [(kind::END_REQUEST, 33, overloaded.clone())]);
-    // What is over the budget ends, and what it had is given back.
+    // A request over the budget is ended and its memory is released.
     let budget = Budget::new(1000);
     let mut requests = Requests::new(budget.clone());
     let mut bytes = [begin(1), begin(2)].concat();
@@ -172,7 +172,7 @@
     assert_eq!(answers(&mut requests, &bytes), [(kind::END_REQUEST, 2, overloaded)]);
     drop(requests);
     assert!(budget.take(1000) && !budget.take(1));
-    // A whole request counts until it is answered, as does one that is known to be over its size.
+    // A whole request counts until it is answered, as does one that is known to be over the size limit.
     let budget = Budget::new(10_000);
     let mut requests = Requests::new(budget.clone());
     let both = [request(1, 1, "read", &[], &[0; 2000]), request(2, 2, "read", &[], &[0; 2500])].concat();
--- a/crates/node/tests/peer_races.rs
+++ b/crates/node/tests/peer_races.rs
@@ -1,5 +1,5 @@
-//! Events at the database and the interpreter that cross others: replies that come late or break off, links that break,
-//! and notices that come twice. See `docs/design/narrow-moments.md`.
+//! Guards against repeated calls and double answers when events at the database and the interpreter race:
+//! late or truncated replies, broken links and duplicate notices. See `docs/design/narrow-moments.md`.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// What observed a nodo while one request was open there.
+/// What the interpreter, the database and the balancer observed of one request.
 #[derive(Debug, Default)]
 struct Observed {
     resolved: usize,
@@ -19,8 +19,8 @@
     statuses: Vec<String>,
 }
 
-/// Plays the interpreter and the database for a run that waits at notice 1, until its request is answered: a call is
-/// answered well, a run that goes on ends well, and one that is to stop does.
+/// Acts as the interpreter and the database for a run that waits at notice 1, until its request is answered.
+/// Calls and resumed runs succeed, and a run that is to stop does.
 async fn finish_run(nodo: &mut Nodo, balancer: &mut Peer, uid: &str) -> Observed {
     let mut observed = Observed::default();
     let mut text = Vec::new();
@@ -49,19 +49,19 @@
             }
         }
     }
-    // A call that was made by then waits to be accepted, and an answer that was given to be read.
+    // Lets a further call arrive at the listener, and a further answer at the balancer.
     sleep(20 * MS).await;
     tokio::select! {
         biased;
         _ = nodo.database.accept() => observed.called_again += 1,
-        // The connection may end, where the nodo leaves.
+        // The connection may end when the nodo drains.
         record = balancer.record() => assert!(record.is_none(), "a second answer: {record:?}"),
         () = sleep(MS) => {}
     }
     observed
 }
 
-/// Has a request of the class run until it waits for its call, and reads that.
+/// Starts a run of the class and reads the call for which it waits.
 async fn start_run_with_call(nodo: &mut Nodo, balancer: &mut Peer, class: &str) -> (String, Peer) {
     let key = [("HTTP_X_OPERATION_KEY", "one-key")];
     let more = if class == "sign" { &key[..] } else { &[] };
@@ -74,8 +74,8 @@
     (uid, call)
 }
 
-/// The reply breaks off before, within and behind its head. What was called for may have run: a keyed class does not
-/// call again, and a run hears at most once what became of its call.
+/// The reply breaks off before, within and after its head. The call may have taken effect: a keyed class must
+/// not repeat it, and a run gets at most one result of its call.
 #[test]
 fn a_call_with_a_truncated_reply_is_not_repeated_for_a_keyed_class() {
     local(async {
@@ -96,7 +96,7 @@
     });
 }
 
-/// The link breaks while a call is out, and the reply comes before the next link has caught up.
+/// The link breaks during a call, and the reply comes before the next link has caught up.
 #[test]
 fn a_reply_received_while_the_link_is_down_reaches_the_run_once() {
     local(async {
@@ -116,8 +116,8 @@
     });
 }
 
-/// The nodo is told to leave while a call is out: the run still gets the reply, and its request the result, whether the
-/// reply crosses the notice or comes well behind it.
+/// The nodo is terminated during a call. The run still gets the reply, and its request the result, whether
+/// the reply comes together with the signal or well after it.
 #[test]
 fn a_reply_during_the_drain_reaches_the_run() {
     local(async {
@@ -141,7 +141,8 @@
     });
 }
 
-/// The run ends while its call is out: the call is given up, and the reply that crosses that is told to nobody.
+/// The run ends during its call: the call is cancelled, and a reply that arrives at the same time is
+/// discarded.
 #[test]
 fn a_reply_after_the_end_of_its_run_is_discarded() {
     local(async {
@@ -152,13 +153,13 @@
         call.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows").await;
         let observed = finish_run(&mut nodo, &mut balancer, &uid).await;
         assert!(observed.statuses[0].contains("500"), "{observed:?}");
-        // A run of its own shows what was sent to the interpreter before it.
+        // A further run shows what was sent to the interpreter before it.
         balancer.send(request(2, 2, "read", &[], b"")).await;
         assert!(nodo.command().await.contains("APPLY"), "the run that was over was told of a reply");
     });
 }
 
-/// A notice that comes twice counts once, also if it names another run the second time.
+/// A duplicate notice is ignored, also if it names another run.
 #[test]
 fn a_duplicate_notice_is_ignored() {
     local(async {
@@ -180,7 +181,7 @@
     });
 }
 
-/// The end of a run comes as its caller gives it up, in either order on the two connections.
+/// A run ends as its caller aborts it, in either order on the two connections.
 #[test]
 fn an_abort_racing_the_end_of_its_run_yields_at_most_one_answer() {
     local(async {
@@ -198,7 +199,7 @@
                 nodo.link.send(value(pos, &uid, "OK", "eWVz")).await;
                 balancer.send(abort).await;
             }
-            // One answer at most: a second one would come before that of the health check.
+            // At most one answer: a second one would come before that of the health check.
             balancer.send(request(2, 1000, "read", &[("SCRIPT_NAME", "/healthz")], b"")).await;
             let mut ids = Vec::new();
             while ids.last() != Some(&2) {
@@ -209,8 +210,7 @@
     });
 }
 
-/// A further try is written in the moment in which the end of the first one's run is told: one answer each, and no
-/// second run of a key.
+/// A retry is written as the first try's run ends. Each gets one answer, and a key runs only once.
 #[test]
 fn a_retry_racing_the_end_of_the_first_try_is_answered_without_a_second_run() {
     local(async {
@@ -227,7 +227,7 @@
             let retry = request(1, 2 * n + 2, class, &again, b"body");
             pos += 1;
             let end = value(pos, &uid, "OK", "eWVz");
-            // Either is written first in turn; the other follows at once.
+            // The two are written in alternating order, one right after the other.
             if n % 4 < 2 {
                 second.send(&retry).await;
                 nodo.link.send(end).await;
@@ -245,14 +245,14 @@
             let (_, answer, _) = second.answer().await.unwrap();
             assert!(answer.ends_with("\r\n\r\nyes"), "{class}: {answer}");
         }
-        // A class of its own shows that nothing else was told to the interpreter.
+        // A further request shows that nothing else was sent to the interpreter.
         first.send(request(1, 999, "read", &[], b"last")).await;
         assert!(nodo.command().await.contains("bGFzdA=="), "a key ran twice");
     });
 }
 
-/// The notice to leave comes before the interpreter is up, and the interpreter just behind it or never: nothing is
-/// reported as open and nothing runs, and the nodo ends.
+/// The nodo is terminated before its interpreter is ready, which becomes ready just after that or never.
+/// Nothing is reported as open, nothing runs, and the nodo exits.
 #[test]
 fn a_nodo_terminated_before_its_interpreter_is_ready_runs_nothing() {
     local(async {
@@ -260,7 +260,7 @@
             let (mut nodo, lookup) = Nodo::start_early().await;
             let mut balancer = nodo.connect().await;
             nodo.leave.take().unwrap().send(()).unwrap();
-            // A health check shows that the engine has the notice.
+            // A health check shows that the engine has processed the signal.
             let check = request(1, 1, "read", &[("SCRIPT_NAME", "/healthz")], b"");
             balancer.send([check, request(2, 2, "read", &[], b"")].concat()).await;
             if comes_up {
--- a/crates/node/tests/site_variants.rs
+++ b/crates/node/tests/site_variants.rs
@@ -1,4 +1,5 @@
-//! The site files of customers under `deploy/sites`: each folder has what a bench needs, and each fault is told with its file and key.
+//! Checks the site files of customers under `deploy/sites`: each folder has what a benchmark needs, and each
+//! fault is reported with its file and key.
 
 #[path = "common/sites.rs"]
 mod sites;
@@ -6,7 +7,7 @@
 use sites::check;
 use std::path::{Path, PathBuf};
 
-/// Customers whose folders are there.
+/// Minimum number of customers' folders.
 const MIN_SITES: usize = 2;
 
 fn root() -> PathBuf {
@@ -28,7 +29,7 @@
     assert!(names.len() >= MIN_SITES, "{} sites are there: {}", names.len(), names.join(", "));
 }
 
-/// A site without a fault, as small as one may be.
+/// A minimal valid site.
 const GOOD: &str = r#"
 name = "x"
 wire = "wire.json"
@@ -76,7 +77,7 @@
 size = [1.3, 1.6]
 "#;
 
-/// What is put in the place of what, and the message.
+/// The text to replace, its replacement, and the expected message.
 const BROKEN: &[(&str, &str, &str)] = &[
     ("[load]", "[load", "x.toml: is no TOML"),
     ("name = \"x\"", "", "x.toml: name: is missing"),
@@ -128,7 +129,7 @@
     ),
 ];
 
-/// The site `x` in a folder of its own, which is removed in the end.
+/// The site `x` in a temporary folder, which is removed on drop.
 struct Site(PathBuf);
 
 impl Site {
@@ -160,13 +161,13 @@
     let site = Site::new("keys");
     assert_eq!(check(&site.0, "x"), Vec::<String>::new());
     for (part, other, message) in BROKEN {
-        // The last place that it has, as some parts stand in several.
+        // The last occurrence, as some texts occur several times.
         let (before, after) = GOOD.rsplit_once(part).unwrap_or_else(|| panic!("{part}"));
         site.put("x.toml", &format!("{before}{other}{after}"));
         let wrong = check(&site.0, "x");
         let message = format!("deploy/sites/x/{message}");
         assert!(wrong.iter().any(|line| line.starts_with(&message)), "{message} is not in {wrong:#?}");
-        // A fault in one place is not told of others.
+        // A fault must not cause unrelated reports.
         assert!(wrong.len() <= 2, "{part}: {wrong:#?}");
     }
 }
--- a/crates/node/tests/stalled_disk.rs
+++ b/crates/node/tests/stalled_disk.rs
@@ -1,5 +1,5 @@
-//! Nodos of a fleet whose disk stalls. A FIFO in the place of a file is such a disk: whoever opens it to read waits until somebody opens
-//! it to write, which the test does when it wants to.
+//! Guards against a stalled disk that blocks a nodo of a fleet. A FIFO replaces a file: opening it to read
+//! blocks until the test opens it to write.
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::fleet::Fleet;
@@ -16,9 +16,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_jaspershunt");
 const TTL: Duration = Duration::from_secs(1);
-/// From the notice to leave to the kill, for the nodos here.
+/// From SIGTERM to SIGKILL, for the nodos here.
 const STOP: Duration = Duration::from_millis(3200);
-/// For anything to go on; far more than it takes, as machines are slow.
+/// Timeout for progress, far longer than needed on a slow machine.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn local(test: impl Future<Output = ()>) {
@@ -34,11 +34,12 @@
     mknodat(CWD, file, FileType::Fifo, Mode::RWXU, 0).unwrap();
 }
 
-/// Waits until somebody waits for the disk; it stalls on, until this is written to and dropped.
+/// Waits until a reader is blocked on the file. It stays blocked until the returned file is written to and
+/// dropped.
 async fn wait_for_reader(file: &Path) -> File {
     let awaited = async {
         loop {
-            // Refused while nobody has it open to read, or waits to.
+            // Fails while no reader has it open or is opening it.
             let flags = OFlags::NONBLOCK.bits() as i32;
             if let Ok(file) = OpenOptions::new().write(true).custom_flags(flags).open(file) {
                 return file;
@@ -49,7 +50,8 @@
     timeout(PROGRESS_TIMEOUT, awaited).await.expect("nobody waits for the disk")
 }
 
-/// Three voters, with these further blocks in their files; the last one's disk can be made to stall before it starts.
+/// Creates three voters with additional blocks in their files. The last one's disk can be made to stall
+/// before it starts.
 async fn fleet(name: &str, more: &str) -> Fleet {
     let mut fleet = Fleet::new(Path::new(PROGRAM), name, (3, 3), TTL, &[]).await.unwrap();
     for nodo in &mut fleet.nodos {
@@ -59,7 +61,7 @@
     fleet
 }
 
-/// It serves, and answers operators, while its disk stalls.
+/// Checks that the nodo serves requests and answers operators.
 async fn assert_serves(fleet: &Fleet, n: usize, round: u64) {
     let balancer = Balancer::new(fleet.nodos[n].address, 900 + round, None);
     for (n, request) in
@@ -71,14 +73,15 @@
     assert!(fleet.incarnations[n].as_ref().unwrap().is_ready().await, "{}", fleet.logs());
 }
 
-/// Starts a nodo whose disk stalls. One that holds up its traffic never says that it takes clients.
+/// Starts a nodo with a stalled disk. If the disk blocked its traffic, it would never report that it is
+/// ready.
 async fn start(fleet: &mut Fleet, n: usize) {
     if timeout(PROGRESS_TIMEOUT, fleet.start(n)).await.is_err() {
         panic!("a stalled disk holds it up: {}", fleet.logs());
     }
 }
 
-/// It is told to leave, and ends in good order before it would be killed.
+/// Terminates the nodo and checks that it exits successfully before the kill.
 async fn assert_exits_in_time(fleet: &mut Fleet, n: usize) {
     let mut start = fleet.incarnations[n].take().unwrap();
     let told = Instant::now();
@@ -89,7 +92,7 @@
     assert!(took < STOP, "it would have been killed: {took:?} {}", fleet.logs());
 }
 
-/// Whether the nodo takes part, by its own word.
+/// Waits until the nodo reports that it is a member of the fleet.
 async fn wait_for_participation(fleet: &Fleet, n: usize) {
     let part = async {
         while fleet.show(n).await.is_none_or(|shown| shown["leader"].is_null()) {
@@ -99,8 +102,8 @@
     timeout(PROGRESS_TIMEOUT, part).await.unwrap_or_else(|_| panic!("n{n} takes no part: {}", fleet.logs()));
 }
 
-/// The disk stalls as the member starts, with and without anything that the member holds: requests are served, operators answered, and
-/// the nodo leaves in time. One whose disk goes on takes part.
+/// The disk stalls as the member starts, with and without state in the member. Requests are served, operators
+/// answered, and the nodo exits in time. Once the disk works again, the nodo joins the fleet.
 #[test]
 fn a_disk_stalled_at_member_start_blocks_neither_requests_nor_shutdown() {
     local(async {
@@ -128,14 +131,15 @@
     });
 }
 
-/// Whether a process has a thread of this name.
+/// Returns whether a process has a thread of this name.
 fn has_thread(process: u32, name: &str) -> bool {
     let threads = std::fs::read_dir(format!("/proc/{process}/task")).unwrap().flatten();
     let names = threads.filter_map(|thread| std::fs::read_to_string(thread.path().join("comm")).ok());
     names.into_iter().any(|of| of.trim() == name)
 }
 
-/// A member that waited for its disk while another process took the nodo over takes no part with the number that it then gets.
+/// A member that waited for its disk while another process took over must not join with the number that it
+/// then gets.
 #[test]
 fn a_member_superseded_while_its_disk_stalled_does_not_participate() {
     local(async {
@@ -147,14 +151,14 @@
         replace_with_fifo(&starts);
         start(&mut fleet, 2).await;
         let earlier = fleet.incarnations[2].take().unwrap();
-        // The later one's disk does not stall, and the stalled file is still there for the earlier one.
+        // The later process's disk works, and the stalled file stays there for the earlier one.
         let mut stalled = wait_for_reader(&starts).await;
         std::fs::rename(&starts, starts.with_extension("stalled")).unwrap();
         fleet.start(2).await.unwrap();
         wait_for_participation(&fleet, 2).await;
         stalled.write_all(b"7\n").unwrap();
         drop(stalled);
-        // It has its number, and then its thread has ended.
+        // It has got its number, and then its thread has ended.
         let over = async {
             while std::fs::read_to_string(&starts).unwrap().trim() != "8"
                 || has_thread(earlier.process.id(), "fleet")
@@ -170,7 +174,7 @@
     });
 }
 
-/// Edits that an earlier start held lie on a disk that stalls: requests are served, and the nodo leaves in time.
+/// Edits queued by an earlier process are on a stalled disk. Requests are served, and the nodo exits in time.
 #[test]
 fn queued_edits_on_a_stalled_disk_block_neither_requests_nor_shutdown() {
     local(async {
