--- a/crates/node/tests/cold_start.rs
+++ b/crates/node/tests/cold_start.rs
@@ -151,12 +151,12 @@
         let budget = FAIR_CALLS * count as f64;
         assert!(
             in_flight <= budget + slack(budget),
-            "{in_flight:.2} calls of {budget:.2} in hand for {count}"
+            "{in_flight:.2} calls of {budget:.2} in flight for {count}"
         );
         (most_on_cores, most_calls) = (most_on_cores.max(sum), most_calls.max(in_flight));
     }
     println!("{count}: {most_on_cores:.2} on the cores, {most_calls:.2} calls, {} served", served.get());
-    assert!(served.get() >= count, "too little was served to say anything: {}", served.get());
+    assert!(served.get() >= count, "too few requests were served: {}", served.get());
     for one in &mut all {
         one.start.process.kill().await;
         for client in one.clients.drain(..) {
--- a/crates/node/tests/common/draining.rs
+++ b/crates/node/tests/common/draining.rs
@@ -84,7 +84,7 @@
             return;
         }
     }
-    println!("the machine stalls: only what must never happen was judged");
+    println!("the machine stalls: only the safety checks were made");
 }
 
 /// A running process that will be terminated.
@@ -143,17 +143,17 @@
     /// it.
     pub async fn terminate(&self) -> Instant {
         sleep_until(self.terminate_at).await;
-        let told = Instant::now();
+        let terminated_at = Instant::now();
         self.start.process.terminate();
-        told
+        terminated_at
     }
 
     /// Waits for the process to report `closed` and exit successfully.
     pub async fn assert_clean_exit(&mut self) {
         let ended = timeout(PROGRESS_TIMEOUT, self.start.process.wait()).await.unwrap();
-        assert!(ended, "it ends with a fault: {}", self.nodo.logs());
+        assert!(ended, "it exits with a failure: {}", self.nodo.logs());
         let closed_at = timeout(PROGRESS_TIMEOUT, &mut self.directory_watch).await;
-        assert!(closed_at.is_ok(), "the directory never heard that it leaves: {}", self.nodo.logs());
+        assert!(closed_at.is_ok(), "the directory received no report of closed: {}", self.nodo.logs());
     }
 
     /// Checks the guarantees for every request. Each complete request sent up to `answered_until` must have
@@ -169,11 +169,11 @@
             let seen = || format!("{what}: {one:?}, ran {ran} times: {}", self.nodo.logs());
             assert!(ran <= 1, "it ran twice: {}", seen());
             assert!(one.statuses.len() <= 1, "two answers: {}", seen());
-            assert!(one.whole || ran == 0, "it ran and was never whole: {}", seen());
+            assert!(one.whole || ran == 0, "an incomplete request ran: {}", seen());
             // The grace began before the directory could receive the report.
             assert!(
                 ran == 0 || one.last.0 <= closed_at + grace,
-                "it came after the grace and ran: {}",
+                "a request that came after the grace ran: {}",
                 seen()
             );
             assert!(
@@ -181,15 +181,15 @@
                     || one.last.1 > answered_until
                     || one.statuses.len() == 1
                     || !self.stall_monitor.is_steady(),
-                "it was read and not answered: {}",
+                "a complete request was not answered: {}",
                 seen()
             );
             match one.statuses.first() {
-                Some(200) => assert_eq!(ran, 1, "served with what no run made: {}", seen()),
+                Some(200) => assert_eq!(ran, 1, "answered with 200 without a run: {}", seen()),
                 // A run of a safe class may have been stopped.
                 Some(503) => assert!(ran == 0 || !one.keyed, "refused though it ran: {}", seen()),
                 Some(500) => {}
-                Some(_) => panic!("an answer that makes no sense here: {}", seen()),
+                Some(_) => panic!("an unexpected status: {}", seen()),
                 None => assert_eq!(ran, 0, "it ran and was not answered: {}", seen()),
             }
             let late = one.took > DEADLINE + Duration::from_millis(500);
@@ -211,7 +211,7 @@
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(PROGRESS_TIMEOUT, used).await.unwrap_or_else(|_| panic!("it serves nobody: {}", nodo.logs()))
+    timeout(PROGRESS_TIMEOUT, used).await.unwrap_or_else(|_| panic!("it does not serve: {}", nodo.logs()))
 }
 
 /// Writes a request in two parts at the given times, and reads until the connection ends.
@@ -237,7 +237,10 @@
     let last = (before, Instant::now());
     let (mut statuses, mut took) = (Vec::new(), Duration::ZERO);
     let end = loop {
-        match timeout(PROGRESS_TIMEOUT, wire.answer()).await.expect("neither an answer nor an end") {
+        match timeout(PROGRESS_TIMEOUT, wire.answer())
+            .await
+            .expect("neither an answer nor the end of the connection")
+        {
             Ok((_, answer)) => {
                 if statuses.is_empty() {
                     took = last.1.elapsed();
--- a/crates/node/tests/connection_races.rs
+++ b/crates/node/tests/connection_races.rs
@@ -200,10 +200,10 @@
 #[test]
 fn a_first_request_racing_the_eviction_of_its_connection_is_answered() {
     paused(async {
-        let mut crossed = 0;
+        let mut answered = 0;
         for polls in 0..POLLS {
             let server = Server::start(3).await.serve_all();
-            let (resting, other) = (server.connect().await, server.connect().await);
+            let (idle_peer, other) = (server.connect().await, server.connect().await);
             wait_for_open_connections(&server.front, 2).await;
             advance(UNUSED_TIMEOUT).await;
             // The third connection evicts the one that was idle for longest, in the poll in which it is
@@ -213,20 +213,20 @@
                 while front.open.get() < 3 {
                     yield_once().await;
                 }
-                write_after_polls(resting, polls, whole_request()).await
+                write_after_polls(idle_peer, polls, whole_request()).await
             });
             let mut third = server.connect().await;
-            let (mut resting, left) = writer.await.unwrap();
+            let (mut idle_peer, left) = writer.await.unwrap();
             third.send(whole_request()).await;
             if left {
-                crossed += 1;
-                let answer = resting.answer().await;
+                answered += 1;
+                let answer = idle_peer.answer().await;
                 assert!(answer.is_some_and(|a| a.1.ends_with("made")), "lost after {polls} polls");
             }
             assert!(third.answer().await.unwrap().1.ends_with("made"));
             drop(other);
         }
-        assert!(crossed > 0, "no request came before the end");
+        assert!(answered > 0, "no request came before the end");
     });
 }
 
@@ -235,14 +235,14 @@
     local(async {
         let mut server = Server::start(3).await;
         let mut half_read = server.used().await;
-        let mut resting = server.used().await;
+        let mut idle_peer = server.used().await;
         let second = request(1, 8, "read", &[], b"body");
         // The connection with the half-read request has been idle for longer when a slot is needed.
         half_read.send(&second[..60]).await;
-        server.serve(&mut resting).await;
+        server.serve(&mut idle_peer).await;
         let mut caller = server.connect().await;
         server.serve(&mut caller).await;
-        assert!(resting.answer().await.is_none(), "the other one made room");
+        assert!(idle_peer.answer().await.is_none(), "the wrong connection was evicted");
         half_read.send(&second[60..]).await;
         send_result(server.next_reply_to().await, b"second");
         assert!(half_read.answer().await.unwrap().1.ends_with("second"));
@@ -296,14 +296,14 @@
 fn a_request_that_arrived_before_the_final_read_is_answered() {
     local(async {
         let mut server = Server::start(8).await;
-        let (resting, half_read, new) = (server.used().await, server.used().await, server.connect().await);
+        let (idle_peer, half_read, new) = (server.used().await, server.used().await, server.connect().await);
         wait_for_open_connections(&server.front, 3).await;
         let bytes = whole_request();
         assert!(write_unless_ended(&half_read, &bytes[..40]));
         yield_now().await;
         // The connections' tasks can't run between these writes.
         assert!(
-            write_unless_ended(&resting, &bytes)
+            write_unless_ended(&idle_peer, &bytes)
                 && write_unless_ended(&half_read, &bytes[40..])
                 && write_unless_ended(&new, &bytes)
         );
@@ -311,9 +311,9 @@
         for _ in 0..3 {
             send_result(server.next_reply_to().await, b"made");
         }
-        for mut peer in [resting, half_read, new] {
+        for mut peer in [idle_peer, half_read, new] {
             assert!(peer.answer().await.expect("an answer").1.ends_with("made"));
-            assert!(peer.answer().await.is_none(), "and then the end");
+            assert!(peer.answer().await.is_none(), "the connection stayed open");
         }
     });
 }
@@ -344,11 +344,11 @@
         ];
         for close in close {
             let mut server = Server::start(8).await;
-            let mut resting = server.used().await;
-            assert!(write_unless_ended(&resting, &whole_request()));
+            let mut idle_peer = server.used().await;
+            assert!(write_unless_ended(&idle_peer, &whole_request()));
             server.idle.send_modify(close);
             send_result(server.next_reply_to().await, b"made");
-            assert!(resting.answer().await.expect("an answer").1.ends_with("made"));
+            assert!(idle_peer.answer().await.expect("an answer").1.ends_with("made"));
         }
     });
 }
@@ -357,16 +357,16 @@
 fn bytes_after_the_close_of_an_idle_connection_cause_no_reset() {
     local(async {
         let mut server = Server::start(8).await;
-        let resting = server.used().await;
+        let idle_peer = server.used().await;
         server.idle.send_modify(|idle| idle.limit = Duration::ZERO);
-        while !has_ended(&resting) {
+        while !has_ended(&idle_peer) {
             yield_now().await;
         }
-        assert!(resting.stream.try_write(&whole_request()).is_ok());
+        assert!(idle_peer.stream.try_write(&whole_request()).is_ok());
         yield_now().await;
-        let error = SockRef::from(&resting.stream).take_error().unwrap();
+        let error = SockRef::from(&idle_peer.stream).take_error().unwrap();
         assert!(error.is_none(), "{error:?}");
-        assert!(server.work.try_recv().is_err(), "what is read behind the close is not sent on");
+        assert!(server.work.try_recv().is_err(), "a request read after the close was passed on");
     });
 }
 
@@ -464,7 +464,7 @@
             let end = timeout(Duration::from_millis(500), flood.answer()).await;
             closed += u32::from(matches!(end, Ok(None)));
         }
-        assert!((2..4).contains(&closed), "{closed} were let go");
+        assert!((2..4).contains(&closed), "{closed} were closed");
         let mut good = server.connect().await;
         good.send(whole_request()).await;
         assert!(good.answer().await.expect("an answer").1.ends_with("made"));
@@ -472,7 +472,7 @@
         wait_for_open_connections(&server.front, 1).await;
         drop(good);
         wait_for_open_connections(&server.front, 0).await;
-        assert!(server.front.held.take(ROOM), "all room was given back");
+        assert!(server.front.held.take(ROOM), "the budget was not released");
     });
 }
 
@@ -489,7 +489,7 @@
                 yield_now().await;
             }
             peer.send(&bytes[cut..]).await;
-            let (id, text, status) = peer.answer().await.unwrap_or_else(|| panic!("none at {cut}"));
+            let (id, text, status) = peer.answer().await.unwrap_or_else(|| panic!("no answer at {cut}"));
             assert!(id == 1 && status == 0 && text.ends_with("made"), "{cut}: {text}");
         }
         assert!(peer.is_silent());
@@ -505,14 +505,14 @@
         let all: Vec<u8> = (1..=33).flat_map(|n| request(n, u64::from(n), "read", &[], b"body")).collect();
         peer.send(&all).await;
         tokio::io::AsyncWriteExt::shutdown(&mut peer.stream).await.unwrap();
-        let mut ways = Vec::new();
+        let mut replies = Vec::new();
         for _ in 0..32 {
-            ways.push(server.next_reply_to().await);
+            replies.push(server.next_reply_to().await);
         }
         assert_eq!(peer.answer().await, Some((33, String::new(), OVERLOADED)));
         // In reverse order.
-        for way in ways.into_iter().rev() {
-            send_result(way, b"made");
+        for reply in replies.into_iter().rev() {
+            send_result(reply, b"made");
         }
         let mut ids = Vec::new();
         while let Some((id, text, _)) = peer.answer().await {
@@ -585,11 +585,11 @@
         for _ in 0..POLLS {
             yield_now().await;
         }
-        assert!(passed.try_recv().is_err(), "it was passed on with an answer half written");
+        assert!(passed.try_recv().is_err(), "it was handed over with a half-written answer");
         for _ in 0..ANSWERS {
-            let (_, text, _) = slow.answer().await.expect("a whole answer");
+            let (_, text, _) = slow.answer().await.expect("no whole answer");
             assert!(text.ends_with(std::str::from_utf8(&result).unwrap()));
         }
-        assert!(passed.recv().await.is_some(), "and then it is passed on");
+        assert!(passed.recv().await.is_some(), "it was not handed over");
     });
 }
--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -267,22 +267,22 @@
     let (over, waits) = std::sync::mpsc::channel::<()>();
     std::thread::spawn(move || {
         if waits.recv_timeout(HANG_TIMEOUT) == Err(std::sync::mpsc::RecvTimeoutError::Timeout) {
-            eprintln!("a deployment takes for ever; `--nocapture` shows which seed");
+            eprintln!("a deployment hangs; `--nocapture` shows which seed");
             std::process::abort();
         }
     });
     for (seed, combination) in all.iter().enumerate() {
         eprintln!("seed {seed}");
         paused(async {
-            let (wrong, well) = run_deployment(combination, seed as u64).await;
+            let (wrong, successes) = run_deployment(combination, seed as u64).await;
             let named: Vec<String> = AXES
                 .iter()
                 .zip(combination)
                 .map(|((name, values), at)| format!("{name}={}", values[*at]))
                 .collect();
             assert!(wrong.is_empty(), "seed {seed}, {}: {wrong:#?}", named.join(" "));
-            assert!(well > 0, "seed {seed}, {}: nothing was served", named.join(" "));
-            served += well;
+            assert!(successes > 0, "seed {seed}, {}: nothing was served", named.join(" "));
+            served += successes;
         });
     }
     drop(over);
--- a/crates/node/tests/directory_races.rs
+++ b/crates/node/tests/directory_races.rs
@@ -75,7 +75,11 @@
                     directory.send(piece).await;
                     sleep(10 * MS).await;
                 }
-                assert_eq!(directory.http().await.lines().next(), text.lines().next(), "it was not taken");
+                assert_eq!(
+                    directory.http().await.lines().next(),
+                    text.lines().next(),
+                    "the response was not accepted"
+                );
             }
         }
     });
@@ -101,7 +105,7 @@
             }
             assert!(
                 began.elapsed() < Duration::from_secs(3),
-                "no report has counted in the time of an entry"
+                "no report was accepted before an entry expires"
             );
         }
     });
@@ -123,21 +127,21 @@
         holder.set_reuseport(true).unwrap();
         holder.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let (mode, _moves) = start_reporting(holder.local_addr().unwrap());
-        let mut news = Mode::Open;
+        let mut current = Mode::Open;
         // Duration of the outage after the change.
         for ms in [0u32, 100, 400, 700, 1000, 1300, 1600, 1900] {
-            news = if news == Mode::Open { Mode::Closed } else { Mode::Open };
-            let text = if news == Mode::Open { "open" } else { "closed" };
+            current = if current == Mode::Open { Mode::Closed } else { Mode::Open };
+            let text = if current == Mode::Open { "open" } else { "closed" };
             // The directory refuses connections.
             sleep(2000 * MS).await;
-            mode.send_replace(Some(news));
+            mode.send_replace(Some(current));
             sleep(MS * ms).await;
             let back = Instant::now();
             let listener = rebind_listener(&holder);
-            let (directory, heard) = next_report(&listener).await;
+            let (directory, report) = next_report(&listener).await;
             assert!(
-                heard.contains(text) && back.elapsed() < REPORT_TIMEOUT,
-                "{heard} after {:?}",
+                report.contains(text) && back.elapsed() < REPORT_TIMEOUT,
+                "{report} after {:?}",
                 back.elapsed()
             );
             // The directory accepts connections without answering, and then goes down.
@@ -217,7 +221,7 @@
         let before = self.nodo.directory.modes().len();
         let back = Instant::now();
         self.nodo.directory.set_down(false);
-        self.within("a report", async {
+        self.within("no report", async {
             while self.nodo.directory.modes().len() == before {
                 sleep(MS).await;
             }
@@ -225,7 +229,7 @@
         .await;
         let took = back.elapsed();
         assert_eq!(self.nodo.directory.mode().as_deref(), Some(mode), "{}", self.nodo.logs());
-        assert!(took < REPORT_TIMEOUT || !self.stall_monitor.is_steady(), "it was told after {took:?}");
+        assert!(took < REPORT_TIMEOUT || !self.stall_monitor.is_steady(), "the report came after {took:?}");
     }
 
     /// Checks what must keep working while clients hold all connections.
@@ -234,7 +238,7 @@
         assert!(self.is_healthy().await);
         self.fill_connections().await;
         assert!(self.start.is_ready().await, "operators are not answered: {}", self.nodo.logs());
-        assert!(self.start.call("INFO").await.contains('{'), "operators get no figures");
+        assert!(self.start.call("INFO").await.contains('{'), "operators get no INFO");
         self.fill_connections().await;
         let key = format!("crowded-{}", self.number);
         assert_eq!(self.status(&keyed("sign", &key, false)).await, 200, "{}", self.nodo.logs());
@@ -244,7 +248,7 @@
         let links = interpreter.links();
         interpreter.drop_link();
         // One for the drop, one for the new link.
-        self.within("a new link", async {
+        self.within("no new link", async {
             while interpreter.links() < links + 2 {
                 sleep(MS).await;
             }
@@ -273,10 +277,10 @@
     at_limit.fill_connections().await;
     at_limit.start.process.terminate();
     // It drains as soon as its health check fails.
-    at_limit.within("it drains", async { while at_limit.is_healthy().await {} }).await;
+    at_limit.within("it does not drain", async { while at_limit.is_healthy().await {} }).await;
     at_limit.check_report_after_outage("closed").await;
     let ended = timeout(PROGRESS_TIMEOUT, at_limit.start.process.wait()).await;
-    assert!(ended.is_ok_and(|well| well), "it ends with a fault: {}", at_limit.nodo.logs());
+    assert!(ended.is_ok_and(|well| well), "it exits with a failure: {}", at_limit.nodo.logs());
     let most = at_limit.most.get();
     assert!(most <= descriptors, "{most} descriptors");
     assert!(!at_limit.nodo.logs().contains("cannot accept"), "{}", at_limit.nodo.logs());
--- a/crates/node/tests/drain_races.rs
+++ b/crates/node/tests/drain_races.rs
@@ -55,11 +55,11 @@
 /// Sends requests around SIGTERM and around the directory's receipt of `closed`, with and without a grace.
 async fn termination_during_a_request(seed: u64, grace: u64) -> bool {
     let mut random = StdRng::seed_from_u64(seed);
-    let what = format!("told-{grace}-{seed}");
+    let what = format!("term-{grace}-{seed}");
     let mut draining = DrainingNodo::start(nodo(&what, grace, "").await).await;
     let wires = partial_senders(&draining, &mut random, 70).await;
     let (mut before, mut after) = (draining.used_connection(1).await, draining.used_connection(2).await);
-    let mut news = draining.used_connection(3).await;
+    let mut on_report = draining.used_connection(3).await;
     let at = draining.schedule_termination();
     // From 20 ms before to 20 ms after SIGTERM, and later until well after the close of idle connections. The
     // first part is sent before.
@@ -70,34 +70,34 @@
     let senders = spawn_senders(wires, |n| (at - 30 * MS, last(n)));
     // One request is completed immediately before SIGTERM and one immediately after it.
     let (one, other) = (before.encode(&read_request()), after.encode(&read_request()));
-    let news_bytes = news.encode(&read_request());
-    let cuts = [one.bytes.len() - 1, other.bytes.len() - 1, news_bytes.bytes.len() - 1];
+    let on_report_bytes = on_report.encode(&read_request());
+    let cuts = [one.bytes.len() - 1, other.bytes.len() - 1, on_report_bytes.bytes.len() - 1];
     before.write(&one.bytes[..cuts[0]]);
     after.write(&other.bytes[..cuts[1]]);
-    news.write(&news_bytes.bytes[..cuts[2]]);
+    on_report.write(&on_report_bytes.bytes[..cuts[2]]);
     sleep_until(at).await;
     before.write(&one.bytes[cuts[0]..]);
-    let told = draining.terminate().await;
+    let terminated_at = draining.terminate().await;
     let now = Instant::now();
     let whole = after.write(&other.bytes[cuts[1]..]) == 1;
     let mut all_sent = vec![
-        spawn_local(read_answers(before, one.uid, true, told)),
+        spawn_local(read_answers(before, one.uid, true, terminated_at)),
         spawn_local(read_answers(after, other.uid, whole, now)),
     ];
     // A last byte and a new connection as the directory receives the report.
-    let heard = async {
+    let report_received = async {
         while draining.closed_at.get().is_none() {
             sleep(MS).await;
         }
     };
-    timeout(PROGRESS_TIMEOUT, heard)
+    timeout(PROGRESS_TIMEOUT, report_received)
         .await
-        .unwrap_or_else(|_| panic!("never heard: {}", draining.nodo.logs()));
+        .unwrap_or_else(|_| panic!("the directory received no report of closed: {}", draining.nodo.logs()));
     let now = Instant::now();
-    let whole = news.write(&news_bytes.bytes[cuts[2]..]) == 1;
-    all_sent.push(spawn_local(read_answers(news, news_bytes.uid, whole, now)));
+    let whole = on_report.write(&on_report_bytes.bytes[cuts[2]..]) == 1;
+    all_sent.push(spawn_local(read_answers(on_report, on_report_bytes.uid, whole, now)));
     if grace > 0 {
-        let mut wire = Wire::connect(draining.nodo.address, 4).await.expect("it listens on");
+        let mut wire = Wire::connect(draining.nodo.address, 4).await.expect("the listener is still open");
         let now = Instant::now();
         let bytes = wire.send(&read_request()).unwrap();
         all_sent.push(spawn_local(read_answers(wire, bytes.uid, true, now)));
@@ -106,9 +106,9 @@
     let sent = join_all(all_sent).await;
     draining.assert_clean_exit().await;
     // Partial requests are awaited until the remaining connections are closed.
-    draining.check_requests(&sent, Duration::from_millis(grace), told + STOP - 300 * MS, &what);
+    draining.check_requests(&sent, Duration::from_millis(grace), terminated_at + STOP - 300 * MS, &what);
     let closed = sent.iter().all(|one| one.end == End::Closed);
-    assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a reset: {sent:#?}");
+    assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a connection was reset: {sent:#?}");
     draining.stall_monitor.is_steady()
 }
 
@@ -146,16 +146,16 @@
     let long =
         long.into_iter().map(|(n, wire)| spawn_local(send_in_parts(wire, slow(n), 20, times(n as u32))));
     let long: Vec<_> = long.collect();
-    let told = draining.terminate().await;
+    let terminated_at = draining.terminate().await;
     let (sent, long) = (join_all(senders).await, join_all(long).await);
     draining.assert_clean_exit().await;
-    draining.check_requests(&sent, GRACE, told + STOP - 300 * MS, &what);
-    draining.check_requests(&long, GRACE, told + STOP - 300 * MS, &what);
+    draining.check_requests(&sent, GRACE, terminated_at + STOP - 300 * MS, &what);
+    draining.check_requests(&long, GRACE, terminated_at + STOP - 300 * MS, &what);
     let served = sent.iter().filter(|one| one.statuses == [200]).count();
     let refused = sent.iter().filter(|one| one.statuses == [503]).count();
     println!("{what}: {served} served, {refused} refused of {}", sent.len());
     let closed = sent.iter().all(|one| one.end == End::Closed);
-    assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a reset: {sent:#?}");
+    assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a connection was reset: {sent:#?}");
     assert!(
         refused > 0 || !draining.stall_monitor.is_steady(),
         "{what}: nothing came after the grace: {sent:#?}"
@@ -184,7 +184,7 @@
     let shut = draining.schedule_termination() + grace + 200 * MS;
     let jitter = Duration::from_micros(random.random_range(0..1000));
     let last = |n: u64| shut - 40 * MS + jitter + MS * (n as u32) / 2;
-    let resting = spawn_senders(wires, |n| (last(n), last(n)));
+    let idle = spawn_senders(wires, |n| (last(n), last(n)));
     let (address, listens) = (draining.nodo.address, draining.terminate_at + grace + 100 * MS);
     let callers: Vec<_> = (0..200u32)
         .map(|n| {
@@ -198,26 +198,26 @@
             })
         })
         .collect();
-    let told = draining.terminate().await;
-    let resting = join_all(resting).await;
+    let terminated_at = draining.terminate().await;
+    let idle = join_all(idle).await;
     let mut called = Vec::new();
     for caller in callers {
         called.extend(caller.await.unwrap());
     }
     draining.assert_clean_exit().await;
-    draining.check_requests(&resting, grace, told + grace + 200 * MS, &what);
+    draining.check_requests(&idle, grace, terminated_at + grace + 200 * MS, &what);
     // The nodo reads nothing of connections that it had not accepted.
-    draining.check_requests(&called, grace, told + grace + 100 * MS, &what);
+    draining.check_requests(&called, grace, terminated_at + grace + 100 * MS, &what);
     let answered = |sent: &[SentRequest]| sent.iter().filter(|one| !one.statuses.is_empty()).count();
     println!(
-        "{what}: {} of {} on resting connections answered, {} of {} that called",
-        answered(&resting),
-        resting.len(),
+        "{what}: {} of {} on idle connections answered, {} of {} on new ones",
+        answered(&idle),
+        idle.len(),
         answered(&called),
         called.len()
     );
-    let closed = resting.iter().all(|one| one.end == End::Closed);
-    assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a reset: {resting:#?}");
+    let closed = idle.iter().all(|one| one.end == End::Closed);
+    assert!(closed || !draining.stall_monitor.is_steady(), "{what}: a connection was reset: {idle:#?}");
     draining.stall_monitor.is_steady()
 }
 
@@ -247,7 +247,7 @@
     for (n, wire) in wires {
         taken.push(spawn_local(send_in_parts(wire, mixed_request(n), 60, (at + 100 * MS, at + 1700 * MS))));
     }
-    let told = draining.terminate().await;
+    let terminated_at = draining.terminate().await;
     sleep_until(at + 400 * MS).await;
     let mut waiting = Vec::new();
     for n in 20..40 {
@@ -259,8 +259,8 @@
     let waited = Instant::now();
     let (taken, waiting) = (join_all(taken).await, join_all(waiting).await);
     draining.assert_clean_exit().await;
-    draining.check_requests(&taken, Duration::from_secs(1), told + STOP - 300 * MS, "taken");
-    if waited < told + Duration::from_secs(1) {
+    draining.check_requests(&taken, Duration::from_secs(1), terminated_at + STOP - 300 * MS, "taken");
+    if waited < terminated_at + Duration::from_secs(1) {
         draining.check_requests(&waiting, Duration::from_secs(1), waited, "waiting");
     }
     draining.stall_monitor.is_steady()
@@ -283,24 +283,27 @@
 /// never idle.
 async fn send_continuously(mut wire: Wire, depth: usize, halves: bool) -> ContinuousSender {
     let mut sender_result = ContinuousSender { uids: Vec::new(), answers: BTreeMap::new(), end: End::Closed };
-    let (mut answered, mut begun) = (0, wire.encode(&read_request()));
-    let mut left = if halves { begun.bytes.len() / 2 } else { 0 };
-    wire.write(&begun.bytes[..left]);
+    let (mut answered, mut current) = (0, wire.encode(&read_request()));
+    let mut left = if halves { current.bytes.len() / 2 } else { 0 };
+    wire.write(&current.bytes[..left]);
     loop {
         while sender_result.uids.len() - answered < depth {
             let next = wire.encode(&read_request());
             let half = if halves { next.bytes.len() / 2 } else { 0 };
-            let rest = begun.bytes.len() - left;
-            let put = wire.write(&[&begun.bytes[left..], &next.bytes[..half]].concat());
-            if put >= rest {
-                sender_result.uids.push((begun.id, begun.uid));
+            let rest = current.bytes.len() - left;
+            let written = wire.write(&[&current.bytes[left..], &next.bytes[..half]].concat());
+            if written >= rest {
+                sender_result.uids.push((current.id, current.uid));
             }
-            (begun, left) = (next, half);
-            if put < rest + half {
+            (current, left) = (next, half);
+            if written < rest + half {
                 break;
             }
         }
-        match timeout(PROGRESS_TIMEOUT, wire.answer()).await.expect("neither an answer nor an end") {
+        match timeout(PROGRESS_TIMEOUT, wire.answer())
+            .await
+            .expect("neither an answer nor the end of the connection")
+        {
             Ok((id, answer)) => {
                 sender_result.answers.entry(id).or_default().push(answer.status);
                 answered += 1;
@@ -340,7 +343,7 @@
         let refused = sender_result.answers.values().filter(|statuses| statuses[..] == [503]).count();
         assert!(
             refused > 0 || !draining.stall_monitor.is_steady(),
-            "{depth}: it ended before the grace did: {}",
+            "{depth}: the connection ended before the grace: {}",
             draining.nodo.logs()
         );
         let open: Vec<&String> = sender_result
@@ -354,10 +357,10 @@
             sender_result.uids.iter().rev().take(open.len()).rev().map(|(_, uid)| uid).collect();
         assert!(
             open == last || !draining.stall_monitor.is_steady(),
-            "{depth}: one was passed over: {}",
+            "{depth}: a request was skipped: {}",
             draining.nodo.logs()
         );
-        assert!(!open.iter().any(|uid| runs.contains(uid)), "{depth}: one ran and was not answered");
+        assert!(!open.iter().any(|uid| runs.contains(uid)), "{depth}: a request ran and was not answered");
         println!(
             "{depth} at once: {} sent, {} not answered, {:?}",
             sender_result.uids.len(),
@@ -365,13 +368,13 @@
             sender_result.end
         );
         let closed = sender_result.end == End::Closed;
-        assert!(closed || !draining.stall_monitor.is_steady(), "{depth}: what was on the way was reset");
+        assert!(closed || !draining.stall_monitor.is_steady(), "{depth}: data in transit was reset");
     }
     // Whether this resets a connection depends on timing.
     let open = draining.nodo.logs().contains("with connections open");
     assert!(
         !open || !draining.stall_monitor.is_steady(),
-        "it ends over what still comes: {}",
+        "it exits while requests still arrive: {}",
         draining.nodo.logs()
     );
     draining.stall_monitor.is_steady()
--- a/crates/node/tests/fault_injection.rs
+++ b/crates/node/tests/fault_injection.rs
@@ -33,7 +33,7 @@
 
 async fn start_fleet(name: &str) -> Rig {
     let rig = Rig::start(Path::new(PROGRAM), name, true, (TTL, EFFECT_DURATION)).await.unwrap();
-    assert!(rig.wait_for_votes().await, "{name}: it has no votes: {}", rig.fleet.logs());
+    assert!(rig.wait_for_votes().await, "{name}: no votes: {}", rig.fleet.logs());
     rig
 }
 
@@ -45,7 +45,7 @@
         }
     };
     if timeout(PROGRESS_TIMEOUT, under_way).await.is_err() {
-        panic!("{name}: nothing is at work: {}", rig.fleet.logs());
+        panic!("{name}: no work is running: {}", rig.fleet.logs());
     }
 }
 
@@ -69,7 +69,7 @@
     rig.clients.stop();
     rig.resource.set_duration(Duration::from_millis(10));
     for client in load {
-        timeout(2 * PROGRESS_TIMEOUT, client).await.expect("a client is told").unwrap();
+        timeout(2 * PROGRESS_TIMEOUT, client).await.expect("a client got no answer").unwrap();
     }
     let unanswered = rig.clients.query_all(seed, CONCURRENT_QUERIES, PROGRESS_TIMEOUT).await;
     let verdict = rig.verdict().unwrap();
@@ -142,7 +142,7 @@
             rig.editors.stop();
             assert!(rig.heal_all().await.unwrap(), "{name}: no votes: {}", rig.fleet.logs());
             for team in teams {
-                timeout(2 * PROGRESS_TIMEOUT, team).await.expect("a team hears of its edit").unwrap();
+                timeout(2 * PROGRESS_TIMEOUT, team).await.expect("a team got no result of its edit").unwrap();
             }
             let table = rig.wait_for_one_table().await;
             assert!(table.is_ok(), "{name}: {table:?} {}", rig.fleet.logs());
--- a/crates/node/tests/isolation.rs
+++ b/crates/node/tests/isolation.rs
@@ -337,7 +337,7 @@
                 assert_eq!(answer.header("x-backend-says"), None, "{}", own.name);
             }
         }
-        assert!(site.interpreter.runs().is_empty(), "it ran before it was up");
+        assert!(site.interpreter.runs().is_empty(), "a request ran before it was ready");
     });
 }
 
--- a/crates/node/tests/nodo.rs
+++ b/crates/node/tests/nodo.rs
@@ -25,9 +25,9 @@
         let mut balancer = nodo.connect().await;
         balancer.send(request(1, 0xab, "read", &[], b"what?")).await;
         let apply = nodo.command().await;
-        let told =
+        let expected_fields =
             [("action", "APPLY"), ("uid", "00000000000000ab"), ("lane", "read"), ("content", "d2hhdD8=")];
-        for (name, expected) in told {
+        for (name, expected) in expected_fields {
             assert_eq!(field(&apply, name), expected);
         }
         let wait = r#"{"action":"AWAIT","pos":1,"uid":"00000000000000ab","content":"cXVlcnk="}"#;
@@ -177,9 +177,9 @@
             .spawn()
             .unwrap();
         let mut lines = BufReader::new(program.stderr.take().unwrap()).lines();
-        let mut told =
+        let mut wait_for_line =
             |what: &str| lines.by_ref().map(Result::unwrap).find(|line| line.contains(what)).unwrap();
-        let hang_up = || {
+        let send_sighup = || {
             let sent = std::process::Command::new("kill").args(["-HUP", &program.id().to_string()]).status();
             assert!(sent.unwrap().success());
         };
@@ -188,24 +188,24 @@
         // Reported once the interpreter is ready.
         assert!(Peer::accept(&directory).await.http().await.ends_with(r#"{"mode":"open"}"#));
         std::fs::write(&path, text(new_vm).replace(r#""db""#, r#""database""#)).unwrap();
-        hang_up();
+        send_sighup();
         let file = path.display();
-        told(&format!("configuration: {file}: db is missing; the one before stays in force"));
+        wait_for_line(&format!("configuration: {file}: db is missing; the one before stays in force"));
         // Messages name the key as written in the file, not as in the module. One fault shows only beside the
         // settings in force.
         std::fs::write(&path, text(new_vm).replacen(r#""deadlineS":40"#, r#""deadlineS":0"#, 1)).unwrap();
-        hang_up();
-        told(&format!(
+        send_sighup();
+        wait_for_line(&format!(
             "configuration: {file}: settings.classes[0].deadlineS must be above 0; the one before stays"
         ));
         std::fs::write(&path, text(new_vm).replace(r#""name":"sign""#, r#""name":"read""#)).unwrap();
-        hang_up();
-        told(&format!(
+        send_sighup();
+        wait_for_line(&format!(
             "configuration: {file}: settings.classes[1].name is that of another class; the one before"
         ));
         std::fs::write(&path, text(new_vm).replace("3200", "3300")).unwrap();
-        hang_up();
-        told("new addresses are in use; ignored until a restart: stop_ms");
+        send_sighup();
+        wait_for_line("new addresses are in use; ignored until a restart: stop_ms");
         let mut link = Peer::accept(&elsewhere).await;
         catch_up(&mut link, 1, "").await;
         std::fs::remove_file(&path).unwrap();
@@ -332,7 +332,11 @@
             let began = Instant::now();
             let mut peer = server.connect().await;
             peer.send(sent).await;
-            while timeout(Duration::from_secs(600), peer.record()).await.expect("a close").is_some() {}
+            while timeout(Duration::from_secs(600), peer.record())
+                .await
+                .expect("the connection stays open")
+                .is_some()
+            {}
             assert!((1..3).contains(&began.elapsed().as_secs()));
         }
         // Sending one byte at a time makes no difference.
@@ -357,7 +361,10 @@
         let mut server = ConnectionServer::start(r#""sockets":1024"#).await;
         let mut peer = server.connect().await;
         server.send_and_answer(&mut peer).await;
-        assert!(timeout(Duration::from_secs(100), peer.record()).await.is_err(), "it is quiet and stays");
+        assert!(
+            timeout(Duration::from_secs(100), peer.record()).await.is_err(),
+            "an idle connection was closed"
+        );
         // Half a request or an invalid record follows a whole request, which is still answered. The half
         // request is refused as never run once it times out.
         let never_ran = Some((kind::END_REQUEST, 2, vec![0, 0, 0, 0, 2, 0, 0, 0]));
@@ -441,7 +448,7 @@
         tokio::time::sleep(Duration::from_secs(1)).await;
         let mut late = server.connect().await;
         server.send_and_answer(&mut late).await;
-        assert_eq!(silent.remove(0).record().await, None, "the oldest that brought nothing goes first");
+        assert_eq!(silent.remove(0).record().await, None, "the oldest unused connection is evicted first");
         assert_eq!(server.front.open.get(), most - 1);
         // Otherwise the connection that has been idle for longest is evicted, and never one that waits for an
         // answer.
--- a/crates/node/tests/peer_races.rs
+++ b/crates/node/tests/peer_races.rs
@@ -89,7 +89,7 @@
                 let observed = finish_run(&mut nodo, &mut balancer, &uid).await;
                 let seen = format!("{class} after {reply:?}: {observed:?}");
                 assert!(class == "read" || observed.called_again == 0, "called again: {seen}");
-                assert!(observed.resolved + observed.stubbed <= 1, "told twice: {seen}");
+                assert!(observed.resolved + observed.stubbed <= 1, "two results of one call: {seen}");
                 assert_eq!(observed.statuses.len(), 1, "{seen}");
             }
         }
@@ -131,7 +131,7 @@
                 // The grace of these settings is over by then.
                 sleep(500 * MS).await;
             }
-            assert!(!nodo.done.is_finished(), "it ended over a run that waits for a reply");
+            assert!(!nodo.done.is_finished(), "it exited while a run waited for a reply");
             call.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows").await;
             let observed = finish_run(&mut nodo, &mut balancer, &uid).await;
             assert_eq!((observed.resolved, observed.stubbed), (1, 0), "behind {behind}: {observed:?}");
@@ -155,7 +155,7 @@
         assert!(observed.statuses[0].contains("500"), "{observed:?}");
         // A further run shows what was sent to the interpreter before it.
         balancer.send(request(2, 2, "read", &[], b"")).await;
-        assert!(nodo.command().await.contains("APPLY"), "the run that was over was told of a reply");
+        assert!(nodo.command().await.contains("APPLY"), "an ended run got a reply");
     });
 }
 
@@ -174,10 +174,7 @@
         let (id, answer, _) = balancer.answer().await.unwrap();
         assert!(id == 1 && answer.ends_with("\r\n\r\none"), "{answer}");
         let (id, answer, _) = balancer.answer().await.unwrap();
-        assert!(
-            id == 2 && answer.ends_with("\r\n\r\ntrue"),
-            "a notice that was read counted again: {answer}"
-        );
+        assert!(id == 2 && answer.ends_with("\r\n\r\ntrue"), "a duplicate notice was counted: {answer}");
     });
 }
 
@@ -203,7 +200,7 @@
             balancer.send(request(2, 1000, "read", &[("SCRIPT_NAME", "/healthz")], b"")).await;
             let mut ids = Vec::new();
             while ids.last() != Some(&2) {
-                ids.push(balancer.answer().await.expect("the connection lives").0);
+                ids.push(balancer.answer().await.expect("the connection ended").0);
             }
             assert!(ids.len() <= 2, "{ids:?}");
         }
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -61,30 +61,30 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let balancer = Balancer::new(address, 1, Some(interpreter.clone()));
-        let ask =
+        let send_request =
             || async { balancer.send(&Request::new("look", b"x"), Duration::from_secs(30)).await.text() };
         let id = program.id().to_string();
-        let hang_up = || assert!(Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
-        assert_eq!(ask().await, "look x [old:x#1]");
+        let send_sighup = || assert!(Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
+        assert_eq!(send_request().await, "look x [old:x#1]");
 
         std::fs::write(&operator, file(new.address()).replace("repeat = \"safe\"", "repeat = 1")).unwrap();
-        hang_up();
+        send_sighup();
         let line = wait_for_line("stays in force");
         assert!(
             line.contains("site.hcl:5:3: route.look.repeat: must be one of safe, keyed, unsafe"),
             "{line}"
         );
-        assert_eq!(ask().await, "look x [old:x#1]");
+        assert_eq!(send_request().await, "look x [old:x#1]");
         // A file that doesn't fit the settings is rejected, too.
         std::fs::write(&operator, file(new.address()).replace("\"look\"", "\"find\"")).unwrap();
-        hang_up();
+        send_sighup();
         assert!(wait_for_line("stays in force").contains("route.find: is no class of the settings"));
-        assert_eq!(ask().await, "look x [old:x#1]");
+        assert_eq!(send_request().await, "look x [old:x#1]");
 
         std::fs::write(&operator, file(new.address())).unwrap();
-        hang_up();
+        send_sighup();
         wait_for_line("the operator's file is in use");
-        assert_eq!(ask().await, "look x [new:x#1]");
+        assert_eq!(send_request().await, "look x [new:x#1]");
         assert!(old.record().calls.len() == 3 && new.record().calls.len() == 1);
         program.kill().unwrap();
         program.wait().unwrap();
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -30,7 +30,7 @@
     let mut first = nodo.start().await.unwrap();
     let mut taken = Wire::connect(nodo.address, 1).await.unwrap();
     first.process.kill().await;
-    assert!(timeout(PROGRESS_TIMEOUT, taken.answer()).await.expect("its end").is_err());
+    assert!(timeout(PROGRESS_TIMEOUT, taken.answer()).await.expect("the connection does not end").is_err());
     nodo.directory.stall(true);
     let reports = nodo.directory.modes().len();
     let work = Work { core_time: 4 * MS, calls: 0 };
--- a/crates/node/tests/shared_folder.rs
+++ b/crates/node/tests/shared_folder.rs
@@ -43,7 +43,7 @@
             .unwrap_or_else(|_| panic!("{}", site.logs()));
         let balancer = Balancer::new(other.address, 2, Some(site.interpreters[1].clone()));
         let answer = async {
-            // It listens once it holds the lock.
+            // It listens only once it may run new requests.
             loop {
                 let answer = balancer.send(&request, PROGRESS_TIMEOUT).await;
                 if answer.status != 0 {
--- a/crates/node/tests/signal_races.rs
+++ b/crates/node/tests/signal_races.rs
@@ -57,7 +57,7 @@
 async fn config_counts(start: &Incarnation) -> String {
     let info = start.call("INFO").await;
     let from = info.find("\"conf_loaded\"").expect("counts");
-    let to = info[from..].find('}').expect("an end");
+    let to = info[from..].find('}').expect("the end of the counts");
     info[from..from + to].to_string()
 }
 
@@ -90,7 +90,7 @@
                 edit(&site, 1, how);
                 send_simultaneously(&start.process, &signals);
                 assert_eq!(runs.await.unwrap().status, 200, "{n} {how:?}{}", site.logs());
-                assert!(start.process.wait().await, "it fails at its end");
+                assert!(start.process.wait().await, "it exits with a failure");
                 assert_eq!(site.runs(b"k"), 1);
                 assert_eq!(site.directory.mode().as_deref(), Some("closed"));
                 let said = match how {
--- a/crates/node/tests/stalled_disk.rs
+++ b/crates/node/tests/stalled_disk.rs
@@ -47,7 +47,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PROGRESS_TIMEOUT, awaited).await.expect("nobody waits for the disk")
+    timeout(PROGRESS_TIMEOUT, awaited).await.expect("no reader waits for the disk")
 }
 
 /// Creates three voters with additional blocks in their files. The last one's disk can be made to stall
@@ -77,19 +77,19 @@
 /// ready.
 async fn start(fleet: &mut Fleet, n: usize) {
     if timeout(PROGRESS_TIMEOUT, fleet.start(n)).await.is_err() {
-        panic!("a stalled disk holds it up: {}", fleet.logs());
+        panic!("a stalled disk blocks it: {}", fleet.logs());
     }
 }
 
 /// Terminates the nodo and checks that it exits successfully before the kill.
 async fn assert_exits_in_time(fleet: &mut Fleet, n: usize) {
     let mut start = fleet.incarnations[n].take().unwrap();
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     start.process.terminate();
     let ended = timeout(PROGRESS_TIMEOUT, start.process.wait()).await;
-    let took = told.elapsed();
-    assert!(matches!(ended, Ok(true)), "it does not end: {}", fleet.logs());
-    assert!(took < STOP, "it would have been killed: {took:?} {}", fleet.logs());
+    let took = terminated_at.elapsed();
+    assert!(matches!(ended, Ok(true)), "it does not exit: {}", fleet.logs());
+    assert!(took < STOP, "it exits too late: {took:?} {}", fleet.logs());
 }
 
 /// Waits until the nodo reports that it is a member of the fleet.
@@ -99,7 +99,7 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(PROGRESS_TIMEOUT, part).await.unwrap_or_else(|_| panic!("n{n} takes no part: {}", fleet.logs()));
+    timeout(PROGRESS_TIMEOUT, part).await.unwrap_or_else(|_| panic!("n{n} is no member: {}", fleet.logs()));
 }
 
 /// The disk stalls as the member starts, with and without state in the member. Requests are served, operators
@@ -166,11 +166,11 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(PROGRESS_TIMEOUT, over).await.unwrap_or_else(|_| panic!("it waits on: {}", fleet.logs()));
+        timeout(PROGRESS_TIMEOUT, over).await.unwrap_or_else(|_| panic!("it still waits: {}", fleet.logs()));
         assert_serves(&fleet, 2, 0).await;
         drop(earlier);
-        let said = fleet.nodos[2].logs();
-        assert_eq!(said.matches("takes part in").count(), 1, "both take part: {said}");
+        let logs = fleet.nodos[2].logs();
+        assert_eq!(logs.matches("takes part in").count(), 1, "both are members: {logs}");
     });
 }
 
--- a/crates/node/tests/startup_races.rs
+++ b/crates/node/tests/startup_races.rs
@@ -51,18 +51,18 @@
     let what = format!("again-{seed}-{killed}");
     let mut nodo = nodo(&what, 0, "").await;
     nodo.without_shared_folder = true;
-    let begun = timeout(PROGRESS_TIMEOUT, nodo.start()).await;
-    let mut first = begun.unwrap_or_else(|_| panic!("it cannot listen: {}", nodo.logs())).unwrap();
+    let started = timeout(PROGRESS_TIMEOUT, nodo.start()).await;
+    let mut first = started.unwrap_or_else(|_| panic!("it can't listen: {}", nodo.logs())).unwrap();
     let mut old = Vec::new();
     for n in 0..20 {
         old.push(used_connection(&nodo, n).await);
     }
     if killed {
         first.process.kill().await;
-        assert_eq!(nodo.directory.mode().as_deref(), Some("open"), "the directory has it yet");
+        assert_eq!(nodo.directory.mode().as_deref(), Some("open"), "the directory still lists it");
     } else {
         first.process.terminate();
-        assert!(within(&nodo, "its end", first.process.wait()).await, "{}", nodo.logs());
+        assert!(within(&nodo, "it does not exit", first.process.wait()).await, "{}", nodo.logs());
     }
     let reports = nodo.directory.modes().len();
     let interpreter = Interpreter::start_cold(8, &[("read", work_of_ms(4)), ("sign", work_of_ms(8))]).await;
@@ -80,13 +80,13 @@
         early.push(wire);
     }
     for wire in &mut early {
-        let (_, answer) = within(&nodo, "before it is up", wire.answer()).await.unwrap();
+        let (_, answer) = within(&nodo, "no answer before it is ready", wire.answer()).await.unwrap();
         assert_eq!(answer.status, 503, "seed {seed}: {}", nodo.logs());
     }
-    assert!(interpreter.runs().is_empty(), "seed {seed}: it ran before it was up");
-    assert_eq!(nodo.directory.modes().len(), reports, "seed {seed}: it says something before it is up");
+    assert!(interpreter.runs().is_empty(), "seed {seed}: a request ran before it was ready");
+    assert_eq!(nodo.directory.modes().len(), reports, "seed {seed}: it sent a report before it was ready");
     interpreter.become_ready();
-    within(&nodo, "it is listed again", async {
+    within(&nodo, "it is not listed again", async {
         while nodo.directory.modes().len() == reports || nodo.directory.mode().as_deref() != Some("open") {
             sleep(MS).await;
         }
@@ -94,13 +94,13 @@
     .await;
     for (n, wire) in early.iter_mut().enumerate() {
         wire.send(&Request::new("read", format!("late-{n}").as_bytes())).unwrap();
-        let (_, answer) = within(&nodo, "once it is up", wire.answer()).await.unwrap();
+        let (_, answer) = within(&nodo, "no answer once it is ready", wire.answer()).await.unwrap();
         assert!([200, 503].contains(&answer.status), "seed {seed}: {}", nodo.logs());
     }
     let served = used_connection(&nodo, 9).await;
     drop((early, old, served));
     second.process.terminate();
-    assert!(within(&nodo, "its end", second.process.wait()).await, "{}", nodo.logs());
+    assert!(within(&nodo, "it does not exit", second.process.wait()).await, "{}", nodo.logs());
 }
 
 #[test]
@@ -146,7 +146,7 @@
     // All deadlines pass while the directory is silent.
     sleep(DEADLINE).await;
     nodo.directory.stall(false);
-    within(&nodo, "its first report", async {
+    within(&nodo, "no first report", async {
         while nodo.directory.mode().as_deref() != Some("open") {
             sleep(MS).await;
         }
@@ -154,7 +154,7 @@
     .await;
     start.process.terminate();
     let sent = join_all(burst).await;
-    assert!(within(&nodo, "its end", start.process.wait()).await, "{}", nodo.logs());
+    assert!(within(&nodo, "it does not exit", start.process.wait()).await, "{}", nodo.logs());
     for one in &sent {
         let ran = interpreter.runs().iter().filter(|run| run.uid == one.uid).count();
         let answered = one.whole && one.statuses.len() == 1 && one.took < DEADLINE + 500 * MS;
@@ -200,7 +200,7 @@
     // Six at a time, so that each has a core from its arrival on.
     let (rounds, at_once) = if leaving { (1, 6) } else { (4, 6) };
     for round in 0..rounds {
-        let mut pairs = Vec::new();
+        let mut tries_by_key = Vec::new();
         let began = Instant::now() + 50 * MS;
         for n in 0..at_once {
             let key = format!("{seed}-{round}-{n}");
@@ -215,7 +215,7 @@
             let at =
                 began + run as u32 * MS - 4 * MS + step + Duration::from_micros(random.random_range(0..500));
             let second = at + Duration::from_micros(random.random_range(0..3000));
-            pairs.push((
+            tries_by_key.push((
                 key.clone(),
                 spawn_local(async move {
                     let [mut first, mut again, mut third] = wires;
@@ -235,7 +235,7 @@
         }
         if leaving {
             // All are running by then.
-            within(&nodo, "all run", async {
+            within(&nodo, "not all run", async {
                 while interpreter.runs().len() < at_once as usize && stall_monitor.is_steady() {
                     sleep(MS).await;
                 }
@@ -243,17 +243,21 @@
             .await;
             start.process.terminate();
         }
-        for (key, pair) in pairs {
-            let answers = pair.await.unwrap();
+        for (key, tries) in tries_by_key {
+            let answers = tries.await.unwrap();
             let seen = || format!("{what}, key {key}: {answers:?} {}", nodo.logs());
             let served: Vec<_> = answers.iter().filter(|answer| answer.status == 200).collect();
             assert!(nodo.sign_runs(&key) <= 1, "it ran twice: {}", seen());
-            assert!(served.iter().all(|answer| answer.body == served[0].body), "they differ: {}", seen());
+            assert!(
+                served.iter().all(|answer| answer.body == served[0].body),
+                "the results differ: {}",
+                seen()
+            );
             assert!(served.len() == answers.len() || !stall_monitor.is_steady(), "not served: {}", seen());
         }
     }
     start.process.terminate();
-    assert!(within(&nodo, "its end", start.process.wait()).await, "{}", nodo.logs());
+    assert!(within(&nodo, "it does not exit", start.process.wait()).await, "{}", nodo.logs());
     stall_monitor.is_steady()
 }
 
@@ -292,7 +296,7 @@
             let room = (n % 2 == 0).then_some(2048);
             let mut wire = Wire::with_receive_buffer(nodo.address, 100 + n, room).await.unwrap();
             let open = wire.send(&Request::new("slow", b"open")).unwrap();
-            within(&nodo, "it runs", async {
+            within(&nodo, "it does not run", async {
                 while !interpreter.runs().iter().any(|run| run.uid == open.uid) {
                     sleep(MS).await;
                 }
@@ -307,14 +311,14 @@
                     }
                 }
             };
-            within(&nodo, "its answer", read).await;
+            within(&nodo, "no answer", read).await;
             wire.reset();
             let again = Balancer::new(nodo.address, 500 + n, None)
                 .send(&keyed("sign", &key, true), PROGRESS_TIMEOUT)
                 .await;
             assert_eq!((again.status, nodo.sign_runs(&key)), (200, 1), "{}", nodo.logs());
             let end = || interpreter.runs().iter().find(|run| run.uid == open.uid).and_then(|run| run.end);
-            within(&nodo, "the end of what nobody waits for", async {
+            within(&nodo, "the abandoned run does not end", async {
                 while end().is_none() {
                     sleep(MS).await;
                 }
@@ -322,9 +326,9 @@
             .await;
             // Without the stop it would have completed within its deadline.
             let stopped = end() == Some("STOPPED");
-            assert!(stopped || !stall_monitor.is_steady(), "it went on though nobody waits: {}", nodo.logs());
+            assert!(stopped || !stall_monitor.is_steady(), "an abandoned run continued: {}", nodo.logs());
         }
         start.process.terminate();
-        assert!(within(&nodo, "its end", start.process.wait()).await, "{}", nodo.logs());
+        assert!(within(&nodo, "it does not exit", start.process.wait()).await, "{}", nodo.logs());
     });
 }
