--- a/crates/node/tests/common/test_deployments.rs
+++ b/crates/node/tests/common/test_deployments.rs
@@ -183,7 +183,7 @@
     /// Checks the form of the advice. Tokens are at least 1, the minimum rank is below 1, and a bias is at
     /// most 1 and here never 0.
     pub fn has_valid_advice(&self, answer: &Answer) -> bool {
-        let header = answer.header("x-backend-header").map(|text| text.parse::<f64>().unwrap());
+        let header = answer.header("x-backend-says").map(|text| text.parse::<f64>().unwrap());
         match (self.advice, header) {
             (Advice::Silent, header) => header.is_none(),
             (Advice::Tokens, Some(tokens)) => tokens >= 1.0,
