--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -1,6 +1,7 @@
-//! The nodo on deployments that nobody runs: every value of each setting that changes what it does, and every pair of such values,
-//! under more load than the cores can do, with callers that say how long they wait and retry without a mark. The records of the
-//! stand-ins are the truth; the clock goes on by a millisecond whenever nothing is left to do.
+//! Guards against settings that break the guarantees alone or in pairs: each value and each pair of values,
+//! under more load than the cores can handle, with callers that announce their waits and retry without a
+//! mark. Checks the records of the fake servers. The clock advances by a millisecond whenever all tasks are
+//! idle.
 
 mod common;
 use common::paused;
@@ -20,8 +21,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The settings that change what a nodo does, with all their values: the first of each are those of an ordinary site. What stands in
-/// a list is put into the settings as it is; [`WAITS`] and [`CORES`] are read by the test too.
+/// The settings that change a nodo's behaviour, with all their values, those of an ordinary site first.
+/// Values are inserted into the settings as written; some are also read by the test, by the places below.
 const AXES: [(&str, &[&str]); 13] = [
     ("halt", &["\"drop\"", "\"pause\"", "\"silent\""]),
     ("say", &["\"tokens\"", "\"min_rank\"", "\"bias\"", "\"silent\""]),
@@ -35,40 +36,42 @@
     ("freshS", &["0", "1.0"]),
     ("retryAfter", &["true", "false"]),
     ("semantics", &["\"guarded\",\"windowS\":30", "\"single_shot\""]),
-    // Running requests for each core that it survives: plenty, or hardly more than one.
+    // Concurrent runs per core that the interpreter survives: plenty, or hardly more than one.
     ("fallMultiple", &["10", "1.6"]),
 ];
 const HALT: usize = 0;
-const DEADLINE: usize = 2;
-const MARKS: usize = 4;
-const BELOW: usize = 6;
-const REPEAT: usize = 11;
-/// Requests, and the time between two: about one and a half times what two cores can do.
+const PASSES_DEADLINE: usize = 2;
+const MARKS_RETRY: usize = 4;
+const DEPENDS_ON: usize = 6;
+const SEMANTICS: usize = 11;
+/// Requests and the interval between them: about 1.5 times what two cores can handle.
 const REQUESTS: u64 = 160;
-const EVERY: Duration = Duration::from_millis(9);
-/// All of it takes a few seconds.
-const HANGS: Duration = Duration::from_secs(300);
-/// What an answer may be late, with the slack that the platform gives.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(9);
+/// The whole test takes a few seconds.
+const HANG_TIMEOUT: Duration = Duration::from_secs(300);
+/// How late an answer may be, including the platform's slack.
 const SLACK_MS: u64 = 150;
 
-/// A deployment: a value of each setting, by its place.
-type Made = [usize; AXES.len()];
+/// One value of each setting, by its index.
+type Combination = [usize; AXES.len()];
 
-/// A number from others, the same in every run.
-fn mix(a: u64, b: u64) -> u64 {
+/// Returns a pseudo-random number that is the same in each run.
+fn pseudo_random(a: u64, b: u64) -> u64 {
     let mut x = a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x ^= x >> 29;
     x = x.wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 32)
 }
 
-fn pairs_of(made: &Made) -> impl Iterator<Item = (usize, usize, usize, usize)> {
-    let made = *made;
-    (0..AXES.len()).flat_map(move |a| (a + 1..AXES.len()).map(move |b| (a, made[a], b, made[b])))
+fn pairs_of(combination: &Combination) -> impl Iterator<Item = (usize, usize, usize, usize)> {
+    let combination = *combination;
+    (0..AXES.len())
+        .flat_map(move |a| (a + 1..AXES.len()).map(move |b| (a, combination[a], b, combination[b])))
 }
 
-/// Deployments in which each pair of values comes, drawn from seeds: always the one of many that has most pairs that are new.
-fn deployments() -> Vec<Made> {
+/// Returns combinations that cover each pair of values, each time choosing the drawn one with the most new
+/// pairs.
+fn deployments() -> Vec<Combination> {
     let mut left: BTreeSet<_> = BTreeSet::new();
     for a in 0..AXES.len() {
         for b in a + 1..AXES.len() {
@@ -85,18 +88,22 @@
             return all;
         }
         let drawn = (0..200).map(|n| {
-            let axis = |axis: usize| (mix(seed * 1000 + n, axis as u64) % AXES[axis].1.len() as u64) as usize;
+            let axis = |axis: usize| {
+                (pseudo_random(seed * 1000 + n, axis as u64) % AXES[axis].1.len() as u64) as usize
+            };
             std::array::from_fn(axis)
         });
-        all.extend(drawn.max_by_key(|made| pairs_of(made).filter(|pair| left.contains(pair)).count()));
+        all.extend(
+            drawn.max_by_key(|combination| pairs_of(combination).filter(|pair| left.contains(pair)).count()),
+        );
     }
     all
 }
 
-fn settings(made: &Made) -> String {
+fn settings(combination: &Combination) -> String {
     let value = |name: &str| {
         let axis = AXES.iter().position(|(axis, _)| *axis == name).expect("an axis");
-        AXES[axis].1[made[axis]]
+        AXES[axis].1[combination[axis]]
     };
     let class = |name: &str, worth: u32, repeat: &str| {
         let late = value("lateShare");
@@ -118,19 +125,19 @@
     )
 }
 
-/// What was sent, and how long after the notice to leave, if it was.
+/// The requests sent, and their time after the start of the drain, if they came after it.
 type Record = Rc<RefCell<Vec<(Sent, Option<Duration>)>>>;
 
-/// Plays a day of a deployment; returns what does not fit, and how many requests were served.
-async fn play(made: &Made, seed: u64) -> (Vec<String>, usize) {
-    let below = Dependency::start(DependencyConfig::new("below", 4, Duration::from_millis(20))).await;
-    let (ms, calls) = (Duration::from_millis(10), usize::from(made[BELOW] == 0));
+/// Runs a deployment; returns the faults and the number of requests served.
+async fn run_deployment(combination: &Combination, seed: u64) -> (Vec<String>, usize) {
+    let dependency = Dependency::start(DependencyConfig::new("below", 4, Duration::from_millis(20))).await;
+    let (ms, calls) = (Duration::from_millis(10), usize::from(combination[DEPENDS_ON] == 0));
     let classes = [
         ("view", Work { core_time: ms, calls }),
         ("find", Work { core_time: 2 * ms, calls: 0 }),
         ("edit", Work { core_time: ms, calls }),
     ];
-    let halt = [Halt::Drop, Halt::Pause, Halt::Never][made[HALT]];
+    let halt = [Halt::Drop, Halt::Pause, Halt::Never][combination[HALT]];
     let interpreter = Interpreter::start_with(2, halt, &classes).await;
     let directory = Directory::start().await;
     let front = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -139,50 +146,52 @@
         r#"{{"name":"n1","listen":"{address}","vm":"{}","lookup":"{}","db":"{}","stop_ms":2000,"settings":{}}}"#,
         interpreter.address(),
         directory.address(),
-        below.address(),
-        settings(made)
+        dependency.address(),
+        settings(combination)
     );
     let config = config::read(&text, |_| None).unwrap();
     let (_moves, peers) = watch::channel(config.peers);
     let (_operators, operator) = watch::channel(None);
-    let (leave, told) = oneshot::channel();
+    let (drain, drain_requested) = oneshot::channel();
     let clock = Clock::runtime(UNIX_EPOCH.elapsed().unwrap().as_secs_f64());
     let balancer = Balancer::new(address, 4, Some(interpreter.clone()));
     let run = server::run(config, clock, server::Endpoints::new(front), peers, operator, async {
-        let _ = told.await;
+        let _ = drain_requested.await;
     });
     let done = spawn_local(async move { run.await.unwrap() });
     while directory.mode().as_deref() != Some("open") {
         sleep(Duration::from_millis(1)).await;
     }
     let (record, mut tasks) = (Record::default(), Vec::new());
-    let (mut leave, mut left) = (Some(leave), None);
+    let (mut drain, mut drain_began) = (Some(drain), None);
     let start = Instant::now();
     for n in 0..REQUESTS {
-        sleep_until(start + EVERY * n as u32).await;
+        sleep_until(start + REQUEST_INTERVAL * n as u32).await;
         if n == REQUESTS * 3 / 4 {
-            left = Some(Instant::now());
-            let _ = leave.take().expect("once").send(());
+            drain_began = Some(Instant::now());
+            let _ = drain.take().expect("once").send(());
         }
-        let dice = mix(seed, n);
-        let name = ["view", "find", "edit"][(dice % 3) as usize];
+        let random = pseudo_random(seed, n);
+        let name = ["view", "find", "edit"][(random % 3) as usize];
         let mut request = Request::new(name, format!("{name} {n}").as_bytes());
-        if name == "edit" && made[REPEAT] == 0 {
+        if name == "edit" && combination[SEMANTICS] == 0 {
             request.key = Some(format!("{n:032x}"));
         }
-        // A long wait, a short one, one beyond the class's deadline, none at all, one that is over.
-        let waits = [700, 150, 5_000, 60, 0][(dice / 7 % 5) as usize];
-        request.deadline_ms = (made[DEADLINE] == 1 && !(dice / 35).is_multiple_of(6)).then_some(waits);
-        let (balancer, record, again) = (balancer.clone(), record.clone(), (dice / 210).is_multiple_of(2));
-        let marked = made[MARKS] == 0;
+        // A long wait, a short one, one beyond the class's deadline, a very short one, and none left.
+        let waits = [700, 150, 5_000, 60, 0][(random / 7 % 5) as usize];
+        request.deadline_ms =
+            (combination[PASSES_DEADLINE] == 1 && !(random / 35).is_multiple_of(6)).then_some(waits);
+        let (balancer, record, again) = (balancer.clone(), record.clone(), (random / 210).is_multiple_of(2));
+        let marked = combination[MARKS_RETRY] == 0;
         tasks.push(spawn_local(async move {
-            // Tries of a request that may not run twice are only known as such by their key.
+            // Tries of a request that must not run twice are recognised only by their key.
             let tries = if again && (name != "edit" || request.key.is_some()) { 3 } else { 1 };
             for n in 0..tries {
                 request.resent = marked && n > 0;
-                // Who says nothing of its wait, or more than the class's deadline, is owed an answer by that.
+                // A caller that announces no wait, or more than the class's deadline, must be answered by the
+                // deadline.
                 let due = request.deadline_ms.map_or(1000, |ms| ms.min(1000)) + SLACK_MS;
-                let after = left.map(|left| left.elapsed());
+                let after = drain_began.map(|began| began.elapsed());
                 let answer = balancer.send(&request, Duration::from_millis(due)).await;
                 let ended = answer.status == 200;
                 record.borrow_mut().push((Sent { request: request.clone(), answer }, after));
@@ -194,30 +203,30 @@
         }));
     }
     done.await.unwrap();
-    let lived = left.map_or(Duration::ZERO, |left| left.elapsed());
+    let exited_after = drain_began.map_or(Duration::ZERO, |began| began.elapsed());
     for task in tasks {
         task.await.unwrap();
     }
-    judge(&record, lived, &interpreter, &below)
+    find_faults(&record, exited_after, &interpreter, &dependency)
 }
 
-/// The nodo `lived` on for so long after the notice to leave.
-fn judge(
+/// Finds faults. `exited_after` is the time from the start of the drain to the nodo's exit.
+fn find_faults(
     record: &Record,
-    lived: Duration,
+    exited_after: Duration,
     interpreter: &Interpreter,
-    below: &Dependency,
+    dependency: &Dependency,
 ) -> (Vec<String>, usize) {
-    // Once the nodo is gone, or about to be, it is a refused connection that a try meets, and nothing of it was read.
-    let going = lived.saturating_sub(Duration::from_millis(5));
-    let read = |after: &Option<Duration>| after.is_none_or(|after| after < going);
+    // Once the nodo has exited, or is about to, connections are refused and nothing is read.
+    let cutoff = exited_after.saturating_sub(Duration::from_millis(5));
+    let read = |after: &Option<Duration>| after.is_none_or(|after| after < cutoff);
     let records = record.borrow();
     let sent: Vec<Sent> = records
         .iter()
         .filter(|(s, after)| s.answer.status != 0 || read(after))
         .map(|(s, _)| s.clone())
         .collect();
-    let faults = truth::check(&sent, interpreter, &[below]);
+    let faults = truth::check(&sent, interpreter, &[dependency]);
     let mut wrong: Vec<String> = [
         ("unanswered", faults.unanswered),
         ("ran twice", faults.doubled),
@@ -227,7 +236,7 @@
     .into_iter()
     .flat_map(|(what, lines)| lines.into_iter().map(move |line| format!("{what}: {line}")))
     .collect();
-    // The grace is 200 ms; the way there counts too.
+    // The grace is 200 ms, plus the time to transmit.
     let late: BTreeSet<&str> = (records.iter())
         .filter(|(_, after)| after.is_some_and(|after| after > Duration::from_millis(260)))
         .map(|(sent, _)| sent.answer.uid.as_str())
@@ -249,28 +258,31 @@
 }
 
 #[test]
-fn the_rules_hold_on_every_pair_of_settings() {
+fn every_pair_of_settings_keeps_the_guarantees() {
     let all = deployments();
-    // Each value and each pair comes; by hand it is checked only that there are some.
+    // Only the plausible number of combinations is checked here.
     assert!((12..40).contains(&all.len()), "{} deployments", all.len());
     let mut served = 0;
-    // Guards against a nodo that is busy for ever without a moment going by: the clock of the test stands still then.
+    // Guards against a nodo that is busy for ever, as the test's clock doesn't advance then.
     let (over, waits) = std::sync::mpsc::channel::<()>();
     std::thread::spawn(move || {
-        if waits.recv_timeout(HANGS) == Err(std::sync::mpsc::RecvTimeoutError::Timeout) {
-            eprintln!("a deployment takes for ever; `--nocapture` shows which seed");
+        if waits.recv_timeout(HANG_TIMEOUT) == Err(std::sync::mpsc::RecvTimeoutError::Timeout) {
+            eprintln!("a deployment hangs; `--nocapture` shows which seed");
             std::process::abort();
         }
     });
-    for (seed, made) in all.iter().enumerate() {
+    for (seed, combination) in all.iter().enumerate() {
         eprintln!("seed {seed}");
         paused(async {
-            let (wrong, well) = play(made, seed as u64).await;
-            let named: Vec<String> =
-                AXES.iter().zip(made).map(|((name, values), at)| format!("{name}={}", values[*at])).collect();
+            let (wrong, successes) = run_deployment(combination, seed as u64).await;
+            let named: Vec<String> = AXES
+                .iter()
+                .zip(combination)
+                .map(|((name, values), at)| format!("{name}={}", values[*at]))
+                .collect();
             assert!(wrong.is_empty(), "seed {seed}, {}: {wrong:#?}", named.join(" "));
-            assert!(well > 0, "seed {seed}, {}: nothing was served", named.join(" "));
-            served += well;
+            assert!(successes > 0, "seed {seed}, {}: nothing was served", named.join(" "));
+            served += successes;
         });
     }
     drop(over);
--- a/crates/node/tests/nodo.rs
+++ b/crates/node/tests/nodo.rs
@@ -25,9 +25,9 @@
         let mut balancer = nodo.connect().await;
         balancer.send(request(1, 0xab, "read", &[], b"what?")).await;
         let apply = nodo.command().await;
-        let told =
+        let expected_fields =
             [("action", "APPLY"), ("uid", "00000000000000ab"), ("lane", "read"), ("content", "d2hhdD8=")];
-        for (name, expected) in told {
+        for (name, expected) in expected_fields {
             assert_eq!(field(&apply, name), expected);
         }
         let wait = r#"{"action":"AWAIT","pos":1,"uid":"00000000000000ab","content":"cXVlcnk="}"#;
@@ -77,14 +77,14 @@
         }
         balancer.send(request(1, 1, "read", &[], &[7; 2048])).await;
         assert_eq!(nodo.applied().await, "0000000000000001");
-        // The same id once more, while that one is here, is a bad request too.
+        // A second request with the id of one that is in flight is invalid, too.
         balancer.send(request(2, 1, "read", &[], b"")).await;
         assert!(balancer.answer().await.unwrap().1.starts_with("Status: 400 "));
     });
 }
 
 #[test]
-fn lost_framing_ends_that_connection_only() {
+fn invalid_framing_closes_only_that_connection() {
     local(async {
         let mut nodo = Nodo::start().await;
         let (mut one, mut other) = (nodo.connect().await, nodo.connect().await);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_end_of_what_a_balancer_sends_is_no_abort_and_a_reset_is() {
+fn a_half_close_by_the_balancer_is_no_abort_and_a_reset_is() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
@@ -118,9 +118,9 @@
     });
 }
 
-/// Such a connection would be open for ever, and its descriptor with it.
+/// Otherwise the connection and its descriptor would stay open for ever.
 #[test]
-fn a_request_that_can_never_be_whole_does_not_keep_its_connection_open() {
+fn a_truncated_request_does_not_keep_its_connection_open() {
     local(async {
         let mut nodo = Nodo::start().await;
         let whole = request(1, 1, "read", &[], b"");
@@ -144,7 +144,7 @@
         balancer.send(try_of(1)).await;
         let uid = nodo.applied().await;
         balancer.send(try_of(2)).await;
-        // Another request behind it shows that the second try was read and not run.
+        // A later request shows that the second try was read and not run.
         balancer.send(request(9, 9, "read", &[], b"")).await;
         assert_eq!(nodo.applied().await, "0000000000000009");
         nodo.link.send(value(1, &uid, "OK", "c2lnbmVk")).await;
@@ -157,10 +157,10 @@
     });
 }
 
-/// On SIGHUP the program reads its file again: a faulty one changes nothing, a good one moves the link, and what was
-/// not confirmed on the old one is sent again.
+/// SIGHUP reloads the configuration: an invalid file changes nothing, and a valid one moves the link and
+/// resends what was not confirmed on the old one.
 #[test]
-fn sighup_moves_what_the_file_says_and_never_ends_the_program() {
+fn sighup_applies_a_valid_file_and_keeps_running_on_an_invalid_one() {
     local(async {
         let (here, vm) = listener().await;
         let (elsewhere, new_vm) = listener().await;
@@ -177,34 +177,35 @@
             .spawn()
             .unwrap();
         let mut lines = BufReader::new(program.stderr.take().unwrap()).lines();
-        let mut told =
+        let mut wait_for_line =
             |what: &str| lines.by_ref().map(Result::unwrap).find(|line| line.contains(what)).unwrap();
-        let hang_up = || {
+        let send_sighup = || {
             let sent = std::process::Command::new("kill").args(["-HUP", &program.id().to_string()]).status();
             assert!(sent.unwrap().success());
         };
         let mut link = Peer::accept(&here).await;
         catch_up(&mut link, 0, &value(1, "00000000000000ff", "OK", "")).await;
-        // Reported once the interpreter is up.
+        // Reported once the interpreter is ready.
         assert!(Peer::accept(&directory).await.http().await.ends_with(r#"{"mode":"open"}"#));
         std::fs::write(&path, text(new_vm).replace(r#""db""#, r#""database""#)).unwrap();
-        hang_up();
+        send_sighup();
         let file = path.display();
-        told(&format!("configuration: {file}: db is missing; the one before stays in force"));
-        // The key as it stands in the file, not as the module names it; and one that is only found wrong beside those in force.
+        wait_for_line(&format!("configuration: {file}: db is missing; the one before stays in force"));
+        // Messages name the key as written in the file, not as in the module. One fault shows only beside the
+        // settings in force.
         std::fs::write(&path, text(new_vm).replacen(r#""deadlineS":40"#, r#""deadlineS":0"#, 1)).unwrap();
-        hang_up();
-        told(&format!(
+        send_sighup();
+        wait_for_line(&format!(
             "configuration: {file}: settings.classes[0].deadlineS must be above 0; the one before stays"
         ));
         std::fs::write(&path, text(new_vm).replace(r#""name":"sign""#, r#""name":"read""#)).unwrap();
-        hang_up();
-        told(&format!(
+        send_sighup();
+        wait_for_line(&format!(
             "configuration: {file}: settings.classes[1].name is that of another class; the one before"
         ));
         std::fs::write(&path, text(new_vm).replace("3200", "3300")).unwrap();
-        hang_up();
-        told("new addresses are in use; ignored until a restart: stop_ms");
+        send_sighup();
+        wait_for_line("new addresses are in use; ignored until a restart: stop_ms");
         let mut link = Peer::accept(&elsewhere).await;
         catch_up(&mut link, 1, "").await;
         std::fs::remove_file(&path).unwrap();
@@ -213,10 +214,10 @@
     });
 }
 
-/// The interpreter may come up long after the nodo, and turns away whatever comes before: commands, if they waited for
-/// an answer to an early question, would never be sent.
+/// The interpreter may become ready long after the nodo and rejects everything before. If commands waited for
+/// an answer to an early question, they would never be sent.
 #[test]
-fn nothing_but_the_greeting_is_said_before_the_interpreter_is_up() {
+fn only_the_greeting_is_sent_before_the_interpreter_is_ready() {
     local(async {
         let (mut nodo, _lookup) = Nodo::start_early().await;
         let mut balancer = nodo.connect().await;
@@ -235,14 +236,14 @@
 }
 
 #[test]
-fn after_a_break_the_link_hears_what_it_missed_and_sends_again_what_may_be_lost() {
+fn a_new_link_replays_missed_notices_and_resends_unconfirmed_commands() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
         balancer.send([request(1, 1, "read", &[], b""), request(2, 2, "read", &[], b"")].concat()).await;
         let (first, second) = (nodo.applied().await, nodo.applied().await);
         nodo.link.send(value(1, "ffffffffffffffff", "OK", "")).await;
-        // The end of the first run is on its way when the link breaks; of the second run nothing is known.
+        // The end of the first run is in transit when the link breaks; nothing is known of the second run.
         nodo.link = Peer::accept_after_break(nodo.link, &nodo.interpreter).await;
         let missed = [value(1, &second, "OK", "bm8="), value(2, &first, "OK", "eWVz")].concat();
         catch_up(&mut nodo.link, 1, &missed).await;
@@ -256,7 +257,7 @@
 }
 
 #[test]
-fn a_nodo_that_leaves_says_so_answers_all_and_ends() {
+fn a_draining_nodo_reports_closed_answers_all_requests_and_exits() {
     local(async {
         let mut nodo = Nodo::start().await;
         let mut balancer = nodo.connect().await;
@@ -264,7 +265,7 @@
         let uid = nodo.applied().await;
         nodo.leave.take().unwrap().send(()).unwrap();
         assert!(nodo.report().await.ends_with(r#"{"mode":"closed"}"#));
-        // The grace of these settings is over at once.
+        // The grace of these settings is zero.
         balancer.send(request(2, 2, "read", &[], b"")).await;
         let (id, answer, _) = balancer.answer().await.unwrap();
         assert!(id == 2 && answer.starts_with("Status: 503 "), "{answer}");
@@ -277,16 +278,16 @@
     });
 }
 
-/// Connections alone. The test answers in the place of the engine.
-struct Alone {
+/// The connection code alone, with the test as its engine.
+struct ConnectionServer {
     front: Rc<Connections>,
     address: SocketAddr,
     inputs: mpsc::Receiver<Input>,
     _idle: watch::Sender<IdlePolicy>,
 }
 
-impl Alone {
-    async fn start(sockets: &str) -> Alone {
+impl ConnectionServer {
+    async fn start(sockets: &str) -> ConnectionServer {
         let (socket, address) = listener().await;
         let at = address.to_string();
         let text = config_text(&at, &at, &at, &at).replace(r#""sockets":1024"#, sockets);
@@ -296,12 +297,12 @@
         let facts = watch::channel(Rc::new(config.facts())).1;
         let front = Rc::new(Connections::new(&config, engine, idle, facts, Rc::default()));
         spawn_local(accept(Rc::new(socket), front.clone(), std::future::pending()));
-        Alone { front, address, inputs, _idle }
+        ConnectionServer { front, address, inputs, _idle }
     }
 
     async fn connect(&self) -> Peer {
         let peer = Peer::new(TcpStream::connect(self.address).await.unwrap());
-        // For the connection to be taken.
+        // Lets the server accept the connection.
         tokio::time::sleep(Duration::from_millis(5)).await;
         peer
     }
@@ -313,30 +314,34 @@
         }
     }
 
-    /// Has a connection bring a request and answers it.
-    async fn use_once(&mut self, peer: &mut Peer) {
+    /// Sends a request on the connection and answers it.
+    async fn send_and_answer(&mut self, peer: &mut Peer) {
         peer.send(request(9, 9, "read", &[], b"")).await;
         self.reply_to().await.send(Reply::new(Answer::Failed, None));
         assert!(peer.answer().await.unwrap().1.starts_with("Status: 500 "));
     }
 }
 
-/// Those who bring nothing are owed a close within 3 s of connecting, however they go about it.
+/// Connections that bring no whole request are closed within 3 s, whatever part of one they send.
 #[test]
-fn who_brings_no_whole_request_is_let_go_in_time() {
+fn connections_without_a_whole_request_are_closed_in_time() {
     paused(async {
-        let alone = Alone::start(r#""sockets":1024"#).await;
+        let server = ConnectionServer::start(r#""sockets":1024"#).await;
         let whole = request(1, 1, "read", &[], b"cut");
         for sent in [&b""[..], &whole[..40], &whole[..whole.len() - 1], &request(1, 1, "sing", &[], b"")] {
             let began = Instant::now();
-            let mut peer = alone.connect().await;
+            let mut peer = server.connect().await;
             peer.send(sent).await;
-            while timeout(Duration::from_secs(600), peer.record()).await.expect("a close").is_some() {}
+            while timeout(Duration::from_secs(600), peer.record())
+                .await
+                .expect("the connection stays open")
+                .is_some()
+            {}
             assert!((1..3).contains(&began.elapsed().as_secs()));
         }
-        // One byte at a time makes no difference.
-        let (began, mut peer) = (Instant::now(), alone.connect().await);
-        // Each byte leaves at once: the system would hold it back by a clock of its own.
+        // Sending one byte at a time makes no difference.
+        let (began, mut peer) = (Instant::now(), server.connect().await);
+        // Without Nagle's algorithm, whose delays don't follow the test's clock.
         peer.stream.set_nodelay(true).unwrap();
         for byte in whole.iter().cycle() {
             if peer.stream.write_all(&[*byte]).await.is_err() {
@@ -346,108 +351,113 @@
         }
         let took = began.elapsed();
         assert!((1..4).contains(&took.as_secs()), "{took:?}");
-        assert_eq!(alone.front.open.get(), 0);
+        assert_eq!(server.front.open.get(), 0);
     });
 }
 
 #[test]
-fn who_brought_one_may_stay_and_who_is_owed_an_answer_gets_it() {
+fn used_connections_stay_open_and_pending_answers_are_delivered() {
     paused(async {
-        let mut alone = Alone::start(r#""sockets":1024"#).await;
-        let mut peer = alone.connect().await;
-        alone.use_once(&mut peer).await;
-        assert!(timeout(Duration::from_secs(100), peer.record()).await.is_err(), "it is quiet and stays");
-        // Half a request behind a whole one, and then what is no record: the whole one is answered all the same.
-        // That half of a request never ran is said of it, once it is given up.
+        let mut server = ConnectionServer::start(r#""sockets":1024"#).await;
+        let mut peer = server.connect().await;
+        server.send_and_answer(&mut peer).await;
+        assert!(
+            timeout(Duration::from_secs(100), peer.record()).await.is_err(),
+            "an idle connection was closed"
+        );
+        // Half a request or an invalid record follows a whole request, which is still answered. The half
+        // request is refused as never run once it times out.
         let never_ran = Some((kind::END_REQUEST, 2, vec![0, 0, 0, 0, 2, 0, 0, 0]));
         let half = request(2, 2, "read", &[], b"")[..40].to_vec();
-        for (rest, said) in [(half, never_ran), (b"GET / HTTP/1.1\r\n".to_vec(), None)] {
-            let mut peer = alone.connect().await;
+        for (rest, refusal) in [(half, never_ran), (b"GET / HTTP/1.1\r\n".to_vec(), None)] {
+            let mut peer = server.connect().await;
             peer.send([request(1, 1, "read", &[], b""), rest].concat()).await;
-            let reply_to = alone.reply_to().await;
+            let reply_to = server.reply_to().await;
             tokio::time::sleep(Duration::from_secs(30)).await;
             reply_to.send(Reply::new(Answer::Failed, None));
             assert!(peer.answer().await.unwrap().1.starts_with("Status: 500 "));
-            if said.is_some() {
-                assert_eq!(peer.record().await, said);
+            if refusal.is_some() {
+                assert_eq!(peer.record().await, refusal);
             }
             assert_eq!(peer.record().await, None);
         }
     });
 }
 
-/// Guards against small answers that the system holds back until earlier ones are acknowledged: a close may take them with it.
+/// Guards against small answers that the system delays until earlier ones are acknowledged: a close could
+/// discard them.
 #[test]
-fn what_is_written_to_a_balancer_is_not_held_back() {
+fn small_answers_are_sent_without_nagle_delay() {
     paused(async {
-        let alone = Alone::start(r#""sockets":1024"#).await;
+        let server = ConnectionServer::start(r#""sockets":1024"#).await;
         let (listener, address) = listener().await;
         let balancer = TcpStream::connect(address).await.unwrap();
         let (stream, peer) = listener.accept().await.unwrap();
         let stream = stream.into_std().unwrap();
         let same = stream.try_clone().unwrap();
         assert!(!same.nodelay().unwrap());
-        let ended = alone.front.ended.notified();
-        alone.front.adopt(TcpStream::from_std(stream).unwrap(), peer, PassedState::default());
+        let ended = server.front.ended.notified();
+        server.front.adopt(TcpStream::from_std(stream).unwrap(), peer, PassedState::default());
         drop(balancer);
         ended.await;
         assert!(same.nodelay().unwrap());
     });
 }
 
-/// A close with bytes unread is a reset, with which the refusal would be lost.
+/// Closing with unread bytes resets the connection, which would discard the refusal.
 #[test]
-fn an_oversized_body_is_refused_early_and_read_on_for_a_while() {
+fn an_oversized_body_is_refused_early_and_drained_for_a_limited_time() {
     paused(async {
-        let mut alone = Alone::start(r#""sockets":1024"#).await;
-        let mut peer = alone.connect().await;
+        let mut server = ConnectionServer::start(r#""sockets":1024"#).await;
+        let mut peer = server.connect().await;
         let mut stdin = Vec::new();
         put_record(&mut stdin, kind::STDIN, 1, &[7; 60_000]);
-        let mut begun = request(1, 1, "read", &[], b"");
-        begun.truncate(begun.len() - 8);
-        peer.send(&begun).await;
+        let mut unfinished = request(1, 1, "read", &[], b"");
+        unfinished.truncate(unfinished.len() - 8);
+        peer.send(&unfinished).await;
         peer.send(&stdin).await;
         assert!(peer.answer().await.unwrap().1.starts_with("Status: 400 "));
-        // The connection lives, if there is an end to it.
+        // The connection stays usable if the body ends.
         peer.send(&stdin).await;
-        alone.use_once(&mut peer).await;
-        peer.send(&begun).await;
+        server.send_and_answer(&mut peer).await;
+        peer.send(&unfinished).await;
         let (mut from, mut to) = peer.stream.split();
         let all = async { while to.write_all(&stdin).await.is_ok() {} };
         let mut answer = Vec::new();
         let (read, ()) = tokio::join!(from.read_to_end(&mut answer), all);
         assert!(String::from_utf8_lossy(&answer).contains("Status: 400 "), "{read:?}");
-        assert_eq!(alone.front.open.get(), 0);
+        assert_eq!(server.front.open.get(), 0);
     });
 }
 
-/// Descriptors are few, and there are peers that open connections by the hundred.
+/// Guards against peers that open hundreds of connections and exhaust the descriptors.
 #[test]
-fn when_all_connections_are_taken_the_least_useful_makes_room() {
+fn the_least_used_connection_is_evicted_at_the_connection_limit() {
     paused(async {
-        let mut alone = Alone::start(r#""sockets":128"#).await;
-        let most = alone.front.max_connections;
-        let (mut quiet, mut owed) = (alone.connect().await, alone.connect().await);
-        alone.use_once(&mut quiet).await;
-        owed.send(request(1, 1, "read", &[], b"")).await;
-        let reply_to = alone.reply_to().await;
+        let mut server = ConnectionServer::start(r#""sockets":128"#).await;
+        let most = server.front.max_connections;
+        let (mut idle, mut waiting) = (server.connect().await, server.connect().await);
+        server.send_and_answer(&mut idle).await;
+        waiting.send(request(1, 1, "read", &[], b"")).await;
+        let reply_to = server.reply_to().await;
         let mut silent = Vec::new();
-        // One place is always kept free.
-        while alone.front.open.get() < most - 1 {
-            silent.push(alone.connect().await);
+        // One slot is always kept free.
+        while server.front.open.get() < most - 1 {
+            silent.push(server.connect().await);
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let mut late = alone.connect().await;
-        alone.use_once(&mut late).await;
-        assert_eq!(silent.remove(0).record().await, None, "the oldest that brought nothing goes first");
-        assert_eq!(alone.front.open.get(), most - 1);
-        // With no such one left, the one that has been idle for longest goes, and never one that waits for its answer.
+        let mut late = server.connect().await;
+        server.send_and_answer(&mut late).await;
+        assert_eq!(silent.remove(0).record().await, None, "the oldest unused connection is evicted first");
+        assert_eq!(server.front.open.get(), most - 1);
+        // Otherwise the connection that has been idle for longest is evicted, and never one that waits for an
+        // answer.
         for peer in &mut silent {
-            alone.use_once(peer).await;
+            server.send_and_answer(peer).await;
         }
-        alone.connect().await;
-        assert_eq!(quiet.record().await, None);
+        server.connect().await;
+        assert_eq!(idle.record().await, None);
         reply_to.send(Reply::new(Answer::Failed, None));
-        assert!(owed.answer().await.is_some());
+        assert!(waiting.answer().await.is_some());
     });
 }
