--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -57,13 +57,15 @@
 
 impl Default for SiteConfig {
     fn default() -> SiteConfig {
+        let operation_duration = Duration::from_millis(300);
+        let first_operation_duration = Duration::from_millis(50);
         SiteConfig {
             nodos: 5,
             effect: "asks",
             deadline_seconds: 20,
             window_seconds: 60,
-            operation_duration: Duration::from_millis(300),
-            first_operation_duration: Duration::from_millis(50),
+            operation_duration,
+            first_operation_duration,
             nodos_without_class: &[],
             single_core_nodos: &[],
         }
