--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Five real nodos as a fleet, under faults of processes, links and disks. Safety is checked without tolerance from the
-//! resources' records of operations; progress is checked within generous timeouts.
+//! Five real nodos as a fleet, under faults of processes, links and disks. Safety is checked without
+//! tolerance from the resources' records of operations; progress is checked within generous timeouts.
 
 use jaspershunt_stand_ins::balancer::{Balancer, Request};
 use jaspershunt_stand_ins::fleet::{Fleet, Task, wait_for_acts};
@@ -175,8 +175,9 @@
     });
 }
 
-/// Clock rates at both limits that the fleet file allows, for the leader as well as the lease holders. A holder that is
-/// cut off, paused or killed must not act once the next holder does, and leases are still renewed.
+/// Clock rates at both limits that the fleet file allows, for the leader as well as the lease holders. A
+/// holder that is cut off, paused or killed must not act once the next holder does, and leases are still
+/// renewed.
 #[test]
 fn clocks_five_percent_fast_and_slow_cause_no_overlap_and_leases_are_renewed() {
     local(async {
@@ -352,7 +353,8 @@
     });
 }
 
-/// A second incarnation of a nodo takes over while the first runs or is paused: they never hold a lease at once.
+/// A second incarnation of a nodo takes over while the first runs or is paused: they never hold a lease at
+/// once.
 #[test]
 fn the_two_processes_of_an_upgrade_never_hold_a_lease_at_once() {
     local(async {
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -1,7 +1,7 @@
-//! Takeover of in-flight work between real nodos under compound failures: a lost successor, an upgrade, a restart of
-//! all nodos, an empty disk, a class missing from the settings, a caller that disconnects, a key whose window ends.
-//! Safety is checked after the run, without tolerance, from the records of the resource and the clients; progress is
-//! checked within generous timeouts.
+//! Takeover of in-flight work between real nodos under compound failures: a lost successor, an upgrade, a
+//! restart of all nodos, an empty disk, a class missing from the settings, a caller that disconnects, a key
+//! whose window ends. Safety is checked after the run, without tolerance, from the records of the resource
+//! and the clients; progress is checked within generous timeouts.
 
 use jaspershunt_histories::check_folder;
 use jaspershunt_histories::format::{Came, FILE_BYTES, Op, Told, Value, Who, WorkEnd, Writer};
@@ -86,8 +86,8 @@
 }
 
 impl Clients {
-    /// Sends one try and records it in the history, before sending and at its end. A rejected try has run nothing, but
-    /// another try of its key may have.
+    /// Sends one try and records it in the history, before sending and at its end. A rejected try has run
+    /// nothing, but another try of its key may have.
     async fn send_once(&self, key: &str, at: usize, resent: bool) -> Answer {
         self.balancer_count.set(self.balancer_count.get() + 1);
         let balancer = Balancer::new(self.addresses[at], self.balancer_count.get(), None);
@@ -277,7 +277,8 @@
         assert!(report.is_fine(), "{:#?} {}", report.verdicts, self.fleet.logs());
     }
 
-    /// Checks that all 200 answers of a key are equal, that no effect is repeated and that the histories are valid.
+    /// Checks that all 200 answers of a key are equal, that no effect is repeated and that the histories are
+    /// valid.
     fn assert_safe(&self) {
         for (key, tries) in self.clients.tries.borrow().iter() {
             let mut served = tries.iter().filter(|(status, _)| *status == 200);
@@ -293,7 +294,8 @@
     u64::try_from(time.as_nanos()).unwrap()
 }
 
-/// The origin node is killed, then its successor: work that has begun has its effect once and its caller is answered.
+/// The origin node is killed, then its successor: work that has begun has its effect once and its caller is
+/// answered.
 #[test]
 fn work_of_a_failed_successor_is_taken_over_again() {
     local(async {
@@ -305,8 +307,8 @@
         let client = deployment.client("k", 4);
         deployment.wait_for_effect("k").await;
         deployment.fleet.kill(4).await;
-        // The successor's query waits for the end of the first run, and the successor is killed meanwhile. Two of three
-        // voters stay up throughout.
+        // The successor's query waits for the end of the first run, and the successor is killed meanwhile.
+        // Two of three voters stay up throughout.
         let second = deployment.wait_for_owner_except("k", &[4], 0).await;
         if second != 0 {
             deployment.fleet.kill(second).await;
@@ -319,8 +321,8 @@
     });
 }
 
-/// The origin node is paused after the effect has ended but before its caller has the whole answer. Its successor has
-/// answered a repeat by the time it resumes: both answers must be equal.
+/// The origin node is paused after the effect has ended but before its caller has the whole answer. Its
+/// successor has answered a repeat by the time it resumes: both answers must be equal.
 #[test]
 fn an_origin_resumed_before_it_answered_gives_the_same_answer_as_its_successor() {
     local(async {
@@ -366,8 +368,8 @@
     });
 }
 
-/// A second incarnation takes over from the first, which has in-flight work: each key has its effect once, and each
-/// caller and repeat is answered.
+/// A second incarnation takes over from the first, which has in-flight work: each key has its effect once,
+/// and each caller and repeat is answered.
 #[test]
 fn an_upgrade_runs_in_flight_work_once_and_answers_every_caller() {
     local(async {
@@ -389,8 +391,8 @@
     });
 }
 
-/// All nodos are killed with in-flight work and restarted with their disks: the outcome of begun work is queried at the
-/// resource, and no key is lost.
+/// All nodos are killed with in-flight work and restarted with their disks: the outcome of begun work is
+/// queried at the resource, and no key is lost.
 #[test]
 fn a_restart_of_all_nodos_loses_no_work() {
     local(async {
@@ -412,8 +414,8 @@
     });
 }
 
-/// A nodo restarts with an empty disk, once a plain member and once a voter: its work has moved to another nodo, and it
-/// runs nothing that it no longer has a record of.
+/// A nodo restarts with an empty disk, once a plain member and once a voter: its work has moved to another
+/// nodo, and it runs nothing that it no longer has a record of.
 #[test]
 fn a_nodo_restarted_with_an_empty_disk_repeats_no_effect() {
     local(async {
@@ -443,7 +445,8 @@
     });
 }
 
-/// A lost nodo has more work than its successors have cores for: the surplus waits, and each key has its effect once.
+/// A lost nodo has more work than its successors have cores for: the surplus waits, and each key has its
+/// effect once.
 #[test]
 fn successors_without_capacity_take_over_gradually() {
     local(async {
@@ -464,8 +467,8 @@
     });
 }
 
-/// No successor's operator file has the class: no nodo knows which resource to query, so the outcome is unknown and the
-/// work is never run again.
+/// No successor's operator file has the class: no nodo knows which resource to query, so the outcome is
+/// unknown and the work is never run again.
 #[test]
 fn begun_work_of_a_class_unknown_to_its_successors_ends_unknown_and_is_not_rerun() {
     local(async {
@@ -500,8 +503,8 @@
     });
 }
 
-/// A key is reused continually beyond the end of its window: within a window it has one effect, after the window a try
-/// may count as new work.
+/// A key is reused continually beyond the end of its window: within a window it has one effect, after the
+/// window a try may count as new work.
 #[test]
 fn a_key_reused_as_its_window_ends_has_one_effect_per_window() {
     const WINDOW_SECONDS: u64 = 4;
@@ -541,8 +544,8 @@
     });
 }
 
-/// A caller that waits at one nodo for work of another is answered before the first nodo exits, however long the work
-/// takes.
+/// A caller that waits at one nodo for work of another is answered before the first nodo exits, however long
+/// the work takes.
 #[test]
 fn a_terminating_nodo_answers_callers_that_wait_for_work_of_another() {
     local(async {
--- a/crates/node/tests/partial.rs
+++ b/crates/node/tests/partial.rs
@@ -1,6 +1,6 @@
-//! Seven real nodos in three regions, one of which is killed, paused or terminated with in-flight work: another takes
-//! the work over, once. Safety is checked after the run, without tolerance, from the records of the resource and the
-//! clients; progress is checked within generous timeouts.
+//! Seven real nodos in three regions, one of which is killed, paused or terminated with in-flight work:
+//! another takes the work over, once. Safety is checked after the run, without tolerance, from the records of
+//! the resource and the clients; progress is checked within generous timeouts.
 
 use jaspershunt_histories::check_folder;
 use jaspershunt_histories::format::{Came, FILE_BYTES, Op, Told, Value, Who, WorkEnd, Writer};
@@ -204,8 +204,8 @@
     u64::try_from(time.as_nanos()).unwrap()
 }
 
-/// Sends a try and records its start and outcome in the history. A rejected try has run nothing, but another try of its
-/// key may have; any status but 200 and 503 is recorded as unknown.
+/// Sends a try and records its start and outcome in the history. A rejected try has run nothing, but another
+/// try of its key may have; any status but 200 and 503 is recorded as unknown.
 async fn send_recorded(
     history: &ClientHistory,
     start: Instant,
@@ -287,8 +287,8 @@
     );
 }
 
-/// Pauses a nodo until another has taken over its work, and resumes it while that work runs: no effect is repeated, and
-/// its answers equal those of the other nodo.
+/// Pauses a nodo until another has taken over its work, and resumes it while that work runs: no effect is
+/// repeated, and its answers equal those of the other nodo.
 async fn pause_one_nodo(name: &str, seed: u64, effect: &str) {
     let mut rng = StdRng::seed_from_u64(seed);
     let deployment = Deployment::started(name, effect, Duration::from_millis(250)).await;
@@ -334,7 +334,8 @@
     });
 }
 
-/// Work whose outcome cannot be queried and which is not fenced is never run again, and all its tries get one answer.
+/// Work whose outcome cannot be queried and which is not fenced is never run again, and all its tries get one
+/// answer.
 #[test]
 fn work_that_can_be_neither_queried_nor_fenced_stays_unknown() {
     local(async {
--- a/crates/node/tests/paused.rs
+++ b/crates/node/tests/paused.rs
@@ -1,5 +1,5 @@
-//! Several incarnations of one nodo, any of which is paused and resumed: by the interpreters' records no key runs twice
-//! and none is refused after it ran, and the incarnation left serving serves all requests.
+//! Several incarnations of one nodo, any of which is paused and resumed: by the interpreters' records no key
+//! runs twice and none is refused after it ran, and the incarnation left serving serves all requests.
 
 #[path = "common/passing.rs"]
 mod passing;
@@ -86,8 +86,8 @@
         .unwrap_or_else(|_| panic!("not exactly one incarnation is ready: {}", nodo.logs()))
 }
 
-/// The earlier incarnation is paused before it answers, the later one takes over, and the earlier one resumes during a
-/// burst. In this case 87 of 300 keys have been seen to run twice.
+/// The earlier incarnation is paused before it answers, the later one takes over, and the earlier one resumes
+/// during a burst. In this case 87 of 300 keys have been seen to run twice.
 #[test]
 fn a_superseded_incarnation_runs_nothing_when_resumed() {
     local(async {
@@ -114,8 +114,8 @@
     });
 }
 
-/// A later incarnation that owns the keys is paused: the earlier one takes them back and neither runs nor refuses what
-/// may have run there. The later one has lost ownership when it resumes.
+/// A later incarnation that owns the keys is paused: the earlier one takes them back and neither runs nor
+/// refuses what may have run there. The later one has lost ownership when it resumes.
 #[test]
 fn a_paused_later_incarnation_leaves_the_earlier_one_serving() {
     local(async {
@@ -294,8 +294,8 @@
     });
 }
 
-/// The serving incarnation is killed while the one that it took over from is paused: that one takes ownership back when
-/// it resumes, and does not rerun keys whose outcomes are lost.
+/// The serving incarnation is killed while the one that it took over from is paused: that one takes ownership
+/// back when it resumes, and does not rerun keys whose outcomes are lost.
 #[test]
 fn a_resumed_incarnation_takes_ownership_back_when_the_owner_was_killed() {
     local(async {
@@ -347,8 +347,8 @@
     });
 }
 
-/// The later incarnation resumes about when it is declared silent, 1.25 to 1.5 s after its last message, just as
-/// ownership is taken from it.
+/// The later incarnation resumes about when it is declared silent, 1.25 to 1.5 s after its last message, just
+/// as ownership is taken from it.
 #[test]
 fn a_later_incarnation_may_resume_as_ownership_is_taken_from_it() {
     local(async {
@@ -382,8 +382,8 @@
     });
 }
 
-/// Checks the documented time to take ownership from a paused later incarnation: a second of silence, the request and
-/// the wait, with a margin for a busy machine.
+/// Checks the documented time to take ownership from a paused later incarnation: a second of silence, the
+/// request and the wait, with a margin for a busy machine.
 #[test]
 fn keys_are_taken_back_from_a_paused_later_incarnation_within_the_documented_time() {
     local(async {
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -1,6 +1,6 @@
-//! Five real nodos whose route table four teams edit on both sides of a partition. The outcome of each edit and the
-//! table in use at each nodo are checked after the run from the histories; progress is checked within generous
-//! timeouts.
+//! Five real nodos whose route table four teams edit on both sides of a partition. The outcome of each edit
+//! and the table in use at each nodo are checked after the run from the histories; progress is checked within
+//! generous timeouts.
 
 use jaspershunt_histories::check_folder;
 use jaspershunt_histories::format::{Came, FILE_BYTES, Op, Table, Told, Value as Of, Who, Writer};
@@ -45,7 +45,8 @@
     fleet: Fleet,
     histories: PathBuf,
     clients: Writer<File>,
-    /// The tables that each incarnation reported over its admin socket, in addition to the nodos' own histories.
+    /// The tables that each incarnation reported over its admin socket, in addition to the nodos' own
+    /// histories.
     shown_tables: BTreeMap<Who, Writer<File>>,
     incarnations: [u64; NODOS],
 }
@@ -200,8 +201,8 @@
         self.within("membership of all nodos", all).await;
     }
 
-    /// Waits until every nodo itself knows of the first trial, as earlier requests do not count for it. Returns the nodos
-    /// with the new table and those without.
+    /// Waits until every nodo itself knows of the first trial, as earlier requests do not count for it.
+    /// Returns the nodos with the new table and those without.
     async fn wait_until_all_know_the_trial(&mut self) -> (Vec<usize>, Vec<usize>) {
         let deadline = Instant::now() + PROGRESS_TIMEOUT;
         loop {
@@ -255,7 +256,8 @@
     fn assert_histories_valid(&self) {
         let report = check_folder(&self.histories).unwrap();
         assert!(report.is_fine(), "{:#?} {}", report.verdicts, self.fleet.logs());
-        // The histories include those of the nodos: every nodo recorded tables, and some recorded proposed edits.
+        // The histories include those of the nodos: every nodo recorded tables, and some recorded proposed
+        // edits.
         let files_with = |op: &str| {
             let files = std::fs::read_dir(&self.histories).unwrap().flatten();
             let named = files.filter(|file| file.file_name().to_string_lossy().starts_with('n'));
@@ -387,8 +389,8 @@
         let listed = deployment.run_command(4, &["conflicts"]).await;
         assert!(text(&listed).starts_with(id) && text(&listed).contains("is in force"), "{}", text(&listed));
         let settled = deployment.run_command(4, &["settle", id, "--keep", "casa/1", "--team", "casa"]).await;
-        // A call whose answer is late is sent again, and the reply says that the first copy has ended the conflict; checked
-        // below.
+        // A call whose answer is late is sent again, and the reply says that the first copy has ended the
+        // conflict; checked below.
         let settled_by_first_copy =
             text(&settled).contains("no such conflict") || text(&settled).contains("has settled it");
         assert!(settled.status.success() || settled_by_first_copy, "{}", text(&settled));
@@ -419,8 +421,8 @@
     });
 }
 
-/// A new table goes to some nodos first. The request counts of both sides are committed, and only those of live nodos
-/// are included.
+/// A new table goes to some nodos first. The request counts of both sides are committed, and only those of
+/// live nodos are included.
 #[test]
 fn a_table_on_trial_is_used_by_some_nodos_and_both_sides_report_requests() {
     local(async {
@@ -482,8 +484,8 @@
     });
 }
 
-/// A table that makes nodos reject a class is rolled back once both sides have reported enough requests, and the edit
-/// shows the reason.
+/// A table that makes nodos reject a class is rolled back once both sides have reported enough requests, and
+/// the edit shows the reason.
 #[test]
 fn a_table_that_fails_more_requests_is_rolled_back_everywhere() {
     local(async {
--- a/crates/node/tests/steering.rs
+++ b/crates/node/tests/steering.rs
@@ -1,6 +1,6 @@
-//! Six real nodos in three regions with links that add delay: groups of clients follow the steering table, the nearest
-//! region is found from passive measurements, and a region that is cut off loses its groups. The tables are checked
-//! after the run from the histories of the nodos.
+//! Six real nodos in three regions with links that add delay: groups of clients follow the steering table,
+//! the nearest region is found from passive measurements, and a region that is cut off loses its groups. The
+//! tables are checked after the run from the histories of the nodos.
 
 use jaspershunt_histories::check_folder;
 use jaspershunt_histories::verdict::Verdict;
@@ -22,14 +22,16 @@
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(60);
 const REGIONS: [&str; 3] = ["norte", "sur", "oeste"];
 const NODOS: usize = 6;
-/// Client groups, one per balancer; a third of them is nearest to each region, and `STRAY` starts at a farther one.
+/// Client groups, one per balancer; a third of them is nearest to each region, and `STRAY` starts at a
+/// farther one.
 const GROUPS: usize = 12;
 const NEAR_ROUND_TRIP: Duration = Duration::from_millis(4);
 const FAR_ROUND_TRIP: Duration = Duration::from_millis(40);
-/// The group that starts at a farther region. The table moves a hundredth of all traffic a second and can save up ten
-/// of these; one group is less than that.
+/// The group that starts at a farther region. The table moves a hundredth of all traffic a second and can
+/// save up ten of these; one group is less than that.
 const STRAY: usize = 1;
-/// Sequential requests of a client to one nodo: the gap between an answer and the next request is one round trip.
+/// Sequential requests of a client to one nodo: the gap between an answer and the next request is one round
+/// trip.
 const SEQUENTIAL_REQUESTS: usize = 4;
 
 fn nearest_region(group: usize) -> usize {
@@ -85,8 +87,8 @@
         Rc::new(Deployment { fleet, histories, balancers, _links: links, shares })
     }
 
-    /// Starts a group's clients, which send a few sequential requests to the region chosen by the shares. A third of them
-    /// ignore the table and use the regions in turn.
+    /// Starts a group's clients, which send a few sequential requests to the region chosen by the shares. A
+    /// third of them ignore the table and use the regions in turn.
     fn start_clients(self: &Rc<Deployment>, group: usize) {
         let deployment = self.clone();
         spawn_local(async move {
@@ -117,8 +119,8 @@
         serde_json::from_str(answer.strip_suffix("\r\n.\r\n")?).ok()
     }
 
-    /// Waits until the rows of the groups in this nodo's table meet the condition; meanwhile the agents of all groups follow
-    /// the table.
+    /// Waits until the rows of the groups in this nodo's table meet the condition; meanwhile the agents of
+    /// all groups follow the table.
     async fn wait_for_rows(&self, n: usize, groups: &[usize], condition: impl Fn(&Value) -> bool) {
         loop {
             if let Some(shown) = self.show(n).await {
@@ -187,7 +189,8 @@
         assert!(why.contains(&format!("in {near} (")), "{why}");
         println!("{why}{}", deployment.run_command(0, &["show"]));
 
-        // The second region is cut off from all others; its own clients still reach it until their table moves.
+        // The second region is cut off from all others; its own clients still reach it until their table
+        // moves.
         for n in [1, 4] {
             deployment.fleet.isolate(n, Fault::Cut);
         }
