--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A nodo on loopback, with the test in the place of everything that it talks to.
+//! Runs a nodo on loopback; the test plays each of its peers.
 #![allow(dead_code)]
 
 use jaspershunt_node::admin::{self, AdminState, Order};
@@ -36,18 +36,18 @@
     config::read(&text, |_| None).unwrap()
 }
 
-/// No test takes a hundredth of this; one that waits for what never comes fails.
-const HANGS: std::time::Duration = std::time::Duration::from_secs(60);
+/// The time after which a test counts as hanging; tests take less than a hundredth of it.
+const HANG_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(60);
 
-/// Runs a test on one thread, as the program runs.
+/// Runs a test on one thread, like the program.
 pub fn local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let bounded = async { tokio::time::timeout(HANGS, test).await.expect("the test hangs") };
+    let bounded = async { tokio::time::timeout(HANG_TIMEOUT, test).await.expect("the test hangs") };
     LocalSet::new().block_on(&runtime, bounded);
 }
 
-/// Runs a test on a clock that goes on by a millisecond whenever nothing is left to do: no faster, so that what sockets
-/// bring is never overtaken by a timer of seconds.
+/// Runs a test on a paused clock that advances by one millisecond whenever all tasks are idle. Larger steps
+/// could fire timers of several seconds before pending socket input is read.
 pub fn paused(test: impl Future<Output = ()>) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
@@ -57,12 +57,12 @@
                 tokio::time::sleep(std::time::Duration::from_millis(1)).await;
             }
         });
-        let hangs = std::time::Duration::from_secs(1000);
-        tokio::time::timeout(hangs, test).await.expect("the test hangs");
+        let hang_timeout = std::time::Duration::from_secs(1000);
+        tokio::time::timeout(hang_timeout, test).await.expect("the test hangs");
     });
 }
 
-/// The address as that of every party.
+/// Returns peers that all have this address.
 pub fn all_at(address: SocketAddr) -> Peers {
     Peers { interpreter: address, directory: address, database: address }
 }
@@ -73,7 +73,7 @@
     (listener, address)
 }
 
-/// One end of a connection.
+/// The test's end of a connection.
 pub struct Peer {
     pub stream: TcpStream,
     input: RefCell<Vec<u8>>,
@@ -88,7 +88,7 @@
         Peer::new(listener.accept().await.unwrap().0)
     }
 
-    /// Closes a link, once all that was sent on it has been read, and takes the next one.
+    /// Closes a link after reading everything sent on it, and accepts the next one.
     pub async fn accept_after_break(mut link: Peer, listener: &TcpListener) -> Peer {
         link.stream.shutdown().await.unwrap();
         while link.line().await.is_some() {}
@@ -99,7 +99,7 @@
         self.stream.write_all(bytes.as_ref()).await.unwrap();
     }
 
-    /// Reads up to and with `end`, or `None` if the other end closes first.
+    /// Reads up to and including `end`, or returns `None` if the other end closes first.
     pub async fn until(&mut self, end: &[u8]) -> Option<String> {
         loop {
             let input = self.input.get_mut();
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether nothing has come beyond what was read.
+    /// Returns whether no unread input has arrived.
     pub fn is_silent(&mut self) -> bool {
         self.input.get_mut().is_empty() && self.stream.try_read(&mut [0]).is_err()
     }
@@ -122,7 +122,7 @@
         self.until(b"\n").await
     }
 
-    /// The next line that is no question for the gauges.
+    /// Returns the next line that is not a request for the gauges.
     pub async fn command(&mut self) -> String {
         loop {
             let line = self.line().await.expect("a command");
@@ -132,7 +132,7 @@
         }
     }
 
-    /// An HTTP request, with its body.
+    /// Reads an HTTP request with its body.
     pub async fn http(&mut self) -> String {
         let head = self.until(b"\r\n\r\n").await.expect("a request");
         let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: ")).unwrap();
@@ -144,7 +144,7 @@
         head + std::str::from_utf8(&body).unwrap()
     }
 
-    /// The next FastCGI record, or `None` if the other end closes first.
+    /// Reads the next FastCGI record, or returns `None` if the other end closes first.
     pub async fn record(&mut self) -> Option<(u8, u16, Vec<u8>)> {
         loop {
             let input = self.input.get_mut();
@@ -160,7 +160,7 @@
         }
     }
 
-    /// A whole answer, as text, behind the id of its request; ends with the protocol status.
+    /// Reads a whole answer: the id of its request, its text, and the protocol status.
     pub async fn answer(&mut self) -> Option<(u16, String, u8)> {
         let mut text = Vec::new();
         loop {
@@ -175,7 +175,7 @@
     }
 }
 
-/// The records of a request; `more` are parameters that come first.
+/// Encodes a request as FastCGI records; the parameters `more` come first.
 pub fn request(id: u16, uid: u64, class: &str, more: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut params = Vec::new();
     let (uid, path) = (format!("{uid:016x}"), format!("/v1/{class}"));
@@ -202,7 +202,7 @@
     out
 }
 
-/// A nodo and the sockets of what it talks to.
+/// A nodo and the sockets of its peers.
 pub struct Nodo {
     pub address: SocketAddr,
     pub interpreter: TcpListener,
@@ -221,7 +221,7 @@
 }
 
 impl Nodo {
-    /// Starts a nodo whose interpreter is up and which is in the directory.
+    /// Starts a nodo whose interpreter is up and which the directory lists as open.
     pub async fn start() -> Nodo {
         let (mut nodo, lookup) = Nodo::start_early().await;
         catch_up(&mut nodo.link, 0, "").await;
@@ -230,25 +230,25 @@
         nodo
     }
 
-    /// Starts a nodo whose interpreter accepts its link and is not up yet.
+    /// Starts a nodo whose interpreter accepts the link but is not up yet.
     pub async fn start_early() -> (Nodo, TcpListener) {
         let (front, address) = listener().await;
         let (interpreter, vm) = listener().await;
         let (database, db) = listener().await;
         let (lookup, directory) = listener().await;
-        let (leave, told) = oneshot::channel();
+        let (leave, leave_requested) = oneshot::channel();
         let config = config(address, vm, directory, db);
         let (moves, peers) = watch::channel(config.peers);
         let (operators, operator) = watch::channel(None);
-        let (operators_at, operators_admin) = listener().await;
+        let (admin_listener, admin_address) = listener().await;
         let desk = Rc::new(AdminState::default());
         let orders = mpsc::channel(admin::QUEUE);
-        let to_engine = orders.0.clone();
-        let told_config = config.clone();
+        let order_sender = orders.0.clone();
+        let config_copy = config.clone();
         let endpoints =
-            Endpoints { admin: Some(operators_at), desk: desk.clone(), orders, ..Endpoints::new(front) };
+            Endpoints { admin: Some(admin_listener), desk: desk.clone(), orders, ..Endpoints::new(front) };
         let run = server::run(config, Clock::System, endpoints, peers, operator, async {
-            let _ = told.await;
+            let _ = leave_requested.await;
         });
         let done = spawn_local(async move { run.await.unwrap() });
         let link = Peer::accept(&interpreter).await;
@@ -262,9 +262,9 @@
                 moves,
                 operators,
                 leave: Some(leave),
-                admin: operators_admin,
-                config: told_config,
-                orders: to_engine,
+                admin: admin_address,
+                config: config_copy,
+                orders: order_sender,
                 directory_at: directory,
                 desk,
                 done,
@@ -273,7 +273,7 @@
         )
     }
 
-    /// Takes a report to the directory.
+    /// Receives a report as the directory and acknowledges it.
     pub async fn report(&mut self) -> String {
         let directory = self.directory.as_mut().unwrap();
         let report = directory.http().await;
@@ -281,12 +281,12 @@
         report
     }
 
-    /// Has a configuration taken up as at SIGHUP.
+    /// Applies a configuration as on SIGHUP.
     pub async fn reload(&self, running: &mut Config, read: Result<Config, ConfigError>) {
         server::reload(running, read, &self.moves, &self.orders, &self.desk).await;
     }
 
-    /// What operators get for a line.
+    /// Sends an operators' command and returns the answer.
     pub async fn call(&self, line: &str) -> String {
         let mut caller = Peer::new(TcpStream::connect(self.admin).await.unwrap());
         caller.send(format!("{line}\n")).await;
@@ -301,12 +301,12 @@
         Peer::new(TcpStream::connect(self.address).await.unwrap())
     }
 
-    /// What the interpreter is told next, without questions for the gauges.
+    /// Returns the next message to the interpreter that is not a request for the gauges.
     pub async fn command(&mut self) -> String {
         self.link.command().await
     }
 
-    /// The uid of the run that is started next.
+    /// Returns the uid of the next run that is started.
     pub async fn applied(&mut self) -> String {
         let command = self.command().await;
         assert!(command.contains(r#""action":"APPLY""#), "{command}");
@@ -314,13 +314,13 @@
     }
 }
 
-/// A text in a line of JSON.
+/// Returns the string value of a field in a line of JSON.
 pub fn field(line: &str, name: &str) -> String {
     let (_, rest) = line.split_once(&format!(r#""{name}":""#)).unwrap_or_else(|| panic!("{name} in {line}"));
     rest.split_once('"').unwrap().0.to_string()
 }
 
-/// Greets a new link: a banner, all notices that were missed, and the gauges that were asked for first.
+/// Completes the handshake of a new link: banner, missed notices, and the first gauges requested.
 pub async fn catch_up(link: &mut Peer, pos: u64, missed: &str) {
     let connect = link.line().await.unwrap();
     assert!(connect.contains(r#""CONNECT""#) && connect.contains(&format!(r#""pos":{pos}"#)), "{connect}");
