--- a/crates/node/tests/dependencies.rs
+++ b/crates/node/tests/dependencies.rs
@@ -1,7 +1,8 @@
-//! A nodo with several dependencies on loopback, each broken in its own way. The records of the stand-ins are the truth.
+//! A nodo with several dependencies on loopback that fail in different ways. The records of the fake servers
+//! show what really happened.
 //!
-//! The runtime's clock goes on by a millisecond whenever nothing is left to do, so that no verdict depends on how fast
-//! the machine is.
+//! The tests run on a paused clock that advances by one millisecond whenever all tasks are idle, so no result
+//! depends on the speed of the machine.
 
 mod common;
 use common::paused;
@@ -22,7 +23,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// "look" asks "a", "find" asks "b", "sign" asks "c"; each once.
+/// Each class makes one call: "look" to "a", "find" to "b", "sign" to "c".
 const SETTINGS: &str = concat!(
     r#"{"classes":[{"name":"look","worth":1,"targetS":2,"deadlineS":4,"semantics":"free"},"#,
     r#"{"name":"find","worth":1,"targetS":2,"deadlineS":4,"semantics":"free"},"#,
@@ -54,8 +55,8 @@
     text: String,
 }
 
-/// The file of the tests; each dependency has 6 calls, 3 in line, and a timeout of 400 ms.
-fn text(a: &Dependency, b: &Dependency, c: &Dependency) -> String {
+/// Returns the operators' file; each dependency has 6 calls, a queue of 3, and a timeout of 400 ms.
+fn operator_text(a: &Dependency, b: &Dependency, c: &Dependency) -> String {
     let one = |name: &str, at: &Dependency, more: &str| {
         format!(
             "dependency \"{name}\" {{\n  addresses = [\"{}\"]\n  calls = 6\n  connections = 6\n  waiting = 3\n  \
@@ -91,7 +92,7 @@
         let directory = Directory::start().await;
         let front = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = front.local_addr().unwrap();
-        let text = change(text(&a, &b, &c));
+        let text = change(operator_text(&a, &b, &c));
         let platform = format!(
             r#"{{"name":"n1","listen":"{address}","vm":"{}","lookup":"{}","db":"127.0.0.1:9","seed":"5","stop_ms":3000,"settings":{SETTINGS}}}"#,
             interpreter.address(),
@@ -101,12 +102,12 @@
         let config = config.with_operator(read("t.hcl", &text).unwrap()).unwrap();
         let (_, peers) = watch::channel(config.peers);
         let (operators, operator) = watch::channel(None);
-        let (leave, told) = oneshot::channel();
+        let (leave, leave_requested) = oneshot::channel();
         // Both begin at the same moment and then follow the runtime's clock.
         let clock = Clock::runtime(UNIX_EPOCH.elapsed().unwrap().as_secs_f64());
         let balancer = Balancer::new(address, 4, Some(interpreter.clone()));
         let run = server::run(config, clock, server::Endpoints::new(front), peers, operator, async {
-            let _ = told.await;
+            let _ = leave_requested.await;
         });
         let done = spawn_local(async move { run.await.unwrap() });
         while directory.mode().as_deref() != Some("open") {
@@ -117,7 +118,7 @@
         Site { a, b, c, interpreter, directory, balancer, operators, leave, done, sent, tasks, text }
     }
 
-    /// Sends a request and goes on.
+    /// Sends a request without waiting for its answer.
     fn send(&mut self, request: Request) {
         let (balancer, sent) = (self.balancer.clone(), self.sent.clone());
         self.tasks.push(spawn_local(async move {
@@ -132,7 +133,7 @@
         answer
     }
 
-    /// Sends one request of each class every so long, for so long.
+    /// Sends one request of each class per interval `each`, for the duration `lasting`.
     async fn load(&mut self, each: Duration, lasting: Duration) {
         let until = Instant::now() + lasting;
         while Instant::now() < until {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Waits for all answers and holds them against the records.
+    /// Waits for all answers and checks them against the records.
     async fn check(&mut self) {
         self.all_answered().await;
         let faults = truth::check(&self.sent.borrow(), &self.interpreter, &[&self.a, &self.b, &self.c]);
@@ -158,11 +159,11 @@
         for dependency in [&self.a, &self.b, &self.c] {
             let record = dependency.record();
             let most = (record.max_in_flight, record.max_connections);
-            assert!(most.0 <= 6 && most.1 <= 6, "{}: {most:?} in hand and connections", dependency.name());
+            assert!(most.0 <= 6 && most.1 <= 6, "{}: {most:?} in flight and connections", dependency.name());
         }
     }
 
-    /// The share of the requests of a class that were served whole, of those sent from a place of the list on.
+    /// Returns the fraction of a class's requests that were served in full, from index `from` of the list on.
     fn served(&self, class: &str, from: usize) -> f64 {
         let sent = self.sent.borrow();
         let of: Vec<&Sent> = sent[from..].iter().filter(|one| one.request.class == class).collect();
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn with_all_well_answers_are_whole_and_say_nothing_of_themselves() {
+fn with_healthy_dependencies_answers_are_complete_and_unlabelled() {
     paused(async {
         let mut site = Site::start().await;
         let answer = site.ask(request("look", "x")).await;
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn a_dependency_that_accepts_and_never_answers_harms_nobody_else() {
+fn a_dependency_that_accepts_and_never_answers_affects_no_other_class() {
     paused(async {
         for (broken, others) in [(0, ["find", "sign"]), (2, ["look", "find"])] {
             let mut site = Site::start().await;
@@ -208,7 +209,7 @@
     });
 }
 
-/// The run is stuck at its call: a repeat must wait for it or fail, and never run.
+/// The first run hangs in its call: a repeat must wait for it or fail, and must not run.
 #[test]
 fn a_repeat_of_a_keyed_request_whose_first_run_is_stuck_at_a_call_does_not_run() {
     paused(async {
@@ -225,7 +226,7 @@
         assert_eq!(site.interpreter.runs().len(), 1);
         assert_eq!(site.c.record().calls.len(), 1);
         assert!(site.sent.borrow().iter().all(|one| one.answer.status == 500));
-        // Well again, the key is still used up.
+        // After the dependency recovers, the key stays used.
         site.c.set(Mode::Good);
         let again = site.ask(Request { resent: true, ..request("sign", "one") }).await;
         assert_eq!((again.status, site.interpreter.runs().len()), (500, 1));
@@ -234,7 +235,7 @@
 }
 
 #[test]
-fn one_that_answers_just_after_each_time_out_is_not_asked_again_for_what_it_may_have_done() {
+fn calls_answered_just_after_the_timeout_are_not_retried() {
     paused(async {
         let mut site = Site::start().await;
         site.c.set(Mode::After(ms(401)));
@@ -248,7 +249,7 @@
 }
 
 #[test]
-fn flapping_each_second_costs_only_those_that_need_it() {
+fn a_flapping_dependency_affects_only_the_class_that_calls_it() {
     paused(async {
         let mut site = Site::start().await;
         let script = Script::flap(ms(500), Mode::Failing, ms(1000), ms(6500));
@@ -264,10 +265,10 @@
 }
 
 #[test]
-fn after_healing_under_full_load_it_does_not_fall_again() {
+fn a_dependency_that_recovers_under_full_load_stays_up() {
     paused(async {
         let mut site = Site::start().await;
-        // As much as the slots can take.
+        // As much load as the slots can take.
         site.load(ms(6), ms(500)).await;
         site.b.set(Mode::Failing);
         site.load(ms(6), ms(2000)).await;
@@ -283,7 +284,7 @@
 }
 
 #[test]
-fn when_the_fall_back_fails_meanwhile_answers_say_what_they_lack() {
+fn when_the_fall_back_fails_too_answers_are_labelled_incomplete() {
     paused(async {
         let mut site = Site::start().await;
         site.a.set(Mode::Failing);
@@ -300,7 +301,7 @@
 }
 
 #[test]
-fn with_all_down_at_once_everyone_is_answered_soon_and_truthfully() {
+fn with_all_dependencies_down_requests_are_answered_soon_and_labelled_correctly() {
     paused(async {
         let mut site = Site::start().await;
         for dependency in [&site.a, &site.b, &site.c] {
@@ -317,7 +318,7 @@
 }
 
 #[test]
-fn a_kept_reply_stands_in_says_how_old_it_is_and_is_not_used_when_it_is_too_old() {
+fn a_cached_reply_is_served_with_its_age_until_it_is_too_old() {
     paused(async {
         let mut site = Site::start().await;
         assert_eq!(site.ask(request("look", "ana")).await.status, 200);
@@ -329,7 +330,7 @@
         assert_eq!(kept.text(), "look ana [a:ana#1]");
         let age: u64 = kept.header("x-answer-stale-ms").unwrap().parse().unwrap();
         assert!((1000..1200).contains(&age), "{age}");
-        // Nobody else's, and none that is over its age.
+        // Neither another request's cached reply nor one past its maximum age is used.
         assert_eq!(site.ask(request("look", "eva")).await.header("x-answer-lacks"), Some("a"));
         sleep(ms(2100)).await;
         let late = site.ask(request("look", "ana")).await;
@@ -339,7 +340,7 @@
 }
 
 #[test]
-fn budgets_and_addresses_change_under_load_and_calls_in_hand_end_where_they_are() {
+fn budgets_and_addresses_change_under_load_and_in_flight_calls_finish_at_the_old_address() {
     paused(async {
         let mut site = Site::start().await;
         let elsewhere = Dependency::start(DependencyConfig::new("c", 4, ms(20))).await;
@@ -353,9 +354,9 @@
         site.all_answered().await;
         assert!(!elsewhere.record().calls.is_empty());
         let well = site.c.record().calls.iter().filter(|call| call.ended == Ended::Succeeded).count();
-        assert!(well >= at_old, "{well} of {at_old} in hand ended well");
+        assert!(well >= at_old, "{well} of {at_old} in flight ended well");
         let before = site.c.record().calls.len();
-        // One call at a time from here on.
+        // From here on, one call at a time.
         let one = moved.replace("calls = 6", "calls = 1");
         site.operators.send_replace(Some(Rc::new(read("t.hcl", &one).unwrap())));
         sleep(ms(300)).await;
@@ -370,21 +371,21 @@
     });
 }
 
-/// A file that cannot be taken up changes nothing: the module was told at its start what it may skip.
+/// A file that cannot be applied changes nothing: the module learns only at startup which calls it may skip.
 #[test]
-fn a_file_that_allows_other_classes_to_go_without_waits_for_a_restart() {
+fn a_file_that_changes_which_classes_may_skip_their_call_needs_a_restart() {
     paused(async {
         let mut site = Site::start().await;
         let other = site.text.replace("without = true", "without = false").replace("calls = 6", "calls = 1");
         site.operators.send_replace(Some(Rc::new(read("t.hcl", &other).unwrap())));
         site.load(ms(10), ms(500)).await;
         site.check().await;
-        assert!(site.b.record().max_in_flight > 1, "the budget was taken up");
+        assert!(site.b.record().max_in_flight > 1, "the budget was applied");
     });
 }
 
 #[test]
-fn noise_resets_and_endless_replies_of_one_cost_the_others_nothing() {
+fn noise_resets_and_endless_replies_of_one_dependency_do_not_affect_the_others() {
     paused(async {
         let mut site = Site::start().await;
         for mode in [Mode::Noisy, Mode::Endless, Mode::Resetting] {
@@ -397,26 +398,26 @@
 }
 
 #[test]
-fn a_nodo_that_leaves_with_breakers_open_and_calls_hanging_answers_all_before_it_ends() {
+fn a_nodo_that_drains_with_open_breakers_and_hanging_calls_answers_all_before_it_exits() {
     paused(async {
         let mut site = Site::start().await;
         site.c.set(Mode::Failing);
         site.a.set(Mode::Hanging);
         site.load(ms(20), ms(1000)).await;
         site.c.set(Mode::Hanging);
-        let told = Instant::now();
+        let drain_started = Instant::now();
         site.leave.take().unwrap().send(()).unwrap();
         site.check().await;
-        assert!(told.elapsed() < ms(3000), "{:?}", told.elapsed());
+        assert!(drain_started.elapsed() < ms(3000), "{:?}", drain_started.elapsed());
         (&mut site.done).await.unwrap();
-        assert!(told.elapsed() < ms(3000), "{:?}", told.elapsed());
+        assert!(drain_started.elapsed() < ms(3000), "{:?}", drain_started.elapsed());
         assert_eq!(site.directory.mode().as_deref(), Some("closed"));
     });
 }
 
-/// With scripts drawn from seeds: whatever goes wrong, in whatever order.
+/// Random failure scripts from fixed seeds.
 #[test]
-fn whatever_goes_wrong_the_labels_are_true_and_no_budget_is_exceeded() {
+fn under_random_failures_labels_are_correct_and_no_budget_is_exceeded() {
     paused(async {
         for seed in 0..4 {
             let mut site = Site::start().await;
@@ -438,10 +439,10 @@
     });
 }
 
-/// Guards the platform's deployment: a class that the settings let go without its call and the file does not is failed
-/// rather than answered in part.
+/// A class whose call may be skipped by the settings but not by the operators' file fails; it is not answered
+/// in part.
 #[test]
-fn a_class_that_the_file_does_not_allow_it_for_is_never_answered_without_its_call() {
+fn a_class_is_not_answered_without_its_call_unless_the_file_allows_it() {
     paused(async {
         let mut site = Site::start_with(|text| text.replace("without = true", "without = false")).await;
         for dependency in [&site.a, &site.b, &site.c] {
