--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -1,4 +1,4 @@
-//! The database, the directory and the configuration, each on its own.
+//! Tests of the database client, the directory client and the configuration, each in isolation.
 
 mod common;
 use common::*;
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// A pool for the address, what it tells the engine, and a way to call.
+/// A connection pool under test, with its inputs to the engine and a way to make calls.
 struct Pool {
     calls: mpsc::Sender<Call>,
     inputs: mpsc::Receiver<Input>,
@@ -62,11 +62,11 @@
 
 const LONG: Duration = Duration::from_secs(60);
 
-/// Longer than a connection must have been silent before it is used again.
+/// Longer than a connection must be silent before it is reused.
 const SETTLED: Duration = Duration::from_millis(60);
 
 #[test]
-fn only_what_proves_it_is_said_not_to_have_run() {
+fn a_call_is_reported_as_not_run_only_on_proof() {
     paused(async {
         let (listener, address) = listener().await;
         let mut pool = Pool::new(address);
@@ -83,7 +83,7 @@
             ),
         ];
         let _open = pool.call(LONG).await;
-        // One connection carries all of them, one after another.
+        // All calls use one connection, one after another.
         let mut database = Peer::accept(&listener).await;
         let mut open = Vec::new();
         for (reply, outcome) in cases {
@@ -95,7 +95,7 @@
             tokio::time::sleep(SETTLED).await;
             open.push(pool.call(LONG).await);
         }
-        // A connection that breaks under a call proves nothing.
+        // A connection that breaks during a call does not prove that the call did not run.
         database.http().await;
         drop(database);
         assert_eq!(pool.end().await.outcome, Outcome::Broken);
@@ -105,14 +105,15 @@
     });
 }
 
-/// The call has run. No more of such a reply is waited for than shows that it is one, and the connection is closed.
+/// The call may have run. The reply is read only until it is known to be malformed; then the connection is
+/// closed.
 #[test]
-fn a_spoilt_reply_proves_nothing_and_ends_its_connection_at_once() {
+fn a_malformed_reply_breaks_the_call_and_closes_its_connection_at_once() {
     paused(async {
         let (listener, address) = listener().await;
         let mut pool = Pool::new(address);
         let endless = format!("HTTP/1.1 200 OK\r\nNoise: {}", "x".repeat(9000));
-        let spoilt = [
+        let malformed = [
             "\0\x01noise",
             "HTTP/2 200 OK\r\n",
             "HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\nrows",
@@ -126,7 +127,7 @@
             "HTTP/1.1 200 OK\r\nbroken\r\nContent-Length: 4\r\n\r\nrows",
             &endless,
         ];
-        for reply in spoilt {
+        for reply in malformed {
             let _open = pool.call(LONG).await;
             let mut database = Peer::accept(&listener).await;
             database.http().await;
@@ -137,9 +138,9 @@
     });
 }
 
-/// A byte too many could be taken for the beginning of the next reply.
+/// Excess bytes could be read as the beginning of the next reply.
 #[test]
-fn a_good_reply_counts_whatever_follows_it_and_its_connection_is_not_used_again() {
+fn a_good_reply_counts_despite_trailing_bytes_and_its_connection_is_not_reused() {
     paused(async {
         let (listener, address) = listener().await;
         let mut pool = Pool::new(address);
@@ -152,7 +153,8 @@
                 database.send(if at_once { format!("{good}{more}") } else { good.to_string() }).await;
                 assert_eq!(pool.end().await, CallEnd { outcome: Outcome::Done, body: b"rows".to_vec() });
                 if !at_once {
-                    // It comes late: a connection is not used again before it has been silent for a while.
+                    // The bytes arrive late: a connection is reused only after it has been silent for a
+                    // while.
                     let _next = pool.call(LONG).await;
                     let mut other = Peer::accept(&listener).await;
                     other.http().await;
@@ -166,10 +168,10 @@
     });
 }
 
-/// An idle connection may have been forgotten at the other end. What breaks there never ran, and cannot be told from
-/// what ran and whose reply was lost.
+/// The other end may have dropped an idle connection. A call that breaks on it never ran, but looks the same
+/// as a call that ran and whose reply was lost.
 #[test]
-fn a_call_that_cannot_be_made_again_gets_a_connection_of_its_own() {
+fn a_call_that_cannot_be_retried_gets_a_fresh_connection() {
     paused(async {
         let (listener, address) = listener().await;
         let mut pool = Pool::new(address);
@@ -186,7 +188,7 @@
 }
 
 #[test]
-fn giving_a_call_up_closes_its_connection() {
+fn giving_up_a_call_closes_its_connection() {
     local(async {
         let (listener, address) = listener().await;
         let mut pool = Pool::new(address);
@@ -201,7 +203,7 @@
 }
 
 #[test]
-fn a_connection_that_the_database_closed_is_not_used_again() {
+fn a_connection_that_the_database_closed_is_not_reused() {
     local(async {
         let (listener, address) = listener().await;
         let mut pool = Pool::new(address);
@@ -216,7 +218,7 @@
 }
 
 #[test]
-fn the_directory_hears_of_each_change_and_again_after_an_outage() {
+fn each_change_is_reported_to_the_directory_and_repeated_after_an_outage() {
     paused(async {
         let (listener, address) = listener().await;
         let (mode, seen) = watch::channel(None);
@@ -227,21 +229,21 @@
         let text = directory.http().await;
         assert!(text.starts_with("PUT /dir/nodes/n3 HTTP/1.1\r\n") && text.ends_with(r#"{"mode":"open"}"#));
         directory.send("HTTP/1.1 204 No Content\r\n\r\n").await;
-        // For the answer to be read: what changes before is reported on another connection.
+        // Lets the answer be read: a change before that is reported on another connection.
         tokio::time::sleep(SETTLED).await;
         mode.send_replace(Some(Mode::Closed));
         assert!(directory.http().await.ends_with(r#"{"mode":"closed"}"#));
-        // The directory breaks off, and is told again when it is back.
+        // The directory closes the connection; the report is repeated when it is back.
         drop(directory);
         let mut directory = Peer::accept(&listener).await;
         assert!(directory.http().await.ends_with(r#"{"mode":"closed"}"#));
         directory.send("HTTP/1.1 204 No Content\r\n\r\n").await;
         tokio::time::sleep(SETTLED).await;
-        // A report that gets no answer may have counted, but the next one comes soon and on another connection.
+        // A report without an answer may have been applied; the next one follows soon on another connection.
         directory.http().await;
         let mut directory = Peer::accept(&listener).await;
         directory.http().await;
-        // A directory that has moved hears at once, and the old one nothing more.
+        // After a move, the new directory gets a report at once and the old one gets no more.
         let (elsewhere, address) = common::listener().await;
         moves.send_replace(all_at(address));
         assert!(Peer::accept(&elsewhere).await.http().await.ends_with(r#"{"mode":"closed"}"#));
@@ -249,10 +251,10 @@
     });
 }
 
-/// A directory may take up a report long after it came, and behind a newer one. What is news waits for no answer to what was said before,
-/// and is said again before the entry would lapse.
+/// A directory may apply a report late, after a newer one. A change is therefore reported without waiting for
+/// the answer to the previous report, and repeated before the entry expires.
 #[test]
-fn an_open_report_under_way_is_overtaken_by_the_news() {
+fn a_change_is_reported_while_an_earlier_report_is_unanswered() {
     paused(async {
         let (listener, address) = listener().await;
         let (mode, seen) = watch::channel(Some(Mode::Open));
@@ -262,22 +264,22 @@
         assert!(open.http().await.ends_with(r#"{"mode":"open"}"#));
         let closes = Instant::now();
         mode.send_replace(Some(Mode::Closed));
-        let mut news = Peer::accept(&listener).await;
-        assert!(news.http().await.ends_with(r#"{"mode":"closed"}"#));
+        let mut newer = Peer::accept(&listener).await;
+        assert!(newer.http().await.ends_with(r#"{"mode":"closed"}"#));
         assert!(
             closes.elapsed() < Duration::from_millis(200),
             "the answer to the older report was waited for"
         );
         assert_eq!(open.line().await, None);
-        // The directory counts the older one only now, and hears the newer one again.
-        news.send("HTTP/1.1 204 No Content\r\n\r\n").await;
-        assert!(news.http().await.ends_with(r#"{"mode":"closed"}"#));
+        // The directory applies the older report only now; the newer one is repeated.
+        newer.send("HTTP/1.1 204 No Content\r\n\r\n").await;
+        assert!(newer.http().await.ends_with(r#"{"mode":"closed"}"#));
         assert!(closes.elapsed() < Duration::from_secs(1));
     });
 }
 
 #[test]
-fn calls_under_way_end_at_the_old_address_and_later_ones_go_to_the_new() {
+fn in_flight_calls_finish_at_the_old_address_and_later_ones_go_to_the_new() {
     local(async {
         let (listener, address) = listener().await;
         let (elsewhere, new_address) = common::listener().await;
@@ -292,7 +294,7 @@
         let _open = pool.call(LONG).await;
         let mut new = Peer::accept(&elsewhere).await;
         new.http().await;
-        // Nor does a connection that was idle when the database moved serve again.
+        // A connection that was idle when the database moved is not reused either.
         new.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
         assert_eq!(pool.end().await.outcome, Outcome::Done);
         pool.moves.send_replace(all_at(address));
@@ -301,14 +303,14 @@
 }
 
 #[test]
-fn what_is_wrong_in_the_configuration_is_named() {
+fn configuration_errors_name_the_key() {
     let good = config_text("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4");
     let none = |_: &str| None;
     let read = config::read(&good, none).unwrap();
     assert_eq!((read.name.as_str(), read.stop), ("n3", Duration::from_millis(3200)));
-    let told = |name: &str| (name == "NODE_LISTEN").then(|| "127.0.0.9:9".to_string());
-    assert_eq!(config::read(&good, told).unwrap().listen.to_string(), "127.0.0.9:9");
-    // What a nodo that runs cannot take up is named too.
+    let environment = |name: &str| (name == "NODE_LISTEN").then(|| "127.0.0.9:9".to_string());
+    assert_eq!(config::read(&good, environment).unwrap().listen.to_string(), "127.0.0.9:9");
+    // Keys that a running nodo cannot apply are named too.
     let moved = good
         .replace("127.0.0.1:3", "127.0.0.1:9")
         .replace("3200", "3300")
