--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! The program started again while it serves: two processes as one nodo, under load, with stand-ins round them.
+//! Upgrades under load: a second process of the same nodo takes over from the first. The peers are fake
+//! servers.
 
 #[path = "common/passing.rs"]
 mod passing;
@@ -20,7 +21,8 @@
     Nodo::new(Path::new(PROGRAM), name).await.unwrap()
 }
 
-/// Ends the load, and checks that no key ran twice, and that no try was refused once another of its key had run.
+/// Ends the load, and checks that no key ran twice and that no try was refused after another try of its key
+/// ran.
 async fn ends_safely(load: Load, nodo: &Nodo) {
     let (tally, _) = load.end(nodo).await;
     assert!(tally.ran_twice.is_empty() && tally.refused_after_run.is_empty(), "{tally:?}");
@@ -33,8 +35,8 @@
     });
 }
 
-/// No request meets a refused, reset or unread connection, every answer is good, and no key runs twice, over three
-/// upgrades in a row; each earlier process ends of itself and in time, and never says that the nodo is closed.
+/// Over three upgrades in a row no connection is refused, reset or left unread, every answer is good, and no
+/// key runs twice. Each earlier process exits by itself in time and never reports the nodo as closed.
 #[test]
 fn three_upgrades_in_a_row_under_load_lose_nothing_and_run_no_key_twice() {
     local(async {
@@ -45,15 +47,15 @@
             load.wait_for_reads(70).await;
             let later = site.start().await.unwrap();
             load.wait_for_reads(17).await;
-            let told = Instant::now();
+            let terminated = Instant::now();
             serving.process.terminate();
-            assert!(serving.process.wait().await, "it fails at its end");
-            assert!(told.elapsed() < Duration::from_millis(3500), "it was killed by then");
+            assert!(serving.process.wait().await, "it exits with a failure");
+            assert!(terminated.elapsed() < Duration::from_millis(3500), "it exits too late");
             serving = later;
         }
         load.wait_for_reads(70).await;
         let (tally, reads) = load.end(&site).await;
-        // Each key ran once, and both its tries were served with what that run made.
+        // Each key ran once, and both its tries got the result of that run.
         assert!(reads.len() > 300 && reads.iter().all(|read| read.status == 200));
         assert_eq!((tally.runs, &tally.ran_twice, &tally.differ), (tally.keys, &vec![], &vec![]));
         assert_eq!(tally.statuses, [(200, 2 * tally.keys)].into(), "{tally:?}");
@@ -63,17 +65,18 @@
     });
 }
 
-/// The link is cut after each number of messages that an upgrade takes, under load. The later start finds the earlier one
-/// again or goes on without it; no key runs twice and none is refused, whatever is not known.
+/// Under load, the link between the processes is cut after each possible number of messages of an upgrade.
+/// The later process reconnects to the earlier one or continues without it; no key runs twice, and none is
+/// refused after it ran.
 #[test]
-fn the_link_may_be_cut_at_any_message() {
+fn cutting_the_link_at_any_message_is_safe() {
     local(async {
         for messages in (0..10).chain([15, 25, 50]) {
             let mut site = nodo(&format!("cut{messages}")).await;
             let earlier = site.start().await.unwrap();
             let load = Load::start(site.address, PATIENCE);
             load.wait_for_reads(10).await;
-            // The proxy takes the place of the earlier start's socket.
+            // The proxy replaces the earlier process's socket.
             let (socket, behind) = (site.folder.join("jaspershunt-n1.sock"), site.folder.join("behind.sock"));
             while std::fs::rename(&socket, &behind).is_err() {
                 sleep(Duration::from_millis(2)).await;
@@ -82,13 +85,15 @@
             let cutting = spawn_local(async move {
                 let (later, _) = proxy.accept().await.unwrap();
                 let earlier = UnixStream::connect(&behind).await.unwrap();
-                // What comes behind the cut finds the earlier start itself, unless that is gone.
+                // After the cut, connections reach the earlier process directly, unless it has exited.
                 std::fs::rename(&behind, &socket).unwrap();
                 pass_on(earlier, later, async |passed| passed != messages).await;
             });
             let later = match timeout(Duration::from_secs(20), site.start()).await {
                 Ok(later) => later.unwrap(),
-                Err(_) => panic!("it takes no clients after {messages} messages: {}", site.logs()),
+                Err(_) => {
+                    panic!("the later process takes no clients after {messages} messages: {}", site.logs())
+                }
             };
             load.wait_for_reads(10).await;
             earlier.process.terminate();
@@ -99,9 +104,9 @@
     });
 }
 
-/// A run that the earlier process has in hand serves the tries that reach the later one.
+/// The result of a run in flight at the earlier process answers the tries that reach the later one.
 #[test]
-fn a_key_that_runs_at_the_earlier_start_is_waited_for_at_the_later_one() {
+fn the_later_process_waits_for_a_key_that_runs_at_the_earlier_one() {
     local(async {
         let mut site = nodo("in-hand").await;
         let earlier = site.start().await.unwrap();
@@ -123,10 +128,10 @@
     });
 }
 
-/// A later process that is killed, before or after it was given the keys, leaves the earlier one serving. What may have
-/// run there is neither run nor refused.
+/// When the later process is killed after it received the keys, the earlier one serves again. A key that may
+/// have run at the later one is not run again and not refused; its tries fail.
 #[test]
-fn a_later_start_that_is_killed_leaves_the_earlier_one_serving() {
+fn when_the_later_process_is_killed_the_earlier_one_serves() {
     local(async {
         let mut site = nodo("killed").await;
         let earlier = site.start().await.unwrap();
@@ -135,16 +140,16 @@
         let mut later = site.start().await.unwrap();
         let fresh = Balancer::new(site.address, 2, None);
         assert_eq!(fresh.send(&keyed("sign", "there", false), PATIENCE).await.status, 200);
-        assert_eq!(site.interpreters[1].runs().len(), 1, "the later start serves now");
+        assert_eq!(site.interpreters[1].runs().len(), 1, "the later process serves now");
         later.process.kill().await;
         let fresh = Balancer::new(site.address, 3, None);
         earlier.wait_until_ready().await;
         let again = fresh.send(&keyed("sign", "before", true), PATIENCE).await;
         assert_eq!((again.status, site.runs(b"before")), (200, 1));
         let there = fresh.send(&keyed("sign", "there", true), PATIENCE).await;
-        assert_eq!((there.status, site.runs(b"there")), (500, 1), "it ran where nobody can tell any more");
+        assert_eq!((there.status, site.runs(b"there")), (500, 1), "it may have run at the killed process");
         assert_eq!(fresh.send(&keyed("sign", "new", false), PATIENCE).await.status, 200);
-        // And a later start finds it again.
+        // Another later process connects to it again.
         let later = site.start().await.unwrap();
         earlier.process.terminate();
         assert_eq!(balancer.send(&keyed("sign", "before", true), PATIENCE).await.status, 200);
@@ -153,9 +158,9 @@
     });
 }
 
-/// An earlier process that is killed leaves the later one with all that it was given; what it had in hand has failed.
+/// When the earlier process is killed, the later one keeps the keys it received; in-flight runs have failed.
 #[test]
-fn an_earlier_start_that_is_killed_leaves_its_keys() {
+fn when_the_earlier_process_is_killed_the_later_one_keeps_its_keys() {
     local(async {
         let mut site = nodo("orphan").await;
         let mut earlier = site.start().await.unwrap();
@@ -176,18 +181,18 @@
     });
 }
 
-/// While its interpreter is not up a later start answers operators with that, and the earlier one serves; told to leave, it
-/// is gone at once.
+/// Until its interpreter is up, the later process answers operators with an error that names it, and the
+/// earlier one serves. On SIGTERM the later process exits at once.
 #[test]
-fn a_later_start_without_its_interpreter_answers_operators_and_leaves_the_earlier_one_serving() {
+fn without_its_interpreter_the_later_process_answers_operators_and_the_earlier_one_serves() {
     local(async {
         let mut site = nodo("early").await;
         let earlier = site.start().await.unwrap();
-        // Its interpreter takes the link and says nothing.
+        // Its interpreter accepts the link and sends nothing.
         let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut later = site.start_with_interpreter(silent.local_addr().unwrap()).await.unwrap();
-        let told = later.call("PING").await;
-        assert!(told.starts_with("-ERR") && told.contains("interpreter"), "{told}");
+        let reply = later.call("PING").await;
+        assert!(reply.starts_with("-ERR") && reply.contains("interpreter"), "{reply}");
         assert!(later.call("INFO").await.starts_with('{'));
         let balancer = Balancer::new(site.address, 1, None);
         assert_eq!(balancer.send(&keyed("sign", "k", false), PATIENCE).await.status, 200);
@@ -199,9 +204,9 @@
     });
 }
 
-/// A socket that a dead process left is no earlier start; and clients sent away stay so over an upgrade.
+/// A socket left by a dead process is not taken for an earlier process, and a drain persists over an upgrade.
 #[test]
-fn a_stale_socket_is_recognised_and_a_drain_goes_over_to_the_later_start() {
+fn a_stale_socket_is_recognised_and_a_drain_passes_to_the_later_process() {
     local(async {
         let mut site = nodo("drain").await;
         let mut dead = site.start().await.unwrap();
