--- a/crates/node/tests/capture.rs
+++ b/crates/node/tests/capture.rs
@@ -1,4 +1,4 @@
-//! The program with captures on: written when asked for, readable by its own commands, and in nobody's way.
+//! Captures: they are written on request, readable by the `capture` commands, and never stop the nodo.
 
 use jaspershunt_capture::format::append_record;
 use jaspershunt_capture::reader::{Part, parts};
@@ -21,9 +21,9 @@
     r#""dependsOn":"common","fairCalls":20,"callsOverS":5},"#,
     r#""obligations":{"coldFrom":0.3,"coldS":9,"fallMultiple":10,"fallS":2,"drainGraceS":0}}"#
 );
-/// What no capture may hold.
+/// Request body text that no capture may contain.
 const SECRET: &str = "confidential";
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn local(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -37,7 +37,7 @@
     folder: PathBuf,
     address: SocketAddr,
     interpreter: Interpreter,
-    _below: Dependency,
+    _dependency: Dependency,
 }
 
 impl Program {
@@ -46,7 +46,8 @@
         std::fs::create_dir_all(folder.join("captures")).unwrap();
         let work = Work { core_time: Duration::from_millis(5), calls: 1 };
         let interpreter = Interpreter::start(2, &[("look", work.clone()), ("sign", work)]).await;
-        let below = Dependency::start(DependencyConfig::new("registro", 4, Duration::from_millis(2))).await;
+        let dependency =
+            Dependency::start(DependencyConfig::new("registro", 4, Duration::from_millis(2))).await;
         let directory = Directory::start().await;
         let config = format!(
             r#"{{"name":"n1","listen":"127.0.0.1:0","vm":"{}","lookup":"{}","db":"127.0.0.1:9","settings":{SETTINGS}}}"#,
@@ -61,10 +62,10 @@
              route \"look\" {{\n  repeat = \"safe\"\n  call \"any\" {{\n    to = \"registro\"\n    kept = \"5s\"\n  }}\n}}\n\
              route \"sign\" {{\n  repeat = \"keyed\"\n  call \"any\" {{ to = \"registro\" }}\n}}\n",
             captures.display(),
-            below.address()
+            dependency.address()
         );
         std::fs::write(&site, text).unwrap();
-        // What a process that was killed left half-written goes with the next start.
+        // A partial file, as a killed process leaves it; the next process removes it.
         std::fs::write(captures.join("n1-00000000000001-0001-asked.jshcap.half"), b"half").unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_jaspershunt"))
             .args(["serve", "--operator", site.to_str().unwrap()])
@@ -76,20 +77,20 @@
         while directory.mode().as_deref() != Some("open") {
             sleep(Duration::from_millis(2)).await;
         }
-        let told = std::fs::read_to_string(&log).unwrap();
-        let (_, listens) = told.split_once("listens on ").unwrap();
+        let log_text = std::fs::read_to_string(&log).unwrap();
+        let (_, listens) = log_text.split_once("listens on ").unwrap();
         let address = listens.lines().next().unwrap().parse().unwrap();
-        Program { child, folder, address, interpreter, _below: below }
+        Program { child, folder, address, interpreter, _dependency: dependency }
     }
 
-    /// An overload: far more at once than two cores do in time. Returns an answer that was refused.
+    /// Sends far more requests at once than two cores can run in time. Returns the uid of a refused request.
     async fn overload(&self) -> String {
         let mut senders = Vec::new();
         for number in 0..4 {
             let balancer = Balancer::new(self.address, number, Some(self.interpreter.clone()));
             for n in 0..60 {
                 let balancer = balancer.clone();
-                // Every fourth is keyed, and every other of these is a further try of the one before.
+                // Every fourth request is keyed; every second of these is another try of the one before.
                 let body = format!("{SECRET}{}", n / 8);
                 let request = match n % 4 {
                     0 => Request {
@@ -99,7 +100,7 @@
                     },
                     _ => Request::new("look", body.as_bytes()),
                 };
-                senders.push(spawn_local(async move { balancer.send(&request, PATIENCE).await }));
+                senders.push(spawn_local(async move { balancer.send(&request, TIMEOUT).await }));
             }
         }
         let mut refused = None;
@@ -126,7 +127,7 @@
         all
     }
 
-    async fn written(&self, reason: &str) -> PathBuf {
+    async fn wait_for_capture(&self, reason: &str) -> PathBuf {
         loop {
             let ending = format!("-{reason}.jshcap");
             if let Some(path) =
@@ -147,7 +148,7 @@
     }
 }
 
-/// What a command prints, and whether it ended well.
+/// Runs a `capture` command; returns its output and whether it succeeded.
 fn capture(args: &[&str], file: &Path, more: &[&str]) -> (String, bool) {
     let out = Command::new(env!("CARGO_BIN_EXE_jaspershunt"))
         .arg("capture")
@@ -160,30 +161,31 @@
     (text, out.status.success())
 }
 
-/// Whether a word stands anywhere in a capture, unpacked.
-fn holds_in(file: &Path, word: &str) -> bool {
+/// Returns whether the decompressed capture contains a word.
+fn contains_word(file: &Path, word: &str) -> bool {
     let mut payload = Vec::new();
     for part in parts(&std::fs::read(file).unwrap()).unwrap() {
-        let Part::Block { records, .. } = part else { panic!("spoilt") };
+        let Part::Block { records, .. } = part else { panic!("corrupt block") };
         records.iter().for_each(|record| append_record(&mut payload, record).unwrap());
     }
     payload.windows(word.len()).any(|bytes| bytes == word.as_bytes())
 }
 
-/// SIGUSR1 writes the ring; what it holds replays ten times to the same, keeps the rules, and tells why one was refused.
+/// SIGUSR1 writes the ring. The capture replays ten times with the same result, breaks no rules, and explains
+/// a refusal.
 #[test]
-fn a_capture_that_was_asked_for_replays_and_tells_why() {
+fn a_requested_capture_replays_and_explains_a_refusal() {
     local(async {
         let program = Program::start("capture", "  ring = \"1MiB\"\n").await;
-        assert!(program.captures().is_empty(), "what was half-written is swept");
+        assert!(program.captures().is_empty(), "the partial file is removed");
         let refused = program.overload().await;
         program.signal("-USR1");
-        let file = program.written("asked").await;
+        let file = program.wait_for_capture("asked").await;
         let (text, good) = capture(&["replay"], &file, &["--times", "10"]);
         assert!(good && text.contains("10 of 10 replays came to this"), "{text}");
-        // The table of keys and the decisions on dependencies are in it, and no body or result is.
+        // The capture contains the key table and the decisions on dependencies, but no body or result.
         assert!(!text.contains(" 0 steps beside the module"), "{text}");
-        assert!(holds_in(&file, "key-0-0") && !holds_in(&file, SECRET));
+        assert!(contains_word(&file, "key-0-0") && !contains_word(&file, SECRET));
         let (text, good) = capture(&["rules"], &file, &[]);
         assert!(good && text.contains("0 broken rules"), "{text}");
         let (text, good) = capture(&["why"], &file, &[&refused]);
@@ -191,16 +193,16 @@
         assert!(!capture(&["why"], &file, &["ffffffffffffffff"]).1);
         let (text, good) = capture(&["summary"], &file, &[]);
         assert!(good && text.contains("look") && text.contains("180"), "{text}");
-        // A part of it, with names hidden, replays too, and the names are gone.
+        // A redacted cut replays too, and no longer contains the names.
         let part = program.folder.join("part.jshcap");
         let out = ["--redact", "-o", part.to_str().unwrap()];
         assert!(capture(&["cut"], &file, &out).1);
         assert!(capture(&["replay"], &part, &[]).1);
         assert!(!capture(&["why"], &part, &[&refused]).1);
-        assert!(!holds_in(&part, "key-0-0") && !holds_in(&part, &refused));
+        assert!(!contains_word(&part, "key-0-0") && !contains_word(&part, &refused));
         let (text, good) = capture(&["diff"], &file, &[part.to_str().unwrap()]);
         assert!(good && text.contains("refused"), "{text}");
-        // One that is torn is read up to there; what is none is said to be none.
+        // A truncated capture is read up to the damage; a file that is no capture is reported as such.
         let bytes = std::fs::read(&file).unwrap();
         std::fs::write(&part, &bytes[..bytes.len() - 9]).unwrap();
         assert!(capture(&["summary"], &part, &[]).0.contains("1 places are spoilt"));
@@ -209,28 +211,28 @@
     });
 }
 
-/// Refusals that jump write a capture of themselves, and all that is recorded is there when the nodo has ended.
+/// A jump in refusals triggers a capture, and with `all` everything recorded is written when the nodo exits.
 #[test]
-fn refusals_that_jump_and_the_end_are_captured() {
+fn a_jump_in_refusals_and_the_exit_are_captured() {
     local(async {
         let mut program =
             Program::start("jump", "  ring = \"1MiB\"\n  all = true\n  refusals = \"10%\"\n").await;
         program.overload().await;
-        let file = program.written("refusals").await;
+        let file = program.wait_for_capture("refusals").await;
         assert!(capture(&["replay"], &file, &[]).1);
         program.signal("-TERM");
         while program.child.try_wait().unwrap().is_none() {
             sleep(Duration::from_millis(2)).await;
         }
-        let file = program.written("end").await;
+        let file = program.wait_for_capture("end").await;
         assert!(capture(&["replay"], &file, &[]).1);
         assert!(capture(&["summary"], &file, &[]).0.contains("180"));
     });
 }
 
-/// A folder that cannot be used is said, and the nodo serves all the same.
+/// An unusable capture folder is logged, and the nodo serves without captures.
 #[test]
-fn a_nodo_that_cannot_write_captures_serves_all_the_same() {
+fn a_nodo_that_cannot_write_captures_still_serves() {
     local(async {
         let folder = std::env::temp_dir().join(format!("jaspershunt-nofolder-{}", std::process::id()));
         std::fs::write(&folder, b"a file").unwrap();
@@ -245,14 +247,17 @@
             .stderr(std::fs::File::create(&text).unwrap())
             .spawn()
             .unwrap();
-        let told = loop {
-            let told = std::fs::read_to_string(&text).unwrap();
-            if told.contains("listens on") {
-                break told;
+        let log_text = loop {
+            let log_text = std::fs::read_to_string(&text).unwrap();
+            if log_text.contains("listens on") {
+                break log_text;
             }
             sleep(Duration::from_millis(2)).await;
         };
-        assert!(told.contains("capture.folder: ") && told.contains("nothing is captured"), "{told}");
+        assert!(
+            log_text.contains("capture.folder: ") && log_text.contains("nothing is captured"),
+            "{log_text}"
+        );
         other.kill().unwrap();
         other.wait().unwrap();
         std::fs::remove_file(&folder).unwrap();
