--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -91,9 +91,7 @@
             });
             let later = match timeout(Duration::from_secs(20), site.start()).await {
                 Ok(later) => later.unwrap(),
-                Err(_) => {
-                    panic!("it takes no clients after {messages} messages: {}", site.logs())
-                }
+                Err(_) => panic!("it takes no clients after {messages} messages: {}", site.logs()),
             };
             load.wait_for_reads(10).await;
             earlier.process.terminate();
