--- a/deploy/operator-example.hcl
+++ b/deploy/operator-example.hcl
@@ -1,44 +1,45 @@
-# An operator's file with everything that can be set, and what it stands for. Figures are the defaults unless a comment
-# says otherwise; `jaspershunt explain FILE` writes any file out with all of them filled in.
+# An operator's file that shows what can be set. Values are the defaults unless a comment gives another;
+# `jaspershunt explain FILE` prints any file with all defaults filled in.
 #
-# Durations carry a unit ("250ms", "2s", "5m", "1h"), sizes too ("512B", "64KiB", "2MiB"), shares are "25%", rates "200/s".
-# A nodo reads this file only if it is started with `serve --operator FILE`, and again on SIGHUP.
+# Durations ("250ms", "2s", "5m", "1h") and sizes ("512B", "64KiB", "2MiB") need a unit; shares are written "25%", rates
+# "200/s".
+# A nodo reads this file only if it is started with `serve --operator FILE`, and rereads it on SIGHUP.
 
-# What lies below. The name stands in answers that had to do without it.
+# A dependency of the nodo. Answers that were made without it contain its name.
 dependency "registro" {
-  addresses   = ["127.0.0.1:5441", "127.0.0.1:5442"] # needed; the next one is used when one cannot be reached
-  calls       = 24       # calls in hand at most, those given up included until they are surely over (default 16)
-  waiting     = 16       # calls that wait for room at most
-  wait        = "250ms"  # and for how long
-  bytes       = "256KiB" # bodies of calls, waiting and in hand
-  rate        = "400/s"  # calls begun a second (default: no bound)
-  connections = 24       # connections open at once, idle ones included (default 16)
-  share       = "40%"    # of the nodo's parked runs and their memory, for runs that wait for this (default 25%)
-  linger      = "200ms"  # how long a call that was given up may go on below
-  timeout     = "2s"     # an attempt is given up after this, or when its request has no more time
-  guests      = "25%"    # of the present limit, for calls that fell back on this from another
+  addresses   = ["127.0.0.1:5441", "127.0.0.1:5442"] # required; if one is unreachable, the next one is used
+  calls       = 24       # maximum in-flight calls; abandoned calls count until they must have ended (default 16)
+  waiting     = 16       # maximum queued calls
+  wait        = "250ms"  # maximum time that a call is queued
+  bytes       = "256KiB" # maximum bytes of the bodies of queued and in-flight calls
+  rate        = "400/s"  # maximum calls started per second (default: unlimited)
+  connections = 24       # maximum open connections, idle ones included (default 16)
+  share       = "40%"    # of the nodo's parked runs and their memory, for runs waiting for this dependency (default 25%)
+  linger      = "200ms"  # how long an abandoned call may continue in the dependency
+  timeout     = "2s"     # of one attempt; shorter if its request has less time left
+  guests      = "25%"    # of the current limit, for calls that fall back from other dependencies
 
   limit {
-    learned = true # find out how many calls in hand do good, below `calls`; else `calls` it is
-    start   = 4
-    least   = 1
+    learned = true # adapt the limit on in-flight calls, up to `calls`; if false, the limit is `calls`
+    start   = 4    # the initial limit
+    least   = 1    # the minimum limit
   }
 
   breaker {
-    window     = "5s"  # the calls that are looked at
-    failures   = "50%" # it opens when so many of them failed,
-    slow       = "1s"  # or when a call that takes longer is a slow one
-    slow_calls = "80%" # and so many of them were slow or failed;
-    least      = 10    # fewer calls than this say nothing
-    wait       = "500ms" # open for so long, twice as long each further time, a quarter more or less,
-    longest    = "2s"  # up to this
-    probes     = 2     # then so many calls at once try it, and as many must go well
+    window     = "5s"  # the sliding window over which calls are evaluated
+    failures   = "50%" # share of failed calls at which the breaker opens
+    slow       = "1s"  # duration above which a call counts as slow
+    slow_calls = "80%" # share of slow or failed calls at which it opens too
+    least      = 10    # minimum calls in the window for the breaker to open
+    wait       = "500ms" # how long it stays open; doubles each further time, with up to 25% of jitter either way
+    longest    = "2s"  # the longest time that it stays open
+    probes     = 2     # in-flight calls while half open; as many must succeed to close it
   }
 }
 
 dependency "padron" {
   addresses = ["127.0.0.1:5443"]
-  fall_back = "padron-copia" # where calls go that this one cannot take, or failed; chains must not go round
+  fall_back = "padron-copia" # used for calls that this one has no capacity for or failed; must not form a cycle
 }
 
 dependency "padron-copia" {
@@ -46,18 +47,18 @@
   share     = "10%"
 }
 
-# Where the calls of a class go: by their place in the run, from "1"; "any" is for the rest.
+# The routes of the calls of a class, by their position in the run, from "1"; "any" applies to all others.
 route "consulta-estado" {
-  repeat  = "safe" # safe, keyed or unsafe, as the platform's settings have it
-  without = true   # may be answered without a call; the answer says so in X-Answer-Lacks (default false)
+  repeat  = "safe" # safe, keyed or unsafe; must match the platform's settings
+  without = true   # may be answered without a failed call; X-Answer-Lacks then names what is missing (default false)
 
   call "1" {
     to   = "padron"
-    kept = "30s" # a reply to the same call this young may stand in; the answer says so in X-Answer-Stale-Ms (default: none)
+    kept = "30s" # maximum age of a cached reply to the same call; X-Answer-Stale-Ms then states its age (default: none)
   }
   call "any" {
     to        = "registro"
-    elsewhere = true # may go on to what the dependency falls back on
+    elsewhere = true # may use the fallbacks of the dependency
   }
 }
 
@@ -66,75 +67,76 @@
   call "any" { to = "padron" }
 }
 
-# Keyed and unsafe classes can allow neither `without` nor `kept`.
+# Keyed and unsafe classes must not set `without` or `kept`.
 route "registrar-firma" {
   repeat = "keyed"
   call "any" { to = "registro" }
 }
 
-# Attempts beyond the first, over all dependencies.
+# The budget for attempts after the first, over all dependencies.
 retries {
-  share    = "10%" # so many for each first attempt
-  saved    = 10    # so many may be saved up
-  attempts = 3     # for one call
+  share    = "10%" # retries earned by each first attempt
+  saved    = 10    # maximum unused retries that are saved
+  attempts = 3     # maximum for one call
 }
 
-# Replies kept to fall back on.
+# The cache of replies used as a fallback.
 kept {
   bytes = "1MiB"
 }
 
-# Captures of what was decided, for afterwards; none without this block.
+# Captures of the decisions, for later analysis; disabled without this block.
 capture {
-  folder   = "/var/lib/jaspershunt/captures" # needed
-  ring     = "1MiB"  # memory for what was decided last; written on SIGUSR1, when a guard keeps a rule, when refusals jump
-  all      = false   # write everything, not only when there is a reason
-  files    = 8       # files that are kept; the oldest go
-  snapshot = "10s"   # the decision state goes along this often; a replay can begin at each
-  refusals = "50%"   # a jump: this part of a second's requests, and twice that of before
+  folder   = "/var/lib/jaspershunt/captures" # required
+  ring     = "1MiB"  # memory for the latest decisions; written on SIGUSR1, a prevented rule violation or a jump of refusals
+  all      = false   # write all decisions, not only on these triggers
+  files    = 8       # maximum files; the oldest are removed
+  snapshot = "10s"   # interval between snapshots of the decision state; a replay can start at each
+  refusals = "50%"   # a jump: this share of a second's requests, if it is also twice the share before
 }
 
-# The rest is about several nodos as one fleet; nothing of it is there without this block. Those that vote are the same in every
-# member's file.
+# The following blocks configure several nodos as one fleet and have no effect without this one. The voters must be the
+# same in every member's file.
 fleet {
-  name   = "corrientes"                 # needed
-  folder = "/var/lib/jaspershunt/fleet" # needed: what lasts of this member
-  region = "norte"    # where this nodo stands, for route tables and steering (default: nowhere in particular)
-  ttl    = "10s"      # a lease's time
-  drift  = "5%"       # how far a clock's rate may be off
-  trial  = "none"     # default: a new route table goes to all nodos at once; "tenth", "quarter", "half": to so many first
-  links  = 64         # connections of others at once, where this nodo votes
+  name   = "corrientes"                 # required
+  folder = "/var/lib/jaspershunt/fleet" # required: this member's persistent data
+  region = "norte"    # the region of this nodo, for route tables and steering (default: none)
+  ttl    = "10s"      # the duration of a lease
+  drift  = "5%"       # the maximum rate error of a clock
+  trial  = "none"     # default: all nodos get a new route table at once; "tenth", "quarter", "half": this share gets it first
+  links  = 64         # maximum connections from other members, if this nodo is a voter
   voter "n0" { address = "127.0.0.1:5460" }
   voter "n1" { address = "127.0.0.1:5461" }
   voter "n2" { address = "127.0.0.1:5462" }
 }
 
-# A keyed class whose work in hand another nodo takes over when its own is lost. `effect` says what is known of begun work:
-# "asks" (the resource tells by key), "fenced" (the resource turns lower tokens away), "unknown" (never run again).
+# A keyed class whose in-flight work another nodo takes over when its own is lost. `effect` is how the outcome of started
+# work is determined: "asks" (the resource reports it by key), "fenced" (the resource rejects lower tokens), "unknown"
+# (not at all; the work is never run again).
 handover "registrar-firma" {
-  effect   = "asks"           # needed
-  resource = "127.0.0.1:5471" # needed with "asks", and only there
-  path     = "/operaciones"   # where it is asked (default "/")
-  timeout  = "2s"             # for one question
-  full     = "refuse"         # without room in the agreed state: "refuse", or "run" without being held
+  effect   = "asks"           # required
+  resource = "127.0.0.1:5471" # required with "asks", not allowed otherwise
+  path     = "/operaciones"   # the path of queries to it (default "/")
+  timeout  = "2s"             # of one query
+  full     = "refuse"         # if the replicated state has no room: "refuse", or "run" without takeover
 }
 
-# A team that edits the fleet's route table: others touch what it owns only with its word.
+# A team that edits the fleet's route table. Other teams need its approval to edit what it owns.
 team "firmas" {
   owns    = ["class/registrar-firma", "dependency/registro"]
-  cut_off = "hold" # default: an edit that the fleet does not answer is kept on this nodo's disk and sent on; "refuse": it hears no
+  cut_off = "hold" # default: while cut off from the fleet, edits are stored on disk and sent later; "refuse": they are refused
 }
 
-# What edges measure goes into tables of who is served soonest where; off without this block.
+# Steering of clients to the region with the lowest delay, as edges measure it; disabled without this block.
 steering {
-  capacity = "200/s"    # needed: requests a second that this nodo can take, as plans count it
-  every    = "10s"      # how often this nodo tells what it measured
-  by       = "balancer" # what makes a group of clients: "balancer", "address", or "field" with field = "X-Org"
-  delays   = "kernel"   # "gaps" where something between ends connections: from an answer to the next request
+  capacity = "200/s"    # required: the nodo's capacity for planning, in requests per second
+  every    = "10s"      # interval at which this nodo sends its measurements
+  by       = "balancer" # how clients are grouped: "balancer", "address", or "field" with field = "X-Org"
+  delays   = "kernel"   # "gaps" if an intermediary terminates connections: the time from an answer to the next request
 }
 
-# What this nodo asks of the fleet and what comes back, for checkers of a test; a nodo in service has no such block.
+# Records this nodo's requests to the fleet and their results, for checkers of a test; not for production.
 history {
-  folder = "/var/lib/jaspershunt/histories" # needed
-  bytes  = "16MiB" # of a file, one for each start; then it says that it is full
+  folder = "/var/lib/jaspershunt/histories" # required
+  bytes  = "16MiB" # maximum of a file, one per incarnation; when it is reached, the file records that it is full
 }
