--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# What a maintainer needs; `.ci/run` runs the same. CONFIG is the file that `make run` gives the nodo, OUT a folder into
-# which `make measure-NAME` also writes its table and chart.
+# Targets for maintainers; `.ci/run` uses them too. CONFIG is the configuration file of the nodo that `make run` starts;
+# OUT is a folder to which `make measure-NAME` also writes its table and chart.
 CARGO ?= cargo
 LAB = target/release/jaspershunt-lab
 
@@ -9,7 +9,7 @@
 build:
 	$(CARGO) build --release --locked
 
-# All tests, as `cargo test --workspace --locked` runs them; but a failure of what KNOWN-RED.txt lists does not count.
+# Runs all tests, like `cargo test --workspace --locked`, but ignores failures of tests listed in KNOWN-RED.txt.
 test:
 	CARGO="$(CARGO)" .ci/known-red
 
@@ -46,6 +46,6 @@
 measure-leases: lab
 	$(LAB) measure leases $(if $(OUT),--out $(OUT))
 
-# ROUNDS of these are summed; one takes about a minute.
+# Sums the results of ROUNDS rounds; one round takes about a minute.
 measure-partial: lab
 	$(LAB) measure partial $(if $(OUT),--out $(OUT)) $(if $(SEED),--seed $(SEED)) $(if $(ROUNDS),--rounds $(ROUNDS))
