--- a/crates/dependencies/src/budget.rs
+++ b/crates/dependencies/src/budget.rs
@@ -70,7 +70,7 @@
     pub succeeded: u64,
     /// Attempts that failed, lost their connection, or could not connect.
     pub failed: u64,
-    /// Attempts that the dependency turned away.
+    /// Attempts that the dependency rejected.
     pub turned_away: u64,
     /// Attempts given up.
     pub given_up: u64,
--- a/crates/dependencies/src/calls.rs
+++ b/crates/dependencies/src/calls.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Maximum number of calls without an end, over all dependencies; more than any share of the parked runs
-/// allows. Calls beyond it are turned away.
+/// allows. Calls beyond it are rejected.
 pub const MAX_ACTIVE_CALLS: usize = 4096;
 /// An attempt is not started with less time left than this.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
--- a/crates/dependencies/src/limit.rs
+++ b/crates/dependencies/src/limit.rs
@@ -4,7 +4,7 @@
 //! It applies TCP Vegas (Brakmo, O'Malley and Peterson 1994) to calls instead of segments: latency above the
 //! minimum is time spent queueing, so `in flight × (1 − minimum / mean)` calls are queued at the dependency.
 //! The limit grows while few are; it shrinks once more are queued than keep the dependency busy. A call that
-//! is turned away or given up reduces it at once, as a lost segment does. It differs from Vegas in two
+//! is rejected or given up reduces it at once, as a lost segment does. It differs from Vegas in two
 //! points. The thresholds are shares of the limit, since a dependency with 4 slots and one with 40 must both
 //! settle near their slots. And the minimum is measured again at regular intervals, at half the limit, as
 //! BBR does (Cardwell and others 2016): a dependency that has become slower for good is not overloaded, and
@@ -22,7 +22,7 @@
 /// The limit shrinks once more calls than this share of it plus `SHRINK_ABOVE_CALLS` are queued.
 const SHRINK_ABOVE_SHARE: f64 = 0.15;
 const SHRINK_ABOVE_CALLS: f64 = 0.7;
-/// Factor applied to the limit when a call is turned away or given up.
+/// Factor applied to the limit when a call is rejected or given up.
 const DROP_FACTOR: f64 = 0.7;
 /// Factor applied in each round of slow start, until calls first queue.
 const SLOW_START_FACTOR: f64 = 1.5;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Records a call that was turned away or given up.
+    /// Records a call that was rejected or given up.
     pub fn record_drop(&mut self) {
         if !self.decreased {
             self.decreased = true;
--- a/crates/dependencies/src/reply_cache.rs
+++ b/crates/dependencies/src/reply_cache.rs
@@ -1,4 +1,4 @@
-//! Cache of replies that can stand in for a failed call (`kept` in the operator's file), bounded in age and
+//! Cache of replies usable in place of a failed call (`kept` in the operator's file), bounded in age and
 //! bytes. Entries are keyed by the whole call (class, place in the run, body): with less, one person could
 //! receive data that belongs to another.
 
--- a/crates/dependencies/src/routes.rs
+++ b/crates/dependencies/src/routes.rs
@@ -23,7 +23,7 @@
     pub at_most_once: bool,
 }
 
-/// The routes of all classes, by class and place in the run; place 0 stands for any place.
+/// The routes of all classes, by class and place in the run; place 0 means any place.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Routes(BTreeMap<(usize, usize), Route>);
 
--- a/crates/dependencies/src/tests.rs
+++ b/crates/dependencies/src/tests.rs
@@ -317,7 +317,7 @@
     assert_eq!(harness.outcome(call), Some(Outcome::Failed));
     let next = harness.request(SIGN, 1, b"x");
     assert_eq!(harness.attempt(next).1, 2);
-    // A safe call failed at one dependency and was turned away by the next: it may have run.
+    // A safe call failed at one dependency and was rejected by the next: it may have run.
     harness.advance_to(80);
     let call = harness.request(READ, 1, b"y");
     harness.end(call, Outcome::Failed, 1);
--- a/crates/fleet/src/voter_slots.rs
+++ b/crates/fleet/src/voter_slots.rs
@@ -116,7 +116,7 @@
                 None => VoterSlotChange::Promote { disk: *disk },
             });
         }
-        // A voter that the file no longer names is removed, unless it is the leader, which goes on until
+        // A voter that the file no longer names is removed, unless it is the leader, which stays until
         // another one is elected.
         for (disk, slot) in self.disks.iter().filter(|(disk, slot)| slot.votes && **disk != me) {
             let rest: Vec<_> =
--- a/crates/histories/src/table.rs
+++ b/crates/histories/src/table.rs
@@ -172,7 +172,7 @@
 /// A begin time, and its record.
 type Began<'a> = (u64, &'a Record);
 
-/// Returns the one that began later.
+/// Returns the entry that began later.
 fn later<'a>(one: Option<Began<'a>>, two: Option<Began<'a>>) -> Option<Began<'a>> {
     [one, two].into_iter().flatten().max_by_key(|(begin, _)| *begin)
 }
--- a/crates/histories/src/test_histories.rs
+++ b/crates/histories/src/test_histories.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Asserts that the checker finds a violation whose text contains these words, and whether it also does so
+/// Asserts that the checker finds a violation whose text contains these words, and whether it also finds it
 /// where records are missing.
 pub(crate) fn assert_rejected(check: fn(&History) -> Verdict, histories: Vec<(&str, bool, Vec<Record>)>) {
     for (words, certain, mut records) in histories {
--- a/crates/keys/src/journal.rs
+++ b/crates/keys/src/journal.rs
@@ -41,7 +41,7 @@
         key: Key,
         /// Its digest.
         print: u64,
-        /// The id that stands for its try.
+        /// The request id of its try.
         id: RequestId,
         /// The end of its window.
         until: f64,
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -165,7 +165,7 @@
         }
         let Some(record) = self.records.get_mut(key) else { return Err(TryRejected::Full) };
         // Without this check, another caller could receive the result of someone else's request, or have
-        // that request turned away as the older of two tries.
+        // that request rejected as the older of two tries.
         if record.digest != digest {
             return Err(TryRejected::OtherBody);
         }
--- a/crates/lab/src/fleet/fault_injection.rs
+++ b/crates/lab/src/fleet/fault_injection.rs
@@ -110,7 +110,7 @@
                 .any(|(_, repairs)| matches!(repairs, Repair::Start(m) | Repair::Resume(m) if *m == n))
         };
         let cut = repairs.iter().any(|(_, repairs)| matches!(repairs, Repair::Links));
-        // Impair one voter at a time: without a quorum nobody acts, and nothing would be tested.
+        // Impair one voter at a time: without a quorum no member acts, and nothing would be tested.
         let voter_impaired = cut || (0..VOTERS).any(impaired);
         let healthy: Vec<usize> =
             (0..MEMBERS).filter(|n| !impaired(*n) && (*n >= VOTERS || !voter_impaired)).collect();
--- a/crates/node/src/engine/arrivals.rs
+++ b/crates/node/src/engine/arrivals.rs
@@ -12,8 +12,8 @@
 use jaspershunt::{Event, Outcome, Request, RequestId};
 use jaspershunt_routes::trial::RequestEnd as Tried;
 
-/// Time that callers are told to stay away when a limit of the route table is reached; about the duration of
-/// a request.
+/// Time for which callers are asked to send nothing when a limit of the route table is reached; about the
+/// duration of a request.
 const ROUTE_LIMIT_STAY_AWAY_SECONDS: f64 = 1.0;
 
 impl Engine {
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Guards against a lost notice of a run's end: the run would occupy the module for ever.
+    /// Guards against a lost notice of a run's end: the run would occupy the module indefinitely.
     pub(super) fn run_lost(&mut self, id: RequestId) {
         if let Some(entry) = self.requests.get(&id).filter(|entry| entry.runs()) {
             log!(WARN, "the end of run {} was never reported", entry.uid);
--- a/crates/node/src/engine/handover/runs.rs
+++ b/crates/node/src/engine/handover/runs.rs
@@ -46,8 +46,8 @@
             // second one starts.
             return;
         }
-        // Guards against a second run of a key by this nodo within its window, whoever owned the key in
-        // between.
+        // Guards against a second run of a key by this nodo within its window, even if the key had another
+        // owner in between.
         if self.keys.run_state(&key).is_some() {
             return self.report_run_result(&key, None, RunResult::OutcomeUnknown);
         }
@@ -102,8 +102,8 @@
     }
 
     /// Ends an inherited run that waits for a call. The platform ends a waiting run as its request is
-    /// answered, but inherited work has no request there: guards against a run, and all who wait for its
-    /// outcome, waiting for ever once the call was given up.
+    /// answered, but inherited work has no request there: guards against a run, and all requests for its
+    /// outcome, waiting indefinitely once the call was given up.
     pub(in crate::engine) fn end_inherited(&mut self, id: RequestId) {
         let Some(entry) =
             self.requests.get(&id).filter(|entry| id.0 >= FIRST_INHERITED_ID && entry.reply.is_none())
--- a/crates/node/src/fastcgi/connection.rs
+++ b/crates/node/src/fastcgi/connection.rs
@@ -260,7 +260,7 @@
     }
 
     /// Asks one connection to close: preferably one that never brought a valid request, otherwise an idle
-    /// one, and among these the one that has been idle longest. Never one on which an answer is owed.
+    /// one, and among these the one that has been idle longest. Never one with an unanswered request.
     fn ask_one_to_close(&self) {
         let connections = self.connections.borrow();
         let quiet = connections.values().filter(|status| status.quiet.get() && !status.asked_to_close.get());
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,7 +5,7 @@
 //! requests, [`database`] and [`directory`] (over [`http`]) are clients of the services shared by all nodos.
 //! [`keys`] remembers what may not run twice, [`config`] reads the platform's configuration, [`cli`] is the
 //! command line, and [`server`] starts the parts. [`fleet`] makes the nodo a member of a fleet if the
-//! operator's file says so.
+//! operator's file configures one.
 
 pub mod admin;
 pub mod capture;
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -258,7 +258,7 @@
 
     /// Sends the reply.
     pub fn send(self, reply: Reply) {
-        // An error means that the connection or the other process has ended, so nobody waits.
+        // An error means that the connection or the other process has ended, so the reply is not needed.
         match self.0 {
             Destination::Connection(to, ticket) => drop(to.try_send((ticket, reply))),
             Destination::Relay(to, ticket) => to.reply(ticket, reply),
--- a/crates/operator/src/source.rs
+++ b/crates/operator/src/source.rs
@@ -92,7 +92,7 @@
                     .iter()
                     .map(|known| (strsim::damerau_levenshtein(known, &name), *known))
                     .min()
-                    // At a greater distance the key is probably another word and no misspelling.
+                    // At a greater distance the key is probably a different word, not a misspelling.
                     .filter(|(distance, known)| *distance <= known.len().div_ceil(3));
                 let what = match near {
                     Some((_, near)) => format!("is not known; did you mean {near:?}?"),
--- a/crates/stand-ins/src/nodo.rs
+++ b/crates/stand-ins/src/nodo.rs
@@ -274,7 +274,7 @@
     pub refused_after_run: Vec<String>,
     /// Keys whose tries received different results.
     pub differ: Vec<String>,
-    /// Number of answers by status; 0 stands for no answer.
+    /// Number of answers by status; 0 means no answer.
     pub statuses: BTreeMap<u16, usize>,
 }
 
--- a/crates/steering/src/planner.rs
+++ b/crates/steering/src/planner.rs
@@ -343,7 +343,7 @@
 
     /// Moves shares out of regions that are lost or no longer allowed, as far as capacity allows; first the
     /// groups whose second choice costs most compared with their first. The rest stays, as overloading the
-    /// next region would help nobody.
+    /// next region would not help.
     fn evacuate(&self, plan: &mut Plan) {
         let mut displaced: Vec<(f64, Group, String, Vec<String>)> = Vec::new();
         for (group, row) in &plan.rows {
--- a/crates/work/src/sim.rs
+++ b/crates/work/src/sim.rs
@@ -59,7 +59,7 @@
 /// Counts of events, which show that the schedules reach the interesting cases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Accepted uses of a key. Each use stands for one request.
+    /// Accepted uses of a key. Each use represents one request.
     pub accepted: u64,
     /// Effects at the resource.
     pub effects: u64,
@@ -794,7 +794,7 @@
         Ok(())
     }
 
-    /// Checks that each use has one outcome, whoever reports it.
+    /// Checks that each use has one outcome, regardless of who reports it.
     fn record_outcome(&mut self, number: u64, end: End) -> Result<(), String> {
         // Work that ended as `NeverRan` may be offered again and then end otherwise.
         let settled = self.outcomes.get(&number).filter(|first| **first != End::NeverRan);
--- a/crates/work/src/state.rs
+++ b/crates/work/src/state.rs
@@ -335,8 +335,8 @@
             return outcome;
         }
         if (item.token, &item.owner) != (token, by) {
-            // A previous owner's success is final whoever owns the work now. Its failure is not: a successor
-            // may be running.
+            // A previous owner's success is final even if the work has a new owner. Its failure is not: a
+            // successor may be running.
             if !matches!(end, End::Done(_)) {
                 return Err(Refusal::OldToken);
             }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -76,8 +76,8 @@
 const TENANT_RATE_DECAY_SECONDS: f64 = 5.0;
 /// Wakes are requested no sooner than twice this; it is shorter than any tick.
 const WAKE_TOLERANCE_SECONDS: f64 = 0.0005;
-/// How long before the grace period ends callers are told to send nothing more. What they send until then is
-/// run, and spares the other servers.
+/// Time before the end of the grace period at which callers are asked to send nothing more. What they send
+/// until then is run, which reduces the load on the other servers.
 const GRACE_NOTICE_SECONDS: f64 = 0.5;
 /// Everything is answered this long before the process is stopped.
 const STOP_MARGIN_SECONDS: f64 = 0.06;
@@ -575,8 +575,8 @@
         self.run_limit = self.run_limit.clamp(cores, self.max_concurrency().max(cores));
     }
 
-    /// The concurrency that the cores survive, lower while the server is cold. Rounded down: a run above a
-    /// fractional limit would be paused and resumed for ever.
+    /// The concurrency that the cores sustain, lower while the server is cold. Rounded down: a run above a
+    /// fractional limit would be paused and resumed repeatedly.
     fn max_concurrency(&self) -> f64 {
         let age = self.now - self.started_at.unwrap_or(self.now);
         let warm = !self.settings.cold || age >= self.settings.cold_for;
@@ -744,7 +744,7 @@
         }
     }
 
-    /// Whether far more is requested than served, so that retries may become a storm.
+    /// Whether far more is requested than served, so that a retry storm is likely.
     fn retry_storm(&self) -> bool {
         self.meter.delay_high || self.meter.refused_share > RETRY_STORM_REFUSED_SHARE
     }
