--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -44,7 +44,7 @@
         /// Notified once it is done.
         done: oneshot::Sender<()>,
     },
-    /// Checks whether this process has the right to run new requests.
+    /// Checks whether this process is the owner, which runs new requests.
     Look {
         /// Notified once it is checked.
         done: oneshot::Sender<()>,
@@ -73,7 +73,7 @@
     pub leaves: Cell<bool>,
     /// Whether other processes of the program may be one nodo with this one.
     pub shared: Cell<bool>,
-    /// Whether another process has taken over this one's right to run new requests.
+    /// Whether another process has taken ownership from this one.
     pub lost: Cell<bool>,
     /// Notified when `lost` is set.
     pub lost_now: Notify,
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -224,10 +224,10 @@
     /// Which process owns the keys.
     claims: Claims,
     /// Ownership of new requests, where there can be more than one process.
-    right: Option<Ownership>,
+    ownership: Option<Ownership>,
     /// The other process of an upgrade.
     partner: Partner,
-    /// Whether health is to be reported to the directory once this process has the right.
+    /// Whether health is to be reported to the directory once this process is the owner.
     report_pending: bool,
     /// When all requests must be answered, once the nodo leaves.
     stop_at: Option<f64>,
@@ -280,7 +280,7 @@
             tag: 0,
             owed: 0,
             claims,
-            right: None,
+            ownership: None,
             partner: Partner::default(),
             report_pending: false,
             stop_at: None,
@@ -316,7 +316,7 @@
                 let _ = done.send(());
             }
             Order::Look { done } => {
-                self.check_right();
+                self.check_ownership();
                 // As above.
                 let _ = done.send(());
             }
@@ -335,7 +335,7 @@
         // The module's clock is monotonic, even if the system's is set back.
         self.now = self.now.max(self.clock.now() - self.epoch);
         // After the whole batch was read and before any of it can run: see `upgrade::claims`.
-        self.check_right();
+        self.check_ownership();
         self.begin_capture();
         self.expire_keys();
         for input in batch {
--- a/crates/node/src/engine/drain.rs
+++ b/crates/node/src/engine/drain.rs
@@ -22,8 +22,8 @@
         self.module_healthy && !self.lameduck
     }
 
-    /// Reports the present health to the directory, once the module exists. A process without the right to
-    /// run new requests reports nothing for the nodo.
+    /// Reports the present health to the directory, once the module exists. A process without ownership
+    /// reports nothing for the nodo.
     pub(super) fn report_health(&mut self) {
         if self.claims == Claims::Lost || self.channels.desk.lost.get() {
             self.report_pending = true;
--- a/crates/node/src/engine/input.rs
+++ b/crates/node/src/engine/input.rs
@@ -145,22 +145,22 @@
 pub enum Peer {
     /// Another process asks for the operators' lameduck state.
     LameduckQuery {
-        /// Gets whether clients are sent away; `None` from a process that has lost the right.
+        /// Gets whether clients are sent away; `None` from a process that has lost ownership.
         answer: oneshot::Sender<Option<bool>>,
     },
     /// An earlier process exists to take over from.
     Earlier {
         /// The channel to it.
         to: mpsc::Sender<Out>,
-        /// Whether it has clients sent away; `None` where it has lost the right.
+        /// Whether it has clients sent away; `None` where it has lost ownership.
         lameduck: Option<bool>,
     },
-    /// The right to run new requests was free, and no other process is alive.
+    /// Ownership was free, and no other process is alive.
     Found(Ownership),
-    /// The right was taken from an unresponsive process, which can no longer run new requests.
+    /// Ownership was taken from an unresponsive process, which can no longer run new requests.
     Taken(Ownership),
-    /// A query whether this process has the right.
-    RightQuery {
+    /// A query whether this process is the owner.
+    OwnershipQuery {
         /// Gets the answer.
         answer: oneshot::Sender<bool>,
     },
@@ -180,14 +180,14 @@
     },
     /// A chunk of the earlier process's key table.
     Table(Vec<Entry>),
-    /// The end of the key table, with the right.
+    /// The end of the key table, with ownership.
     Yours {
-        /// The right.
-        right: Ownership,
+        /// Ownership.
+        ownership: Ownership,
         /// The period whose keys remain in doubt, in Unix seconds.
         doubt: Option<(f64, f64)>,
     },
-    /// The end of the key table of a process that had lost the right.
+    /// The end of the key table of a process that had lost ownership.
     Yielded,
     /// A try relayed by the earlier process.
     Work {
--- a/crates/node/src/engine/upgrade.rs
+++ b/crates/node/src/engine/upgrade.rs
@@ -79,26 +79,26 @@
     pub(super) fn handle_peer_message(&mut self, peer: Peer) {
         match peer {
             Peer::LameduckQuery { answer } => drop(answer.send(self.claims.owns().then_some(self.lameduck))),
-            Peer::RightQuery { answer } => drop(answer.send(self.claims.owns())),
+            Peer::OwnershipQuery { answer } => drop(answer.send(self.claims.owns())),
             Peer::Earlier { to, lameduck } => {
                 self.partner.replace(Some(to));
                 match lameduck {
                     Some(true) => self.set_lameduck(true),
                     Some(false) => {}
-                    // It had lost the right, and gets the operators' present state.
+                    // It had lost ownership, and gets the operators' present state.
                     None => self.send_lameduck(),
                 }
                 if self.module.is_some() {
                     self.request_handover();
                 }
             }
-            Peer::Found(right) => {
+            Peer::Found(ownership) => {
                 self.claims.found();
-                self.set_right(right);
+                self.set_ownership(ownership);
             }
-            Peer::Taken(right) => {
+            Peer::Taken(ownership) => {
                 self.claims.taken(self.now, longest_window(&self.settings));
-                self.set_right(right);
+                self.set_ownership(ownership);
             }
             Peer::Begin { to, given } => drop(given.send(self.hand_over_keys(to))),
             Peer::Reply { ticket, reply } => {
@@ -107,13 +107,13 @@
                 }
             }
             Peer::Table(entries) => entries.into_iter().for_each(|entry| self.adopt(entry)),
-            Peer::Yours { right, doubt } => {
+            Peer::Yours { ownership, doubt } => {
                 let epoch = self.epoch;
                 self.claims.given(
                     doubt.map(|(since, until)| Uncertainty { since: since - epoch, until: until - epoch }),
                 );
                 log!("upgrade: {} keys were taken over", self.partner.adopted);
-                self.set_right(right);
+                self.set_ownership(ownership);
             }
             Peer::Yielded => log!("upgrade: {} keys were taken over so far", self.partner.adopted),
             Peer::Ended(entry) => self.adopt(entry),
@@ -142,15 +142,15 @@
         }
     }
 
-    // The right to run new requests.
+    // Ownership, the exclusive right of one process to run new requests.
 
-    /// Checks whether this process still has the right. Cheap, as the result of a check is valid for a while.
-    pub(super) fn check_right(&mut self) {
-        let Some(right) = &mut self.right else { return };
-        if right.is_held() {
+    /// Checks whether this process is still the owner. Cheap, as the result of a check is valid for a while.
+    pub(super) fn check_ownership(&mut self) {
+        let Some(ownership) = &mut self.ownership else { return };
+        if ownership.is_held() {
             return;
         }
-        self.right = None;
+        self.ownership = None;
         self.claims.lost();
         log!(
             WARN,
@@ -160,11 +160,11 @@
         self.partner_lost();
     }
 
-    /// Sets the right of this process, unless another one has taken it meanwhile.
-    fn set_right(&mut self, right: Ownership) {
-        self.right = Some(right);
+    /// Sets the ownership of this process, unless another one has taken it meanwhile.
+    fn set_ownership(&mut self, ownership: Ownership) {
+        self.ownership = Some(ownership);
         self.channels.desk.lost.set(false);
-        self.check_right();
+        self.check_ownership();
         if self.claims.owns() && std::mem::take(&mut self.report_pending) {
             self.report_health();
         }
@@ -179,7 +179,7 @@
 
     // The process that hands over.
 
-    /// Hands over all keys to the other process, and with them all new requests, and the right if this
+    /// Hands over all keys to the other process, and with them all new requests, and ownership if this
     /// process has it. Messages stay in order, so that the table arrives before the first try that needs it.
     /// Returns whether the keys were handed over.
     fn hand_over_keys(&mut self, to: mpsc::Sender<Out>) -> bool {
@@ -198,14 +198,14 @@
         let count = all.len();
         let said = wire::pieces(all).into_iter().all(|piece| self.partner.send(Message::Table(piece)));
         let load = self.load();
-        // The right cannot be taken back once sent, so the queue needs room for all messages.
+        // Ownership cannot be taken back once sent, so the queue needs room for all messages.
         let fits = said && self.partner.send(Message::Load(load));
-        let last = match self.right.take() {
-            Some(right) if fits => {
+        let last = match self.ownership.take() {
+            Some(ownership) if fits => {
                 let doubt = self.claims.give().map(|doubt| (doubt.since + epoch, doubt.until + epoch));
                 Out {
                     message: Message::Yours { doubt },
-                    descriptor: Some(right.into_descriptor()),
+                    descriptor: Some(ownership.into_descriptor()),
                     sent: None,
                 }
             }
@@ -213,16 +213,16 @@
                 self.claims.give();
                 Message::Yielded.into()
             }
-            right => {
+            ownership => {
                 // The other process has not received ownership of anything.
                 log!(ERROR, "upgrade: {count} keys exceed the link's queue and were not handed over");
-                self.right = right;
+                self.ownership = ownership;
                 self.partner.replace(None);
                 return false;
             }
         };
         if !self.partner.send(last) {
-            // The link broke, so the right is free and will be taken back.
+            // The link broke, so ownership is free and will be taken back.
             log!(ERROR, "upgrade: the link broke while the keys were handed over");
         }
         log!(
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -35,8 +35,7 @@
 const LAST_CALL_MARGIN: Duration = Duration::from_secs(1);
 /// Listen backlog.
 const BACKLOG: u32 = 1024;
-/// Maximum wait, on a notice to leave, for the engine to check whether this process still has the right to
-/// run.
+/// Maximum wait, on a notice to leave, for the engine to check whether this process is still the owner.
 const OWNERSHIP_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time for which the listener stays open after the grace, for requests sent just within it.
 const EXTRA_GRACE: Duration = Duration::from_millis(100);
@@ -284,9 +283,9 @@
     desk.leaves.set(true);
     if desk.shared.get() {
         // A process that was paused may take the notice as one to the nodo before it has seen that it lost
-        // the right to run.
+        // ownership.
         let (answer, seen) = oneshot::channel();
-        let _ = engine_in.send(Input::Peer(Peer::RightQuery { answer })).await;
+        let _ = engine_in.send(Input::Peer(Peer::OwnershipQuery { answer })).await;
         let _ = timeout_at(notified_at + OWNERSHIP_CHECK_TIMEOUT, seen).await;
     }
     // Another process serves, or will: this one reports nothing for the nodo.
--- a/crates/node/src/upgrade/claims/tests.rs
+++ b/crates/node/src/upgrade/claims/tests.rs
@@ -112,7 +112,7 @@
     now: f64,
     starts: Vec<Start>,
     /// The number of the present ownership; a process with a lower one has lost it.
-    right: u32,
+    ownership: u32,
     link: Option<Link>,
     first: First,
     /// The number of repeated tries that were read.
@@ -153,7 +153,7 @@
     claims: Claims,
     /// What it knows of the key.
     known: Option<State>,
-    right: Option<u32>,
+    ownership: Option<u32>,
     /// Its last ownership check is still valid.
     sure: bool,
     /// A try that was read, with an ownership check, and is not placed yet: a pause may occur here.
@@ -209,8 +209,8 @@
 impl Start {
     fn new(n: usize) -> Start {
         let first = n == 0;
-        let (claims, right) = (Claims::start(first), first.then_some(0));
-        Start { claims, known: None, right, sure: first, read: None, takes: None, dead: false }
+        let (claims, ownership) = (Claims::start(first), first.then_some(0));
+        Start { claims, known: None, ownership, sure: first, read: None, takes: None, dead: false }
     }
 }
 
@@ -221,7 +221,7 @@
         World {
             now: 1.0,
             starts,
-            right: 0,
+            ownership: 0,
             link: None,
             first,
             tries: 0,
@@ -233,15 +233,15 @@
     }
 
     fn check(&mut self, at: usize) {
-        let right = self.right;
+        let ownership = self.ownership;
         let start = &mut self.starts[at];
-        let Some(mine) = start.right else { return };
+        let Some(mine) = start.ownership else { return };
         if !check_due(Duration::ZERO, if start.sure { Duration::ZERO } else { CHECK_VALIDITY }) {
             return;
         }
-        start.sure = mine == right;
+        start.sure = mine == ownership;
         if !start.sure {
-            start.right = None;
+            start.ownership = None;
             start.claims.lost();
             if self.link.as_ref().is_some_and(|link| link.giver == at || link.taker == at) {
                 self.break_link();
@@ -249,8 +249,8 @@
         }
     }
 
-    fn has_right(&mut self, at: usize, right: u32) {
-        self.starts[at].right = Some(right);
+    fn set_ownership(&mut self, at: usize, ownership: u32) {
+        self.starts[at].ownership = Some(ownership);
         // The first check is made on arrival.
         self.starts[at].sure = mutant(Mutant::TransferredOwnershipIsNotChecked);
         self.check(at);
@@ -370,12 +370,12 @@
                 match start.takes {
                     None if self.takes < bounds.takes => {
                         step(at, "it takes ownership from a silent process", &|w| {
-                            w.right += 1;
+                            w.ownership += 1;
                             w.takes += 1;
-                            w.starts[at].takes = Some(w.right);
+                            w.starts[at].takes = Some(w.ownership);
                         })
                     }
-                    Some(right) => {
+                    Some(ownership) => {
                         let waited = |other: &Start| other.dead || !other.sure;
                         let others = self.starts.iter().enumerate().filter(|(n, _)| *n != at);
                         if others.clone().all(|(_, other)| waited(other))
@@ -385,7 +385,7 @@
                                 w.now += 1.0;
                                 w.starts[at].takes = None;
                                 w.starts[at].claims.taken(w.now, WINDOW);
-                                w.has_right(at, right);
+                                w.set_ownership(at, ownership);
                                 w.now += 1.0;
                             });
                         }
@@ -421,11 +421,11 @@
                     w.check(at);
                     let Some(link) = &mut w.link else { return };
                     let start = &mut w.starts[at];
-                    let right = start.right.take();
+                    let ownership = start.ownership.take();
                     link.given = true;
                     let doubt = start.claims.give();
                     link.messages.push(Sent::Entry(start.known));
-                    link.messages.extend(right.map(|right| Sent::Yours(right, doubt)));
+                    link.messages.extend(ownership.map(|ownership| Sent::Yours(ownership, doubt)));
                 });
             }
             if link.taker == at && !link.messages.is_empty() {
@@ -443,9 +443,9 @@
                                 start.known = state.map(away);
                             }
                         }
-                        Sent::Yours(right, doubt) => {
+                        Sent::Yours(ownership, doubt) => {
                             start.claims.given(doubt);
-                            w.has_right(at, right);
+                            w.set_ownership(at, ownership);
                         }
                         // Placed like any other try.
                         Sent::Try => {
@@ -486,14 +486,14 @@
     /// Returns a hash of the state without its past, which has no influence on what follows.
     fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        let World { now, starts, right, link, first, tries, takes, deaths, runs, log: _ } = self;
-        (now.to_bits(), right, tries, takes, deaths, runs).hash(&mut hasher);
+        let World { now, starts, ownership, link, first, tries, takes, deaths, runs, log: _ } = self;
+        (now.to_bits(), ownership, tries, takes, deaths, runs).hash(&mut hasher);
         match first {
             First::ToCome => 0u64.hash(&mut hasher),
             First::Sent(at) => at.to_bits().hash(&mut hasher),
             First::Read => 1u64.hash(&mut hasher),
         }
-        for Start { claims, known, right, sure, read, takes, dead } in starts {
+        for Start { claims, known, ownership, sure, read, takes, dead } in starts {
             let claims = match claims {
                 Claims::Owned => (0, 0),
                 Claims::Transferred => (1, 0),
@@ -501,15 +501,15 @@
                 Claims::Uncertain(doubt) => (3, doubt.since.to_bits()),
             };
             let read = read.map(|read| (read.may_repeat, read.arrived.to_bits()));
-            (claims, known, right, sure, read, takes, dead).hash(&mut hasher);
+            (claims, known, ownership, sure, read, takes, dead).hash(&mut hasher);
         }
         if let Some(Link { giver, taker, given, messages }) = link {
             (giver, taker, given).hash(&mut hasher);
             for one in messages {
                 match one {
                     Sent::Entry(state) => (0, state).hash(&mut hasher),
-                    Sent::Yours(right, doubt) => {
-                        (1, right, doubt.map(|doubt| doubt.since.to_bits())).hash(&mut hasher);
+                    Sent::Yours(ownership, doubt) => {
+                        (1, ownership, doubt.map(|doubt| doubt.since.to_bits())).hash(&mut hasher);
                     }
                     Sent::Try => 2.hash(&mut hasher),
                     Sent::Ended(state) => (3, state).hash(&mut hasher),
--- a/crates/node/src/upgrade/mod.rs
+++ b/crates/node/src/upgrade/mod.rs
@@ -157,8 +157,8 @@
                 (Message::Alive, _) => continue,
                 (Message::Table(entries), _) => Peer::Table(entries),
                 (Message::Yours { doubt }, Some(file)) if !yields => {
-                    let right = Ownership::transferred(file);
-                    let _ = engine.send(Input::Peer(Peer::Yours { right, doubt })).await;
+                    let ownership = Ownership::transferred(file);
+                    let _ = engine.send(Input::Peer(Peer::Yours { ownership, doubt })).await;
                     // The receiver waits until it is notified.
                     owns.take().map(|owns| owns.send(()));
                     continue;
@@ -406,7 +406,7 @@
         let _ = self.engine.send(Input::Peer(peer)).await;
         // Another process may have taken ownership meanwhile.
         let (reply, has_it) = oneshot::channel();
-        let _ = self.engine.send(Input::Peer(Peer::RightQuery { answer: reply })).await;
+        let _ = self.engine.send(Input::Peer(Peer::OwnershipQuery { answer: reply })).await;
         let has_it = has_it.await.unwrap_or(false);
         if has_it && !alone {
             log!(
--- a/crates/node/src/upgrade/ownership.rs
+++ b/crates/node/src/upgrade/ownership.rs
@@ -147,7 +147,7 @@
         tokio::time::advance(claims::CHECK_VALIDITY).await;
         assert!(!first.is_held());
         assert!(!first.is_held(), "ownership stays lost");
-        // What is passed on is the same right, to be checked_at at by whoever gets it.
+        // The descriptor that is passed on carries the same ownership, which its receiver has to check.
         let mut passed = Ownership::transferred(second.into_descriptor());
         assert!(passed.is_held());
         let _third = place.acquire_ownership().unwrap();
